--- a/tests/barriers.py
+++ b/tests/barriers.py
@@ -17,8 +17,8 @@
 import uvloop
 from loopback import HOST, Heard, Stage, line, until
 
-from tulipnotch.sidecar import client
 from tulipnotch.sidecar.clock import Clock
+from tulipnotch.sidecar.upstream import connection as client
 
 
 class ManualClock:
--- a/tests/lab/broken_sidecar.py
+++ b/tests/lab/broken_sidecar.py
@@ -5,13 +5,13 @@
 import sys
 from typing import Any
 
-from tulipnotch.decisions.interface import RequestArrived, ServerState
-from tulipnotch.decisions.selection import Selection
-from tulipnotch.decisions.slow_start import SlowStart
-from tulipnotch.sidecar import discovery
+from tulipnotch.load_balancing.events import RequestArrived, ServerState
+from tulipnotch.load_balancing.selection.best_of_k import Selection
+from tulipnotch.load_balancing.slow_start.warm_up_budget import SlowStart
 from tulipnotch.sidecar.__main__ import main
+from tulipnotch.sidecar.discovery import client as discovery
 from tulipnotch.sidecar.sidecar import Sidecar
-from tulipnotch.sidecar.upstream import Call, Upstream
+from tulipnotch.sidecar.upstream.pool import Call, Upstream
 
 
 def forgets() -> None:
--- a/tests/lab/test_overload.py
+++ b/tests/lab/test_overload.py
@@ -5,8 +5,8 @@
 import pytest
 from side_by_side import side_by_side
 
-from tulipnotch.decisions import concurrency_limit
 from tulipnotch.lab import play, scenario
+from tulipnotch.load_balancing.admission import concurrency_limit
 
 pytestmark = pytest.mark.xdist_group("overload")
 
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -14,8 +14,8 @@
 import uvloop
 
 from tulipnotch.sidecar import logs
-from tulipnotch.sidecar.config import parse
-from tulipnotch.sidecar.frontend import ClientLimits
+from tulipnotch.sidecar.configuration.configuration import parse
+from tulipnotch.sidecar.downstream.server import ClientLimits
 from tulipnotch.sidecar.sidecar import ServiceLevels, Sidecar
 
 # Each worker of pytest-xdist has its own address: no other takes a port that a test closes and opens again.
--- a/tests/orders.py
+++ b/tests/orders.py
@@ -30,12 +30,16 @@
     VirtualLoop,
 )
 
-from tulipnotch.decisions import outlier_detection, overdue
-from tulipnotch.decisions.interface import ListKind
-from tulipnotch.sidecar import client, clock, http1, upstream
-from tulipnotch.sidecar.config import Config, parse
-from tulipnotch.sidecar.frontend import ClientSide
+from tulipnotch.load_balancing.events import ListKind
+from tulipnotch.load_balancing.health import outlier_detection
+from tulipnotch.load_balancing.retries import attempt_timeouts as overdue
+from tulipnotch.sidecar import clock
+from tulipnotch.sidecar.configuration.configuration import Config, parse
+from tulipnotch.sidecar.downstream.server import ClientSide
+from tulipnotch.sidecar.http1 import messages as http1
 from tulipnotch.sidecar.sidecar import Sidecar
+from tulipnotch.sidecar.upstream import connection as client
+from tulipnotch.sidecar.upstream import pool as upstream
 
 AIM = 100 * MS
 WINDOW = 200 * MS
--- a/tests/overload/test_levels.py
+++ b/tests/overload/test_levels.py
@@ -13,9 +13,9 @@
 
 import pytest
 
-from tulipnotch.decisions.interface import Pressure
-from tulipnotch.overload import levels
-from tulipnotch.overload.levels import Change, Ladder, standard
+from tulipnotch.load_balancing.admission import service_levels as levels
+from tulipnotch.load_balancing.admission.pressure import Pressure
+from tulipnotch.load_balancing.admission.service_levels import Change, Ladder, standard
 
 HOLD_S = 30
 RATE = 400  # requests a second
--- a/tests/overload/test_levels_in_force.py
+++ b/tests/overload/test_levels_in_force.py
@@ -10,9 +10,10 @@
 from loopback import OK, play, stage, until
 from running import GOOD, started_in_vain
 
-from tulipnotch.decisions.concurrency_limit import ConcurrencyLimit
-from tulipnotch.decisions.interface import Refuse, RequestArrived, ServiceLevel
-from tulipnotch.overload import levels
+from tulipnotch.load_balancing.actions import Refuse
+from tulipnotch.load_balancing.admission import service_levels as levels
+from tulipnotch.load_balancing.admission.concurrency_limit import ConcurrencyLimit
+from tulipnotch.load_balancing.events import RequestArrived, ServiceLevel
 from tulipnotch.settings.check import BadFile
 from tulipnotch.settings.operator import load
 from tulipnotch.sidecar.sidecar import ServiceLevels
--- a/tests/settings/test_check.py
+++ b/tests/settings/test_check.py
@@ -10,8 +10,8 @@
 
 from tulipnotch.settings.check import BadFile, read_toml, toml_lines
 from tulipnotch.settings.operator import OperatorFile, load
-from tulipnotch.sidecar.control import ControlLimits
-from tulipnotch.sidecar.frontend import ClientLimits
+from tulipnotch.sidecar.control.endpoint import ControlLimits
+from tulipnotch.sidecar.downstream.server import ClientLimits
 from tulipnotch.sidecar.logs import LogLimits
 
 EXAMPLE = Path(__file__).parents[2] / "deploy" / "operator.toml"
--- a/tests/test_accept_faults.py
+++ b/tests/test_accept_faults.py
@@ -10,7 +10,7 @@
 import pytest
 from loopback import HOST, OK, play, request, soon, stage, until
 
-from tulipnotch.sidecar.listener import Acceptor, bind
+from tulipnotch.sidecar.downstream.listener import Acceptor, bind
 
 _CLIENTS = 3
 _WAITED_S = 0.5
--- a/tests/test_announced.py
+++ b/tests/test_announced.py
@@ -28,12 +28,13 @@
 )
 from slow_to_accept import SlowToAccept
 
-from tulipnotch.decisions.interface import Discovery as Mode
-from tulipnotch.decisions.interface import ServerState
-from tulipnotch.sidecar import discovery, sidecar
-from tulipnotch.sidecar.client import parse_address
-from tulipnotch.sidecar.config import parse
-from tulipnotch.sidecar.schedule import Schedule
+from tulipnotch.load_balancing.events import ServerState
+from tulipnotch.load_balancing.settings import Discovery as Mode
+from tulipnotch.sidecar import sidecar
+from tulipnotch.sidecar.configuration.configuration import parse
+from tulipnotch.sidecar.discovery import client as discovery
+from tulipnotch.sidecar.discovery.poll_schedule import Schedule
+from tulipnotch.sidecar.upstream.connection import parse_address
 
 PLAN = Schedule(1.2)  # the users' 6 s at a fifth
 
--- a/tests/test_connection_accounting.py
+++ b/tests/test_connection_accounting.py
@@ -10,8 +10,8 @@
 import uvloop
 from loopback import HOST, OK, Heard, ScriptedServer, play, reply, soon, stage, until
 
-from tulipnotch.sidecar.client import ClientConnection, Failure
-from tulipnotch.sidecar.http1 import KEPT, MOST_BODY, Request, Response, ResponseReader
+from tulipnotch.sidecar.http1.messages import KEPT, MOST_BODY, Request, Response, ResponseReader
+from tulipnotch.sidecar.upstream.connection import ClientConnection, Failure
 
 _LARGE = b"x" * (2 * KEPT)
 
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -9,9 +9,9 @@
 import pytest
 from loopback import HOST, OK, Client, Heard, play, request, soon, stage, until
 
-from tulipnotch.sidecar.control import CallRefused, Control, ControlLimits
-from tulipnotch.sidecar.http1 import Request
-from tulipnotch.sidecar.telemetry import Result, Telemetry
+from tulipnotch.sidecar.control.endpoint import CallRefused, Control, ControlLimits
+from tulipnotch.sidecar.control.telemetry import Result, Telemetry
+from tulipnotch.sidecar.http1.messages import Request
 
 SHORT = ControlLimits(line_timeout_s=0.2, linger_s=0.1, most_connections=4)
 
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -29,7 +29,7 @@
 )
 from running import GOOD, Program, program, resident_bytes, running_on
 
-from tulipnotch.sidecar.config import parse
+from tulipnotch.sidecar.configuration.configuration import parse
 from tulipnotch.sidecar.sidecar import RESERVED, Sidecar
 
 pytestmark = pytest.mark.alone
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -22,10 +22,10 @@
 )
 from slow_to_accept import SlowToAccept
 
-from tulipnotch.sidecar import discovery
-from tulipnotch.sidecar.client import parse_address
-from tulipnotch.sidecar.discovery import Discovery, Listing, Waits, parse_listing
-from tulipnotch.sidecar.schedule import Schedule
+from tulipnotch.sidecar.discovery import client as discovery
+from tulipnotch.sidecar.discovery.client import Discovery, Listing, Waits, parse_listing
+from tulipnotch.sidecar.discovery.poll_schedule import Schedule
+from tulipnotch.sidecar.upstream.connection import parse_address
 
 SOON = Schedule(1.2)  # a watch that fell silent is overdue within the test
 NEVER = Schedule(8 * PATIENCE_S)  # nothing is given up within the test
--- a/tests/test_frontend.py
+++ b/tests/test_frontend.py
@@ -12,8 +12,8 @@
 import pytest
 from loopback import OK, Heard, holding, play, request, soon, stage, until
 
-from tulipnotch.decisions import concurrency_limit
-from tulipnotch.sidecar.frontend import ClientLimits
+from tulipnotch.load_balancing.admission import concurrency_limit
+from tulipnotch.sidecar.downstream.server import ClientLimits
 
 
 @pytest.mark.parametrize(
--- a/tests/test_instants.py
+++ b/tests/test_instants.py
@@ -35,9 +35,11 @@
 from running import program
 from slow_to_accept import SlowToAccept
 
-from tulipnotch.sidecar import client as client_module
-from tulipnotch.sidecar import control, listener, upstream
-from tulipnotch.sidecar.frontend import ClientLimits, ClientSide, State
+from tulipnotch.sidecar.control import endpoint as control
+from tulipnotch.sidecar.downstream import listener
+from tulipnotch.sidecar.downstream.server import ClientLimits, ClientSide, State
+from tulipnotch.sidecar.upstream import connection as client_module
+from tulipnotch.sidecar.upstream import pool as upstream
 
 T = TypeVar("T")
 
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -10,16 +10,16 @@
 from barriers import ManualClock, server_line, tell
 from loopback import ERROR, FULL, OK, Heard, Stage, holding, play, request, stage, until
 
-from tulipnotch.decisions import repeat_rule
-from tulipnotch.decisions.balancer import Balancer
-from tulipnotch.decisions.interface import Group, Repeat, ServiceClass
-from tulipnotch.decisions.retry_policy import RetryPolicy
-from tulipnotch.sidecar import upstream as upstream_module
-from tulipnotch.sidecar.frontend import ClientSide
-from tulipnotch.sidecar.http1 import Request
-from tulipnotch.sidecar.invariants import CloseReason, Guard, Invariant, WrittenAttempt
+from tulipnotch.load_balancing.balancer import Balancer
+from tulipnotch.load_balancing.retries import idempotency_rule as repeat_rule
+from tulipnotch.load_balancing.retries.retry_policy import RetryPolicy
+from tulipnotch.load_balancing.settings import Group, Repeat, ServiceClass
+from tulipnotch.sidecar.downstream.server import ClientSide
+from tulipnotch.sidecar.http1.messages import Request
+from tulipnotch.sidecar.requests.invariants import CloseReason, Guard, Invariant, WrittenAttempt
 from tulipnotch.sidecar.sidecar import Sidecar
-from tulipnotch.sidecar.upstream import Upstream
+from tulipnotch.sidecar.upstream import pool as upstream_module
+from tulipnotch.sidecar.upstream.pool import Upstream
 
 _KEYED = ServiceClass("amend", 2_000_000, 500_000, repeat=Repeat.KEYED, group=Group.CELL, memory_us=1_000_000)
 _ZONED = ServiceClass("amend", 2_000_000, 500_000, repeat=Repeat.KEYED, group=Group.ZONE, memory_us=1_000_000)
@@ -204,7 +204,7 @@
 
 
 def test_a_request_is_told_from_its_arrival_to_its_end_where_the_trace_is_on() -> None:
-    from tulipnotch.sidecar.trace import Trace
+    from tulipnotch.sidecar.requests.trace import Trace
 
     async def work() -> None:
         async with stage(ERROR, OK) as scene:
--- a/tests/test_large_lists.py
+++ b/tests/test_large_lists.py
@@ -13,8 +13,8 @@
 from loopback import HOST, OK, ScriptedDiscovery, ScriptedServer, line, play, soon
 from running import GOOD, Program, resident_bytes, running_on
 
-from tulipnotch.sidecar.client import Address
-from tulipnotch.sidecar.peers import Peers
+from tulipnotch.sidecar.discovery.peers import Peers
+from tulipnotch.sidecar.upstream.connection import Address
 
 MANY = 1_024
 FEW = 10
--- a/tests/test_least_limit.py
+++ b/tests/test_least_limit.py
@@ -8,8 +8,8 @@
 import pytest
 from helpers import MS, SAFE, S, Stage, names, settings
 
-from tulipnotch.decisions import concurrency_limit
-from tulipnotch.decisions.interface import Outcome
+from tulipnotch.load_balancing.admission import concurrency_limit
+from tulipnotch.load_balancing.outcomes import Outcome
 
 AIM_US = 300 * MS
 DEADLINE_US = 1_500 * MS
--- a/tests/test_never_ran.py
+++ b/tests/test_never_ran.py
@@ -13,10 +13,10 @@
 from barriers import Fate, HeldDials, Kernel, NarrowServer, narrow_connections, reset, server_line, tell
 from loopback import ERROR, FULL, HOST, OK, Client, Heard, Stage, play, reply, request, stage, until
 
-from tulipnotch.sidecar import upstream
-from tulipnotch.sidecar.client import ClientConnection
-from tulipnotch.sidecar.frontend import ClientLimits
-from tulipnotch.sidecar.http1 import KEPT
+from tulipnotch.sidecar.downstream.server import ClientLimits
+from tulipnotch.sidecar.http1.messages import KEPT
+from tulipnotch.sidecar.upstream import pool as upstream
+from tulipnotch.sidecar.upstream.connection import ClientConnection
 
 _BODY = b"x" * 60_000 + b"the end"
 _REFUSED = (429, 503)
--- a/tests/test_partial_writes.py
+++ b/tests/test_partial_writes.py
@@ -10,7 +10,7 @@
 from loopback import play, request, stage
 from test_streaming import Sucking, chunked, pattern
 
-from tulipnotch.sidecar.http1 import KEPT
+from tulipnotch.sidecar.http1.messages import KEPT
 
 
 def _takes(most: int) -> Fate:
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -7,8 +7,8 @@
 
 from loopback import HOST, play, soon
 
-from tulipnotch.sidecar.client import Address
-from tulipnotch.sidecar.peers import Peers
+from tulipnotch.sidecar.discovery.peers import Peers
+from tulipnotch.sidecar.upstream.connection import Address
 
 
 def test_peers_hear_one_another_and_nobody_else() -> None:
--- a/tests/test_ready.py
+++ b/tests/test_ready.py
@@ -17,7 +17,7 @@
 
 from benchmarks import ready
 from tulipnotch.sidecar import logs
-from tulipnotch.sidecar.listener import bind
+from tulipnotch.sidecar.downstream.listener import bind
 
 LATE_S = 1.0  # for a busy machine, beyond the waits
 
--- a/tests/test_repeat_bounds.py
+++ b/tests/test_repeat_bounds.py
@@ -19,10 +19,11 @@
 from loopback import CLASSES, FULL, OK, Client, Heard, ScriptedServer, Stage, play, request, stage, until
 from slow_to_accept import SlowToAccept
 
-from tulipnotch.decisions.interface import TimerFired
-from tulipnotch.sidecar import client, upstream
-from tulipnotch.sidecar.config import parse
-from tulipnotch.sidecar.http1 import KEPT
+from tulipnotch.load_balancing.events import TimerFired
+from tulipnotch.sidecar.configuration.configuration import parse
+from tulipnotch.sidecar.http1.messages import KEPT
+from tulipnotch.sidecar.upstream import connection as client
+from tulipnotch.sidecar.upstream import pool as upstream
 
 MS = 1_000
 WINDOW_US = 300 * MS
--- a/tests/test_repeat_orders.py
+++ b/tests/test_repeat_orders.py
@@ -37,9 +37,9 @@
 from orders import Breach, Case, Explored, Start, explore
 from virtual_network import Connection
 
-from tulipnotch.decisions.interface import NEVER
-from tulipnotch.sidecar.client import ClientConnection
-from tulipnotch.sidecar.upstream import Call, Upstream
+from tulipnotch.load_balancing.clock_time import NEVER
+from tulipnotch.sidecar.upstream.connection import ClientConnection
+from tulipnotch.sidecar.upstream.pool import Call, Upstream
 
 DEPTH = 4
 
--- a/tests/test_schedule.py
+++ b/tests/test_schedule.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tulipnotch.sidecar.schedule import Schedule
+from tulipnotch.sidecar.discovery.poll_schedule import Schedule
 
 PLAN = Schedule()
 FLEET = 200
--- a/tests/test_streaming.py
+++ b/tests/test_streaming.py
@@ -23,9 +23,11 @@
     until,
 )
 
-from tulipnotch.decisions.interface import AttemptEnded, Fail, Outcome, Refuse, RequestArrived, RequestWhole
-from tulipnotch.sidecar.frontend import ClientLimits
-from tulipnotch.sidecar.http1 import KEPT, MOST_BODY, Body
+from tulipnotch.load_balancing.actions import Fail, Refuse
+from tulipnotch.load_balancing.events import AttemptEnded, RequestArrived, RequestWhole
+from tulipnotch.load_balancing.outcomes import Outcome
+from tulipnotch.sidecar.downstream.server import ClientLimits
+from tulipnotch.sidecar.http1.messages import KEPT, MOST_BODY, Body
 from tulipnotch.sidecar.sidecar import Sidecar
 
 HEAD = b"HTTP/1.1 200 OK\r\n"
--- a/tests/test_unlisted.py
+++ b/tests/test_unlisted.py
@@ -9,8 +9,8 @@
 from away import AWAY, Returning
 from loopback import HOST, line, play, soon, until
 
-from tulipnotch.sidecar.discovery import Discovery, Listing
-from tulipnotch.sidecar.schedule import Schedule
+from tulipnotch.sidecar.discovery.client import Discovery, Listing
+from tulipnotch.sidecar.discovery.poll_schedule import Schedule
 
 WITHIN_S = 1.0
 PLAN = Schedule()
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -14,8 +14,8 @@
 from loopback import HOST, OK, Client, Heard, play, request, soon, stage, until
 from running import Program, running_on, started, until_says, world
 
-from tulipnotch.sidecar.http1 import Request
-from tulipnotch.sidecar.listener import adopt, bind
+from tulipnotch.sidecar.downstream.listener import adopt, bind
+from tulipnotch.sidecar.http1.messages import Request
 
 
 @pytest.fixture
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -8,10 +8,10 @@
 from loopback import CLASSES, ERROR, FULL, OK, Heard, Stage, holding, line, play, request, soon, stage, until
 from slow_to_accept import SlowToAccept
 
-from tulipnotch.decisions import concurrency_limit
-from tulipnotch.sidecar import upstream
+from tulipnotch.load_balancing.admission import concurrency_limit
 from tulipnotch.sidecar.clock import Clock
-from tulipnotch.simwire.adapter import settings_from_wire
+from tulipnotch.sidecar.upstream import pool as upstream
+from tulipnotch.simulator_wire.adapter import settings_from_wire
 
 
 def at_the_sidecar(scene: Stage) -> int:
@@ -374,8 +374,8 @@
 
 
 def test_load_reports_reach_the_decisions_and_nonsense_does_not() -> None:
-    from tulipnotch.sidecar.http1 import Response
-    from tulipnotch.sidecar.upstream import load_report
+    from tulipnotch.sidecar.http1.messages import Response
+    from tulipnotch.sidecar.upstream.pool import load_report
 
     def read(text: bytes) -> dict[str, float] | None:
         return load_report(Response(200, [(b"server-load", text)], b""), ("qps", "util"))
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -14,7 +14,7 @@
 from running import GOOD, started
 from soak.shim import Shim, Word, built
 
-from tulipnotch.decisions.interface import ListedServer
+from tulipnotch.load_balancing.events import ListedServer
 
 _HOUR_S = 3_600
 _COLD_S = 0.5
--- a/tulipnotch/cli/check.py
+++ b/tulipnotch/cli/check.py
@@ -16,7 +16,7 @@
 from tulipnotch.cli.root import examples
 from tulipnotch.settings import operator
 from tulipnotch.settings.check import BadFile, Fault, line_of
-from tulipnotch.sidecar import config
+from tulipnotch.sidecar.configuration import configuration as config
 
 
 @click.command(
--- a/tulipnotch/lab/policies.py
+++ b/tulipnotch/lab/policies.py
@@ -22,32 +22,24 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
-from tulipnotch.decisions import Balancer
-from tulipnotch.decisions.interface import (
-    Action,
+from tulipnotch.lab.recorder import at_rank
+from tulipnotch.lab.virtual import MakePolicy, Policy, World
+from tulipnotch.load_balancing import Balancer
+from tulipnotch.load_balancing.actions import Action, Fail, Follow, Probe, Refuse, Send, SetTimer
+from tulipnotch.load_balancing.admission.service_levels import LEAST_HOLD_US, READ_EVERY_US, Ladder, standard
+from tulipnotch.load_balancing.events import (
     AttemptEnded,
     Event,
-    Fail,
-    Follow,
     ListKind,
-    Outcome,
-    Probe,
     ProbeEnded,
-    Refuse,
-    Repeat,
     RequestArrived,
     RequestGone,
-    Send,
     ServersListed,
     ServerState,
-    ServiceClass,
-    SetTimer,
-    Settings,
     TimerFired,
 )
-from tulipnotch.lab.recorder import at_rank
-from tulipnotch.lab.virtual import MakePolicy, Policy, World
-from tulipnotch.overload.levels import LEAST_HOLD_US, READ_EVERY_US, Ladder, standard
+from tulipnotch.load_balancing.outcomes import Outcome
+from tulipnotch.load_balancing.settings import Repeat, ServiceClass, Settings
 
 _ASK_AGAIN_US = 500_000
 _DECAY_US = 10_000_000
--- a/tulipnotch/lab/real/up.py
+++ b/tulipnotch/lab/real/up.py
@@ -11,7 +11,7 @@
 from tulipnotch.lab.real import generator
 from tulipnotch.lab.real.play import Platform, SidecarProcess, platform
 from tulipnotch.lab.scenario import Scenario
-from tulipnotch.sidecar.door import ask, figures
+from tulipnotch.sidecar.control.client import ask, figures
 
 _FOR_GOOD_S = 36_000.0  # the longest that a scenario may last
 
--- a/tulipnotch/lab/virtual.py
+++ b/tulipnotch/lab/virtual.py
@@ -11,42 +11,44 @@
 from collections.abc import Callable, Sequence
 from typing import Any, Protocol
 
-from tulipnotch.decisions.interface import (
-    NEVER,
+from tulipnotch.lab import fleet
+from tulipnotch.lab.directory import Line, Listed
+from tulipnotch.lab.engine import Engine
+from tulipnotch.lab.faults import Deed, Incident, plan, strike
+from tulipnotch.lab.ledger import Ledger
+from tulipnotch.lab.load import Ask, Ending, arrivals, comes_again, rates, stream, try_wait_us
+from tulipnotch.lab.recorder import Recorder
+from tulipnotch.lab.scenario import Scenario, wire_settings
+from tulipnotch.lab.server import Job, OrderServer, Stage, Verdict
+from tulipnotch.load_balancing.actions import (
     Action,
-    AttemptEnded,
     Cancel,
     CloseIdle,
-    Event,
     Fail,
     FetchList,
     Follow,
-    ListedServer,
-    ListKind,
     Note,
-    Outcome,
     Probe,
-    ProbeEnded,
     Refuse,
+    Send,
+    SetTimer,
+)
+from tulipnotch.load_balancing.clock_time import NEVER
+from tulipnotch.load_balancing.events import (
+    AttemptEnded,
+    Event,
+    ListedServer,
+    ListKind,
+    ProbeEnded,
     RequestArrived,
     RequestGone,
-    Send,
     ServersListed,
     ServerState,
-    SetTimer,
-    Settings,
     TimerFired,
 )
-from tulipnotch.lab import fleet
-from tulipnotch.lab.directory import Line, Listed
-from tulipnotch.lab.engine import Engine
-from tulipnotch.lab.faults import Deed, Incident, plan, strike
-from tulipnotch.lab.ledger import Ledger
-from tulipnotch.lab.load import Ask, Ending, arrivals, comes_again, rates, stream, try_wait_us
-from tulipnotch.lab.recorder import Recorder
-from tulipnotch.lab.scenario import Scenario, wire_settings
-from tulipnotch.lab.server import Job, OrderServer, Stage, Verdict
-from tulipnotch.simwire.adapter import settings_from_wire
+from tulipnotch.load_balancing.outcomes import Outcome
+from tulipnotch.load_balancing.settings import Settings
+from tulipnotch.simulator_wire.adapter import settings_from_wire
 
 _BACK_AFTER_US = 300_000  # how long a sidecar that was killed is away
 _ERROR_US = 1_000  # what a quick error takes
--- a/tulipnotch/decisions/__init__.py
+++ b/tulipnotch/load_balancing/__init__.py
@@ -1,6 +1,6 @@
 """The decisions of a sidecar balancer, by best-of-k with redraw: events in, actions out."""
 
-from tulipnotch.decisions.balancer import Balancer
-from tulipnotch.decisions.interface import Settings
+from tulipnotch.load_balancing.balancer import Balancer
+from tulipnotch.load_balancing.settings import Settings
 
 __all__ = ["Balancer", "Settings"]
--- /dev/null
+++ b/tulipnotch/load_balancing/admission/__init__.py
@@ -0,0 +1,1 @@
+"""Which requests are accepted under load."""
--- a/tulipnotch/decisions/admission_control.py
+++ b/tulipnotch/load_balancing/admission/admission_control.py
@@ -9,13 +9,14 @@
 
 import math
 
-from tulipnotch.decisions.concurrency_limit import FREE, ConcurrencyLimit
-from tulipnotch.decisions.context import Context
-from tulipnotch.decisions.demand import Demand, DemandMeter, Traffic
-from tulipnotch.decisions.interface import Pressure, ServiceLevel
-from tulipnotch.decisions.latency import Latency
-from tulipnotch.decisions.load import Load
-from tulipnotch.decisions.records import Request
+from tulipnotch.load_balancing.admission.concurrency_limit import FREE, ConcurrencyLimit
+from tulipnotch.load_balancing.admission.pressure import Pressure
+from tulipnotch.load_balancing.context import Context
+from tulipnotch.load_balancing.events import ServiceLevel
+from tulipnotch.load_balancing.metrics.demand import Demand, DemandMeter, Traffic
+from tulipnotch.load_balancing.metrics.latency import Latency
+from tulipnotch.load_balancing.metrics.load import Load
+from tulipnotch.load_balancing.records import Request
 
 STEEPNESS = 8.0  # pressure at a full limit: as good as no typical request is let in
 WORTH_SLANT = 3.0  # the least worthy meet this many times the pressure, the most worthy almost none
--- a/tulipnotch/decisions/concurrency_limit.py
+++ b/tulipnotch/load_balancing/admission/concurrency_limit.py
@@ -9,11 +9,11 @@
 
 import math
 
-from tulipnotch.decisions import answer_times
-from tulipnotch.decisions.answer_times import AnswerTimes
-from tulipnotch.decisions.context import Context
-from tulipnotch.decisions.load import FEW, LONGEST_STRETCH, Load
-from tulipnotch.decisions.rate import Rate
+from tulipnotch.load_balancing.context import Context
+from tulipnotch.load_balancing.metrics import response_times as answer_times
+from tulipnotch.load_balancing.metrics.load import FEW, LONGEST_STRETCH, Load
+from tulipnotch.load_balancing.metrics.rate import Rate
+from tulipnotch.load_balancing.metrics.response_times import AnswerTimes
 
 START_LIMIT = 4.0  # own requests in flight for each ready server, over all instances, until answers tell
 LEAST_LIMIT = 0.1  # a trickle passes at any time, so that relief is seen
--- a/tulipnotch/overload/levels.py
+++ b/tulipnotch/load_balancing/admission/service_levels.py
@@ -12,7 +12,8 @@
 from collections import deque
 from dataclasses import dataclass
 
-from tulipnotch.decisions.interface import Pressure, ServiceLevel
+from tulipnotch.load_balancing.admission.pressure import Pressure
+from tulipnotch.load_balancing.events import ServiceLevel
 
 READ_EVERY_US = 1_000_000
 LEAST_HOLD_US = 30_000_000
--- a/tulipnotch/decisions/balancer.py
+++ b/tulipnotch/load_balancing/balancer.py
@@ -2,39 +2,33 @@
 
 Best of k with redraw (`selection`).  Every attempt leaves through `_send` and every final answer through
 `_finish`; these two gates enforce the rules, whatever the parts decide.  Types, events and actions are in
-`interface`, and the reasons for each departure from the paper in docs/design.md.
+`events` and `actions`, and the reasons for each departure from the paper in docs/design.md.
 """
 
 from __future__ import annotations
 
-from tulipnotch.decisions import repeat_rule
-from tulipnotch.decisions.agenda import DISCOVERY, WHOLE_REQUEST, Entry
-from tulipnotch.decisions.interface import (
-    Action,
+from tulipnotch.load_balancing.actions import Action, Cancel, Fail, Refuse, Send
+from tulipnotch.load_balancing.admission.pressure import Pressure
+from tulipnotch.load_balancing.components import Parts
+from tulipnotch.load_balancing.events import (
     AnswerStarted,
     AttemptEnded,
-    Cancel,
     Event,
-    Fail,
-    Outcome,
-    Pressure,
-    Reason,
-    Refuse,
     RequestArrived,
     RequestGone,
     RequestWhole,
-    Send,
     ServersListed,
     ServerState,
-    ServiceClass,
     ServiceLevel,
-    Settings,
     SettingsChanged,
     TimerFired,
 )
-from tulipnotch.decisions.latency import UNSEEN_AIMS
-from tulipnotch.decisions.parts import Parts
-from tulipnotch.decisions.records import Attempt, Request, Server
+from tulipnotch.load_balancing.metrics.latency import UNSEEN_AIMS
+from tulipnotch.load_balancing.outcomes import Outcome, Reason
+from tulipnotch.load_balancing.records import Attempt, Request, Server
+from tulipnotch.load_balancing.retries import idempotency_rule as repeat_rule
+from tulipnotch.load_balancing.settings import ServiceClass, Settings
+from tulipnotch.load_balancing.timer_queue import DISCOVERY, WHOLE_REQUEST, Entry
 
 TICKS_EARLY = 2  # a final answer leaves this many ticks before the client's time is up
 KEPT_IF_CERTAIN = (Outcome.FULL, Outcome.REJECTED)  # answers that leave open a connection without others
--- a/tulipnotch/decisions/parts.py
+++ b/tulipnotch/load_balancing/components.py
@@ -2,27 +2,28 @@
 
 from __future__ import annotations
 
-from tulipnotch.decisions import concurrency_limit
-from tulipnotch.decisions.admission_control import AdmissionControl
-from tulipnotch.decisions.agenda import Agenda
-from tulipnotch.decisions.answer_times import AnswerTimes
-from tulipnotch.decisions.concurrency_limit import ConcurrencyLimit
-from tulipnotch.decisions.context import Context
-from tulipnotch.decisions.costs import ClassCosts, MeanWork
-from tulipnotch.decisions.discovery_calls import DiscoveryCalls
-from tulipnotch.decisions.feedback import Feedback
-from tulipnotch.decisions.idle_connections import IdleConnections
-from tulipnotch.decisions.interface import ListKind, ServersListed, Settings
-from tulipnotch.decisions.latency import Latency
-from tulipnotch.decisions.load import Load
-from tulipnotch.decisions.outlier_detection import OutlierDetection
-from tulipnotch.decisions.overdue import OverdueAttempts
-from tulipnotch.decisions.retry_policy import RetryPolicy
-from tulipnotch.decisions.selection import Selection
-from tulipnotch.decisions.server_list import ServerList
-from tulipnotch.decisions.slow_start import SlowStart
-from tulipnotch.decisions.warm_capacity import WarmCapacity
-from tulipnotch.decisions.zone_weights import ZoneWeights
+from tulipnotch.load_balancing.admission import concurrency_limit
+from tulipnotch.load_balancing.admission.admission_control import AdmissionControl
+from tulipnotch.load_balancing.admission.concurrency_limit import ConcurrencyLimit
+from tulipnotch.load_balancing.context import Context
+from tulipnotch.load_balancing.endpoints.discovery_polling import DiscoveryCalls
+from tulipnotch.load_balancing.endpoints.endpoint_list import ServerList
+from tulipnotch.load_balancing.events import ListKind, ServersListed
+from tulipnotch.load_balancing.health.attempt_feedback import Feedback
+from tulipnotch.load_balancing.health.idle_connections import IdleConnections
+from tulipnotch.load_balancing.health.outlier_detection import OutlierDetection
+from tulipnotch.load_balancing.metrics.cost_estimates import ClassCosts, MeanWork
+from tulipnotch.load_balancing.metrics.latency import Latency
+from tulipnotch.load_balancing.metrics.load import Load
+from tulipnotch.load_balancing.metrics.response_times import AnswerTimes
+from tulipnotch.load_balancing.retries.attempt_timeouts import OverdueAttempts
+from tulipnotch.load_balancing.retries.retry_policy import RetryPolicy
+from tulipnotch.load_balancing.selection.best_of_k import Selection
+from tulipnotch.load_balancing.selection.locality_weights import ZoneWeights
+from tulipnotch.load_balancing.settings import Settings
+from tulipnotch.load_balancing.slow_start.warm_capacity import WarmCapacity
+from tulipnotch.load_balancing.slow_start.warm_up_budget import SlowStart
+from tulipnotch.load_balancing.timer_queue import Agenda
 
 
 class Parts:
--- a/tulipnotch/decisions/context.py
+++ b/tulipnotch/load_balancing/context.py
@@ -8,8 +8,9 @@
 
 import random
 
-from tulipnotch.decisions.interface import Action, Settings
-from tulipnotch.decisions.records import Server
+from tulipnotch.load_balancing.actions import Action
+from tulipnotch.load_balancing.records import Server
+from tulipnotch.load_balancing.settings import Settings
 
 JITTER_LEAST = 0.75  # a wait with jitter lasts this part of the nominal one at least
 JITTER_SPAN = 0.5  # and up to this part more, so that balancers spread out
--- a/tulipnotch/decisions/discovery_calls.py
+++ b/tulipnotch/load_balancing/endpoints/discovery_polling.py
@@ -2,9 +2,10 @@
 
 from __future__ import annotations
 
-from tulipnotch.decisions.agenda import DISCOVERY, WHOLE_REQUEST, Agenda
-from tulipnotch.decisions.context import Context
-from tulipnotch.decisions.interface import Discovery, Follow
+from tulipnotch.load_balancing.actions import Follow
+from tulipnotch.load_balancing.context import Context
+from tulipnotch.load_balancing.settings import Discovery
+from tulipnotch.load_balancing.timer_queue import DISCOVERY, WHOLE_REQUEST, Agenda
 
 ASK_FIRST_WAIT = 0.05  # before asking again after a failed call, of the time allowed without asking
 ASK_LONGEST_WAIT = 0.25  # of the same: three failed calls in a row still fit
--- a/tulipnotch/decisions/server_list.py
+++ b/tulipnotch/load_balancing/endpoints/endpoint_list.py
@@ -4,12 +4,12 @@
 
 from dataclasses import dataclass
 
-from tulipnotch.decisions.context import Context
-from tulipnotch.decisions.idle_connections import IdleConnections
-from tulipnotch.decisions.interface import ListedServer, ListKind, ServersListed, ServerState
-from tulipnotch.decisions.outlier_detection import OutlierDetection
-from tulipnotch.decisions.records import Server
-from tulipnotch.decisions.slow_start import SlowStart
+from tulipnotch.load_balancing.context import Context
+from tulipnotch.load_balancing.events import ListedServer, ListKind, ServersListed, ServerState
+from tulipnotch.load_balancing.health.idle_connections import IdleConnections
+from tulipnotch.load_balancing.health.outlier_detection import OutlierDetection
+from tulipnotch.load_balancing.records import Server
+from tulipnotch.load_balancing.slow_start.warm_up_budget import SlowStart
 
 UNSET_RATIO = 0.0  # a latency ratio that is to be set by the server's nominal size
 
--- a/tulipnotch/decisions/feedback.py
+++ b/tulipnotch/load_balancing/health/attempt_feedback.py
@@ -4,16 +4,17 @@
 
 from dataclasses import dataclass
 
-from tulipnotch.decisions.answer_times import AnswerTimes
-from tulipnotch.decisions.concurrency_limit import ConcurrencyLimit
-from tulipnotch.decisions.context import Context
-from tulipnotch.decisions.interface import AttemptEnded, Outcome
-from tulipnotch.decisions.latency import Latency
-from tulipnotch.decisions.load import Load
-from tulipnotch.decisions.outlier_detection import OutlierDetection
-from tulipnotch.decisions.overdue import HANDSHAKE_AIMS
-from tulipnotch.decisions.records import Attempt, Request
-from tulipnotch.decisions.selection import Selection
+from tulipnotch.load_balancing.admission.concurrency_limit import ConcurrencyLimit
+from tulipnotch.load_balancing.context import Context
+from tulipnotch.load_balancing.events import AttemptEnded
+from tulipnotch.load_balancing.health.outlier_detection import OutlierDetection
+from tulipnotch.load_balancing.metrics.latency import Latency
+from tulipnotch.load_balancing.metrics.load import Load
+from tulipnotch.load_balancing.metrics.response_times import AnswerTimes
+from tulipnotch.load_balancing.outcomes import Outcome
+from tulipnotch.load_balancing.records import Attempt, Request
+from tulipnotch.load_balancing.retries.attempt_timeouts import HANDSHAKE_AIMS
+from tulipnotch.load_balancing.selection.best_of_k import Selection
 
 ABANDONED_LIFE = 0.3  # an abandoned attempt counts as in flight for this part of its wait more
 ABANDONED = (Outcome.EXPIRED, Outcome.CANCELLED)  # outcomes after which the server may still be at it
--- a/tulipnotch/decisions/idle_connections.py
+++ b/tulipnotch/load_balancing/health/idle_connections.py
@@ -8,9 +8,10 @@
 
 import math
 
-from tulipnotch.decisions.context import Context
-from tulipnotch.decisions.interface import CloseIdle, ServerState
-from tulipnotch.decisions.records import Attempt, Server
+from tulipnotch.load_balancing.actions import CloseIdle
+from tulipnotch.load_balancing.context import Context
+from tulipnotch.load_balancing.events import ServerState
+from tulipnotch.load_balancing.records import Attempt, Server
 
 IDLE_LEAST = 0.25  # of the longest aim: a connection idle for less is taken to be alive
 FAILURE_STEP = 0.5  # one failure on an idle connection makes stale ones as likely as not
--- a/tulipnotch/decisions/outlier_detection.py
+++ b/tulipnotch/load_balancing/health/outlier_detection.py
@@ -5,14 +5,17 @@
 
 from __future__ import annotations
 
-from tulipnotch.decisions.context import Context
-from tulipnotch.decisions.idle_connections import IdleConnections
-from tulipnotch.decisions.interface import Note, Outcome, Repeat, ServerState
-from tulipnotch.decisions.load import Load
-from tulipnotch.decisions.records import Attempt, Request, Server
-from tulipnotch.decisions.slow_start import SlowStart
-from tulipnotch.decisions.subset import subset_size
-from tulipnotch.decisions.warm_capacity import WarmCapacity
+from tulipnotch.load_balancing.actions import Note
+from tulipnotch.load_balancing.context import Context
+from tulipnotch.load_balancing.events import ServerState
+from tulipnotch.load_balancing.health.idle_connections import IdleConnections
+from tulipnotch.load_balancing.metrics.load import Load
+from tulipnotch.load_balancing.outcomes import Outcome
+from tulipnotch.load_balancing.records import Attempt, Request, Server
+from tulipnotch.load_balancing.selection.subset import subset_size
+from tulipnotch.load_balancing.settings import Repeat
+from tulipnotch.load_balancing.slow_start.warm_capacity import WarmCapacity
+from tulipnotch.load_balancing.slow_start.warm_up_budget import SlowStart
 
 ANSWERS = (Outcome.DELIVERED, Outcome.REJECTED)  # outcomes that show a server to be well
 FAILURES = (Outcome.EXPIRED, Outcome.DROPPED, Outcome.DIAL_FAILED, Outcome.ERROR)
--- /dev/null
+++ b/tulipnotch/load_balancing/metrics/__init__.py
@@ -0,0 +1,1 @@
+"""What is measured for the decisions."""
--- a/tulipnotch/decisions/costs.py
+++ b/tulipnotch/load_balancing/metrics/cost_estimates.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Container
 
-from tulipnotch.decisions.interface import ServiceClass
+from tulipnotch.load_balancing.settings import ServiceClass
 
 CLASS_STEP = 0.02  # the mean cost of a class follows its last fifty hints or so
 MEAN_STEP = 0.02  # and so does the mean work of all
--- a/tulipnotch/decisions/demand.py
+++ b/tulipnotch/load_balancing/metrics/demand.py
@@ -4,9 +4,9 @@
 
 from collections.abc import Iterable
 
-from tulipnotch.decisions.context import Context
-from tulipnotch.decisions.interface import ServiceClass
-from tulipnotch.decisions.rate import Rate
+from tulipnotch.load_balancing.context import Context
+from tulipnotch.load_balancing.metrics.rate import Rate
+from tulipnotch.load_balancing.settings import ServiceClass
 
 SPAN_AIMS = 4.0  # rates are averaged over this many of the longest aim
 
--- a/tulipnotch/decisions/latency.py
+++ b/tulipnotch/load_balancing/metrics/latency.py
@@ -8,8 +8,8 @@
 
 from collections.abc import Container, Iterable
 
-from tulipnotch.decisions.load import Load
-from tulipnotch.decisions.records import Request, Server
+from tulipnotch.load_balancing.metrics.load import Load
+from tulipnotch.load_balancing.records import Request, Server
 
 RATIO_STEP = 0.1  # a latency ratio follows a server's last ten answers or so, fewer where few are in flight
 RATIO_MOST = 4.0  # one answer counts for at most this many usual ones: heavy requests say little of a server
--- a/tulipnotch/decisions/load.py
+++ b/tulipnotch/load_balancing/metrics/load.py
@@ -5,8 +5,8 @@
 import heapq
 import math
 
-from tulipnotch.decisions.context import Context
-from tulipnotch.decisions.records import Server
+from tulipnotch.load_balancing.context import Context
+from tulipnotch.load_balancing.records import Server
 
 FEW = 8.0  # with fewer own requests in flight than this, much of what is measured is chance
 LONGEST_STRETCH = 4.0  # so the fewer, the longer loads are averaged and the larger the steps, up to this
--- a/tulipnotch/decisions/answer_times.py
+++ b/tulipnotch/load_balancing/metrics/response_times.py
@@ -4,7 +4,7 @@
 
 import math
 
-from tulipnotch.decisions.load import Load
+from tulipnotch.load_balancing.metrics.load import Load
 
 TYPICAL_STEP = 0.06  # the typical answer is the geometric mean of the last fifteen or so
 TYPICAL_MOST = 1.0  # it is not followed past the aim: from there it must recover
--- a/tulipnotch/decisions/records.py
+++ b/tulipnotch/load_balancing/records.py
@@ -5,10 +5,12 @@
 import math
 from typing import TYPE_CHECKING
 
-from tulipnotch.decisions.interface import NEVER, ServerState, ServiceClass
+from tulipnotch.load_balancing.clock_time import NEVER
+from tulipnotch.load_balancing.events import ServerState
+from tulipnotch.load_balancing.settings import ServiceClass
 
 if TYPE_CHECKING:
-    from tulipnotch.decisions.slow_start import Allowance
+    from tulipnotch.load_balancing.slow_start.warm_up_budget import Allowance
 
 LEAST_SIZE = -3  # costs below an eighth of the mean of their class are taken alike
 LARGEST_SIZE = 4  # nor are those above eight times the mean: too few come to learn from
--- /dev/null
+++ b/tulipnotch/load_balancing/retries/__init__.py
@@ -0,0 +1,1 @@
+"""Whether, when and where a request may be attempted again."""
--- a/tulipnotch/decisions/overdue.py
+++ b/tulipnotch/load_balancing/retries/attempt_timeouts.py
@@ -8,13 +8,13 @@
 
 from dataclasses import dataclass
 
-from tulipnotch.decisions.agenda import Agenda
-from tulipnotch.decisions.concurrency_limit import ConcurrencyLimit
-from tulipnotch.decisions.context import Context
-from tulipnotch.decisions.idle_connections import IdleConnections
-from tulipnotch.decisions.latency import Latency
-from tulipnotch.decisions.outlier_detection import OutlierDetection
-from tulipnotch.decisions.records import Attempt, Request
+from tulipnotch.load_balancing.admission.concurrency_limit import ConcurrencyLimit
+from tulipnotch.load_balancing.context import Context
+from tulipnotch.load_balancing.health.idle_connections import IdleConnections
+from tulipnotch.load_balancing.health.outlier_detection import OutlierDetection
+from tulipnotch.load_balancing.metrics.latency import Latency
+from tulipnotch.load_balancing.records import Attempt, Request
+from tulipnotch.load_balancing.timer_queue import Agenda
 
 PATIENCE = 2.5  # usual times (at this server's latency ratio) after which an attempt is overdue
 PATIENCE_AIMS = 0.1  # but never less than this part of the aim: short times are all jitter
--- a/tulipnotch/decisions/repeat_rule.py
+++ b/tulipnotch/load_balancing/retries/idempotency_rule.py
@@ -13,7 +13,8 @@
 from collections.abc import Iterable, Sequence
 from typing import Protocol
 
-from tulipnotch.decisions.interface import NEVER, Group, Repeat, ServiceClass
+from tulipnotch.load_balancing.clock_time import NEVER
+from tulipnotch.load_balancing.settings import Group, Repeat, ServiceClass
 
 
 class Place(Protocol):
--- a/tulipnotch/decisions/retry_policy.py
+++ b/tulipnotch/load_balancing/retries/retry_policy.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from tulipnotch.decisions import repeat_rule
-from tulipnotch.decisions.context import Context
-from tulipnotch.decisions.records import Request
+from tulipnotch.load_balancing.context import Context
+from tulipnotch.load_balancing.records import Request
+from tulipnotch.load_balancing.retries import idempotency_rule as repeat_rule
 
 RETRIES_PER_REQUEST = 0.2  # further attempts after failures, for each request: no retry storms
 REQUESTS_SAVED = 50.0  # requests whose allowance may be saved up
--- /dev/null
+++ b/tulipnotch/load_balancing/selection/__init__.py
@@ -0,0 +1,1 @@
+"""Which endpoint an attempt goes to."""
--- a/tulipnotch/decisions/selection.py
+++ b/tulipnotch/load_balancing/selection/best_of_k.py
@@ -9,15 +9,16 @@
 import math
 from dataclasses import dataclass
 
-from tulipnotch.decisions import repeat_rule, weighted_draw
-from tulipnotch.decisions.context import Context
-from tulipnotch.decisions.latency import RATIO_MOST
-from tulipnotch.decisions.load import Load
-from tulipnotch.decisions.outlier_detection import OutlierDetection
-from tulipnotch.decisions.records import BackOff, Request, Server
-from tulipnotch.decisions.slow_start import SlowStart
-from tulipnotch.decisions.subset import subset_size
-from tulipnotch.decisions.zone_weights import ZoneWeights
+from tulipnotch.load_balancing.context import Context
+from tulipnotch.load_balancing.health.outlier_detection import OutlierDetection
+from tulipnotch.load_balancing.metrics.latency import RATIO_MOST
+from tulipnotch.load_balancing.metrics.load import Load
+from tulipnotch.load_balancing.records import BackOff, Request, Server
+from tulipnotch.load_balancing.retries import idempotency_rule as repeat_rule
+from tulipnotch.load_balancing.selection import weighted_sampling as weighted_draw
+from tulipnotch.load_balancing.selection.locality_weights import ZoneWeights
+from tulipnotch.load_balancing.selection.subset import subset_size
+from tulipnotch.load_balancing.slow_start.warm_up_budget import SlowStart
 
 DRAWN = 4  # k: counts are mostly small here, where two looks find too little
 FAR_SLOWER = 2.0  # of servers as busy, one in a zone that is drawn less counts as this much slower
--- a/tulipnotch/decisions/zone_weights.py
+++ b/tulipnotch/load_balancing/selection/locality_weights.py
@@ -6,10 +6,10 @@
 
 from __future__ import annotations
 
-from tulipnotch.decisions.answer_times import AnswerTimes
-from tulipnotch.decisions.concurrency_limit import FREE, ConcurrencyLimit
-from tulipnotch.decisions.context import Context
-from tulipnotch.decisions.latency import zone_lag
+from tulipnotch.load_balancing.admission.concurrency_limit import FREE, ConcurrencyLimit
+from tulipnotch.load_balancing.context import Context
+from tulipnotch.load_balancing.metrics.latency import zone_lag
+from tulipnotch.load_balancing.metrics.response_times import AnswerTimes
 
 REMOTE_LEAST = 0.25  # weight of a server in another zone while the own zone is as quick
 EVEN_LAG = 0.3  # the own zone this far behind the others by latency ratio, all zones are drawn alike
--- /dev/null
+++ b/tulipnotch/load_balancing/slow_start/__init__.py
@@ -0,0 +1,1 @@
+"""How much load an endpoint takes while it warms up."""
--- a/tulipnotch/decisions/warm_capacity.py
+++ b/tulipnotch/load_balancing/slow_start/warm_capacity.py
@@ -4,12 +4,12 @@
 
 import math
 
-from tulipnotch.decisions.context import Context
-from tulipnotch.decisions.interface import Rules
-from tulipnotch.decisions.load import Load
-from tulipnotch.decisions.rate import Rate
-from tulipnotch.decisions.records import Server
-from tulipnotch.decisions.subset import subset_size
+from tulipnotch.load_balancing.context import Context
+from tulipnotch.load_balancing.metrics.load import Load
+from tulipnotch.load_balancing.metrics.rate import Rate
+from tulipnotch.load_balancing.records import Server
+from tulipnotch.load_balancing.selection.subset import subset_size
+from tulipnotch.load_balancing.settings import Rules
 
 RATE_SPANS = 2.0  # rates are averaged over this many fall times
 SERVED_FADES = 0.5  # what a warm server served fades e-fold in this part of the time to warm up
--- a/tulipnotch/decisions/slow_start.py
+++ b/tulipnotch/load_balancing/slow_start/warm_up_budget.py
@@ -17,11 +17,11 @@
 import math
 import zlib
 
-from tulipnotch.decisions.context import Context
-from tulipnotch.decisions.interface import Rules
-from tulipnotch.decisions.records import Server
-from tulipnotch.decisions.token_bucket import LapsingBucket
-from tulipnotch.decisions.warm_capacity import WarmCapacity, is_cold
+from tulipnotch.load_balancing.context import Context
+from tulipnotch.load_balancing.records import Server
+from tulipnotch.load_balancing.settings import Rules
+from tulipnotch.load_balancing.slow_start.token_bucket import LapsingBucket
+from tulipnotch.load_balancing.slow_start.warm_capacity import WarmCapacity, is_cold
 
 FILLS = 0.25  # part of the pushing-over load that all allowances together fill at
 BURST = 0.18  # part of that load that may come at once
--- a/tulipnotch/decisions/agenda.py
+++ b/tulipnotch/load_balancing/timer_queue.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from tulipnotch.decisions.interface import SetTimer
+from tulipnotch.load_balancing.actions import SetTimer
 
 WHOLE_REQUEST = -1  # in place of an attempt: the entry is for the request as a whole
 DISCOVERY = -1  # in place of a request, which are never negative: the entry is for a call to discovery
--- a/tulipnotch/sidecar/config.py
+++ b/tulipnotch/sidecar/configuration/configuration.py
@@ -8,10 +8,10 @@
 from pathlib import Path
 from typing import Any
 
-from tulipnotch.decisions import Settings
-from tulipnotch.sidecar.client import Address, parse_address
-from tulipnotch.sidecar.discovery import Listing, parse_listing
-from tulipnotch.simwire.adapter import settings_from_wire, wire_path
+from tulipnotch.load_balancing import Settings
+from tulipnotch.sidecar.discovery.client import Listing, parse_listing
+from tulipnotch.sidecar.upstream.connection import Address, parse_address
+from tulipnotch.simulator_wire.adapter import settings_from_wire, wire_path
 
 _DEFAULT_SOCKETS = 1_024
 _DEFAULT_MEMORY_MB = 64
--- /dev/null
+++ b/tulipnotch/sidecar/control/__init__.py
@@ -0,0 +1,1 @@
+"""The operators' side of one sidecar: its control endpoint, metrics and lifecycle."""
--- a/tulipnotch/sidecar/telemetry.py
+++ b/tulipnotch/sidecar/control/telemetry.py
@@ -5,8 +5,8 @@
 from collections.abc import Iterable, Mapping
 from enum import Enum, unique
 
-from tulipnotch.decisions.interface import Outcome, Reason
-from tulipnotch.sidecar.invariants import CloseReason
+from tulipnotch.load_balancing.outcomes import Outcome, Reason
+from tulipnotch.sidecar.requests.invariants import CloseReason
 
 _OVERDUE = "overdue"  # in place of an outcome: the attempt before has none yet
 _MAX_OPEN = "max_open"  # in place of a reason: as many requests are open as the settings allow
--- /dev/null
+++ b/tulipnotch/sidecar/discovery/__init__.py
@@ -0,0 +1,1 @@
+"""Endpoint discovery: lists, long polls, and the datagrams between sidecars."""
--- a/tulipnotch/sidecar/discovery.py
+++ b/tulipnotch/sidecar/discovery/client.py
@@ -9,11 +9,11 @@
 from dataclasses import dataclass
 from typing import Any
 
-from tulipnotch.decisions.interface import ListedServer, ListKind, ServersListed, ServerState
-from tulipnotch.sidecar.client import Address, ClientConnection, Failure, parse_address
+from tulipnotch.load_balancing.events import ListedServer, ListKind, ServersListed, ServerState
 from tulipnotch.sidecar.clock import Clock
-from tulipnotch.sidecar.http1 import Request, Response, ResponseReader
-from tulipnotch.sidecar.schedule import Schedule
+from tulipnotch.sidecar.discovery.poll_schedule import Schedule
+from tulipnotch.sidecar.http1.messages import Request, Response, ResponseReader
+from tulipnotch.sidecar.upstream.connection import Address, ClientConnection, Failure, parse_address
 
 _STATES = {"active": ServerState.READY, "leaving": ServerState.DRAINING, "left": ServerState.GONE}
 _PATH = "/catalog/members"
--- a/tulipnotch/sidecar/incoming.py
+++ b/tulipnotch/sidecar/downstream/incoming_request.py
@@ -7,8 +7,8 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from tulipnotch.decisions.interface import Repeat, ServiceClass, Settings
-from tulipnotch.sidecar.http1 import Body, Headers, Request
+from tulipnotch.load_balancing.settings import Repeat, ServiceClass, Settings
+from tulipnotch.sidecar.http1.messages import Body, Headers, Request
 
 _REQUEST_ID = re.compile(rb"[!-~]{1,128}")
 _TIMEOUT = re.compile(rb"[0-9]{1,5}(\.[0-9]{0,9})?")
--- a/tulipnotch/sidecar/frontend.py
+++ b/tulipnotch/sidecar/downstream/server.py
@@ -12,9 +12,11 @@
 from itertools import chain, islice
 from typing import Protocol, cast
 
-from tulipnotch.decisions.interface import ServiceClass, Settings
-from tulipnotch.sidecar.client import own_socket
-from tulipnotch.sidecar.http1 import (
+from tulipnotch.load_balancing.settings import ServiceClass, Settings
+from tulipnotch.sidecar.control.lifecycle import Lifecycle
+from tulipnotch.sidecar.downstream.incoming_request import BadRequest, Incoming, read_request
+from tulipnotch.sidecar.downstream.listener import Acceptor
+from tulipnotch.sidecar.http1.messages import (
     CONTINUE,
     KEPT,
     LAST_CHUNK,
@@ -24,10 +26,8 @@
     Response,
     chunk,
 )
-from tulipnotch.sidecar.incoming import BadRequest, Incoming, read_request
-from tulipnotch.sidecar.invariants import CloseReason, Guard
-from tulipnotch.sidecar.lifecycle import Lifecycle
-from tulipnotch.sidecar.listener import Acceptor
+from tulipnotch.sidecar.requests.invariants import CloseReason, Guard
+from tulipnotch.sidecar.upstream.connection import own_socket
 
 _READ_AT_ONCE = 32 << 10
 _WAITING = 32 << 10  # of a body that passes through, before its client has to wait for the server
--- a/tulipnotch/sidecar/program.py
+++ b/tulipnotch/sidecar/program.py
@@ -16,15 +16,15 @@
 
 import uvloop
 
-from tulipnotch.decisions.interface import ServiceLevel
-from tulipnotch.overload.levels import Level
+from tulipnotch.load_balancing.admission.service_levels import Level
+from tulipnotch.load_balancing.events import ServiceLevel
 from tulipnotch.sidecar import BEGAN
-from tulipnotch.sidecar.config import Config, ConfigError, load
-from tulipnotch.sidecar.control import Control, ControlLimits
-from tulipnotch.sidecar.listener import adopt, listen, reserve_soon
+from tulipnotch.sidecar.configuration.configuration import Config, ConfigError, load
+from tulipnotch.sidecar.control.endpoint import Control, ControlLimits
+from tulipnotch.sidecar.downstream.listener import adopt, listen, reserve_soon
 from tulipnotch.sidecar.logs import Format, LineLog, Log, LogLimits
+from tulipnotch.sidecar.requests.trace import Trace
 from tulipnotch.sidecar.sidecar import ServiceLevels, Sidecar, client_limits
-from tulipnotch.sidecar.trace import Trace
 
 if TYPE_CHECKING:
     from tulipnotch.settings.operator import OverloadTable  # msgspec is imported only for an operator file
--- /dev/null
+++ b/tulipnotch/sidecar/requests/__init__.py
@@ -0,0 +1,1 @@
+"""Requests from their arrival to their final response, and the invariants checked on the way."""
--- a/tulipnotch/sidecar/invariants.py
+++ b/tulipnotch/sidecar/requests/invariants.py
@@ -11,8 +11,8 @@
 from dataclasses import dataclass
 from enum import Enum, unique
 
-from tulipnotch.decisions.interface import Group, Repeat, ServiceClass
-from tulipnotch.decisions.repeat_rule import may_run_anywhere_again
+from tulipnotch.load_balancing.retries.idempotency_rule import may_run_anywhere_again
+from tulipnotch.load_balancing.settings import Group, Repeat, ServiceClass
 
 
 @unique
--- a/tulipnotch/sidecar/open_request.py
+++ b/tulipnotch/sidecar/requests/open_request.py
@@ -4,11 +4,11 @@
 
 from dataclasses import dataclass
 
-from tulipnotch.decisions.interface import Outcome
-from tulipnotch.sidecar.frontend import ClientSide
-from tulipnotch.sidecar.incoming import Incoming
-from tulipnotch.sidecar.invariants import WrittenAttempt
-from tulipnotch.sidecar.upstream import Call
+from tulipnotch.load_balancing.outcomes import Outcome
+from tulipnotch.sidecar.downstream.incoming_request import Incoming
+from tulipnotch.sidecar.downstream.server import ClientSide
+from tulipnotch.sidecar.requests.invariants import WrittenAttempt
+from tulipnotch.sidecar.upstream.pool import Call
 
 
 class OpenRequest:
--- a/tulipnotch/sidecar/trace.py
+++ b/tulipnotch/sidecar/requests/trace.py
@@ -5,9 +5,9 @@
 
 from __future__ import annotations
 
-from tulipnotch.decisions.interface import Outcome
-from tulipnotch.sidecar.invariants import CloseReason
+from tulipnotch.load_balancing.outcomes import Outcome
 from tulipnotch.sidecar.logs import Log
+from tulipnotch.sidecar.requests.invariants import CloseReason
 
 
 class Trace:
--- a/tulipnotch/sidecar/sidecar.py
+++ b/tulipnotch/sidecar/sidecar.py
@@ -13,55 +13,57 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from tulipnotch.decisions import Balancer, Settings, repeat_rule
-from tulipnotch.decisions.interface import (
+from tulipnotch.load_balancing import Balancer, Settings
+from tulipnotch.load_balancing.actions import (
     Action,
-    AttemptEnded,
     Cancel,
     CloseIdle,
-    Discovery,
-    Event,
     Fail,
     FetchList,
     Follow,
-    ListKind,
-    MessageReceived,
     Note,
-    Outcome,
     Probe,
-    ProbeEnded,
     Refuse,
-    ReportSource,
+    Send,
+    SetTimer,
+    Tell,
+)
+from tulipnotch.load_balancing.admission.service_levels import READ_EVERY_US, Ladder, Level
+from tulipnotch.load_balancing.events import (
+    AttemptEnded,
+    Event,
+    ListKind,
+    MessageReceived,
+    ProbeEnded,
     RequestArrived,
     RequestGone,
     RequestWhole,
-    Send,
     ServersListed,
-    SetTimer,
     SettingsChanged,
-    Tell,
     TimerFired,
 )
-from tulipnotch.overload.levels import READ_EVERY_US, Ladder, Level
-from tulipnotch.sidecar import discovery
-from tulipnotch.sidecar.client import ClientConnection, Sink
+from tulipnotch.load_balancing.outcomes import Outcome
+from tulipnotch.load_balancing.retries import idempotency_rule as repeat_rule
+from tulipnotch.load_balancing.settings import Discovery, ReportSource
 from tulipnotch.sidecar.clock import Clock
-from tulipnotch.sidecar.config import Config
-from tulipnotch.sidecar.control import Call as ControlCall
-from tulipnotch.sidecar.control import CallRefused, ControlLimits
-from tulipnotch.sidecar.frontend import ClientLimits, ClientSide, Frontend
-from tulipnotch.sidecar.http1 import Headers, Request, Response
-from tulipnotch.sidecar.incoming import BadRequest, Incoming
-from tulipnotch.sidecar.invariants import CloseReason, Guard, Invariant, WrittenAttempt
-from tulipnotch.sidecar.lifecycle import Lifecycle, Phase
-from tulipnotch.sidecar.listener import left_waiting, listen, reserve_soon
+from tulipnotch.sidecar.configuration.configuration import Config
+from tulipnotch.sidecar.control.endpoint import Call as ControlCall
+from tulipnotch.sidecar.control.endpoint import CallRefused, ControlLimits
+from tulipnotch.sidecar.control.lifecycle import Lifecycle, Phase
+from tulipnotch.sidecar.control.telemetry import Result, Telemetry
+from tulipnotch.sidecar.discovery import client as discovery
+from tulipnotch.sidecar.discovery.peers import Peers
+from tulipnotch.sidecar.downstream.incoming_request import BadRequest, Incoming
+from tulipnotch.sidecar.downstream.listener import left_waiting, listen, reserve_soon
+from tulipnotch.sidecar.downstream.server import ClientLimits, ClientSide, Frontend
+from tulipnotch.sidecar.http1.messages import Headers, Request, Response
 from tulipnotch.sidecar.logs import Log
-from tulipnotch.sidecar.open_request import AttemptId, OpenRequest
-from tulipnotch.sidecar.peers import Peers
-from tulipnotch.sidecar.spent_requests import SpentRequests
-from tulipnotch.sidecar.telemetry import Result, Telemetry
-from tulipnotch.sidecar.trace import Trace
-from tulipnotch.sidecar.upstream import Call, Upstream, load_report
+from tulipnotch.sidecar.requests.invariants import CloseReason, Guard, Invariant, WrittenAttempt
+from tulipnotch.sidecar.requests.open_request import AttemptId, OpenRequest
+from tulipnotch.sidecar.requests.possibly_executed import SpentRequests
+from tulipnotch.sidecar.requests.trace import Trace
+from tulipnotch.sidecar.upstream.connection import ClientConnection, Sink
+from tulipnotch.sidecar.upstream.pool import Call, Upstream, load_report
 
 RESERVED = 32  # descriptors for everything but clients, servers and operators
 _FOR_WORK = 0.25  # of all descriptors, for clients and servers at least, however many operators may connect
--- a/tulipnotch/sidecar/client.py
+++ b/tulipnotch/sidecar/upstream/connection.py
@@ -15,7 +15,7 @@
 from enum import Enum, unique
 from typing import Protocol, cast
 
-from tulipnotch.sidecar.http1 import Request, Response, ResponseReader
+from tulipnotch.sidecar.http1.messages import Request, Response, ResponseReader
 
 _PASSING_TIMEOUT_S = 20.0  # without a byte of one that is being passed on: its client has nobody else to ask
 
--- a/tulipnotch/sidecar/upstream.py
+++ b/tulipnotch/sidecar/upstream/pool.py
@@ -7,12 +7,15 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from tulipnotch.decisions.interface import NEVER, Outcome, ServerState, Settings
-from tulipnotch.sidecar.client import Address, Began, ClientConnection, Failure, Sink
+from tulipnotch.load_balancing.clock_time import NEVER
+from tulipnotch.load_balancing.events import ServerState
+from tulipnotch.load_balancing.outcomes import Outcome
+from tulipnotch.load_balancing.settings import Settings
 from tulipnotch.sidecar.clock import Clock
-from tulipnotch.sidecar.discovery import Listing
-from tulipnotch.sidecar.http1 import KEPT, MOST_BODY, Request, Response, ResponseReader
-from tulipnotch.sidecar.invariants import Guard, Invariant
+from tulipnotch.sidecar.discovery.client import Listing
+from tulipnotch.sidecar.http1.messages import KEPT, MOST_BODY, Request, Response, ResponseReader
+from tulipnotch.sidecar.requests.invariants import Guard, Invariant
+from tulipnotch.sidecar.upstream.connection import Address, Began, ClientConnection, Failure, Sink
 
 _IDLE_MARGIN = 0.1  # of the idle limit: a connection this near to it may be closed at the far end by now
 # How long a connection rests after an answer.  A server may answer twice, the second time some milliseconds
--- a/tulipnotch/simwire/adapter.py
+++ b/tulipnotch/simulator_wire/adapter.py
@@ -1,7 +1,7 @@
 """Puts balancers on the simulator's wire: a map of names, and no decision.
 
-Run as `python -m tulipnotch.simwire.adapter`.  Input that breaks the wire's grammar ends the process with one
-line on standard error and exit code 2.
+Run as `python -m tulipnotch.simulator_wire.adapter`.  Input that breaks the wire's grammar ends the process
+with one line on standard error and exit code 2.
 """
 
 from __future__ import annotations
@@ -11,42 +11,45 @@
 from collections.abc import Callable, Iterable, Mapping
 from typing import Any, TextIO
 
-from tulipnotch.decisions.balancer import Balancer
-from tulipnotch.decisions.interface import (
+from tulipnotch.load_balancing.actions import (
     Action,
-    AnswerStarted,
-    AttemptEnded,
     Cancel,
     CloseIdle,
-    Event,
     Fail,
     FetchList,
     Follow,
+    Note,
+    Probe,
+    Refuse,
+    Send,
+    SetTimer,
+    Tell,
+)
+from tulipnotch.load_balancing.balancer import Balancer
+from tulipnotch.load_balancing.events import (
+    AnswerStarted,
+    AttemptEnded,
+    Event,
     ListedServer,
     ListKind,
     MessageReceived,
-    Note,
-    Outcome,
-    Probe,
     ProbeEnded,
-    Refuse,
     RequestArrived,
     RequestGone,
-    Send,
     ServersListed,
     ServerState,
-    SetTimer,
-    Settings,
-    Tell,
     TimerFired,
 )
+from tulipnotch.load_balancing.outcomes import Outcome
+from tulipnotch.load_balancing.settings import Settings
+from tulipnotch.load_balancing.settings_reader import settings_from_mapping
 
 
 class WireError(Exception):
     """A line that the wire does not allow."""
 
 
-# Settings: wire name -> name in interface.py; what has no entry is passed over.
+# Settings: wire name -> name in the plain form of `settings_reader`; what has no entry is passed over.
 _TOP = {
     "lanes": "classes",
     "realms": "tenants",
@@ -156,7 +159,7 @@
 
 
 def wire_path(path: str) -> str:
-    """The path of a settings key as the wire names it, given as interface.py does."""
+    """The path of a settings key as the wire names it, given as the settings reader names it."""
     first, *rest = path.split(".")
     name, bracket, index = first.partition("[")
     nested = {ours: wire for wire, ours in _NESTED.get(name, {}).items()}
@@ -165,7 +168,7 @@
 
 
 def settings_from_wire(given: object, faults: list[str] | None = None) -> Settings:
-    """Translate the settings object of the wire; ValueError or `faults` as in `Settings.from_mapping`."""
+    """Translate the settings object of the wire; ValueError or `faults` as in `settings_from_mapping`."""
     if not isinstance(given, Mapping):
         raise ValueError("settings: an object is needed")
     named = _renamed(given, _TOP)
@@ -175,7 +178,7 @@
             named[key] = [_renamed(each, names) if isinstance(each, Mapping) else each for each in part]
         elif isinstance(part, Mapping):
             named[key] = _renamed(part, names)
-    return Settings.from_mapping(named, faults)
+    return settings_from_mapping(named, faults)
 
 
 def _renamed(given: Mapping[str, Any], names: Mapping[str, str]) -> dict[str, Any]:
