--- a/tests/barriers.py
+++ b/tests/barriers.py
@@ -110,13 +110,13 @@
 
 def narrow_connections(patch: pytest.MonkeyPatch) -> None:
     """Connections to servers hold little: the rest of a request waits in this process."""
-    made = client.ClientConnection.connection_made
+    made = client.UpstreamConnection.connection_made
 
-    def connection_made(self: client.ClientConnection, transport: asyncio.BaseTransport) -> None:
+    def connection_made(self: client.UpstreamConnection, transport: asyncio.BaseTransport) -> None:
         transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)
         made(self, transport)
 
-    patch.setattr(client.ClientConnection, "connection_made", connection_made)
+    patch.setattr(client.UpstreamConnection, "connection_made", connection_made)
 
 
 def reset(heard: Heard) -> None:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -6,15 +6,15 @@
 from typing import Any, TypeVar
 
 from tulipnotch.load_balancing import Balancer, Settings
-from tulipnotch.load_balancing.actions import Action, Send, SetTimer
+from tulipnotch.load_balancing.actions import Action, SetTimer, StartAttempt
 from tulipnotch.load_balancing.events import (
     AttemptEnded,
+    EndpointDescription,
+    EndpointState,
+    EndpointsUpdated,
+    EndpointUpdateKind,
     Event,
-    ListedServer,
-    ListKind,
     RequestArrived,
-    ServersListed,
-    ServerState,
     TimerFired,
 )
 from tulipnotch.load_balancing.outcomes import Outcome
@@ -24,16 +24,28 @@
 S = 1_000_000
 START = 50 * S
 
-SAFE = {"name": "look", "deadline_us": 2 * S, "aim_us": 500 * MS, "worth": 1, "repeat": "safe"}
-UNSAFE = {"name": "pay", "deadline_us": 2 * S, "aim_us": 500 * MS, "worth": 10, "repeat": "unsafe"}
+SAFE = {
+    "name": "look",
+    "deadline_us": 2 * S,
+    "latency_objective_us": 500 * MS,
+    "priority_weight": 1,
+    "idempotency": "idempotent",
+}
+UNSAFE = {
+    "name": "pay",
+    "deadline_us": 2 * S,
+    "latency_objective_us": 500 * MS,
+    "priority_weight": 10,
+    "idempotency": "non_idempotent",
+}
 KEYED = {
     "name": "amend",
     "deadline_us": 4 * S,
-    "aim_us": 500 * MS,
-    "worth": 3,
-    "repeat": "keyed",
-    "group": "cell",
-    "memory_us": 2 * S,
+    "latency_objective_us": 500 * MS,
+    "priority_weight": 3,
+    "idempotency": "idempotent_with_key",
+    "deduplication_scope": "cell",
+    "deduplication_window_us": 2 * S,
 }
 
 _Kind = TypeVar("_Kind")
@@ -44,15 +56,15 @@
     given: dict[str, Any] = {
         "classes": [SAFE, UNSAFE, KEYED],
         "zone": "east",
-        "tick_us": 5 * MS,
-        "limits": {"max_attempts": 5, "second_copies": True, "may_cancel": True},
+        "clock_resolution_us": 5 * MS,
+        "limits": {"max_attempts": 5, "hedged_requests": True, "may_cancel": True},
         "rules": {
-            "cold_from": 0.2,
-            "cold_us": 10 * S,
+            "initial_capacity": 0.2,
+            "warm_up_us": 10 * S,
             "drain_grace_us": 500 * MS,
-            "fall_multiple": 3,
-            "fall_us": 2 * S,
-            "ask_within_us": 10 * S,
+            "overload_multiple": 3,
+            "overload_window_us": 2 * S,
+            "max_poll_interval_us": 10 * S,
         },
     }
     for key, value in changes.items():
@@ -79,17 +91,19 @@
         for action in actions:
             self.log.append((self.now, action))
             if isinstance(action, SetTimer):
-                self._timers.append((self.now + action.in_us, action.token))
+                self._timers.append((self.now + action.delay_us, action.token))
         return actions
 
     def servers(
-        self, listed: Iterable[str | ListedServer], kind: ListKind = ListKind.COMPLETE
+        self,
+        listed: Iterable[str | EndpointDescription],
+        kind: EndpointUpdateKind = EndpointUpdateKind.COMPLETE,
     ) -> list[Action]:
-        lines = [ListedServer(each, zone="east") if isinstance(each, str) else each for each in listed]
-        return self.play(ServersListed(kind, lines, 1))
+        lines = [EndpointDescription(each, zone="east") if isinstance(each, str) else each for each in listed]
+        return self.play(EndpointsUpdated(kind, lines, 1))
 
-    def drain(self, server: str, state: ServerState = ServerState.DRAINING) -> list[Action]:
-        return self.servers([ListedServer(server, zone="east", state=state)], ListKind.CHANGES)
+    def drain(self, server: str, state: EndpointState = EndpointState.DRAINING) -> list[Action]:
+        return self.servers([EndpointDescription(server, zone="east", state=state)], EndpointUpdateKind.DELTA)
 
     def request(self, name: str = "look", remaining_us: int = 2 * S, cost_us: int | None = None) -> int:
         number, self._next = self._next, self._next + 1
@@ -109,7 +123,7 @@
         sent_at, send = sends[index]
         done = outcome is Outcome.DELIVERED if answered is None else answered
         took = self.now - sent_at
-        return self.play(AttemptEnded(request, index, send.server, outcome, took, done, report))
+        return self.play(AttemptEnded(request, index, send.endpoint, outcome, took, done, report))
 
     def wait(self, span_us: int) -> None:
         """Let time pass; due timers fire on the way."""
@@ -123,15 +137,15 @@
             self.play(TimerFired(due[0][1]))
         self.now = until
 
-    def sends(self, request: int | None = None) -> list[tuple[int, Send]]:
+    def sends(self, request: int | None = None) -> list[tuple[int, StartAttempt]]:
         return [
             (at, each)
             for at, each in self.log
-            if isinstance(each, Send) and (request is None or each.request == request)
+            if isinstance(each, StartAttempt) and (request is None or each.request == request)
         ]
 
     def target(self, request: int) -> str:
-        return self.sends(request)[-1][1].server
+        return self.sends(request)[-1][1].endpoint
 
     def said(self, kind: type[_Kind]) -> list[_Kind]:
         return [each for _, each in self.log if isinstance(each, kind)]
--- a/tests/lab/broken_sidecar.py
+++ b/tests/lab/broken_sidecar.py
@@ -5,13 +5,13 @@
 import sys
 from typing import Any
 
-from tulipnotch.load_balancing.events import RequestArrived, ServerState
+from tulipnotch.load_balancing.events import EndpointState, RequestArrived
 from tulipnotch.load_balancing.selection.best_of_k import Selection
 from tulipnotch.load_balancing.slow_start.warm_up_budget import SlowStart
 from tulipnotch.sidecar.__main__ import main
 from tulipnotch.sidecar.discovery import client as discovery
 from tulipnotch.sidecar.sidecar import Sidecar
-from tulipnotch.sidecar.upstream.pool import Call, Upstream
+from tulipnotch.sidecar.upstream.pool import UpstreamPool, UpstreamRequest
 
 
 def forgets() -> None:
@@ -37,18 +37,18 @@
 
 def doubles() -> None:
     """Every attempt goes out twice."""
-    start = Upstream.start
+    start = UpstreamPool.start
 
-    def broken(self: Upstream, call: Call) -> None:
+    def broken(self: UpstreamPool, call: UpstreamRequest) -> None:
         start(self, call)
-        start(self, Call(call.server, call.until, call.message, lambda *_: None))
+        start(self, UpstreamRequest(call.server, call.until, call.message, lambda *_: None))
 
-    Upstream.start = broken  # type: ignore[method-assign]
+    UpstreamPool.start = broken  # type: ignore[method-assign]
 
 
 def deaf() -> None:
     """Word of a drain is taken for word of health."""
-    discovery._STATES["leaving"] = ServerState.READY
+    discovery._STATES["leaving"] = EndpointState.READY
 
 
 def rushes() -> None:
--- a/tests/lab/test_ledger.py
+++ b/tests/lab/test_ledger.py
@@ -13,8 +13,8 @@
 from tulipnotch.lab.scenario import ServiceClass
 from tulipnotch.lab.virtual import VirtualSidecar, World
 from tulipnotch.load_balancing import Balancer
-from tulipnotch.load_balancing.actions import Action, Fail, Refuse
-from tulipnotch.load_balancing.events import Event, RequestArrived, ServersListed
+from tulipnotch.load_balancing.actions import Action, FailRequest, RejectRequest
+from tulipnotch.load_balancing.events import EndpointsUpdated, Event, RequestArrived
 from tulipnotch.load_balancing.settings import Settings
 
 CRASHES = [{"kind": "crash", "at_s": 2.0, "for_s": 2.0, "part": 0.4}]
@@ -52,7 +52,7 @@
     def handle(self, now: int, event: Event) -> Sequence[Action]:
         actions = list(super().handle(now, event))
         if isinstance(event, RequestArrived) and event.request % 50 == 0:
-            actions += [Refuse(event.request)] * 2
+            actions += [RejectRequest(event.request)] * 2
         return actions
 
 
@@ -68,7 +68,10 @@
     """It calls harmless what may have run."""
 
     def _give_up(self, request: int) -> list[Action]:
-        return [Refuse(request) if isinstance(each, Fail) else each for each in super()._give_up(request)]
+        return [
+            RejectRequest(request) if isinstance(each, FailRequest) else each
+            for each in super()._give_up(request)
+        ]
 
 
 class _FavoursTheNewest(LeastOfTwo):
@@ -77,10 +80,10 @@
     newest: str | None = None
 
     def handle(self, now: int, event: Event) -> Sequence[Action]:
-        if isinstance(event, ServersListed):
-            started = [each for each in event.servers if each.started_at]
+        if isinstance(event, EndpointsUpdated):
+            started = [each for each in event.endpoints if each.started_at]
             if started:
-                self.newest = max(started, key=lambda each: each.started_at or 0).server
+                self.newest = max(started, key=lambda each: each.started_at or 0).name
         return super().handle(now, event)
 
     def choose(self, names: Sequence[str]) -> str:
--- a/tests/lab/test_scenarios.py
+++ b/tests/lab/test_scenarios.py
@@ -15,7 +15,7 @@
 from tulipnotch.cli.root import root
 from tulipnotch.lab import compare, faults, load, play, results, scenario
 from tulipnotch.lab.load import Ending
-from tulipnotch.settings.check import BadFile
+from tulipnotch.settings.check import InvalidFileError
 
 SHORT = 'name = "short"\nextends = "calm"\nseconds = 4.0\nwarmup_s = 0.5\nexpect = ["rules.broken = 0"]\n'
 
@@ -32,14 +32,14 @@
         'expect = [\n  "worth > 0.5",\n  "worht > 0.5",\n  "worth is 3",\n]\n'
         '[fleet]\nservrs = 3\n[[faults]]\nkind = "crush"\nat_s = 1.0\n'
     )
-    with pytest.raises(BadFile) as bad:
+    with pytest.raises(InvalidFileError) as bad:
         scenario.load(write(tmp_path, text))
     told = [str(each) for each in bad.value.faults]
     assert told[0].startswith("line 1: name: ")
     assert told[1] == "line 10: fleet.servrs: is no key here; did you mean servers?"
     assert told[2].startswith("line 12: faults[0].kind: invalid enum value 'crush'")
     across = text.replace("bad name", "good").replace("servrs", "servers").replace("crush", "cut")
-    with pytest.raises(BadFile) as bad:
+    with pytest.raises(InvalidFileError) as bad:
         scenario.load(write(tmp_path, across.replace("at_s = 1.0", "at_s = 99.0")))
     told = [str(each) for each in bad.value.faults]
     assert any("worht is no metric; did you mean worth?" in each for each in told)
@@ -58,7 +58,7 @@
     ],
 )
 def test_nonsense_across_keys_is_a_fault(text: str, told: str, tmp_path: Path) -> None:
-    with pytest.raises(BadFile, match=told.replace("?", r"\?")):
+    with pytest.raises(InvalidFileError, match=told.replace("?", r"\?")):
         scenario.load(write(tmp_path, 'name = "x"\n' + text))
 
 
--- a/tests/orders.py
+++ b/tests/orders.py
@@ -30,12 +30,12 @@
     VirtualLoop,
 )
 
-from tulipnotch.load_balancing.events import ListKind
+from tulipnotch.load_balancing.events import EndpointUpdateKind
 from tulipnotch.load_balancing.health import outlier_detection
 from tulipnotch.load_balancing.retries import attempt_timeouts as overdue
 from tulipnotch.sidecar import clock
 from tulipnotch.sidecar.configuration.configuration import Config, parse
-from tulipnotch.sidecar.downstream.server import ClientSide
+from tulipnotch.sidecar.downstream.server import DownstreamConnection
 from tulipnotch.sidecar.http1 import messages as http1
 from tulipnotch.sidecar.sidecar import Sidecar
 from tulipnotch.sidecar.upstream import connection as client
@@ -292,8 +292,8 @@
         self._faults: list[str] = []
         config = _config(case, seed)
         self.sidecar = Sidecar(config, self._note)
-        self.sidecar._upstream.listed(config.known)
-        self.sidecar._post(config.known.event(ListKind.REMEMBERED))
+        self.sidecar._upstream.endpoints_updated(config.known)
+        self.sidecar._post(config.known.event(EndpointUpdateKind.CACHED))
         self.sidecar.lifecycle.started()
         if start.is_warm:
             self._warm()
@@ -309,7 +309,7 @@
             self.rule.on_whole(exchange)
 
     def _connect(self, on_answer: Callable[[int], None]) -> ClientEnd:
-        client = ClientEnd(self.loop, ClientSide(self.sidecar.frontend), on_answer)
+        client = ClientEnd(self.loop, DownstreamConnection(self.sidecar.frontend), on_answer)
         self._clients.append(client)
         return client
 
--- a/tests/overload/test_levels.py
+++ b/tests/overload/test_levels.py
@@ -15,17 +15,23 @@
 
 from tulipnotch.load_balancing.admission import service_levels as levels
 from tulipnotch.load_balancing.admission.pressure import Pressure
-from tulipnotch.load_balancing.admission.service_levels import Change, Ladder, standard
+from tulipnotch.load_balancing.admission.service_levels import (
+    ServiceLevelController,
+    ServiceLevelTransition,
+    standard,
+)
 
 HOLD_S = 30
 RATE = 400  # requests a second
 KEPT_OUT = {"full": 0.0, "spare": 0.15, "orders-only": 0.6}  # the part of the load that each level keeps out
 
 
-def played(load_at: Callable[[int], float], seconds: int, rate: int = RATE) -> list[tuple[int, Change]]:
+def played(
+    load_at: Callable[[int], float], seconds: int, rate: int = RATE
+) -> list[tuple[int, ServiceLevelTransition]]:
     """Changes by second, for a load relative to what the fleet bears, with noise on both readings."""
     chance = random.Random(5)
-    ladder = Ladder(standard("consulter"), HOLD_S * 1_000_000, 0)
+    ladder = ServiceLevelController(standard("consulter"), HOLD_S * 1_000_000, 0)
     asked = refused = 0
     changes = []
     for second in range(seconds):
@@ -49,7 +55,10 @@
     assert [change.now for _, change in changes] == ["spare", "orders-only", "spare", "full"]
     first, _ = changes[0]
     assert first <= 25  # twenty seconds of refusing are enough
-    assert changes[1][1].bars.closed == {"consulter"} and changes[-1][1].bars.closed == frozenset()
+    assert (
+        changes[1][1].bars.rejected_classes == {"consulter"}
+        and changes[-1][1].bars.rejected_classes == frozenset()
+    )
     assert "refused over" in changes[0][1].reason and "of the window" in changes[-1][1].reason
 
 
@@ -69,12 +78,12 @@
 
 def test_leaving_by_what_is_refused_alone_would_go_to_and_fro(monkeypatch: pytest.MonkeyPatch) -> None:
     # Under a level little is refused, since the level took the load away: the trap that `leave_fill` avoids.
-    def leaves(self: Ladder, now: int, level: levels.Level) -> str | None:
+    def leaves(self: ServiceLevelController, now: int, level: levels.ServiceLevel) -> str | None:
         refused, _, _ = self._over(now, level.enter_us)
         leaves = self._covers(level.enter_us) and refused <= level.enter_refused / 2
         return "little is refused" if leaves else None
 
-    monkeypatch.setattr(Ladder, "_leaves", leaves)
+    monkeypatch.setattr(ServiceLevelController, "_leaves", leaves)
     assert len(played(lambda _: 1.17, 600)) > 8
 
 
@@ -96,7 +105,7 @@
 
 
 def test_a_process_that_stood_still_judges_anew() -> None:
-    ladder = Ladder(standard("consulter"), HOLD_S * 1_000_000, 0)
+    ladder = ServiceLevelController(standard("consulter"), HOLD_S * 1_000_000, 0)
     for second in range(20):
         assert ladder.read(second * 1_000_000, Pressure(400 * second, 200 * second, 2.0)) is None
     # The clock jumps by an hour, as after a suspend: the readings before say nothing of now.
@@ -106,7 +115,7 @@
 
 
 def test_readings_are_bounded() -> None:
-    ladder = Ladder(standard("consulter"), HOLD_S * 1_000_000, 0)
+    ladder = ServiceLevelController(standard("consulter"), HOLD_S * 1_000_000, 0)
     for second in range(5_000):
         ladder.read(second * 1_000_000, Pressure(10 * second, 0, 0.1))
         ladder.read(second * 1_000_000 + 1, Pressure(10 * second, 0, 0.1))  # too soon: left out
--- a/tests/overload/test_levels_in_force.py
+++ b/tests/overload/test_levels_in_force.py
@@ -10,17 +10,17 @@
 from loopback import OK, play, stage, until
 from running import GOOD, started_in_vain
 
-from tulipnotch.load_balancing.actions import Refuse
+from tulipnotch.load_balancing.actions import RejectRequest
 from tulipnotch.load_balancing.admission import service_levels as levels
 from tulipnotch.load_balancing.admission.concurrency_limit import ConcurrencyLimit
-from tulipnotch.load_balancing.events import RequestArrived, ServiceLevel
-from tulipnotch.settings.check import BadFile
+from tulipnotch.load_balancing.events import RequestArrived, ServiceLevelChanged
+from tulipnotch.settings.check import InvalidFileError
 from tulipnotch.settings.operator import load
 from tulipnotch.sidecar.sidecar import ServiceLevels
 
-CLOSED = ServiceLevel(frozenset({"look"}), frozenset({"look"}))
-SPARE = ServiceLevel(frozenset({"look"}), frozenset())
-FULL = ServiceLevel(frozenset(), frozenset())
+CLOSED = ServiceLevelChanged(frozenset({"look"}), frozenset({"look"}))
+SPARE = ServiceLevelChanged(frozenset({"look"}), frozenset())
+FULL = ServiceLevelChanged(frozenset(), frozenset())
 PATIENT = {"retry_after": True, "max_retry_after_us": 2_000 * MS}
 
 
@@ -44,7 +44,7 @@
     given.play(CLOSED)
     assert served(given, "look", None, 50) == 0
     assert served(given, "pay", None, 50) == 50
-    waits = [each.retry_after_us for each in given.said(Refuse)]
+    waits = [each.retry_after_us for each in given.said(RejectRequest)]
     assert len(waits) == 50 and len(set(waits)) > 40  # spread, so that they do not come back together
     assert all(1_000 * MS <= each <= 2_000 * MS for each in waits)
     given.play(FULL)
@@ -52,7 +52,7 @@
 
 
 def test_traffic_over_its_share_goes_first() -> None:
-    tenants = [{"name": "big", "share": 0.5}, {"name": "small", "share": 0.5}]
+    tenants = [{"name": "big", "weight": 0.5}, {"name": "small", "weight": 0.5}]
     given = Stage(settings(classes=[SAFE, UNSAFE], tenants=tenants, limits=PATIENT))
     given.servers(names(6))
     for _ in range(40):
@@ -77,7 +77,7 @@
     for _ in range(60):
         served(given, "look", None, 10)
         served(given, "pay", None, 2)
-    return given.balancer.pressure().fill
+    return given.balancer.pressure().utilization
 
 
 def test_a_window_that_had_shrunk_grows_under_a_level_so_that_it_can_be_left() -> None:
@@ -93,17 +93,17 @@
 def test_what_no_server_was_there_for_is_no_sign_of_overload() -> None:
     given = Stage()
     served(given, "look", None, 50)  # there is no list yet: all are refused, and not by the window
-    assert given.balancer.pressure().refused == 0 and len(given.said(Refuse)) == 50
+    assert given.balancer.pressure().rejected == 0 and len(given.said(RejectRequest)) == 50
 
 
 def test_the_door_shows_the_level_and_the_log_names_each_change(monkeypatch: pytest.MonkeyPatch) -> None:
     async def work() -> None:
         monkeypatch.setattr("tulipnotch.sidecar.sidecar.READ_EVERY_US", 10_000)
-        change = levels.Change(
-            "full", "shut", 41_000_000, "too much", ServiceLevel(frozenset(), frozenset({"check"}))
+        change = levels.ServiceLevelTransition(
+            "full", "shut", 41_000_000, "too much", ServiceLevelChanged(frozenset(), frozenset({"check"}))
         )
         told = [change]
-        monkeypatch.setattr(levels.Ladder, "read", lambda *_: told.pop() if told else None)
+        monkeypatch.setattr(levels.ServiceLevelController, "read", lambda *_: told.pop() if told else None)
         given = ServiceLevels(levels.standard("check"), 30_000_000)
         async with stage(OK, levels=given) as scene:
             await until(lambda: any("level shut, was full for 41 s: too much" in each for each in scene.log))
@@ -152,7 +152,7 @@
     path.write_text(GOOD_LEVELS)
     assert [each.name for each in load(path).overload.levels] == ["spare", "orders-only"]
     path.write_text(GOOD_LEVELS.replace(*change))
-    with pytest.raises(BadFile, match=r".") as found:
+    with pytest.raises(InvalidFileError, match=r".") as found:
         load(path)
     assert fault in str(found.value)
 
--- a/tests/settings/test_check.py
+++ b/tests/settings/test_check.py
@@ -8,7 +8,7 @@
 import msgspec
 import pytest
 
-from tulipnotch.settings.check import BadFile, read_toml, toml_lines
+from tulipnotch.settings.check import InvalidFileError, read_toml, toml_lines
 from tulipnotch.settings.operator import OperatorFile, load
 from tulipnotch.sidecar.control.endpoint import ControlLimits
 from tulipnotch.sidecar.downstream.server import ClientLimits
@@ -20,7 +20,7 @@
 def faults(text: str, tmp_path: Path) -> list[str]:
     path = tmp_path / "file.toml"
     path.write_text(text)
-    with pytest.raises(BadFile) as bad:
+    with pytest.raises(InvalidFileError) as bad:
         read_toml(path, OperatorFile)
     return [str(each) for each in bad.value.faults]
 
@@ -55,9 +55,9 @@
 def test_bytes_that_are_no_text_and_files_that_are_none_are_faults(tmp_path: Path) -> None:
     path = tmp_path / "file.toml"
     path.write_bytes(b"a = 1\nb = '\xff'\n")
-    with pytest.raises(BadFile, match="line 2: is not UTF-8"):
+    with pytest.raises(InvalidFileError, match="line 2: is not UTF-8"):
         read_toml(path, OperatorFile)
-    with pytest.raises(BadFile, match="can't be read: No such file"):
+    with pytest.raises(InvalidFileError, match="can't be read: No such file"):
         read_toml(tmp_path / "none.toml", OperatorFile)
 
 
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -212,10 +212,18 @@
             "domain": {"warmKeys": True},
         }
     )
-    assert (given.limits.max_open, given.limits.cpu_us_per_s, given.limits.cpu_us_per_request) == (9, 8, 0.5)
-    assert given.rules.close_idle_within_us == 7 and given.rules.full_may_have_run
-    assert given.rules.drain_grace_us == 50_000 and given.rules.fall_multiple == 1.5
-    assert given.prices.late_fail == 0.05 and given.prices.discovery == 0.01
-    assert given.prices.connection == 0.02 and given.prices.handshake == 0.03
-    assert given.goal.tail == 0.2 and given.goal.tail_slack == 0.02 and given.goal.worst_tenant == 0.1
-    assert given.kinds == ("a", "b") and given.clients_mark_retries and given.warm_keys
+    assert (given.limits.max_open_requests, given.limits.cpu_us_per_s, given.limits.cpu_us_per_request) == (
+        9,
+        8,
+        0.5,
+    )
+    assert given.rules.close_idle_within_us == 7 and given.rules.overloaded_may_have_run
+    assert given.rules.drain_grace_us == 50_000 and given.rules.overload_multiple == 1.5
+    assert given.cost_weights.late_failure == 0.05 and given.cost_weights.discovery == 0.01
+    assert given.cost_weights.connection == 0.02 and given.cost_weights.handshake == 0.03
+    assert (
+        given.objective_weights.tail == 0.2
+        and given.objective_weights.tail_slack == 0.02
+        and given.objective_weights.worst_tenant == 0.1
+    )
+    assert given.machine_types == ("a", "b") and given.clients_mark_retries and given.has_key_affinity
--- a/tests/test_announced.py
+++ b/tests/test_announced.py
@@ -28,15 +28,15 @@
 )
 from slow_to_accept import SlowToAccept
 
-from tulipnotch.load_balancing.events import ServerState
-from tulipnotch.load_balancing.settings import Discovery as Mode
+from tulipnotch.load_balancing.events import EndpointState
+from tulipnotch.load_balancing.settings import DiscoveryMode as Mode
 from tulipnotch.sidecar import sidecar
 from tulipnotch.sidecar.configuration.configuration import parse
 from tulipnotch.sidecar.discovery import client as discovery
-from tulipnotch.sidecar.discovery.poll_schedule import Schedule
+from tulipnotch.sidecar.discovery.poll_schedule import PollSchedule
 from tulipnotch.sidecar.upstream.connection import parse_address
 
-PLAN = Schedule(1.2)  # the users' 6 s at a fifth
+PLAN = PollSchedule(1.2)  # the users' 6 s at a fifth
 
 
 def _leaving(scene: Stage) -> dict[str, Any]:
@@ -160,8 +160,8 @@
     # It counts so long after discovery had it and could be reached.  Every call that began before then is
     # lost, the last of them just before, and calls have failed so often that the rest is at its longest.
     monkeypatch.setattr(discovery, "_PLAN", PLAN)
-    monkeypatch.setattr(Schedule, "wait_ms", lambda plan, *_: int(1_000 * plan.watch_s))  # the longest
-    asking = {"askWithinUs": int(10e6 * PLAN.announced_s / Schedule().announced_s)}
+    monkeypatch.setattr(PollSchedule, "wait_ms", lambda plan, *_: int(1_000 * plan.watch_s))  # the longest
+    asking = {"askWithinUs": int(10e6 * PLAN.announced_s / PollSchedule().announced_s)}
 
     async def known_after(order: str) -> float:
         slow = SlowToAccept()
@@ -232,11 +232,11 @@
     # Guards against a fleet in step: its number is what tells its turns from the others'.
     asked: list[tuple[int, int, bool]] = []
 
-    def wait_ms(plan: Schedule, now_us: int, instance: int, after_news: bool) -> int:
+    def wait_ms(plan: PollSchedule, now_us: int, instance: int, after_news: bool) -> int:
         asked.append((now_us, instance, after_news))
         return 2_000
 
-    monkeypatch.setattr(Schedule, "wait_ms", wait_ms)
+    monkeypatch.setattr(PollSchedule, "wait_ms", wait_ms)
 
     async def work() -> None:
         async with stage(OK, OK, me=7) as scene:
@@ -252,7 +252,7 @@
 
 def _failures(scene: Stage, dials: Dials) -> int:
     """Calls that failed in a row where lists are asked for; where they are pushed, dials are as many."""
-    asked = scene.sidecar.config.settings.discovery is Mode.ON_REQUEST
+    asked = scene.sidecar.config.settings.discovery_mode is Mode.POLLED
     return scene.sidecar._balancer._parts.discovery.failed_calls if asked else dials.made
 
 
@@ -340,7 +340,7 @@
             assert (await client.answer()).status == 200  # it keeps its class, its limits and its server
             assert (await scene.ask("check")).status == 200
             assert [len(each.heard) for each in scene.servers] == [1, 1]
-            assert scene.sidecar._balancer._context.servers["s-1"].state is ServerState.READY
+            assert scene.sidecar._balancer._context.servers["s-1"].state is EndpointState.READY
             other.stop()
 
     play(work)
--- a/tests/test_any_sequence.py
+++ b/tests/test_any_sequence.py
@@ -10,20 +10,27 @@
 from hypothesis import strategies as st
 
 from tulipnotch.load_balancing import Balancer
-from tulipnotch.load_balancing.actions import Cancel, CloseIdle, Fail, Refuse, Send, SetTimer
+from tulipnotch.load_balancing.actions import (
+    CancelAttempt,
+    CloseIdleConnections,
+    FailRequest,
+    RejectRequest,
+    SetTimer,
+    StartAttempt,
+)
 from tulipnotch.load_balancing.events import AttemptEnded as Ended
 from tulipnotch.load_balancing.events import (
+    ClientDisconnected,
+    EndpointDescription,
+    EndpointState,
+    EndpointsUpdated,
+    EndpointUpdateKind,
     Event,
-    ListedServer,
-    ListKind,
     RequestArrived,
-    RequestGone,
-    ServersListed,
-    ServerState,
     TimerFired,
 )
 from tulipnotch.load_balancing.outcomes import Outcome
-from tulipnotch.load_balancing.settings import Repeat
+from tulipnotch.load_balancing.settings import Idempotency
 
 SERVERS = names(7)
 ZONES = ("east", "west")
@@ -32,7 +39,7 @@
 CLASSES = [
     SAFE,
     UNSAFE,
-    *({**KEYED, "name": f"amend-{group}", "group": group} for group in ("all", "zone", "cell")),
+    *({**KEYED, "name": f"amend-{group}", "deduplication_scope": group} for group in ("all", "zone", "cell")),
 ]
 
 
@@ -40,73 +47,77 @@
     """Keeps what a client, the servers and the list know, and checks every action against the rules."""
 
     def __init__(self, second_copies: bool, attempts: int, rng_seed: int, strict: bool) -> None:
-        further = {"full_may_have_run": True, "close_idle_within_us": CLOSE_WITHIN} if strict else {}
+        further = {"overloaded_may_have_run": True, "close_idle_within_us": CLOSE_WITHIN} if strict else {}
         self.settings = settings(
             classes=CLASSES,
-            limits={"second_copies": second_copies, "max_attempts": attempts},
+            limits={"hedged_requests": second_copies, "max_attempts": attempts},
             rules=further,
         )
-        self.never_ran = [Outcome.DIAL_FAILED, Outcome.UNSENT, *([] if strict else [Outcome.FULL])]
+        self.never_ran = [Outcome.CONNECT_FAILED, Outcome.NOT_SENT, *([] if strict else [Outcome.OVERLOADED])]
         self.to_close: dict[str, int] = {}  # by when idle connections to a leaving server must be closed
         self.balancer = Balancer(self.settings, rng_seed)
         self.kinds = {each.name: each for each in self.settings.classes}
         self.now = START
         self.timers: list[tuple[int, str]] = []
         self.requests: dict[int, dict[str, Any]] = {}
-        self.listed: dict[str, ListedServer] = {}
+        self.listed: dict[str, EndpointDescription] = {}
         self.next = 1
 
     def play(self, event: Event) -> None:
         for action in self.balancer.handle(self.now, event):
             match action:
-                case Send():
+                case StartAttempt():
                     self.sent(action)
-                case Refuse() | Fail():
+                case RejectRequest() | FailRequest():
                     self.answered(action)
-                case Cancel():
+                case CancelAttempt():
                     assert action.attempt < len(self.requests[action.request]["attempts"])
-                case CloseIdle():
-                    self.to_close.pop(action.server, None)
+                case CloseIdleConnections():
+                    self.to_close.pop(action.endpoint, None)
                 case SetTimer():
-                    self.timers.append((self.now + action.in_us, action.token))
+                    self.timers.append((self.now + action.delay_us, action.token))
                 case _:
                     pass
         self.check_counts()
 
-    def sent(self, action: Send) -> None:
+    def sent(self, action: StartAttempt) -> None:
         request = self.requests[action.request]
         kind = request["kind"]
         assert not request["over"], "sent after the final answer"
         assert self.now < request["deadline"], "sent after the deadline"
-        line = self.listed[action.server]
-        assert line.state is ServerState.READY, "sent to a draining or gone server"
+        line = self.listed[action.endpoint]
+        assert line.state is EndpointState.READY, "sent to a draining or gone server"
         earlier = request["attempts"]
         assert len(earlier) < self.settings.limits.max_attempts, "more attempts than allowed"
-        if not self.settings.limits.second_copies:
+        if not self.settings.limits.hedged_requests:
             assert not any(each["pending"] for each in earlier), "two copies out at once"
         maybe = [each for each in earlier if each["pending"] or each["outcome"] not in self.never_ran]
-        if maybe and kind.repeat is Repeat.UNSAFE:
+        if maybe and kind.idempotency is Idempotency.NON_IDEMPOTENT:
             raise AssertionError("an unsafe request was sent again")
-        if maybe and kind.repeat is Repeat.KEYED:
-            assert self.now < maybe[0]["at"] + kind.memory_us, "sent after servers forgot"
+        if maybe and kind.idempotency is Idempotency.IDEMPOTENT_WITH_KEY:
+            assert self.now < maybe[0]["at"] + kind.deduplication_window_us, "sent after servers forgot"
             for each in maybe:
-                assert kind.group.value != "zone" or each["line"].zone == line.zone, "left the zone"
-                assert kind.group.value != "cell" or each["line"].cell == line.cell, "left the cell"
+                scope = kind.deduplication_scope.value
+                assert scope != "zone" or each["line"].zone == line.zone, "left the zone"
+                assert scope != "cell" or each["line"].cell == line.cell, "left the cell"
         earlier.append(
-            {"server": action.server, "line": line, "at": self.now, "pending": True, "outcome": None}
+            {"server": action.endpoint, "line": line, "at": self.now, "pending": True, "outcome": None}
         )
 
-    def answered(self, action: Refuse | Fail) -> None:
+    def answered(self, action: RejectRequest | FailRequest) -> None:
         request = self.requests[action.request]
         assert not request["over"], "two final answers"
         assert self.now < request["deadline"] or request["late"], "answered after the deadline"
-        if isinstance(action, Refuse) and request["kind"].repeat is not Repeat.SAFE:
+        if isinstance(action, RejectRequest) and request["kind"].idempotency is not Idempotency.IDEMPOTENT:
             maybe = [
                 each
                 for each in request["attempts"]
                 if each["pending"] or each["outcome"] not in self.never_ran
             ]
-            whole = request["kind"].repeat is Repeat.KEYED and request["kind"].group.value == "all"
+            whole = (
+                request["kind"].idempotency is Idempotency.IDEMPOTENT_WITH_KEY
+                and request["kind"].deduplication_scope.value == "all"
+            )
             assert not maybe or whole, "a refusal that may have run"
         request["over"] = True
 
@@ -150,7 +161,7 @@
 
     def used(self, server: str) -> None:
         """Told of a drain or gone, or used since: what is idle there is to be closed."""
-        if self.settings.rules.close_idle_within_us and self.listed[server].state is not ServerState.READY:
+        if self.settings.rules.close_idle_within_us and self.listed[server].state is not EndpointState.READY:
             self.to_close[server] = self.now + CLOSE_WITHIN
         else:
             self.to_close.pop(server, None)
@@ -160,19 +171,19 @@
         if waiting:
             number = waiting[choice % len(waiting)]
             self.requests[number]["over"] = True
-            self.play(RequestGone(number))
+            self.play(ClientDisconnected(number))
 
-    def list(self, kind: ListKind, lines: list[ListedServer]) -> None:
+    def list(self, kind: EndpointUpdateKind, lines: list[EndpointDescription]) -> None:
         before = {name: line.state for name, line in self.listed.items()}
-        if kind is not ListKind.CHANGES:
+        if kind is not EndpointUpdateKind.DELTA:
             for line in self.listed.values():
-                line.state = ServerState.GONE
+                line.state = EndpointState.REMOVED
         for line in lines:
-            self.listed[line.server] = line
+            self.listed[line.name] = line
         for name, line in self.listed.items():
             if line.state is not before.get(name):
                 self.used(name)
-        self.play(ServersListed(kind, lines, 1))
+        self.play(EndpointsUpdated(kind, lines, 1))
 
     def wait(self, span_us: int) -> None:
         until = self.now + span_us
@@ -193,13 +204,15 @@
 
 
 lines = st.builds(
-    ListedServer,
-    server=st.sampled_from(SERVERS),
+    EndpointDescription,
+    name=st.sampled_from(SERVERS),
     zone=st.sampled_from(ZONES),
-    kind=st.just("box"),
+    machine_type=st.just("box"),
     cell=st.integers(0, 2),
-    state=st.sampled_from([ServerState.READY, ServerState.READY, ServerState.DRAINING, ServerState.GONE]),
-    nominal=st.sampled_from([0.0, 1.0, 3.0]),
+    state=st.sampled_from(
+        [EndpointState.READY, EndpointState.READY, EndpointState.DRAINING, EndpointState.REMOVED]
+    ),
+    nominal_capacity=st.sampled_from([0.0, 1.0, 3.0]),
     started_at=st.sampled_from([None, START - 5 * S, START, START + 2 * S]),
 )
 arrivals = st.tuples(
@@ -212,13 +225,13 @@
     arrivals,
     st.tuples(st.just("end"), st.integers(0, 50), st.sampled_from(list(Outcome))),
     st.tuples(st.just("end"), st.integers(0, 50), st.just(Outcome.DELIVERED)),
-    st.tuples(st.just("end"), st.integers(0, 50), st.just(Outcome.FULL)),
+    st.tuples(st.just("end"), st.integers(0, 50), st.just(Outcome.OVERLOADED)),
     st.tuples(st.just("leave"), st.integers(0, 50)),
     st.tuples(st.just("wait"), st.integers(1, 1_500).map(lambda ms: ms * MS)),
     st.tuples(
         st.just("list"),
-        st.sampled_from([ListKind.CHANGES, ListKind.COMPLETE, ListKind.FAILED]),
-        st.lists(lines, max_size=5, unique_by=lambda each: each.server),
+        st.sampled_from([EndpointUpdateKind.DELTA, EndpointUpdateKind.COMPLETE, EndpointUpdateKind.FAILED]),
+        st.lists(lines, max_size=5, unique_by=lambda each: each.name),
     ),
 )
 
@@ -235,8 +248,8 @@
     strict: bool, copies: bool, attempts: int, rng: int, script: list[Any]
 ) -> None:
     referee = Referee(copies, attempts, rng, strict)
-    ready = [ListedServer(name, "east", "box", index % 3) for index, name in enumerate(SERVERS)]
-    referee.list(ListKind.REMEMBERED, ready)
+    ready = [EndpointDescription(name, "east", "box", index % 3) for index, name in enumerate(SERVERS)]
+    referee.list(EndpointUpdateKind.CACHED, ready)
     for step in script:
         match step:
             case ("arrive", name, remaining):
@@ -248,8 +261,8 @@
             case ("wait", span):
                 referee.wait(span)
             case ("list", kind, changed):
-                if kind is ListKind.FAILED:
-                    referee.play(ServersListed(kind))
+                if kind is EndpointUpdateKind.FAILED:
+                    referee.play(EndpointsUpdated(kind))
                 else:
                     referee.list(kind, changed)
     referee.wait(4 * S)
--- a/tests/test_connection_accounting.py
+++ b/tests/test_connection_accounting.py
@@ -11,7 +11,7 @@
 from loopback import HOST, OK, Heard, ScriptedServer, play, reply, soon, stage, until
 
 from tulipnotch.sidecar.http1.messages import KEPT, MOST_BODY, Request, Response, ResponseReader
-from tulipnotch.sidecar.upstream.connection import ClientConnection, Failure
+from tulipnotch.sidecar.upstream.connection import ExchangeFailure, UpstreamConnection
 
 _LARGE = b"x" * (2 * KEPT)
 
@@ -66,7 +66,7 @@
 class _PausingSink:
     """Has no room after each piece, and asks for more only while the answer is under way."""
 
-    def __init__(self, source: ClientConnection) -> None:
+    def __init__(self, source: UpstreamConnection) -> None:
         self._source = source
         self.came = 0
 
@@ -83,10 +83,10 @@
             return reply(_LARGE) if heard.target == "/large" else OK
 
         server = await ScriptedServer(script).start()
-        freed: list[ClientConnection] = []
+        freed: list[UpstreamConnection] = []
         host, _, port = server.address.rpartition(":")
         _, connection = await asyncio.get_running_loop().create_connection(
-            lambda: ClientConnection(ResponseReader(KEPT, MOST_BODY), freed.append, lambda _: None, 5.0),
+            lambda: UpstreamConnection(ResponseReader(KEPT, MOST_BODY), freed.append, lambda _: None, 5.0),
             host,
             int(port),
         )
@@ -99,8 +99,8 @@
     play(work)
 
 
-async def _exchanged(connection: ClientConnection, target: str) -> Response:
-    ended: asyncio.Future[Response | Failure] = asyncio.get_running_loop().create_future()
+async def _exchanged(connection: UpstreamConnection, target: str) -> Response:
+    ended: asyncio.Future[Response | ExchangeFailure] = asyncio.get_running_loop().create_future()
     request = Request(b"GET", target.encode(), [(b"host", HOST.encode())])
     connection.exchange(request, ended.set_result, began=lambda _, source: _PausingSink(source))
     answer = await soon(ended)
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -9,7 +9,7 @@
 import pytest
 from loopback import HOST, OK, Client, Heard, play, request, soon, stage, until
 
-from tulipnotch.sidecar.control.endpoint import CallRefused, Control, ControlLimits
+from tulipnotch.sidecar.control.endpoint import CommandRejectedError, ControlEndpoint, ControlLimits
 from tulipnotch.sidecar.control.telemetry import Result, Telemetry
 from tulipnotch.sidecar.http1.messages import Request
 
@@ -17,13 +17,13 @@
 
 
 def _refused() -> list[str]:
-    raise CallRefused("starting")
+    raise CommandRejectedError("starting")
 
 
 @asynccontextmanager
-async def door(limits: ControlLimits | None = None) -> AsyncIterator[Control]:
+async def door(limits: ControlLimits | None = None) -> AsyncIterator[ControlEndpoint]:
     calls = {"readyz": lambda: ["ready"], "figures": lambda: ["", "a=1", "."], "refused": _refused}
-    control = Control(calls, limits)
+    control = ControlEndpoint(calls, limits)
     control.listen((HOST, 0))
     try:
         yield control
@@ -213,7 +213,7 @@
             await until(lambda: len(scene.heard) == 2)
             for _ in range(2):
                 assert calls["evacuate"]() == ["evacuating"]
-            with pytest.raises(CallRefused):
+            with pytest.raises(CommandRejectedError):
                 calls["readyz"]()
             assert await health(await scene.client()) == (503, "close")  # the listener stays open
             for client in (idle, silent):
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -23,12 +23,12 @@
 from slow_to_accept import SlowToAccept
 
 from tulipnotch.sidecar.discovery import client as discovery
-from tulipnotch.sidecar.discovery.client import Discovery, Listing, Waits, parse_listing
-from tulipnotch.sidecar.discovery.poll_schedule import Schedule
+from tulipnotch.sidecar.discovery.client import DiscoveryClient, DiscoveryResponse, Waits, parse_listing
+from tulipnotch.sidecar.discovery.poll_schedule import PollSchedule
 from tulipnotch.sidecar.upstream.connection import parse_address
 
-SOON = Schedule(1.2)  # a watch that fell silent is overdue within the test
-NEVER = Schedule(8 * PATIENCE_S)  # nothing is given up within the test
+SOON = PollSchedule(1.2)  # a watch that fell silent is overdue within the test
+NEVER = PollSchedule(8 * PATIENCE_S)  # nothing is given up within the test
 
 
 class Ears:
@@ -40,12 +40,12 @@
         version: int = 41,
         pushed: bool = False,
         instance: int = 0,
-        plan: Schedule | None = None,
-        ask_within_us: int | None = None,
+        plan: PollSchedule | None = None,
+        max_poll_interval_us: int | None = None,
     ) -> None:
-        self.events: asyncio.Queue[Listing | None] = asyncio.Queue()
+        self.events: asyncio.Queue[DiscoveryResponse | None] = asyncio.Queue()
         self.faults: list[str] = []
-        self.discovery = Discovery(
+        self.discovery = DiscoveryClient(
             parse_address(server.address),
             version,
             pushed,
@@ -55,10 +55,10 @@
             grace_us=250_000,
             instance=instance,
             plan=plan,
-            ask_within_us=ask_within_us,
+            max_poll_interval_us=max_poll_interval_us,
         )
 
-    async def next(self) -> Listing | None:
+    async def next(self) -> DiscoveryResponse | None:
         return await soon(self.events.get())
 
 
@@ -75,7 +75,7 @@
         assert server.heard[0].target == "/catalog/members?after=41&wait_ms=0"
         path, _, wait_ms = server.heard[1].target.rpartition("=")
         assert path == "/catalog/members?after=1&wait_ms"
-        assert 0 < int(wait_ms) <= 1_000 * Schedule().watch_s
+        assert 0 < int(wait_ms) <= 1_000 * PollSchedule().watch_s
         server.tell(line("s-1", "127.0.0.2:80", state="leaving"))
         news = await ears.next()
         assert news is not None and not news.full and news.version == 2
@@ -184,7 +184,7 @@
         assert news is not None and news.version == 42
         release.set()
         late = await ears.next()
-        assert late == Listing(42, False, ())
+        assert late == DiscoveryResponse(42, False, ())
         ears.discovery.close()
         server.stop()
 
@@ -283,7 +283,7 @@
 @pytest.mark.alone
 def test_a_watch_that_fell_silent_costs_one_call_beside_it_however_late_the_answer() -> None:
     # Guards against a fleet that asks a directory with a long line ever harder.
-    plan = Schedule(1.2)
+    plan = PollSchedule(1.2)
 
     async def work() -> None:
         async def answer(heard: Heard) -> bytes | None:
@@ -321,7 +321,9 @@
             return await real(made, *parse_address(next(where, server.address)))
 
         monkeypatch.setattr(asyncio.get_running_loop(), "create_connection", dial, raising=False)
-        ears = Ears(server, plan=Schedule(4.8))  # 0.2 s to the second dial, 0.8 s to the limit of the first
+        ears = Ears(
+            server, plan=PollSchedule(4.8)
+        )  # 0.2 s to the second dial, 0.8 s to the limit of the first
         ears.discovery.follow(True)
         received = await ears.next()
         assert received is not None and received.version == 7 and ears.faults == []
@@ -360,17 +362,19 @@
 
 
 def test_waits_follow_the_grace_where_lists_are_pushed() -> None:
-    pushed = Waits.of(True, 250_000, Schedule())
+    pushed = Waits.of(True, 250_000, PollSchedule())
     assert pushed.again_s + pushed.overdue_s < 0.25  # both fit into the grace
-    assert Waits.of(True, 0, Schedule()).again_s > 0.0  # an agent that is down is not asked in a tight loop
-    asked = Waits.of(False, 250_000, Schedule())
-    assert asked.overdue_s > Schedule().call_s  # a call is over before the next: never two beside a watch
+    assert (
+        Waits.of(True, 0, PollSchedule()).again_s > 0.0
+    )  # an agent that is down is not asked in a tight loop
+    asked = Waits.of(False, 250_000, PollSchedule())
+    assert asked.overdue_s > PollSchedule().call_s  # a call is over before the next: never two beside a watch
 
 
 def test_waits_follow_the_time_that_settings_allow_without_asking() -> None:
-    plan = Schedule()
-    for ask_within_us in (4_000_000, 4_900_000, 10_000_000, 60_000_000):
-        assert Waits.of(False, 250_000, plan, ask_within_us) == Waits.of(False, 250_000, plan)
+    plan = PollSchedule()
+    for max_poll_interval_us in (4_000_000, 4_900_000, 10_000_000, 60_000_000):
+        assert Waits.of(False, 250_000, plan, max_poll_interval_us) == Waits.of(False, 250_000, plan)
     for ask_within_s in (0.75, 1.0, 2.0, 3.5):
         waits = Waits.of(False, 250_000, plan, int(ask_within_s * 1e6))
         assert waits.again_s <= ask_within_s and waits.overdue_s <= ask_within_s
@@ -390,7 +394,7 @@
             begun.append(asyncio.get_running_loop().time())
 
         server = await ScriptedServer(hang).start()
-        ears = Ears(server, ask_within_us=int(allowed_s * 1e6))
+        ears = Ears(server, max_poll_interval_us=int(allowed_s * 1e6))
         ears.discovery.follow(True)
         await until(lambda: len(begun) == 5)  # beyond the end of the first
         apart = [later - earlier for earlier, later in itertools.pairwise(begun)]
@@ -454,11 +458,11 @@
         server = await ScriptedServer(script).start()
         ears = Ears(server, pushed=pushed)
         ears.discovery.start()
-        received: Listing | None = None
+        received: DiscoveryResponse | None = None
         while received is None:
             ears.discovery.follow(True)  # where lists are pushed it asks by itself
             received = await ears.next()
-        assert received.version == 7 and [each.listed.server for each in received.entries] == ["s-1"]
+        assert received.version == 7 and [each.listed.name for each in received.entries] == ["s-1"]
         assert len(ears.faults) == 1 and cause in ears.faults[0]
         ears.discovery.close()
         server.stop()
--- a/tests/test_draw.py
+++ b/tests/test_draw.py
@@ -9,9 +9,9 @@
 import pytest
 from helpers import MS, S, Stage, names, settings
 
-from tulipnotch.load_balancing.actions import Cancel, CloseIdle, Note, Refuse
+from tulipnotch.load_balancing.actions import CancelAttempt, CloseIdleConnections, LogEvent, RejectRequest
 from tulipnotch.load_balancing.admission import concurrency_limit
-from tulipnotch.load_balancing.events import ListedServer, ListKind
+from tulipnotch.load_balancing.events import EndpointDescription, EndpointUpdateKind
 from tulipnotch.load_balancing.outcomes import Outcome
 from tulipnotch.load_balancing.selection import weighted_sampling as weighted_draw
 
@@ -22,7 +22,7 @@
     stage.servers(names(4))  # all are drawn
     for _ in range(40):
         stage.request()
-    assert set(Counter(each.server for _, each in stage.sends()).values()) == {10}
+    assert set(Counter(each.endpoint for _, each in stage.sends()).values()) == {10}
 
 
 def test_a_server_that_said_full_is_left_out_and_the_last_redraw_sees_the_whole_list() -> None:
@@ -30,11 +30,11 @@
     stage.servers(names(5))
     request = stage.request("pay")
     for _ in range(4):
-        stage.end(request, Outcome.FULL)
-    targets = [each.server for _, each in stage.sends(request)]
+        stage.end(request, Outcome.OVERLOADED)
+    targets = [each.endpoint for _, each in stage.sends(request)]
     assert sorted(targets) == names(5)
-    stage.end(request, Outcome.FULL)
-    assert [each.request for each in stage.said(Refuse)] == [request]
+    stage.end(request, Outcome.OVERLOADED)
+    assert [each.request for each in stage.said(RejectRequest)] == [request]
 
 
 def test_the_only_server_left_is_used() -> None:
@@ -51,19 +51,22 @@
         request = stage.request()
         stage.wait(90 * MS if stage.target(request) == slow else 30 * MS)
         stage.end(request)
-    late = Counter(each.server for _, each in stage.sends()[500:])
+    late = Counter(each.endpoint for _, each in stage.sends()[500:])
     assert late[slow] < 0.6 * sum(late.values()) / 12
 
 
 def test_nominal_size_stands_in_for_pace_until_answers_tell() -> None:
     stage = Stage()
     stage.servers(
-        [ListedServer(name, "east", nominal=4.0 if name == names(8)[0] else 1.0) for name in names(8)]
+        [
+            EndpointDescription(name, "east", nominal_capacity=4.0 if name == names(8)[0] else 1.0)
+            for name in names(8)
+        ]
     )
     for _ in range(200):
         request = stage.request()
         stage.end(request)
-    first = Counter(each.server for _, each in stage.sends()[:40])
+    first = Counter(each.endpoint for _, each in stage.sends()[:40])
     assert first[names(8)[0]] > 40 / 8
 
 
@@ -103,27 +106,27 @@
 def test_a_silent_server_is_ejected_while_its_peers_answer_and_its_repeatable_requests_are_saved() -> None:
     stage = Stage()
     hung, stuck = _with_one_hung(stage, 20)
-    assert any(each.text.startswith(f"ejected {hung}") for each in stage.said(Note))
-    copies = [each.server for _, each in stage.sends(stuck[0])]
+    assert any(each.text.startswith(f"ejected {hung}") for each in stage.said(LogEvent))
+    copies = [each.endpoint for _, each in stage.sends(stuck[0])]
     assert len(copies) > 1 and hung not in copies[1:]
 
 
 def test_an_ejected_server_comes_back_by_one_trial_at_a_time() -> None:
     stage = Stage()
     hung, stuck = _with_one_hung(stage, 20)
-    before = len([1 for _, each in stage.sends() if each.server == hung])
+    before = len([1 for _, each in stage.sends() if each.endpoint == hung])
     for request in stuck:
-        stage.end(request, Outcome.EXPIRED, attempt=0, answered=False)
+        stage.end(request, Outcome.TIMED_OUT, attempt=0, answered=False)
     for _ in range(60):
         stage.wait(60 * MS)
         request = stage.request()
         if stage.target(request) != hung:
             stage.end(request)
-    trials = len([1 for _, each in stage.sends() if each.server == hung]) - before
+    trials = len([1 for _, each in stage.sends() if each.endpoint == hung]) - before
     assert trials == 1
-    trial = next(each.request for _, each in reversed(stage.sends()) if each.server == hung)
+    trial = next(each.request for _, each in reversed(stage.sends()) if each.endpoint == hung)
     stage.end(trial, attempt=0)
-    assert stage.said(Note)[-1].text == f"readmitted {hung}"
+    assert stage.said(LogEvent)[-1].text == f"readmitted {hung}"
 
 
 def test_servers_that_are_all_silent_are_not_all_ejected() -> None:
@@ -145,11 +148,11 @@
         stage.wait(10 * MS)
         request = stage.request("pay")
         if stage.target(request) == bad:
-            stage.end(request, Outcome.ERROR)
+            stage.end(request, Outcome.SERVER_ERROR)
         else:
             stage.wait(40 * MS)
             stage.end(request)
-    assert sum(1 for _, each in stage.sends() if each.server == bad) < 300 / 6
+    assert sum(1 for _, each in stage.sends() if each.endpoint == bad) < 300 / 6
 
 
 def test_a_timeout_of_a_server_that_answers_others_is_no_strike() -> None:
@@ -163,8 +166,8 @@
         stage.wait(50 * MS)
         stage.end(new)
         stage.wait(30 * MS)
-        stage.end(old, Outcome.EXPIRED, answered=False)
-    assert not any("ejected" in each.text for each in stage.said(Note))
+        stage.end(old, Outcome.TIMED_OUT, answered=False)
+    assert not any("ejected" in each.text for each in stage.said(LogEvent))
 
 
 def test_repeats_after_failures_are_bounded() -> None:
@@ -174,12 +177,12 @@
         stage.wait(MS)
         request = stage.request()
         while stage.balancer._requests.get(request) is not None:
-            stage.end(request, Outcome.DROPPED)
+            stage.end(request, Outcome.CONNECTION_LOST)
     assert len(stage.sends()) <= 400 * 1.25 + 10
 
 
-def zones() -> list[ListedServer]:
-    return [ListedServer(name, "east" if index < 4 else "west") for index, name in enumerate(names(8))]
+def zones() -> list[EndpointDescription]:
+    return [EndpointDescription(name, "east" if index < 4 else "west") for index, name in enumerate(names(8))]
 
 
 def _crossings(stage: Stage, near_us: int, far_us: int) -> float:
@@ -190,19 +193,19 @@
         stage.wait(near_us if stage.target(request) in near else far_us)
         stage.end(request)
     late = stage.sends()[300:]
-    return sum(1 for _, each in late if each.server not in near) / len(late)
+    return sum(1 for _, each in late if each.endpoint not in near) / len(late)
 
 
 def test_the_own_zone_comes_first_while_it_is_as_quick_and_crossing_has_a_price() -> None:
     spared = sum(
-        _crossings(Stage(settings(prices={"cross_zone": 0.03}), seed=seed), 40 * MS, 44 * MS)
+        _crossings(Stage(settings(cost_weights={"cross_zone": 0.03}), seed=seed), 40 * MS, 44 * MS)
         for seed in range(5)
     )
     assert spared < 5 * 0.3
 
 
 def test_a_slow_own_zone_is_left() -> None:
-    assert _crossings(Stage(settings(prices={"cross_zone": 0.03})), 90 * MS, 40 * MS) > 0.5
+    assert _crossings(Stage(settings(cost_weights={"cross_zone": 0.03})), 90 * MS, 40 * MS) > 0.5
 
 
 def _overload(stage: Stage, spans: int) -> set[int]:
@@ -233,10 +236,10 @@
     stage.servers(names(4))
     stage.serve(200)
     looks = _overload(stage, 600)
-    asked = {each.request for each in stage.said(Refuse)}
+    asked = {each.request for each in stage.said(RejectRequest)}
     assert len(asked) > 300 and len(looks & asked) > 0.53 * len(asked)
-    unsent = [each.request for each in stage.said(Refuse) if not stage.sends(each.request)]
-    assert len(unsent) > 0.5 * len(stage.said(Refuse))
+    unsent = [each.request for each in stage.said(RejectRequest) if not stage.sends(each.request)]
+    assert len(unsent) > 0.5 * len(stage.said(RejectRequest))
 
 
 def test_the_window_lets_all_in_again_once_the_load_falls() -> None:
@@ -250,22 +253,22 @@
                 stage.end(request.ident, Outcome.CANCELLED, attempt.index, answered=True)
     stage.wait(15 * S)  # what was given up on, up to 14 s old, counts for as long again
     stage.serve(300)  # a small window takes some aims to grow
-    refused = len(stage.said(Refuse))
+    refused = len(stage.said(RejectRequest))
     stage.serve(300)
-    assert len(stage.said(Refuse)) == refused
+    assert len(stage.said(RejectRequest)) == refused
 
 
 def test_a_quiet_fleet_is_never_refused() -> None:
     stage = Stage()
     stage.servers(names(4))
     stage.serve(800)
-    assert stage.said(Refuse) == [] and stage.said(Cancel) == []
+    assert stage.said(RejectRequest) == [] and stage.said(CancelAttempt) == []
 
 
 def test_a_restarted_process_is_readmitted_as_a_cold_server() -> None:
     stage = Stage()
     hung, _ = _with_one_hung(stage, 20)
-    stage.servers([ListedServer(hung, "east", started_at=stage.now)], ListKind.CHANGES)
+    stage.servers([EndpointDescription(hung, "east", started_at=stage.now)], EndpointUpdateKind.DELTA)
     server = stage.balancer._context.servers[hung]
     assert server.ejected_until is None and stage.balancer._parts.slow_start.is_cold(server)
 
@@ -273,7 +276,10 @@
 def test_heavy_requests_draw_slow_servers_less_than_light_ones_do(monkeypatch: pytest.MonkeyPatch) -> None:
     stage = Stage()
     stage.servers(
-        [ListedServer(name, "east", nominal=0.5 if name == names(5)[0] else 1.0) for name in names(5)]
+        [
+            EndpointDescription(name, "east", nominal_capacity=0.5 if name == names(5)[0] else 1.0)
+            for name in names(5)
+        ]
     )
     seen: list[float] = []
     drawn = weighted_draw.drawn
@@ -298,8 +304,8 @@
         target = stage.target(request)
         stage.wait(5 * MS if target == bad else 40 * MS)
         errors += target == bad
-        stage.end(request, Outcome.ERROR if target == bad and errors % 2 else Outcome.DELIVERED)
-    assert sum(1 for _, each in stage.sends()[400:] if each.server == bad) < 0.5 * 800 / 12
+        stage.end(request, Outcome.SERVER_ERROR if target == bad and errors % 2 else Outcome.DELIVERED)
+    assert sum(1 for _, each in stage.sends()[400:] if each.endpoint == bad) < 0.5 * 800 / 12
 
 
 def _serve_singly(stage: Stage, count: int, taking_us: int = 50 * MS, every_us: int = 400 * MS) -> None:
@@ -316,12 +322,12 @@
     stage = Stage()
     stage.servers(names(60))
     _serve_singly(stage, 200)
-    met = {each.server for _, each in stage.sends()}
+    met = {each.endpoint for _, each in stage.sends()}
     assert 2 <= len(met) <= 8
     for gone in met:
         stage.drain(gone)
     _serve_singly(stage, 50)
-    later = {each.server for _, each in stage.sends()[200:]}
+    later = {each.endpoint for _, each in stage.sends()[200:]}
     assert later and not later & met
 
 
@@ -329,7 +335,7 @@
     stage = Stage()
     stage.servers(names(30))
     stage.serve(2_000, every_us=5 * MS, taking_us=250 * MS)
-    assert len({each.server for _, each in stage.sends()}) == 30
+    assert len({each.endpoint for _, each in stage.sends()}) == 30
 
 
 def test_small_balancers_draw_different_servers() -> None:
@@ -338,7 +344,7 @@
         stage = Stage(seed=seed)
         stage.servers(names(60))
         _serve_singly(stage, 20)
-        first |= {each.server for _, each in stage.sends()}
+        first |= {each.endpoint for _, each in stage.sends()}
     assert len(first) > 25
 
 
@@ -351,13 +357,13 @@
         if stage.sends(request):
             stage.wait(700 * MS)
             stage.end(request)
-    refused = len(stage.said(Refuse))
+    refused = len(stage.said(RejectRequest))
     assert 20 <= refused < 120
     stage.wait(10 * S)
     _serve_singly(stage, 60)
-    refused = len(stage.said(Refuse))
+    refused = len(stage.said(RejectRequest))
     _serve_singly(stage, 60)
-    assert len(stage.said(Refuse)) == refused
+    assert len(stage.said(RejectRequest)) == refused
 
 
 def test_two_at_once_are_no_overload_for_a_small_balancer() -> None:
@@ -371,7 +377,7 @@
         for request in pair:
             stage.end(request)
         stage.wait(900 * MS)
-    assert not stage.said(Refuse)
+    assert not stage.said(RejectRequest)
 
 
 def _late_with_reports(cores: float, seed: int) -> int:
@@ -406,7 +412,7 @@
             out.append((stage.now, request))
         while out and stage.now - out[0][0] >= (550 if out[0][1] % 8 == 0 else 300) * MS:  # one in eight late
             stage.end(out.pop(0)[1], attempt=0, report={"util": 0.5})
-    assert len(stage.said(Refuse)) > 50
+    assert len(stage.said(RejectRequest)) > 50
 
 
 def test_silence_is_not_flattered_by_the_last_report() -> None:
@@ -420,7 +426,7 @@
     for _ in range(400):
         stage.wait(20 * MS)
         stage.request("pay")  # none of these is ever answered
-    assert len(stage.said(Refuse)) > 100
+    assert len(stage.said(RejectRequest)) > 100
 
 
 def test_pace_moves_faster_where_answers_are_few() -> None:
@@ -447,10 +453,10 @@
     for _ in range(200):
         stage.wait(400 * MS)
         request = stage.request()
-        stage.end(request, Outcome.FULL)
+        stage.end(request, Outcome.OVERLOADED)
         stage.wait(50 * MS)
         stage.end(request)
-    assert stage.said(Refuse) == []
+    assert stage.said(RejectRequest) == []
 
 
 def test_full_answers_that_no_redraw_makes_good_are_overload() -> None:
@@ -463,7 +469,7 @@
         unsent += not stage.sends(request)
         while stage.balancer._requests.get(request) is not None:
             stage.wait(100 * MS)
-            stage.end(request, Outcome.FULL)
+            stage.end(request, Outcome.OVERLOADED)
     assert unsent > 20
 
 
@@ -479,7 +485,7 @@
             if stage.sends(request):  # typically a tenth of the aim, one in forty beyond it
                 stage.wait(min(int(50 * MS * chance.lognormvariate(0.0, 1.2)), 900 * MS))
                 stage.end(request, attempt=0)
-        refused += len(stage.said(Refuse))
+        refused += len(stage.said(RejectRequest))
     assert refused < 0.01 * 4 * 300
 
 
@@ -487,13 +493,16 @@
     """The part of a small balancer's requests that leaves its zone; one server in four is in it."""
     far = 0
     for seed in range(6):
-        stage = Stage(settings(prices={"cross_zone": price}), seed=seed)
+        stage = Stage(settings(cost_weights={"cross_zone": price}), seed=seed)
         stage.servers(
-            [ListedServer(name, "east" if index % 4 == 0 else "west") for index, name in enumerate(names(40))]
+            [
+                EndpointDescription(name, "east" if index % 4 == 0 else "west")
+                for index, name in enumerate(names(40))
+            ]
         )
         near = set(names(40)[::4])
         _serve_singly(stage, 150, taking_us)
-        far += sum(each.server not in near for _, each in stage.sends()[50:])
+        far += sum(each.endpoint not in near for _, each in stage.sends()[50:])
     return far / (6 * 100)
 
 
@@ -515,8 +524,8 @@
         stage.wait(350 * MS)
         seen = len(stage.log)
         request = stage.request("pay")
-        for close in [each for _, each in stage.log[seen:] if isinstance(each, CloseIdle)]:
-            used.pop(close.server, None)
+        for close in [each for _, each in stage.log[seen:] if isinstance(each, CloseIdleConnections)]:
+            used.pop(close.endpoint, None)
         for old in lost:  # given up at its deadline, and so called off
             if stage.balancer._requests.get(old) is not None and stage.balancer._requests[old].answered:
                 stage.end(old, Outcome.CANCELLED, answered=True)
@@ -538,8 +547,8 @@
     for seed in range(4):
         stage = Stage(seed=seed)
         lost += len(_with_reaped_connections(stage, 300))
-        closed += len(stage.said(CloseIdle))
-        assert not any("ejected" in each.text for each in stage.said(Note))
+        closed += len(stage.said(CloseIdleConnections))
+        assert not any("ejected" in each.text for each in stage.said(LogEvent))
     assert lost < 20 and closed > 20
 
 
@@ -547,7 +556,7 @@
     stage = Stage()
     stage.servers(names(12))
     _serve_singly(stage, 200)
-    assert stage.said(CloseIdle) == []
+    assert stage.said(CloseIdleConnections) == []
 
 
 def test_a_class_keeps_off_a_server_that_is_always_full_for_it_and_others_do_not() -> None:
@@ -567,7 +576,7 @@
             used += kind == "look" and stage.target(request) == shunning
             if refused:
                 stage.wait(10 * MS)
-                stage.end(request, Outcome.FULL)
+                stage.end(request, Outcome.OVERLOADED)
             stage.wait(40 * MS)
             stage.end(request)
     assert 1 <= tried < 30 and used > 30
@@ -576,5 +585,5 @@
 def test_a_server_that_is_full_for_a_class_is_used_when_nothing_else_is_left() -> None:
     stage = Stage(settings(limits={"max_attempts": 1}))
     stage.servers(names(1))
-    stage.end(stage.request("pay"), Outcome.FULL)
+    stage.end(stage.request("pay"), Outcome.OVERLOADED)
     assert len(stage.sends(stage.request("pay"))) == 1
--- a/tests/test_instants.py
+++ b/tests/test_instants.py
@@ -37,7 +37,7 @@
 
 from tulipnotch.sidecar.control import endpoint as control
 from tulipnotch.sidecar.downstream import listener
-from tulipnotch.sidecar.downstream.server import ClientLimits, ClientSide, State
+from tulipnotch.sidecar.downstream.server import ClientLimits, ConnectionState, DownstreamConnection
 from tulipnotch.sidecar.upstream import connection as client_module
 from tulipnotch.sidecar.upstream import pool as upstream
 
@@ -82,7 +82,7 @@
         yield _Narrow(plain)
 
 
-def _states(scene: Stage) -> list[State]:
+def _states(scene: Stage) -> list[ConnectionState]:
     return [each.state for each in scene.sidecar.frontend.connections()]
 
 
@@ -127,7 +127,7 @@
         async with stage(_ANSWER, client_limits=limits) as scene, _narrow(scene) as client:
             frontend = scene.sidecar.frontend
             client.send(request("lodge"))
-            await until(lambda: _states(scene) == [State.RESTING])
+            await until(lambda: _states(scene) == [ConnectionState.RESTING])
             await until(lambda: all(each.is_idle for each in frontend.connections()))
             if why == "drain":
                 frontend.close_idle()
@@ -160,7 +160,7 @@
         async with stage(OK, client_limits=limits) as scene:
             frontend = scene.sidecar.frontend
             silent = await scene.client()
-            await until(lambda: _states(scene) == [State.SILENT])
+            await until(lambda: _states(scene) == [ConnectionState.SILENT])
             resting = await scene.client()
             assert (await resting.ask("lodge")).status == 200
             await until(lambda: sorted(each.value for each in _states(scene)) == ["resting", "silent"])
@@ -181,7 +181,9 @@
             client = await scene.client()
             whole = request("lodge")
             client.send(whole[:sent])
-            await until(lambda: _states(scene) == [State.READING if sent else State.SILENT])
+            await until(
+                lambda: _states(scene) == [ConnectionState.READING if sent else ConnectionState.SILENT]
+            )
             client.send(whole[sent:])  # it lies in the sidecar's socket, and the event loop has not run
             assert not scene.sidecar.frontend._make_room()
             assert (await client.answer()).status == 200
@@ -194,7 +196,7 @@
         limits = ClientLimits(header_timeout_s=0.0, sweep_s=600.0)
         async with stage(OK, client_limits=limits) as scene:
             client = await scene.client()
-            await until(lambda: _states(scene) == [State.SILENT])
+            await until(lambda: _states(scene) == [ConnectionState.SILENT])
             client.send(request("lodge"))  # it lies in the sidecar's socket, and the event loop has not run
             scene.sidecar.frontend._close_overdue()
             assert (await client.answer()).status == 200
@@ -517,7 +519,7 @@
 
         monkeypatch.setattr(kind, "connection_made", connection_made)
 
-    for kind in (ClientSide, client_module.ClientConnection, control._Caller):
+    for kind in (DownstreamConnection, client_module.UpstreamConnection, control._Caller):
         watched(kind)
     discovery_port = 0
 
@@ -531,7 +533,7 @@
             scene.sidecar.frontend.stop_listening()
             scene.sidecar.frontend.listen(inherited)
             assert (await scene.ask()).status == 200
-            door = control.Control(scene.sidecar.calls())
+            door = control.ControlEndpoint(scene.sidecar.calls())
             door.listen((HOST, 0))
             reader, writer = await asyncio.open_connection(HOST, door.port)
             writer.write(b"readyz\n")
@@ -540,7 +542,9 @@
             door.close()
 
     play(work)
-    assert found == {each: {1} for each in ("ClientSide", "ClientConnection", "discovery", "_Caller")}
+    assert found == {
+        each: {1} for each in ("DownstreamConnection", "UpstreamConnection", "discovery", "_Caller")
+    }
 
 
 async def _asked(accepted: socket.socket) -> bytes:
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -13,19 +13,33 @@
 from tulipnotch.load_balancing.balancer import Balancer
 from tulipnotch.load_balancing.retries import idempotency_rule as repeat_rule
 from tulipnotch.load_balancing.retries.retry_policy import RetryPolicy
-from tulipnotch.load_balancing.settings import Group, Repeat, ServiceClass
-from tulipnotch.sidecar.downstream.server import ClientSide
+from tulipnotch.load_balancing.settings import DeduplicationScope, Idempotency, ServiceClass
+from tulipnotch.sidecar.downstream.server import DownstreamConnection
 from tulipnotch.sidecar.http1.messages import Request
-from tulipnotch.sidecar.requests.invariants import CloseReason, Guard, Invariant, WrittenAttempt
+from tulipnotch.sidecar.requests.invariants import CloseReason, Invariant, InvariantChecker, WrittenAttempt
 from tulipnotch.sidecar.sidecar import Sidecar
 from tulipnotch.sidecar.upstream import pool as upstream_module
-from tulipnotch.sidecar.upstream.pool import Upstream
-
-_KEYED = ServiceClass("amend", 2_000_000, 500_000, repeat=Repeat.KEYED, group=Group.CELL, memory_us=1_000_000)
-_ZONED = ServiceClass("amend", 2_000_000, 500_000, repeat=Repeat.KEYED, group=Group.ZONE, memory_us=1_000_000)
-_UNSAFE = ServiceClass("lodge", 2_000_000, 500_000, repeat=Repeat.UNSAFE)
+from tulipnotch.sidecar.upstream.pool import UpstreamPool
+
+_KEYED = ServiceClass(
+    "amend",
+    2_000_000,
+    500_000,
+    idempotency=Idempotency.IDEMPOTENT_WITH_KEY,
+    deduplication_scope=DeduplicationScope.CELL,
+    deduplication_window_us=1_000_000,
+)
+_ZONED = ServiceClass(
+    "amend",
+    2_000_000,
+    500_000,
+    idempotency=Idempotency.IDEMPOTENT_WITH_KEY,
+    deduplication_scope=DeduplicationScope.ZONE,
+    deduplication_window_us=1_000_000,
+)
+_UNSAFE = ServiceClass("lodge", 2_000_000, 500_000, idempotency=Idempotency.NON_IDEMPOTENT)
 _PING = Request(b"GET", b"/ping", [(b"host", b"s-0")])
-_SAFE = ServiceClass("check", 2_000_000, 500_000, repeat=Repeat.SAFE)
+_SAFE = ServiceClass("check", 2_000_000, 500_000, idempotency=Idempotency.IDEMPOTENT)
 
 
 def _written(zone: str = "a", cell: int = 1, at: int = 0, **other: bool) -> WrittenAttempt:
@@ -49,7 +63,7 @@
 def test_a_repeat_is_checked_by_the_words_of_its_class(
     kind: ServiceClass, before: WrittenAttempt, new: WrittenAttempt, holds: bool
 ) -> None:
-    guard = Guard()
+    guard = InvariantChecker()
     guard.repeating(b"r-1", kind, new, [before], second_copies=True)
     assert guard.broken[Invariant.REPEATED_IN_BOUNDS] == (not holds)
     assert guard.violations == (not holds)
@@ -57,7 +71,7 @@
 
 def test_a_second_copy_is_checked_by_the_settings() -> None:
     for second_copies in (True, False):
-        guard = Guard()
+        guard = InvariantChecker()
         guard.repeating(b"r-1", _SAFE, _written(), [_written(is_out=True)], second_copies=second_copies)
         assert guard.broken[Invariant.REPEATED_ALONE] == (not second_copies)
 
@@ -117,13 +131,13 @@
 
 def test_a_write_for_a_client_that_has_left_shows(monkeypatch: pytest.MonkeyPatch) -> None:
     # The gate before each write is taken out, and so is what withdraws an attempt.
-    monkeypatch.setattr(Upstream, "_may_write", lambda upstream, call: True)
-    monkeypatch.setattr(Upstream, "withdraw", lambda upstream, call: None)
+    monkeypatch.setattr(UpstreamPool, "_may_write", lambda upstream, call: True)
+    monkeypatch.setattr(UpstreamPool, "withdraw", lambda upstream, call: None)
 
     async def work() -> None:
         async with stage(OK) as scene:
             client = await scene.client()
-            monkeypatch.setattr(Balancer, "latest_begin", lambda *given: 2**62)
+            monkeypatch.setattr(Balancer, "latest_start", lambda *given: 2**62)
             held: list[Any] = []
             exchange = scene.sidecar._upstream._write
 
@@ -175,7 +189,7 @@
             client.send(request("check"))
             await until(lambda: len(scene.heard) == 1)
             (side,) = scene.sidecar.frontend.connections()
-            assert isinstance(side, ClientSide)
+            assert isinstance(side, DownstreamConnection)
             side.close(CloseReason.IDLE)
             assert scene.sidecar._guard.broken[Invariant.CLOSED_UNOWED] == 1
             release.set()
@@ -224,7 +238,7 @@
 
 
 def test_a_write_whose_time_is_up_shows() -> None:
-    guard = Guard()
+    guard = InvariantChecker()
     guard.sending(b"r-1", is_waited_for=True, now=5, until=5)
     assert [each for each, count in guard.broken.items() if count] == [Invariant.SENT_IN_TIME]
 
@@ -237,7 +251,7 @@
             (server,) = upstream._servers.values()
             connection = server.idle.pop().connection
             server.is_leaving = True
-            call = upstream_module.Call("s-0", 2**61, lambda left_us: _PING, lambda *given: None)
+            call = upstream_module.UpstreamRequest("s-0", 2**61, lambda left_us: _PING, lambda *given: None)
             upstream._write(call, connection)
             assert scene.sidecar._guard.broken[Invariant.SENT_TO_READY] == 1
 
--- a/tests/test_large_lists.py
+++ b/tests/test_large_lists.py
@@ -13,7 +13,7 @@
 from loopback import HOST, OK, ScriptedDiscovery, ScriptedServer, line, play, soon
 from running import GOOD, Program, resident_bytes, running_on
 
-from tulipnotch.sidecar.discovery.peers import Peers
+from tulipnotch.sidecar.discovery.peers import PeerMessenger
 from tulipnotch.sidecar.upstream.connection import Address
 
 MANY = 1_024
@@ -152,7 +152,7 @@
             (f"127.1.{number >> 8}.{number & 255}", ports[number % len(ports)]) for number in range(MANY)
         )
         heard: asyncio.Queue[int] = asyncio.Queue()
-        peers = Peers(addresses, None, 0, lambda by, what: heard.put_nowait(by))
+        peers = PeerMessenger(addresses, None, 0, lambda by, what: heard.put_nowait(by))
         try:
             await peers.listen((HOST, 0))
             assert peers.tell(None, b"news")
--- a/tests/test_least_limit.py
+++ b/tests/test_least_limit.py
@@ -22,15 +22,15 @@
     """Requests at a steady rate, each answered after `ANSWER_US` or given up at its deadline."""
 
     every_us: int
-    group_size: int
+    instance_count: int
     stage: Stage = field(init=False)
     asked: int = 0
     attempts: list[int] = field(default_factory=list)  # when each began
     _out: list[tuple[int, int, Outcome]] = field(default_factory=list)
 
     def __post_init__(self) -> None:
-        kind = {**SAFE, "aim_us": AIM_US, "deadline_us": DEADLINE_US}
-        given = settings(classes=[kind], group_size=self.group_size, limits={"max_attempts": 1})
+        kind = {**SAFE, "latency_objective_us": AIM_US, "deadline_us": DEADLINE_US}
+        given = settings(classes=[kind], instance_count=self.instance_count, limits={"max_attempts": 1})
         self.stage = Stage(given)
         self.stage.servers(names(SERVERS))
 
@@ -65,13 +65,13 @@
 LONGEST_REST_US = 1.3 * DEADLINE_US + concurrency_limit.REST_AIMS * AIM_US
 
 
-@pytest.mark.parametrize("group_size", [1, SERVERS])
+@pytest.mark.parametrize("instance_count", [1, SERVERS])
 @pytest.mark.parametrize("every_ms", [20, 50, 100])
-def test_nobody_is_refused_for_long_with_nothing_in_flight(every_ms: int, group_size: int) -> None:
-    traffic = Traffic(every_ms * MS, group_size)
+def test_nobody_is_refused_for_long_with_nothing_in_flight(every_ms: int, instance_count: int) -> None:
+    traffic = Traffic(every_ms * MS, instance_count)
     traffic.run(5 * S, Outcome.DELIVERED)
     began = traffic.stage.now
-    traffic.run(12 * S, Outcome.EXPIRED)
+    traffic.run(12 * S, Outcome.TIMED_OUT)
     assert traffic.longest_rest(began) <= LONGEST_REST_US + 2 * traffic.every_us
     began = traffic.stage.now
     traffic.run(5 * S, Outcome.DELIVERED)  # the servers answer again
@@ -85,7 +85,7 @@
     traffic = Traffic(50 * MS, 10 * SERVERS)
     traffic.run(5 * S, Outcome.DELIVERED)
     began = traffic.stage.now
-    traffic.run(30 * S, Outcome.EXPIRED)
+    traffic.run(30 * S, Outcome.TIMED_OUT)
     assert (
         traffic.longest_rest(began) > LONGEST_REST_US + 4 * AIM_US
     )  # till the mean of what was in flight fades
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -14,14 +14,14 @@
 from slow_to_accept import SlowToAccept
 
 from tulipnotch.load_balancing import Settings
-from tulipnotch.load_balancing.actions import Action, Send
+from tulipnotch.load_balancing.actions import Action, StartAttempt
 from tulipnotch.load_balancing.clock_time import NEVER
 from tulipnotch.load_balancing.events import AttemptEnded, Event, RequestArrived, TimerFired
 from tulipnotch.load_balancing.outcomes import Outcome
-from tulipnotch.sidecar.downstream.server import ClientLimits, ClientSide, State
+from tulipnotch.sidecar.downstream.server import ClientLimits, ConnectionState, DownstreamConnection
 from tulipnotch.sidecar.http1.messages import KEPT
 from tulipnotch.sidecar.upstream import pool as upstream
-from tulipnotch.sidecar.upstream.connection import ClientConnection
+from tulipnotch.sidecar.upstream.connection import UpstreamConnection
 
 _NEVER_SWEPT = ClientLimits(sweep_s=600.0)
 
@@ -167,7 +167,7 @@
         yield own
 
 
-def _go(application: socket.socket, how: str, at_sidecar: ClientSide | None) -> None:
+def _go(application: socket.socket, how: str, at_sidecar: DownstreamConnection | None) -> None:
     """Leave, and return only once the leaving lies in the sidecar's socket."""
     if how == "stays":
         return
@@ -193,7 +193,7 @@
     return int(found.partition("=")[2])
 
 
-def _only(scene: Stage) -> ClientSide:
+def _only(scene: Stage) -> DownstreamConnection:
     (found,) = scene.sidecar.frontend.connections()
     return found
 
@@ -226,13 +226,13 @@
         if isinstance(event, AttemptEnded):
             self.ended.append(event.outcome)
         if isinstance(event, TimerFired):
-            return [Send(self._request, each, NEVER) for each in self._servers]
+            return [StartAttempt(self._request, each, NEVER) for each in self._servers]
         return []
 
     def attempt_began(self, request: int, attempt: int, now: int) -> None:
         """Nothing here bounds another attempt."""
 
-    def latest_begin(self, request: int, attempt: int) -> int:
+    def latest_start(self, request: int, attempt: int) -> int:
         return NEVER
 
     def members(self) -> tuple[int, int]:
@@ -257,7 +257,7 @@
                 _go(application, how, _only(scene))
                 scene.sidecar._post(TimerFired("due"))
                 await _is_over(scene)
-                assert decisions.ended == [Outcome.UNSENT] * 2
+                assert decisions.ended == [Outcome.NOT_SENT] * 2
                 assert _withheld(scene) == 2
                 assert scene.heard == [] and [each.connections for each in scene.servers] == [0, 0]
 
@@ -348,9 +348,9 @@
                 whole = request("lodge", timeout="15", body=b"x" * size)
                 cut = 20 if size == 0 else len(whole) - 20_000
                 application.sendall(whole[:cut])
-                state = State.PASSING if size > 100_000 else State.READING
+                state = ConnectionState.PASSING if size > 100_000 else ConnectionState.READING
                 await until(lambda: [each.state for each in scene.sidecar.frontend.connections()] == [state])
-                if state is State.PASSING:
+                if state is ConnectionState.PASSING:
                     await until(lambda: scene.servers[0].connections == 1)
                     (held,) = scene.sidecar._open.values()
                     await until(lambda: held.incoming.body.size == size - 20_000)
@@ -363,10 +363,10 @@
                 await until(lambda: scene.sidecar.frontend.open_connections == 0)
                 await _is_over(scene)
                 assert scene.heard == []
-                if state is State.PASSING:
+                if state is ConnectionState.PASSING:
                     await until(lambda: scene.servers[0].closed == [0])
                 assert scene.heard == []
-                assert scene.servers[0].connections == _withheld(scene) == (state is State.PASSING)
+                assert scene.servers[0].connections == _withheld(scene) == (state is ConnectionState.PASSING)
 
     play(work)
 
@@ -376,13 +376,13 @@
     how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # The network takes little of it at a time: the rest waits in this process, the last byte among it.
-    made = ClientConnection.connection_made
+    made = UpstreamConnection.connection_made
 
-    def narrow(self: ClientConnection, transport: asyncio.BaseTransport) -> None:
+    def narrow(self: UpstreamConnection, transport: asyncio.BaseTransport) -> None:
         transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)
         made(self, transport)
 
-    monkeypatch.setattr(ClientConnection, "connection_made", narrow)
+    monkeypatch.setattr(UpstreamConnection, "connection_made", narrow)
 
     async def work() -> None:
         loop = asyncio.get_running_loop()
--- a/tests/test_never_ran.py
+++ b/tests/test_never_ran.py
@@ -16,7 +16,7 @@
 from tulipnotch.sidecar.downstream.server import ClientLimits
 from tulipnotch.sidecar.http1.messages import KEPT
 from tulipnotch.sidecar.upstream import pool as upstream
-from tulipnotch.sidecar.upstream.connection import ClientConnection
+from tulipnotch.sidecar.upstream.connection import UpstreamConnection
 
 _BODY = b"x" * 60_000 + b"the end"
 _REFUSED = (429, 503)
@@ -204,10 +204,10 @@
                 await until(lambda: held.waiting == 1)
                 await tell(scene, server_line(1, scene.servers[0].address))
                 if how == "ends as it comes up" or how == "speaks first":
-                    made = ClientConnection.connection_made
+                    made = UpstreamConnection.connection_made
                     accepted: list[socket.socket] = []
 
-                    def connection_made(self: ClientConnection, transport: asyncio.BaseTransport) -> None:
+                    def connection_made(self: UpstreamConnection, transport: asyncio.BaseTransport) -> None:
                         # Its server has acted before the sidecar hears that it came up.
                         if transport.get_extra_info("peername") == listener.getsockname():
                             accepted.append(listener.accept()[0])
@@ -217,7 +217,7 @@
                                 accepted[0].close()
                         made(self, transport)
 
-                    monkeypatch.setattr(ClientConnection, "connection_made", connection_made)
+                    monkeypatch.setattr(UpstreamConnection, "connection_made", connection_made)
                 if how != "never comes up":
                     held.release(address)
                 assert (await client.answer()).status == 200
--- a/tests/test_on_call.py
+++ b/tests/test_on_call.py
@@ -24,19 +24,19 @@
 def test_every_log_line_stands_on_the_on_call_page() -> None:
     page = (ROOT / "docs" / "on-call.md").read_text(encoding="utf-8")
     source = "".join(text for name, text in SOURCES.items() if not name.endswith("/actions.py"))
-    written = re.findall(r'Note\("(\w+)", ', source)
+    written = re.findall(r'LogEvent\("(\w+)", ', source)
     assert sorted(set(written)) == ["ejected", "readmitted"]
-    assert source.count("Note(") == len(written)
+    assert source.count("LogEvent(") == len(written)
     for word in written:
         assert word in EVENTS and f"`{word} SERVER" in page
-    for reason in [SILENT, Outcome.SPOILT.value, *(each.value for each in FAILURES)]:
+    for reason in [SILENT, Outcome.MALFORMED_RESPONSE.value, *(each.value for each in FAILURES)]:
         assert f"`ejected S: {reason}`" in page
 
 
 def test_servers_are_ejected_for_the_reasons_of_the_on_call_page_only() -> None:
     # All ejections go through `_eject`; what is ejected for its outcome is spoilt or one of the failures.
     given = set(re.findall(r"\._eject\(server, ([\w.]+)", "".join(SOURCES.values())))
-    assert given == {"SILENT", "Outcome.SPOILT.value", "outcome.value"}
+    assert given == {"SILENT", "Outcome.MALFORMED_RESPONSE.value", "outcome.value"}
     detection = SOURCES["tulipnotch/load_balancing/health/outlier_detection.py"]
     (condition,) = re.findall(r"elif (.*):\n +self\._failed\(", detection)
     assert condition == "outcome in FAILURES"
--- a/tests/test_overdue.py
+++ b/tests/test_overdue.py
@@ -7,7 +7,7 @@
 
 def test_a_wait_that_ends_between_two_microseconds_ends() -> None:
     # Guards against an entry of the agenda that is due at once, again and again, within one event.
-    given = settings(classes=[{**SAFE, "aim_us": 500_001}])
+    given = settings(classes=[{**SAFE, "latency_objective_us": 500_001}])
     stage = Stage(given)
     stage.servers(names(1))
     for _ in range(300):  # until half of the aim is longer than any patience
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -7,7 +7,7 @@
 
 from loopback import HOST, play, soon
 
-from tulipnotch.sidecar.discovery.peers import Peers
+from tulipnotch.sidecar.discovery.peers import PeerMessenger
 from tulipnotch.sidecar.upstream.connection import Address
 
 
@@ -22,8 +22,8 @@
         addresses: tuple[Address, ...] = tuple((HOST, port) for port in ports)
         heard: asyncio.Queue[tuple[int, int, bytes]] = asyncio.Queue()
 
-        def ear(me: int) -> Peers:
-            return Peers(addresses, None, me, lambda by, what: heard.put_nowait((me, by, what)))
+        def ear(me: int) -> PeerMessenger:
+            return PeerMessenger(addresses, None, me, lambda by, what: heard.put_nowait((me, by, what)))
 
         first, second = ear(0), ear(1)
         await first.listen(addresses[0])
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -123,12 +123,12 @@
     stage = Stage(before)
     stage.servers(names(5))
     first, second = stage.request("look"), stage.request("look")
-    stage.end(first, Outcome.ERROR)
+    stage.end(first, Outcome.SERVER_ERROR)
     assert len(stage.sends(first)) == 2
     stage.play(SettingsChanged(settings(limits={"max_attempts": 2})))
-    stage.end(first, Outcome.ERROR)
+    stage.end(first, Outcome.SERVER_ERROR)
     assert len(stage.sends(first)) == 2  # it was allowed three when it came
-    stage.end(second, Outcome.ERROR)
+    stage.end(second, Outcome.SERVER_ERROR)
     assert len(stage.sends(second)) == 2
 
 
@@ -136,10 +136,10 @@
     stage = Stage()
     stage.servers(names(5))
     under_way = stage.request("look")
-    stage.play(SettingsChanged(settings(classes=[{**SAFE, "repeat": "unsafe"}])))
+    stage.play(SettingsChanged(settings(classes=[{**SAFE, "idempotency": "non_idempotent"}])))
     later = stage.request("look")
     for each in (under_way, later):
-        stage.end(each, Outcome.ERROR)
+        stage.end(each, Outcome.SERVER_ERROR)
     assert len(stage.sends(under_way)) == 2
     assert len(stage.sends(later)) == 1
 
@@ -153,7 +153,7 @@
         stage.serve(5, name=name)
         request = stage.request(name)
         if stage.sends(request):  # full answers make it refuse some, sooner or later
-            stage.end(request, Outcome.FULL)
+            stage.end(request, Outcome.OVERLOADED)
     balancer = stage.balancer
     parts = balancer._parts
     kept = [kind for kind, _ in parts.admission._demand._traffic]
--- a/tests/test_repeat_bounds.py
+++ b/tests/test_repeat_bounds.py
@@ -50,7 +50,7 @@
     ran: list[Heard]  # attempts that others than the first server have read whole
     let_run: asyncio.Event  # ends those that run on
 
-    def attempts(self) -> list[upstream.Call]:
+    def attempts(self) -> list[upstream.UpstreamRequest]:
         (held,) = self.scene.sidecar._open.values()
         return held.calls
 
--- a/tests/test_repeat_orders.py
+++ b/tests/test_repeat_orders.py
@@ -38,8 +38,8 @@
 from virtual_network import Connection
 
 from tulipnotch.load_balancing.clock_time import NEVER
-from tulipnotch.sidecar.upstream.connection import ClientConnection
-from tulipnotch.sidecar.upstream.pool import Call, Upstream
+from tulipnotch.sidecar.upstream.connection import UpstreamConnection
+from tulipnotch.sidecar.upstream.pool import UpstreamPool, UpstreamRequest
 
 DEPTH = 4
 
@@ -84,19 +84,21 @@
 
     The gate that is passed by: `Upstream._may_write`, asked in `Upstream._put_to_use`.
     """
-    put_to_use = Upstream._put_to_use
+    put_to_use = UpstreamPool._put_to_use
 
-    def without_bound(self: Upstream, call: Call, server: Any, connection: ClientConnection) -> bool:
-        bound = call.latest_begin
+    def without_bound(
+        self: UpstreamPool, call: UpstreamRequest, server: Any, connection: UpstreamConnection
+    ) -> bool:
+        bound = call.latest_start
         has_carried = bool(cast(Connection, connection._transport).exchanges)
         if has_carried is not is_new:
-            call.latest_begin = lambda: NEVER
+            call.latest_start = lambda: NEVER
         try:
             return put_to_use(self, call, server, connection)
         finally:
-            call.latest_begin = bound
+            call.latest_start = bound
 
-    with mock.patch.object(Upstream, "_put_to_use", without_bound):
+    with mock.patch.object(UpstreamPool, "_put_to_use", without_bound):
         yield
 
 
@@ -106,19 +108,19 @@
 
     The gate that is passed by: `may_write`, which `ClientConnection` asks before each further write.
     """
-    exchange = ClientConnection.exchange
+    exchange = UpstreamConnection.exchange
 
-    def without_bound(self: ClientConnection, *given: Any) -> None:
+    def without_bound(self: UpstreamConnection, *given: Any) -> None:
         exchange(self, *given[:4])
 
-    with mock.patch.object(ClientConnection, "exchange", without_bound):
+    with mock.patch.object(UpstreamConnection, "exchange", without_bound):
         yield
 
 
 @contextmanager
 def _trust_in_every_answer() -> Iterator[None]:
     """An answer counts as this request's own also on a connection that has carried others."""
-    with mock.patch.object(ClientConnection, "is_answer_certain", True):
+    with mock.patch.object(UpstreamConnection, "is_response_certain", True):
         yield
 
 
--- a/tests/test_schedule.py
+++ b/tests/test_schedule.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from tulipnotch.sidecar.discovery.poll_schedule import Schedule
+from tulipnotch.sidecar.discovery.poll_schedule import PollSchedule
 
-PLAN = Schedule()
+PLAN = PollSchedule()
 FLEET = 200
 
 # From the instant at which discovery has a change and can be reached: what passes, at its longest, before the
@@ -45,7 +45,7 @@
 @pytest.mark.parametrize("announced_s", [0.6, 1.2, 6.0])
 @pytest.mark.parametrize("after_news", [False, True])
 def test_a_wait_ends_at_an_own_turn_and_in_time(announced_s: float, after_news: bool) -> None:
-    plan = Schedule(announced_s)
+    plan = PollSchedule(announced_s)
     least_s = plan.watch_s - plan.turn_s / (2 if after_news else 1)
     for instance, step in itertools.product(range(FLEET), range(40)):
         now_us = 1_764_000_000_000_000 + step * 97_001
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -4,32 +4,32 @@
 
 from helpers import MS, S, Stage, names, settings
 
-from tulipnotch.load_balancing.actions import Fail, Note, Refuse
-from tulipnotch.load_balancing.events import ListedServer, ListKind, ServerState
+from tulipnotch.load_balancing.actions import FailRequest, LogEvent, RejectRequest
+from tulipnotch.load_balancing.events import EndpointDescription, EndpointState, EndpointUpdateKind
 from tulipnotch.load_balancing.outcomes import Outcome
-from tulipnotch.load_balancing.settings import Repeat
+from tulipnotch.load_balancing.settings import Idempotency
 
 
 def _ejected(stage: Stage) -> list[str]:
-    return [each.text for each in stage.said(Note) if each.text.startswith("ejected")]
+    return [each.text for each in stage.said(LogEvent) if each.text.startswith("ejected")]
 
 
 def test_nothing_is_kept_of_servers_that_were_replaced() -> None:
     # Guards against growth: every id is new, and all servers are replaced over and over.
-    stage = Stage(settings(limits={"second_copies": False}))
+    stage = Stage(settings(limits={"hedged_requests": False}))
     for round_ in range(200):
         stage.servers([f"{name}-{round_}" for name in names(5)])
         for _ in range(5):
             request = stage.request()
             stage.wait(20 * MS)
             while request in stage.balancer._requests:
-                stage.end(request, Outcome.DELIVERED if round_ % 7 else Outcome.DROPPED)
+                stage.end(request, Outcome.DELIVERED if round_ % 7 else Outcome.CONNECTION_LOST)
     stage.wait(20 * S)
     balancer = stage.balancer
     assert len(balancer._context.servers) == 5
     assert len(balancer._requests) == len(balancer._parts.load._abandoned) == 0
     assert len(balancer._parts.agenda) <= 2
-    assert all(each.state is ServerState.READY for each in balancer._parts.outliers._ejected)
+    assert all(each.state is EndpointState.READY for each in balancer._parts.outliers._ejected)
 
 
 def test_a_server_that_left_is_kept_until_its_last_attempt_has_ended() -> None:
@@ -37,7 +37,7 @@
     stage.servers(names(1))
     request = stage.request("pay")
     (server,) = names(1)
-    stage.servers([ListedServer(server, state=ServerState.GONE)], ListKind.CHANGES)
+    stage.servers([EndpointDescription(server, state=EndpointState.REMOVED)], EndpointUpdateKind.DELTA)
     assert server in stage.balancer._context.servers
     stage.end(request)
     assert stage.balancer._context.servers == {}
@@ -51,12 +51,12 @@
     for number in range(60):
         request = stage.request("pay")
         stage.wait(20 * MS)
-        stage.end(request, Outcome.DELIVERED if number % 3 else Outcome.SPOILT)
+        stage.end(request, Outcome.DELIVERED if number % 3 else Outcome.MALFORMED_RESPONSE)
     assert _ejected(stage) == []
     for _ in range(60):
         request = stage.request("pay")
         stage.wait(20 * MS)
-        stage.end(request, Outcome.SPOILT)
+        stage.end(request, Outcome.MALFORMED_RESPONSE)
     assert any(each.endswith("spoilt") for each in _ejected(stage))
 
 
@@ -65,10 +65,10 @@
     stage.servers(names(4))
     for kind in ("look", "pay"):
         request = stage.request(kind)
-        stage.end(request, Outcome.SPOILT)
+        stage.end(request, Outcome.MALFORMED_RESPONSE)
         again = len(stage.sends(request)) == 2
-        assert again == (stage.balancer._context.classes[kind].repeat is Repeat.SAFE)
-    assert len(stage.said(Fail)) == 1
+        assert again == (stage.balancer._context.classes[kind].idempotency is Idempotency.IDEMPOTENT)
+    assert len(stage.said(FailRequest)) == 1
 
 
 def test_a_request_that_a_server_finds_fault_with_fails_at_once_and_is_held_against_nobody() -> None:
@@ -76,9 +76,9 @@
     stage.servers(names(4))
     for _ in range(20):
         request = stage.request()
-        stage.end(request, Outcome.REJECTED)
+        stage.end(request, Outcome.CLIENT_ERROR)
         assert len(stage.sends(request)) == 1
-    assert len(stage.said(Fail)) == 20
+    assert len(stage.said(FailRequest)) == 20
     assert _ejected(stage) == []
 
 
@@ -94,7 +94,7 @@
                 if request in stage.balancer._requests:
                     stage.end(request)
         assert not any("silent" in each for each in _ejected(stage))
-        return len(stage.said(Refuse))
+        return len(stage.said(RejectRequest))
 
     assert refused(30 * MS, 240 * MS) == 0
     assert refused(700 * MS, 700 * MS) > 10
@@ -106,7 +106,7 @@
         stage.servers([])
         for _ in range(20):
             stage.request()
-        advice = [each.retry_after_us for each in stage.said(Refuse)]
+        advice = [each.retry_after_us for each in stage.said(RejectRequest)]
         assert len(advice) == 20
         if allowed:
             assert all(0 < each <= min(most, 250 * MS) for each in advice)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -11,7 +11,7 @@
 
 from tulipnotch.load_balancing import Balancer
 from tulipnotch.load_balancing.events import RequestArrived
-from tulipnotch.load_balancing.settings import Discovery, Repeat
+from tulipnotch.load_balancing.settings import DiscoveryMode, Idempotency
 from tulipnotch.load_balancing.settings_reader import settings_from_mapping
 
 LEAST = {"classes": [{"name": "a", "deadline_us": 1_000_000}]}
@@ -19,10 +19,10 @@
 
 def test_absent_keys_get_the_cautious_default() -> None:
     given = settings_from_mapping(LEAST)
-    assert given.classes[0].repeat is Repeat.UNSAFE
-    assert given.classes[0].aim_us == 1_000_000
-    assert given.discovery is Discovery.ON_REQUEST
-    assert not given.limits.second_copies and given.limits.max_attempts == 1
+    assert given.classes[0].idempotency is Idempotency.NON_IDEMPOTENT
+    assert given.classes[0].latency_objective_us == 1_000_000
+    assert given.discovery_mode is DiscoveryMode.POLLED
+    assert not given.limits.hedged_requests and given.limits.max_attempts == 1
     assert given.rules.drain_grace_us == 0
 
 
@@ -40,16 +40,16 @@
         ({"classes": [{"name": "a"}]}, "classes[0].deadline_us"),
         ({"classes": [{"name": "a", "deadline_us": 0}]}, "classes[0].deadline_us"),
         ({"classes": [{"name": "a", "deadline_us": float("nan")}]}, "classes[0].deadline_us"),
-        ({"classes": [{"name": "a", "deadline_us": 9, "repeat": "maybe"}]}, "classes[0].repeat"),
+        ({"classes": [{"name": "a", "deadline_us": 9, "idempotency": "maybe"}]}, "classes[0].idempotency"),
         ({"classes": [*LEAST["classes"], *LEAST["classes"]]}, "classes"),
         ({**LEAST, "limits": {"max_attempts": -1}}, "limits.max_attempts"),
-        ({**LEAST, "limits": {"second_copies": 1}}, "limits.second_copies"),
-        ({**LEAST, "rules": {"cold_from": 2}}, "rules.cold_from"),
-        ({**LEAST, "rules": {"fall_us": "long"}}, "rules.fall_us"),
+        ({**LEAST, "limits": {"hedged_requests": 1}}, "limits.hedged_requests"),
+        ({**LEAST, "rules": {"initial_capacity": 2}}, "rules.initial_capacity"),
+        ({**LEAST, "rules": {"overload_window_us": "long"}}, "rules.overload_window_us"),
         ({**LEAST, "report": {"columns": "util"}}, "report.columns"),
         ({**LEAST, "tenants": [3]}, "tenants[0]"),
-        ({**LEAST, "group_size": 0}, "group_size"),
-        ({**LEAST, "prices": []}, "prices"),
+        ({**LEAST, "instance_count": 0}, "instance_count"),
+        ({**LEAST, "cost_weights": []}, "cost_weights"),
     ],
 )
 def test_nonsense_is_named(given: dict[str, Any], key: str) -> None:
@@ -59,18 +59,41 @@
 
 
 values = (
-    st.none() | st.booleans() | st.integers(-5, 10**9) | st.floats() | st.sampled_from(["safe", "cell", "x"])
+    st.none()
+    | st.booleans()
+    | st.integers(-5, 10**9)
+    | st.floats()
+    | st.sampled_from(["idempotent", "cell", "x"])
 )
 
 
 @how(max_examples=200, deadline=None, derandomize=True)
 @given(
     st.dictionaries(
-        st.sampled_from(["deadline_us", "aim_us", "worth", "repeat", "group", "memory_us", "streaming"]),
+        st.sampled_from(
+            [
+                "deadline_us",
+                "latency_objective_us",
+                "priority_weight",
+                "idempotency",
+                "deduplication_scope",
+                "deduplication_window_us",
+                "streaming",
+            ]
+        ),
         values,
     ),
     st.dictionaries(
-        st.sampled_from(["max_attempts", "second_copies", "may_cancel", "cold_from", "cold_us", "fall_us"]),
+        st.sampled_from(
+            [
+                "max_attempts",
+                "hedged_requests",
+                "may_cancel",
+                "initial_capacity",
+                "warm_up_us",
+                "overload_window_us",
+            ]
+        ),
         values,
     ),
 )
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -13,27 +13,27 @@
 from tulipnotch.load_balancing import Settings
 from tulipnotch.load_balancing.actions import (
     Action,
-    Cancel,
-    CloseIdle,
-    Fail,
-    FetchList,
-    Note,
-    Probe,
-    Refuse,
-    Send,
+    CancelAttempt,
+    CloseIdleConnections,
+    FailRequest,
+    FetchEndpoints,
+    LogEvent,
+    RejectRequest,
+    SendPeerMessage,
     SetTimer,
-    Tell,
+    StartAttempt,
+    StartHealthCheck,
 )
 from tulipnotch.load_balancing.clock_time import NEVER
 from tulipnotch.load_balancing.events import (
     AttemptEnded,
+    ClientDisconnected,
+    EndpointsUpdated,
+    EndpointUpdateKind,
     Event,
-    ListKind,
-    MessageReceived,
-    ProbeEnded,
+    HealthCheckEnded,
+    PeerMessageReceived,
     RequestArrived,
-    RequestGone,
-    ServersListed,
     TimerFired,
 )
 from tulipnotch.load_balancing.outcomes import Outcome
@@ -67,7 +67,7 @@
     def attempt_began(self, request: int, attempt: int, now: int) -> None:
         """Nothing here bounds another attempt."""
 
-    def latest_begin(self, request: int, attempt: int) -> int:
+    def latest_start(self, request: int, attempt: int) -> int:
         return NEVER
 
     def heard(self, kind: type[T]) -> list[T]:
@@ -99,7 +99,7 @@
         if not isinstance(event, RequestArrived):
             return []
         number = event.request
-        return [Refuse(number, 250_000)] if event.service_class == "check" else [Fail(number)]
+        return [RejectRequest(number, 250_000)] if event.service_class == "check" else [FailRequest(number)]
 
     async def work() -> None:
         scripted(decide)
@@ -116,17 +116,17 @@
 def test_a_cancelled_attempt_ends_once_and_its_connection_is_closed(scripted: Use) -> None:
     def decide(event: Event) -> list[Action]:
         if isinstance(event, RequestArrived):
-            return [Send(event.request, "s-0", FAR), SetTimer(50_000, "later")]
+            return [StartAttempt(event.request, "s-0", FAR), SetTimer(50_000, "later")]
         if isinstance(event, TimerFired):
-            return [Cancel(1, 0), Cancel(1, 0), Cancel(9, 0), Cancel(1, 7)]
-        return [Fail(event.request)] if isinstance(event, AttemptEnded) else []
+            return [CancelAttempt(1, 0), CancelAttempt(1, 0), CancelAttempt(9, 0), CancelAttempt(1, 7)]
+        return [FailRequest(event.request)] if isinstance(event, AttemptEnded) else []
 
     async def work() -> None:
         balancer = scripted(decide)
         async with stage(None) as scene:
             assert (await scene.ask("lodge")).status == 502
             (ended,) = balancer.heard(AttemptEnded)
-            assert (ended.outcome, ended.answered, ended.server) == (Outcome.CANCELLED, False, "s-0")
+            assert (ended.outcome, ended.is_responded, ended.endpoint) == (Outcome.CANCELLED, False, "s-0")
             await until(lambda: scene.servers[0].closed == [0])
             assert balancer.heard(TimerFired)[0].token == "later"
             assert balancer.times == sorted(balancer.times)
@@ -138,10 +138,10 @@
     async def work() -> None:
         balancer = scripted(
             on_arrival(
-                lambda number: Send(number, "s-0", FAR),
-                lambda number: Send(number, "s-1", FAR),
-                lambda number: Send(number, "unheard-of", FAR),
-                lambda number: Send(number, "s-0", 1),
+                lambda number: StartAttempt(number, "s-0", FAR),
+                lambda number: StartAttempt(number, "s-1", FAR),
+                lambda number: StartAttempt(number, "unheard-of", FAR),
+                lambda number: StartAttempt(number, "s-0", 1),
             )
         )
         async with stage(OK, OK) as scene:
@@ -151,10 +151,10 @@
             assert [ended[number].outcome for number in range(4)] == [
                 Outcome.DELIVERED,
                 Outcome.DELIVERED,
-                Outcome.UNSENT,
-                Outcome.UNSENT,
+                Outcome.NOT_SENT,
+                Outcome.NOT_SENT,
             ]
-            assert all(each.answered for each in (ended[0], ended[1]))
+            assert all(each.is_responded for each in (ended[0], ended[1]))
             assert scene.sidecar.open_requests == 0
 
     play(work)
@@ -162,7 +162,7 @@
 
 def test_a_client_that_leaves_is_told_to_the_decisions(scripted: Use) -> None:
     async def work() -> None:
-        balancer = scripted(on_arrival(lambda number: Send(number, "s-0", FAR)))
+        balancer = scripted(on_arrival(lambda number: StartAttempt(number, "s-0", FAR)))
         release = asyncio.Event()
 
         async def hold(heard: Heard) -> bytes:
@@ -174,10 +174,10 @@
             client.send(request("check"))
             await until(lambda: len(scene.heard) == 1)
             client.close()
-            await until(lambda: balancer.heard(RequestGone) == [RequestGone(1)])
+            await until(lambda: balancer.heard(ClientDisconnected) == [ClientDisconnected(1)])
             release.set()
             await until(lambda: len(balancer.heard(AttemptEnded)) == 1)
-            assert balancer.heard(AttemptEnded)[0].answered
+            assert balancer.heard(AttemptEnded)[0].is_responded
 
     play(work)
 
@@ -191,12 +191,14 @@
         return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(text), text)
 
     async def work() -> None:
-        balancer = scripted(lambda event: [Probe("s-0")] if isinstance(event, RequestArrived) else [])
+        balancer = scripted(
+            lambda event: [StartHealthCheck("s-0")] if isinstance(event, RequestArrived) else []
+        )
         async with stage(report, bounds={"probing": True}) as scene:
             (await scene.client()).send(request())
-            await until(lambda: len(balancer.heard(ProbeEnded)) == 1)
-            ended = balancer.heard(ProbeEnded)[0]
-            assert (ended.server, ended.outcome) == ("s-0", Outcome.DELIVERED)
+            await until(lambda: len(balancer.heard(HealthCheckEnded)) == 1)
+            ended = balancer.heard(HealthCheckEnded)[0]
+            assert (ended.endpoint, ended.outcome) == ("s-0", Outcome.DELIVERED)
             assert ended.report == {"qps": 7.0, "util": 0.5}
             assert scene.heard[0].target == "/_load" and "request-id" not in scene.heard[0].headers
 
@@ -206,9 +208,14 @@
 def test_idle_connections_are_closed_the_list_is_fetched_and_lines_are_logged(scripted: Use) -> None:
     def decide(event: Event) -> list[Action]:
         if isinstance(event, RequestArrived):
-            return [Send(event.request, "s-0", FAR)]
+            return [StartAttempt(event.request, "s-0", FAR)]
         if isinstance(event, AttemptEnded):
-            return [CloseIdle("s-0"), CloseIdle("unheard-of"), FetchList(), Note("readmitted", "s-0")]
+            return [
+                CloseIdleConnections("s-0"),
+                CloseIdleConnections("unheard-of"),
+                FetchEndpoints(),
+                LogEvent("readmitted", "s-0"),
+            ]
         return []
 
     async def work() -> None:
@@ -216,10 +223,10 @@
         async with stage(OK) as scene:
             assert (await scene.ask()).status == 200
             await until(lambda: scene.servers[0].closed == [0])
-            await until(lambda: len(balancer.heard(ServersListed)) == 2)
-            assert [each.kind for each in balancer.heard(ServersListed)] == [
-                ListKind.REMEMBERED,
-                ListKind.COMPLETE,
+            await until(lambda: len(balancer.heard(EndpointsUpdated)) == 2)
+            assert [each.kind for each in balancer.heard(EndpointsUpdated)] == [
+                EndpointUpdateKind.CACHED,
+                EndpointUpdateKind.COMPLETE,
             ]
             assert scene.discovery.heard[0].target == "/catalog/members"
             assert scene.log == ["readmitted s-0"]
@@ -230,7 +237,11 @@
 def test_a_message_reaches_the_other_sidecar(scripted: Use) -> None:
     async def work() -> None:
         balancer = scripted(
-            lambda event: [Tell(1, b"hi"), Tell(1, b"x" * 257)] if isinstance(event, RequestArrived) else []
+            lambda event: (
+                [SendPeerMessage(1, b"hi"), SendPeerMessage(1, b"x" * 257)]
+                if isinstance(event, RequestArrived)
+                else []
+            )
         )
         loop = asyncio.get_running_loop()
         got: asyncio.Queue[tuple[bytes, tuple[str, int]]] = asyncio.Queue()
@@ -255,7 +266,7 @@
             assert (data, sender) == (b"hi", own)
             assert scene.log == ["a message to other sidecars could not be sent"]
             transport.sendto(b"back", own)
-            await until(lambda: balancer.heard(MessageReceived) == [MessageReceived(1, b"back")])
+            await until(lambda: balancer.heard(PeerMessageReceived) == [PeerMessageReceived(1, b"back")])
         transport.close()
 
     play(work)
@@ -267,7 +278,7 @@
         if isinstance(event, RequestArrived):
             if event.service_class == "lodge":
                 raise ZeroDivisionError
-            return [Send(event.request, "s-0", FAR)]
+            return [StartAttempt(event.request, "s-0", FAR)]
         return []
 
     async def work() -> None:
@@ -284,7 +295,7 @@
     # Guards against a request, or the one timer of all deadlines, that is lost with a line of the log.
     def decide(event: Event) -> list[Action]:
         if isinstance(event, RequestArrived):
-            return [Note("readmitted", "s-0"), Send(event.request, "s-0", FAR)]
+            return [LogEvent("readmitted", "s-0"), StartAttempt(event.request, "s-0", FAR)]
         return []
 
     async def work() -> None:
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -13,7 +13,7 @@
 from tulipnotch.load_balancing.settings_reader import settings_from_mapping
 from tulipnotch.load_balancing.slow_start import warm_up_budget as slow_start
 
-RULES = Rules(cold_from=0.2, cold_us=10 * S, fall_multiple=2.5, fall_us=1 * S)
+RULES = Rules(initial_capacity=0.2, warm_up_us=10 * S, overload_multiple=2.5, overload_window_us=1 * S)
 START = 1_700_000_000 * S
 
 
@@ -39,17 +39,19 @@
 
 
 @pytest.mark.parametrize(
-    ("started_at", "me", "size"), [(None, 3, 30), (START, -1, 30), (START, 30, 30), (START, 0, 1)]
+    ("started_at", "instance_index", "size"), [(None, 3, 30), (START, -1, 30), (START, 30, 30), (START, 0, 1)]
 )
-def test_chance_takes_the_place_of_what_is_not_known(started_at: int | None, me: int, size: int) -> None:
-    assert slow_start.phase("s-1", started_at, me, size, 0.73) == 0.73
+def test_chance_takes_the_place_of_what_is_not_known(
+    started_at: int | None, instance_index: int, size: int
+) -> None:
+    assert slow_start.phase("s-1", started_at, instance_index, size, 0.73) == 0.73
 
 
 def test_an_instance_that_is_not_told_its_number_does_not_take_the_first() -> None:
-    told = {"classes": [{"name": "look", "deadline_us": 1_000}], "group_size": 30}
-    assert settings_from_mapping(told).me == -1
-    assert settings_from_mapping({**told, "me": 0}).me == 0
-    assert settings().me == -1
+    told = {"classes": [{"name": "look", "deadline_us": 1_000}], "instance_count": 30}
+    assert settings_from_mapping(told).instance_index == -1
+    assert settings_from_mapping({**told, "instance_index": 0}).instance_index == 0
+    assert settings().instance_index == -1
 
 
 def test_warmth_rises_evenly_and_a_clock_that_is_behind_counts_as_the_start() -> None:
@@ -62,7 +64,7 @@
 
 def turns(begins_with: float, limit: float, asked_at: list[int]) -> list[int]:
     """When requests of mean cost, asked for at these times, were let through."""
-    allowance = slow_start.Allowance(0, begins_with)
+    allowance = slow_start.WarmUpBudget(0, begins_with)
     through = []
     for at in asked_at:
         if allowance.has_room(at, limit, 1 * S, 1.0):
@@ -116,7 +118,7 @@
 
 
 def test_a_heavy_request_is_paid_back_before_the_next() -> None:
-    allowance = slow_start.Allowance(0, 1.0)
+    allowance = slow_start.WarmUpBudget(0, 1.0)
     assert allowance.has_room(0, 1.0 / S, 1 * S, 1.5)
     allowance.spend(1.5)
     assert not allowance.has_room(5 * S, 1.0 / S, 1 * S, 1.0)
--- a/tests/test_streaming.py
+++ b/tests/test_streaming.py
@@ -23,8 +23,8 @@
     until,
 )
 
-from tulipnotch.load_balancing.actions import Fail, Refuse
-from tulipnotch.load_balancing.events import AttemptEnded, RequestArrived, RequestWhole
+from tulipnotch.load_balancing.actions import FailRequest, RejectRequest
+from tulipnotch.load_balancing.events import AttemptEnded, RequestArrived, RequestBodyCompleted
 from tulipnotch.load_balancing.outcomes import Outcome
 from tulipnotch.sidecar.downstream.server import ClientLimits
 from tulipnotch.sidecar.http1.messages import KEPT, MOST_BODY, Body
@@ -449,25 +449,25 @@
 def test_the_time_of_a_request_that_still_comes_begins_with_its_last_byte() -> None:
     stage = Stage()
     stage.servers(names(3))
-    stage.play(RequestArrived(1, "pay", None, None, 500 * MS, coming=True))
+    stage.play(RequestArrived(1, "pay", None, None, 500 * MS, body_incomplete=True))
     assert len(stage.sends(1)) == 1
     stage.wait(30 * SECOND)
-    assert stage.said(Fail) == [] and stage.said(Refuse) == []
+    assert stage.said(FailRequest) == [] and stage.said(RejectRequest) == []
     assert stage.balancer._parts.load.current() == 0  # what still comes is no work for a server
-    stage.play(RequestWhole(1, 500 * MS))
+    stage.play(RequestBodyCompleted(1, 500 * MS))
     assert stage.balancer._parts.load.current() == 1
     stage.wait(499 * MS)
-    assert [each.request for each in stage.said(Fail)] == [1]
+    assert [each.request for each in stage.said(FailRequest)] == [1]
 
 
 def test_what_can_not_be_written_again_is_given_up_at_once() -> None:
     stage = Stage()
     stage.servers(names(3))
-    stage.play(RequestArrived(1, "look", None, None, 500 * MS, coming=True))
+    stage.play(RequestArrived(1, "look", None, None, 500 * MS, body_incomplete=True))
     (_, send) = stage.sends(1)[0]
-    stage.play(AttemptEnded(1, 0, send.server, Outcome.DIAL_FAILED, 0, False, None, again=False))
+    stage.play(AttemptEnded(1, 0, send.endpoint, Outcome.CONNECT_FAILED, 0, False, None, is_retryable=False))
     assert len(stage.sends(1)) == 1
-    assert [each.request for each in stage.said(Refuse)] == [1]
+    assert [each.request for each in stage.said(RejectRequest)] == [1]
     assert stage.balancer._parts.load.current() == 0
 
 
--- a/tests/test_unlisted.py
+++ b/tests/test_unlisted.py
@@ -9,11 +9,11 @@
 from away import AWAY, Returning
 from loopback import HOST, line, play, soon, until
 
-from tulipnotch.sidecar.discovery.client import Discovery, Listing
-from tulipnotch.sidecar.discovery.poll_schedule import Schedule
+from tulipnotch.sidecar.discovery.client import DiscoveryClient, DiscoveryResponse
+from tulipnotch.sidecar.discovery.poll_schedule import PollSchedule
 
 WITHIN_S = 1.0
-PLAN = Schedule()
+PLAN = PollSchedule()
 
 
 async def _listed_after_s(away: str, *, pushed: bool = False, has_list: bool = False) -> float:
@@ -21,9 +21,9 @@
     agent = Returning(away)
     agent.servers = [line("s-1", f"{HOST}:9")]
     await agent.go()
-    listed: asyncio.Queue[Listing] = asyncio.Queue()
+    listed: asyncio.Queue[DiscoveryResponse] = asyncio.Queue()
     failures: list[float] = []
-    discovery = Discovery(
+    discovery = DiscoveryClient(
         (HOST, agent.port),
         None,
         pushed,
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -109,7 +109,7 @@
         {**CLASSES[0], "name": f"kind-{index}", "promiseUs": aim * 1_000, "giveUpUs": deadline * 1_000}
         for index, (aim, deadline) in enumerate(zip(aims_ms, deadlines_ms, strict=True))
     ]
-    pool = upstream.Upstream(Clock(), settings_from_wire({"lanes": classes}))
+    pool = upstream.UpstreamPool(Clock(), settings_from_wire({"lanes": classes}))
     assert pool._answer_within_s == pytest.approx(within_s)
 
 
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -14,7 +14,7 @@
 from running import GOOD, started
 from soak.shim import Shim, Word, built
 
-from tulipnotch.load_balancing.events import ListedServer
+from tulipnotch.load_balancing.events import EndpointDescription
 
 _HOUR_S = 3_600
 _COLD_S = 0.5
@@ -23,9 +23,11 @@
 @pytest.mark.parametrize("ahead_s", [1, _HOUR_S])
 def test_a_server_that_started_in_the_future_warms_up_from_now(ahead_s: int) -> None:
     given = settings()
-    cold_us = given.rules.cold_us
+    cold_us = given.rules.warm_up_us
     scene = Stage(given)
-    scene.servers([ListedServer(each, zone="east", started_at=START + ahead_s * S) for each in names(4)])
+    scene.servers(
+        [EndpointDescription(each, zone="east", started_at=START + ahead_s * S) for each in names(4)]
+    )
     slow_start = scene.balancer._parts.slow_start
     servers = list(scene.balancer._context.servers.values())
     assert all(slow_start.is_cold(each) for each in servers)
@@ -37,8 +39,10 @@
 def test_a_server_that_is_readmitted_is_no_colder_for_a_start_in_the_future() -> None:
     given = settings()
     scene = Stage(given)
-    scene.servers([ListedServer(each, zone="east", started_at=START + _HOUR_S * S) for each in names(4)])
-    scene.wait(given.rules.cold_us + 1 * MS)
+    scene.servers(
+        [EndpointDescription(each, zone="east", started_at=START + _HOUR_S * S) for each in names(4)]
+    )
+    scene.wait(given.rules.warm_up_us + 1 * MS)
     scene.request()
     outliers = scene.balancer._parts.outliers
     server = next(iter(scene.balancer._context.servers.values()))
--- a/tulipnotch/cli/check.py
+++ b/tulipnotch/cli/check.py
@@ -15,7 +15,7 @@
 
 from tulipnotch.cli.root import examples
 from tulipnotch.settings import operator
-from tulipnotch.settings.check import BadFile, Fault, line_of
+from tulipnotch.settings.check import Fault, InvalidFileError, line_of
 from tulipnotch.sidecar.configuration import configuration as config
 
 
@@ -59,7 +59,7 @@
             scenario.load(path)
         else:
             operator.load(path)
-    except BadFile as bad:
+    except InvalidFileError as bad:
         return kind, bad.faults
     return kind, []
 
--- a/tulipnotch/cli/lab_run.py
+++ b/tulipnotch/cli/lab_run.py
@@ -18,7 +18,7 @@
 from tulipnotch.lab import play, report, results, scenario
 from tulipnotch.lab.compare import differences
 from tulipnotch.lab.policies import POLICIES
-from tulipnotch.settings.check import BadFile
+from tulipnotch.settings.check import InvalidFileError
 
 _SHOWN = (
     "rules.broken", "worth", "worst_10s", "served", "in_time", "refused", "failed", "latency.p50_ms",
@@ -26,7 +26,7 @@
 )  # fmt: skip
 
 
-def bad(fault: BadFile) -> None:
+def bad(fault: InvalidFileError) -> None:
     """Say all faults of a file, one a line, and exit with 2."""
     for each in fault.faults:
         click.echo(f"{fault.path}: {each}", err=True)
@@ -37,7 +37,7 @@
     """A scenario by name or path; on a bad one, say all of its faults and exit with 2."""
     try:
         return scenario.load(scenario.find(name))
-    except BadFile as fault:
+    except InvalidFileError as fault:
         bad(fault)
         raise
 
@@ -176,7 +176,7 @@
     """
     try:
         first, second = results.read(a), results.read(b)
-    except BadFile as fault:
+    except InvalidFileError as fault:
         bad(fault)
         raise
     if first.scenario != second.scenario:
--- a/tulipnotch/lab/policies.py
+++ b/tulipnotch/lab/policies.py
@@ -25,21 +25,34 @@
 from tulipnotch.lab.recorder import at_rank
 from tulipnotch.lab.virtual import MakePolicy, Policy, World
 from tulipnotch.load_balancing import Balancer
-from tulipnotch.load_balancing.actions import Action, Fail, Follow, Probe, Refuse, Send, SetTimer
-from tulipnotch.load_balancing.admission.service_levels import LEAST_HOLD_US, READ_EVERY_US, Ladder, standard
+from tulipnotch.load_balancing.actions import (
+    Action,
+    FailRequest,
+    RejectRequest,
+    SetTimer,
+    StartAttempt,
+    StartHealthCheck,
+    Subscribe,
+)
+from tulipnotch.load_balancing.admission.service_levels import (
+    LEAST_HOLD_US,
+    READ_EVERY_US,
+    ServiceLevelController,
+    standard,
+)
 from tulipnotch.load_balancing.events import (
     AttemptEnded,
+    ClientDisconnected,
+    EndpointState,
+    EndpointsUpdated,
+    EndpointUpdateKind,
     Event,
-    ListKind,
-    ProbeEnded,
+    HealthCheckEnded,
     RequestArrived,
-    RequestGone,
-    ServersListed,
-    ServerState,
     TimerFired,
 )
 from tulipnotch.load_balancing.outcomes import Outcome
-from tulipnotch.load_balancing.settings import Repeat, ServiceClass, Settings
+from tulipnotch.load_balancing.settings import Idempotency, ServiceClass, Settings
 
 _ASK_AGAIN_US = 500_000
 _DECAY_US = 10_000_000
@@ -68,7 +81,7 @@
         self._settings = settings
         self._classes = {each.name: each for each in settings.classes}
         self._zones: dict[str, tuple[str, int]] = {}
-        self._states: dict[str, ServerState] = {}
+        self._states: dict[str, EndpointState] = {}
         self._open: dict[int, _Request] = {}
         self._begun = False
 
@@ -87,7 +100,7 @@
         actions: list[Action] = []
         if not self._begun:
             self._begun = True
-            actions.append(Follow(True))
+            actions.append(Subscribe(True))
         match event:
             case AttemptEnded():
                 actions += self._ended(event)
@@ -96,32 +109,32 @@
                 self._open[event.request] = _Request(kind, now + event.remaining_us)
                 actions += self.extra()
                 actions += self._place(event.request)
-            case ServersListed():
-                if event.kind is ListKind.FAILED:
+            case EndpointsUpdated():
+                if event.kind is EndpointUpdateKind.FAILED:
                     actions.append(SetTimer(_ASK_AGAIN_US, "ask"))
                 else:
                     self._hear(event)
             case TimerFired():
-                actions.append(Follow(True))
-            case RequestGone():
+                actions.append(Subscribe(True))
+            case ClientDisconnected():
                 self._open.pop(event.request, None)
-            case ProbeEnded():
+            case HealthCheckEnded():
                 self.probed(event)
             case _:
                 pass
         return actions
 
-    def probed(self, event: ProbeEnded) -> None:
+    def probed(self, event: HealthCheckEnded) -> None:
         """A probe came back."""
 
-    def _hear(self, event: ServersListed) -> None:
-        if event.kind is not ListKind.CHANGES:
+    def _hear(self, event: EndpointsUpdated) -> None:
+        if event.kind is not EndpointUpdateKind.DELTA:
             self._states.clear()
-        for line in event.servers:
-            self._states[line.server] = line.state
-            self._zones[line.server] = (line.zone, line.cell)
-            self.in_flight.setdefault(line.server, 0)
-        self.ready = sorted(name for name, state in self._states.items() if state is ServerState.READY)
+        for line in event.endpoints:
+            self._states[line.name] = line.state
+            self._zones[line.name] = (line.zone, line.cell)
+            self.in_flight.setdefault(line.name, 0)
+        self.ready = sorted(name for name, state in self._states.items() if state is EndpointState.READY)
 
     def _place(self, request: int) -> list[Action]:
         held = self._open[request]
@@ -131,7 +144,7 @@
         name = self.choose(names)
         held.sent.append((name, self.now))
         self.in_flight[name] += 1
-        return [Send(request, name, held.until - 2 * self._settings.tick_us)]
+        return [StartAttempt(request, name, held.until - 2 * self._settings.clock_resolution_us)]
 
     def _allowed(self, held: _Request) -> list[str]:
         """Where it may go: after it may have run, only to who drops its repeats, within their memory."""
@@ -139,34 +152,37 @@
             return self.ready
         tried = {name for name, _ in held.sent}
         fresh = [name for name in self.ready if name not in tried]
-        if held.may_have_run is None or held.kind.repeat is Repeat.SAFE:
+        if held.may_have_run is None or held.kind.idempotency is Idempotency.IDEMPOTENT:
             return fresh or self.ready
-        if held.kind.repeat is Repeat.UNSAFE or self.now - held.ran_since >= held.kind.memory_us:
+        if (
+            held.kind.idempotency is Idempotency.NON_IDEMPOTENT
+            or self.now - held.ran_since >= held.kind.deduplication_window_us
+        ):
             return []
         zone, _ = self._zones[held.may_have_run]
         return [name for name in fresh if self._zones[name][0] == zone]
 
     def _ended(self, event: AttemptEnded) -> list[Action]:
-        self.in_flight[event.server] = max(self.in_flight[event.server] - 1, 0)
+        self.in_flight[event.endpoint] = max(self.in_flight[event.endpoint] - 1, 0)
         if event.outcome is Outcome.DELIVERED:
-            self.answered(event.server, event.elapsed_us)
+            self.answered(event.endpoint, event.elapsed_us)
         held = self._open.get(event.request)
         if held is None:
             return []
-        if event.answered:
+        if event.is_responded:
             del self._open[event.request]
             return []
-        if not self._settings.rules.never_ran(event.outcome) and held.may_have_run is None:
+        if not self._settings.rules.proves_not_executed(event.outcome) and held.may_have_run is None:
             held.may_have_run, held.ran_since = held.sent[event.attempt]
-        if held.until - self.now < 4 * self._settings.tick_us:
+        if held.until - self.now < 4 * self._settings.clock_resolution_us:
             return self._give_up(event.request)
         return self._place(event.request)
 
     def _give_up(self, request: int) -> list[Action]:
         held = self._open.pop(request)
-        if held.may_have_run is None or held.kind.repeat is Repeat.SAFE:
-            return [Refuse(request)]
-        return [Fail(request)]
+        if held.may_have_run is None or held.kind.idempotency is Idempotency.IDEMPOTENT:
+            return [RejectRequest(request)]
+        return [FailRequest(request)]
 
 
 class Random(Plain):
@@ -221,11 +237,11 @@
 
     def extra(self) -> list[Action]:
         count = min(_PROBES, len(self.ready))
-        return [Probe(name) for name in self.random.sample(self.ready, count)]
+        return [StartHealthCheck(name) for name in self.random.sample(self.ready, count)]
 
-    def probed(self, event: ProbeEnded) -> None:
+    def probed(self, event: HealthCheckEnded) -> None:
         if event.report is not None:
-            self._pool.append((self.now, event.server, event.report.get("queue", 0.0)))
+            self._pool.append((self.now, event.endpoint, event.report.get("queue", 0.0)))
             del self._pool[:-_POOL]
 
     def answered(self, server: str, elapsed_us: int) -> None:
@@ -271,8 +287,8 @@
 
     def __init__(self, settings: Settings, seed: int, world: World) -> None:
         self._balancer = Balancer(settings, seed)
-        least = min(settings.classes, key=lambda each: each.worth).name
-        self._ladder = Ladder(standard(least), LEAST_HOLD_US, world.engine.now)
+        least = min(settings.classes, key=lambda each: each.priority_weight).name
+        self._ladder = ServiceLevelController(standard(least), LEAST_HOLD_US, world.engine.now)
         self._read_at = world.engine.now
 
     def handle(self, now: int, event: Event) -> Sequence[Action]:
--- a/tulipnotch/lab/results.py
+++ b/tulipnotch/lab/results.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from tulipnotch.lab.scenario import Scenario
-from tulipnotch.settings.check import BadFile, Fault
+from tulipnotch.settings.check import Fault, InvalidFileError
 
 
 class Run(msgspec.Struct, kw_only=True):
@@ -85,6 +85,6 @@
     try:
         return msgspec.json.decode(file.read_bytes(), type=Result)
     except OSError as fault:
-        raise BadFile(str(file), [Fault(0, "", f"can't be read: {fault.strerror}")]) from None
+        raise InvalidFileError(str(file), [Fault(0, "", f"can't be read: {fault.strerror}")]) from None
     except (msgspec.DecodeError, UnicodeDecodeError) as fault:
-        raise BadFile(str(file), [Fault(0, "", f"is no result: {fault}")]) from None
+        raise InvalidFileError(str(file), [Fault(0, "", f"is no result: {fault}")]) from None
--- a/tulipnotch/lab/scenario.py
+++ b/tulipnotch/lab/scenario.py
@@ -18,7 +18,7 @@
 import msgspec
 from msgspec import Meta
 
-from tulipnotch.settings.check import BadFile, Checked, Fault, nearest, read_toml
+from tulipnotch.settings.check import Checked, Fault, InvalidFileError, nearest, read_toml
 
 Part = Annotated[float, Meta(ge=0.0, le=1.0)]
 Positive = Annotated[float, Meta(gt=0.0, le=1e6)]
@@ -276,7 +276,7 @@
     checked = read_toml(path, Scenario, _extended)
     faults = list(_across(checked))
     if faults:
-        raise BadFile(str(path), faults)
+        raise InvalidFileError(str(path), faults)
     return checked.value
 
 
@@ -384,7 +384,7 @@
         return path
     if name in known:
         return known[name]
-    raise BadFile(name, [Fault(0, "", f"is no scenario{nearest(name, known)}")])
+    raise InvalidFileError(name, [Fault(0, "", f"is no scenario{nearest(name, known)}")])
 
 
 def _us(ms: float) -> int:
--- a/tulipnotch/lab/virtual.py
+++ b/tulipnotch/lab/virtual.py
@@ -22,28 +22,28 @@
 from tulipnotch.lab.server import Job, OrderServer, Stage, Verdict
 from tulipnotch.load_balancing.actions import (
     Action,
-    Cancel,
-    CloseIdle,
-    Fail,
-    FetchList,
-    Follow,
-    Note,
-    Probe,
-    Refuse,
-    Send,
+    CancelAttempt,
+    CloseIdleConnections,
+    FailRequest,
+    FetchEndpoints,
+    LogEvent,
+    RejectRequest,
     SetTimer,
+    StartAttempt,
+    StartHealthCheck,
+    Subscribe,
 )
 from tulipnotch.load_balancing.clock_time import NEVER
 from tulipnotch.load_balancing.events import (
     AttemptEnded,
+    ClientDisconnected,
+    EndpointDescription,
+    EndpointState,
+    EndpointsUpdated,
+    EndpointUpdateKind,
     Event,
-    ListedServer,
-    ListKind,
-    ProbeEnded,
+    HealthCheckEnded,
     RequestArrived,
-    RequestGone,
-    ServersListed,
-    ServerState,
     TimerFired,
 )
 from tulipnotch.load_balancing.outcomes import Outcome
@@ -53,9 +53,9 @@
 _BACK_AFTER_US = 300_000  # how long a sidecar that was killed is away
 _ERROR_US = 1_000  # what a quick error takes
 _STATES = {
-    Listed.ACTIVE: ServerState.READY,
-    Listed.LEAVING: ServerState.DRAINING,
-    Listed.LEFT: ServerState.GONE,
+    Listed.ACTIVE: EndpointState.READY,
+    Listed.LEAVING: EndpointState.DRAINING,
+    Listed.LEFT: EndpointState.REMOVED,
 }
 
 
@@ -146,13 +146,13 @@
         if ran:
             attempt = self.jobs_out.pop(job)
             spoilt = server.spoils > 0.0 and self.chance() < server.spoils
-            attempt.comes_back(Outcome.SPOILT if spoilt else Outcome.DELIVERED)
+            attempt.comes_back(Outcome.MALFORMED_RESPONSE if spoilt else Outcome.DELIVERED)
 
     def _crash(self, server: OrderServer) -> None:
         for job in server.crash(self.engine.now):
             attempt = self.jobs_out.pop(job, None)
             if attempt is not None:
-                attempt.comes_back(Outcome.DROPPED)
+                attempt.comes_back(Outcome.CONNECTION_LOST)
         for sidecar in self.sidecars:
             sidecar.connections.pop(server.name, None)
 
@@ -352,7 +352,7 @@
         self.connections: dict[str, list[int]] = {}  # by server: since when each idle one is
         self.version = 0
         self.is_up = False
-        self._listed: dict[str, ServerState] = {}
+        self._listed: dict[str, EndpointState] = {}
         self._held: dict[int, _Held] = {}
         self._events: deque[Event] = deque()
         self._is_handling = False
@@ -372,7 +372,9 @@
         world.ledger.asked(self.place, self.engine.now)
         self.version = world.discovery.directory.version if self._life == 0 else self.version
         self._listed = {each.name: _STATES[each.state] for each in known}
-        self._post(ServersListed(ListKind.REMEMBERED, [_listed(each) for each in known], self.version))
+        self._post(
+            EndpointsUpdated(EndpointUpdateKind.CACHED, [_listed(each) for each in known], self.version)
+        )
 
     def _remembered(self) -> list[Line]:
         lines = (self.world.discovery.directory.line(name) for name in self._listed)
@@ -414,7 +416,7 @@
         held = self._held.get(request)
         if held is not None and not held.is_answered:
             held.is_answered = True
-            self._post(RequestGone(request))
+            self._post(ClientDisconnected(request))
             self._forget_if_over(request, held)
 
     def _answer(self, request: int, how: Ending, retry_after_us: int = 0) -> None:
@@ -440,7 +442,7 @@
             event = self._events.popleft()
             if isinstance(event, AttemptEnded):
                 held = self._held.get(event.request)
-                event.answered = held is None or held.is_answered
+                event.is_responded = held is None or held.is_answered
             for action in self._policy.handle(self.engine.now, event):
                 self._carry_out(action)
             if isinstance(event, AttemptEnded) and held is not None:
@@ -449,42 +451,42 @@
 
     def _carry_out(self, action: Action) -> None:
         match action:
-            case Send():
+            case StartAttempt():
                 self._send(action)
             case SetTimer():
-                self.engine.after(action.in_us, self._fire, action.token, self._life)
-            case Refuse():
+                self.engine.after(action.delay_us, self._fire, action.token, self._life)
+            case RejectRequest():
                 self._answer(action.request, Ending.REFUSED, action.retry_after_us)
-            case Fail():
+            case FailRequest():
                 self._answer(action.request, Ending.FAILED)
-            case Cancel():
+            case CancelAttempt():
                 self._cancel(action)
-            case CloseIdle():
-                self.connections.pop(action.server, None)
-            case Follow():
-                self.world.discovery.follow(self, action.wanted)
-            case FetchList():
+            case CloseIdleConnections():
+                self.connections.pop(action.endpoint, None)
+            case Subscribe():
+                self.world.discovery.follow(self, action.is_subscribed)
+            case FetchEndpoints():
                 self.world.discovery.fetch(self)
-            case Probe():
-                self._probe(action.server)
-            case Note():
+            case StartHealthCheck():
+                self._probe(action.endpoint)
+            case LogEvent():
                 pass
 
     def _fire(self, token: str, life: int) -> None:
         if life == self._life:
             self._post(TimerFired(token))
 
-    def listed(self, kind: ListKind, lines: Sequence[Line], version: int, life: int) -> None:
+    def listed(self, kind: EndpointUpdateKind, lines: Sequence[Line], version: int, life: int) -> None:
         """Discovery's word arrives."""
         if life != self._life or not self.is_up:
             return
-        if kind is ListKind.COMPLETE:
+        if kind is EndpointUpdateKind.COMPLETE:
             self._listed.clear()
         for each in lines:
             self._listed[each.name] = _STATES[each.state]
-        if kind is not ListKind.FAILED:
+        if kind is not EndpointUpdateKind.FAILED:
             self.version = version
-        self._post(ServersListed(kind, [_listed(each) for each in lines], version))
+        self._post(EndpointsUpdated(kind, [_listed(each) for each in lines], version))
 
     @property
     def life(self) -> int:
@@ -492,24 +494,24 @@
 
     # Attempts
 
-    def _send(self, action: Send) -> None:
+    def _send(self, action: StartAttempt) -> None:
         held = self._held.get(action.request)
         now, world = self.engine.now, self.world
         if held is None:
             return
-        attempt = _Attempt(self, held, len(held.attempts), world.by_name[action.server])
+        attempt = _Attempt(self, held, len(held.attempts), world.by_name[action.endpoint])
         held.attempts.append(attempt)
         held.out += 1
-        until = min(action.until, held.client.until) if action.until < NEVER else held.client.until
+        until = min(action.deadline, held.client.until) if action.deadline < NEVER else held.client.until
         if (
-            self._listed.get(action.server) is not ServerState.READY
+            self._listed.get(action.endpoint) is not EndpointState.READY
             or until <= now
             or attempt.number >= self.settings.limits.max_attempts
         ):
-            self.engine.after(0, self._end, attempt, Outcome.UNSENT)
+            self.engine.after(0, self._end, attempt, Outcome.NOT_SENT)
             return
         self.engine.at(until, self._expire, attempt)
-        idle = self.connections.get(action.server)
+        idle = self.connections.get(action.endpoint)
         while idle:
             if now - idle.pop() < self._idle_us:
                 attempt.had_connection = True
@@ -522,9 +524,11 @@
         world.recorder.handshakes += 1
         there_and_back = world.delay(self.zone, server.zone) + world.delay(server.zone, self.zone)
         if world.is_cut(self.zone, server.zone):
-            self.engine.after(self.settings.limits.dial_timeout_us, self._end, attempt, Outcome.DIAL_FAILED)
+            self.engine.after(
+                self.settings.limits.connect_timeout_us, self._end, attempt, Outcome.CONNECT_FAILED
+            )
         elif not server.is_up or server.has_fallen:
-            self.engine.after(there_and_back, self._end, attempt, Outcome.DIAL_FAILED)
+            self.engine.after(there_and_back, self._end, attempt, Outcome.CONNECT_FAILED)
         else:
             trips = 1 + world.network.handshake_rtts
             self.engine.after(trips * there_and_back, self._connected, attempt)
@@ -532,10 +536,10 @@
     def _connected(self, attempt: _Attempt) -> None:
         if attempt.is_over:
             return
-        if self._listed.get(attempt.server.name) is not ServerState.READY:
-            self._end(attempt, Outcome.UNSENT)  # word of its drain came while the dial was under way
+        if self._listed.get(attempt.server.name) is not EndpointState.READY:
+            self._end(attempt, Outcome.NOT_SENT)  # word of its drain came while the dial was under way
         elif not attempt.server.is_up or attempt.server.has_fallen:
-            self._end(attempt, Outcome.DIAL_FAILED)
+            self._end(attempt, Outcome.CONNECT_FAILED)
         else:
             self._write(attempt)
 
@@ -562,11 +566,11 @@
         attempt.job = job
         verdict, begun = server.offer(now, job, world.chance())
         if verdict is Verdict.FULL:
-            attempt.comes_back(Outcome.FULL)
+            attempt.comes_back(Outcome.OVERLOADED)
         elif verdict is Verdict.FAILED:
-            attempt.comes_back(Outcome.ERROR, _ERROR_US)
+            attempt.comes_back(Outcome.SERVER_ERROR, _ERROR_US)
         elif not server.is_up or server.has_fallen:
-            attempt.comes_back(Outcome.DROPPED)
+            attempt.comes_back(Outcome.CONNECTION_LOST)
         else:
             world.jobs_out[job] = attempt
         world.begun(server, begun)
@@ -575,16 +579,16 @@
         """The server's word is here."""
         if attempt.is_over or self.world.is_cut(self.zone, attempt.server.zone):
             return
-        if outcome not in (Outcome.DROPPED, Outcome.SPOILT) and attempt.server.is_up:
+        if outcome not in (Outcome.CONNECTION_LOST, Outcome.MALFORMED_RESPONSE) and attempt.server.is_up:
             self.connections.setdefault(attempt.server.name, []).append(self.engine.now)
         self._end(attempt, outcome)
 
     def _expire(self, attempt: _Attempt) -> None:
         if not attempt.is_over:
             self._close_at_server(attempt)
-            self._end(attempt, Outcome.EXPIRED if attempt.is_written else Outcome.DIAL_FAILED)
+            self._end(attempt, Outcome.TIMED_OUT if attempt.is_written else Outcome.CONNECT_FAILED)
 
-    def _cancel(self, action: Cancel) -> None:
+    def _cancel(self, action: CancelAttempt) -> None:
         held = self._held.get(action.request)
         if held is None or action.attempt >= len(held.attempts):
             return
@@ -633,9 +637,9 @@
     def _probed(self, server: OrderServer, sent_at: int, life: int) -> None:
         back = self.world.delay(server.zone, self.zone)
         if not server.is_up or server.has_fallen:
-            outcome, report = Outcome.DIAL_FAILED, None
+            outcome, report = Outcome.CONNECT_FAILED, None
         elif server.hangs or self.world.is_cut(self.zone, server.zone):
-            outcome, report, back = Outcome.EXPIRED, None, 400_000
+            outcome, report, back = Outcome.TIMED_OUT, None, 400_000
         else:
             outcome, report = Outcome.DELIVERED, {"queue": float(server.report(self.engine.now))}
         self.engine.after(back, self._probe_heard, server.name, outcome, report, sent_at, life)
@@ -644,11 +648,11 @@
         self, name: str, outcome: Outcome, report: dict[str, float] | None, sent_at: int, life: int
     ) -> None:
         if life == self._life:
-            self._post(ProbeEnded(name, outcome, self.engine.now - sent_at, report))
+            self._post(HealthCheckEnded(name, outcome, self.engine.now - sent_at, report))
 
 
-def _listed(line: Line) -> ListedServer:
-    return ListedServer(
+def _listed(line: Line) -> EndpointDescription:
+    return EndpointDescription(
         line.name, line.zone, line.kind, line.cell, _STATES[line.state], 1.0, line.started_at or None
     )
 
@@ -703,7 +707,7 @@
             engine.at(self._busy_until, self._answer, sidecar, after, is_watch, sidecar.life)
 
     def _fails(self, sidecar: VirtualSidecar, wait_us: int) -> None:
-        self._world.engine.after(wait_us, sidecar.listed, ListKind.FAILED, [], 0, sidecar.life)
+        self._world.engine.after(wait_us, sidecar.listed, EndpointUpdateKind.FAILED, [], 0, sidecar.life)
 
     def _answer(self, sidecar: VirtualSidecar, after: int | None, is_watch: bool, life: int) -> None:
         world = self._world
@@ -713,7 +717,7 @@
             self._fails(sidecar, 0)
             return
         lines = self.directory.whole() if after is None else self.directory.since(after)
-        kind = ListKind.COMPLETE if after is None else ListKind.CHANGES
+        kind = EndpointUpdateKind.COMPLETE if after is None else EndpointUpdateKind.DELTA
         now = world.engine.now
         world.ledger.asked(sidecar.place, None if is_watch else now)
         if is_watch:
--- a/tulipnotch/load_balancing/actions.py
+++ b/tulipnotch/load_balancing/actions.py
@@ -7,37 +7,37 @@
 
 from dataclasses import dataclass, field
 
-from tulipnotch.load_balancing.outcomes import Reason
+from tulipnotch.load_balancing.outcomes import TerminationReason
 
 
 @dataclass(slots=True)
-class Send:
+class StartAttempt:
     """Start an attempt; a request's attempts are numbered from 0 in the order they are sent."""
 
     request: int
-    server: str
-    until: int  # clock time at which the attempt is abandoned; NEVER: the request's time has not begun
+    endpoint: str
+    deadline: int  # clock time at which the attempt is abandoned; NEVER: the request's time has not begun
 
 
 @dataclass(slots=True)
-class Refuse:
+class RejectRequest:
     """Final answer: refused; trying again is harmless.  `reason` is for records only."""
 
     request: int
     retry_after_us: int = 0
-    reason: Reason = field(default=Reason.NO_SERVER, compare=False)
+    reason: TerminationReason = field(default=TerminationReason.NO_ENDPOINT, compare=False)
 
 
 @dataclass(slots=True)
-class Fail:
+class FailRequest:
     """Final answer: failed; nothing is promised.  `reason` is for records only."""
 
     request: int
-    reason: Reason = field(default=Reason.NO_RETRY, compare=False)
+    reason: TerminationReason = field(default=TerminationReason.NO_RETRY, compare=False)
 
 
 @dataclass(slots=True)
-class Cancel:
+class CancelAttempt:
     """Stop waiting for an attempt."""
 
     request: int
@@ -48,26 +48,26 @@
 class SetTimer:
     """Ask for a TimerFired."""
 
-    in_us: int
+    delay_us: int
     token: str
 
 
 @dataclass(slots=True)
-class Probe:
+class StartHealthCheck:
     """Test a server."""
 
-    server: str
+    endpoint: str
 
 
 @dataclass(slots=True)
-class CloseIdle:
+class CloseIdleConnections:
     """Close the idle connections to a server."""
 
-    server: str
+    endpoint: str
 
 
 @dataclass(slots=True)
-class Tell:
+class SendPeerMessage:
     """Send a message to one balancer of the tier, or to all (None)."""
 
     receiver: int | None
@@ -75,33 +75,45 @@
 
 
 @dataclass(slots=True)
-class Follow:
+class Subscribe:
     """Subscribe to changes of the server list, or end that."""
 
-    wanted: bool = True
+    is_subscribed: bool = True
 
 
 @dataclass(slots=True)
-class FetchList:
+class FetchEndpoints:
     """Ask once for the complete server list."""
 
 
 @dataclass(slots=True)
-class Note:
+class LogEvent:
     """An event for the operators: its name and fields, of those that the sidecar's log knows."""
 
     event: str
-    server: str
+    endpoint: str
     reason: str = ""
 
     @property
     def fields(self) -> dict[str, str]:
-        fields = {"server": self.server, "reason": self.reason}
+        fields = {"server": self.endpoint, "reason": self.reason}
         return {name: value for name, value in fields.items() if value}
 
     @property
     def text(self) -> str:
-        return f"{self.event} {self.server}" + (f": {self.reason}" if self.reason else "")
-
-
-Action = Send | Refuse | Fail | Cancel | SetTimer | Probe | CloseIdle | Tell | Follow | FetchList | Note
+        return f"{self.event} {self.endpoint}" + (f": {self.reason}" if self.reason else "")
+
+
+Action = (
+    StartAttempt
+    | RejectRequest
+    | FailRequest
+    | CancelAttempt
+    | SetTimer
+    | StartHealthCheck
+    | CloseIdleConnections
+    | SendPeerMessage
+    | Subscribe
+    | FetchEndpoints
+    | LogEvent
+)
--- a/tulipnotch/load_balancing/admission/admission_control.py
+++ b/tulipnotch/load_balancing/admission/admission_control.py
@@ -12,7 +12,7 @@
 from tulipnotch.load_balancing.admission.concurrency_limit import FREE, ConcurrencyLimit
 from tulipnotch.load_balancing.admission.pressure import Pressure
 from tulipnotch.load_balancing.context import Context
-from tulipnotch.load_balancing.events import ServiceLevel
+from tulipnotch.load_balancing.events import ServiceLevelChanged
 from tulipnotch.load_balancing.metrics.demand import Demand, DemandMeter, Traffic
 from tulipnotch.load_balancing.metrics.latency import Latency
 from tulipnotch.load_balancing.metrics.load import Load
@@ -33,23 +33,23 @@
         self._latency = latency
         self._limit = limit
         self._demand = DemandMeter(context)
-        self._level: ServiceLevel | None = None  # None: full service
+        self._level: ServiceLevelChanged | None = None  # None: full service
         self._came = self._refused = 0  # to the limit, and of these refused by it
         self._follow_tenants()
 
     def _follow_tenants(self) -> None:
         tenants = self._context.settings.tenants
-        self._shares = {each.name: each.share for each in tenants}
-        self._all_shares = sum(each.share for each in tenants) or 1.0
+        self._shares = {each.name: each.weight for each in tenants}
+        self._all_shares = sum(each.weight for each in tenants) or 1.0
 
     def settings_changed(self) -> None:
         """Go by the new shares and classes."""
         self._follow_tenants()
         self._demand.settings_changed()
 
-    def level_changed(self, level: ServiceLevel) -> None:
+    def level_changed(self, level: ServiceLevelChanged) -> None:
         """Go by another service level from now on."""
-        self._level = level if level.over_share or level.closed else None
+        self._level = level if level.over_quota_classes or level.rejected_classes else None
 
     def pressure(self) -> Pressure:
         """What decides on a service level."""
@@ -85,18 +85,18 @@
         if not limits.retry_after:
             return 0
         chance = self._context.random
-        wait = RETRY_AIMS * request.kind.aim_us * (RETRY_JITTER_LEAST + chance.random())
-        if self._level is not None and request.kind.name in self._level.closed:
+        wait = RETRY_AIMS * request.kind.latency_objective_us * (RETRY_JITTER_LEAST + chance.random())
+        if self._level is not None and request.kind.name in self._level.rejected_classes:
             # There is no room before the level ends.
             jitter = RETRY_JITTER_LEAST + (1.0 - RETRY_JITTER_LEAST) * chance.random()
             wait = limits.max_retry_after_us * jitter
         return min(int(wait), limits.max_retry_after_us)
 
-    def _is_barred(self, traffic: Traffic, level: ServiceLevel) -> bool:
+    def _is_barred(self, traffic: Traffic, level: ServiceLevelChanged) -> bool:
         """Whether the level keeps this request out; of traffic over a share, the part that is over."""
-        if traffic.kind.name in level.closed:
+        if traffic.kind.name in level.rejected_classes:
             return True
-        if traffic.kind.name not in level.over_share:
+        if traffic.kind.name not in level.over_quota_classes:
             return False
         demand = self._demand.current()
         inside = self._inside_share(traffic.tenant, demand)
@@ -119,7 +119,9 @@
 
     def _worth(self, traffic: Traffic, demand: Demand) -> float:
         inside = self._inside_share(traffic.tenant, demand)
-        return traffic.kind.worth * (inside + (1.0 - inside) * self._context.settings.over_share_worth)
+        return traffic.kind.priority_weight * (
+            inside + (1.0 - inside) * self._context.settings.over_quota_weight
+        )
 
     def _inside_share(self, tenant: str | None, demand: Demand) -> float:
         """The part of a tenant's traffic that is inside its share."""
--- a/tulipnotch/load_balancing/admission/concurrency_limit.py
+++ b/tulipnotch/load_balancing/admission/concurrency_limit.py
@@ -13,7 +13,7 @@
 from tulipnotch.load_balancing.metrics import response_times as answer_times
 from tulipnotch.load_balancing.metrics.load import FEW, LONGEST_STRETCH, Load
 from tulipnotch.load_balancing.metrics.rate import Rate
-from tulipnotch.load_balancing.metrics.response_times import AnswerTimes
+from tulipnotch.load_balancing.metrics.response_times import ResponseTimes
 
 START_LIMIT = 4.0  # own requests in flight for each ready server, over all instances, until answers tell
 LEAST_LIMIT = 0.1  # a trickle passes at any time, so that relief is seen
@@ -33,13 +33,15 @@
 class ConcurrencyLimit:
     """How many own requests may be in flight, by how late answers come."""
 
-    def __init__(self, context: Context, load: Load, answers: AnswerTimes) -> None:
+    def __init__(self, context: Context, load: Load, answers: ResponseTimes) -> None:
         self._context = context
         self._load = load
         self._answers = answers
         self.limit = math.inf
         self.has_refused = False  # whether it refused anything since it was last resized
-        self._served_aims = Rate(context.longest_aim)  # time allowed to what was answered, per time
+        self._served_aims = Rate(
+            context.max_latency_objective_us
+        )  # time allowed to what was answered, per time
         self._resized_at = 0
 
     def start(self) -> None:
@@ -49,7 +51,7 @@
         """
         ready = self._context.ready
         if self.limit == math.inf and ready:
-            self.limit = max(START_LIMIT * len(ready) / self._context.settings.group_size, FEW)
+            self.limit = max(START_LIMIT * len(ready) / self._context.settings.instance_count, FEW)
 
     def fill(self) -> float:
         """The part of the limit that is taken.
@@ -67,13 +69,13 @@
         Prevents refusing everything for long: without attempts no answer tells of relief.  Where instances
         are many for the servers, each rests the longer.
         """
-        crowding = self._context.settings.group_size / max(len(self._context.ready), 1)
-        rest = REST_AIMS * self._context.longest_aim * max(crowding, 1.0)
+        crowding = self._context.settings.instance_count / max(len(self._context.ready), 1)
+        rest = REST_AIMS * self._context.max_latency_objective_us * max(crowding, 1.0)
         return self._context.now - self._load.busy_at >= rest
 
-    def answer_delivered(self, aim_us: int) -> None:
+    def answer_delivered(self, latency_objective_us: int) -> None:
         """Count an answer that served its client, by the time that it was allowed."""
-        self._served_aims.add(self._context.now, aim_us)
+        self._served_aims.add(self._context.now, latency_objective_us)
 
     def request_lost(self) -> None:
         """Count a request lost to full servers or long overdue as an answer that is late by far."""
@@ -97,9 +99,9 @@
         By Little's law, what is answered at this rate within the allowed level needs rate times time in
         flight; the limit never shrinks below that, or answers that come late would shut it.
         """
-        now, longest_aim = self._context.now, self._context.longest_aim
+        now, max_latency_objective_us = self._context.now, self._context.max_latency_objective_us
         stretch = self._load.stretch()
-        lapse = min(now - self._resized_at, stretch * longest_aim * LONGEST_LAPSE)
+        lapse = min(now - self._resized_at, stretch * max_latency_objective_us * LONGEST_LAPSE)
         self._resized_at = now
         level = self._level(stretch)
         excess = self._excess(level, stretch)
@@ -108,8 +110,8 @@
         elif not self.has_refused:
             return  # nothing says that it is too small
         self.has_refused = False
-        change = math.exp(-excess * lapse / (RESIZE_AIMS * longest_aim))
-        self._served_aims.over(stretch * longest_aim)
+        change = math.exp(-excess * lapse / (RESIZE_AIMS * max_latency_objective_us))
+        self._served_aims.over(stretch * max_latency_objective_us)
         served = level * self._served_aims.per_us(now)
         self.limit = max(self.limit * change, min(served, self.limit), LEAST_LIMIT)
 
--- a/tulipnotch/load_balancing/admission/pressure.py
+++ b/tulipnotch/load_balancing/admission/pressure.py
@@ -9,6 +9,6 @@
 class Pressure:
     """How pressed the window is; counts are from the start of the process."""
 
-    asked: int  # requests that came to the window: those that no service level kept out
-    refused: int  # of these, refused by it
-    fill: float  # what is in flight, and what a level keeps out would add, as a part of the window
+    offered: int  # requests that came to the window: those that no service level kept out
+    rejected: int  # of these, refused by it
+    utilization: float  # what is in flight, and what a level keeps out would add, as a part of the window
--- a/tulipnotch/load_balancing/admission/service_levels.py
+++ b/tulipnotch/load_balancing/admission/service_levels.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 
 from tulipnotch.load_balancing.admission.pressure import Pressure
-from tulipnotch.load_balancing.events import ServiceLevel
+from tulipnotch.load_balancing.events import ServiceLevelChanged
 
 READ_EVERY_US = 1_000_000
 LEAST_HOLD_US = 30_000_000
@@ -21,15 +21,15 @@
 REGRET_HOLDS = 4  # a level entered again within so many least times was left too early
 PATIENCE_MOST = 8  # the time to leave is at most this many times the set one
 FULL_SERVICE = "full"
-_NOTHING = ServiceLevel(frozenset(), frozenset())
+_NOTHING = ServiceLevelChanged(frozenset(), frozenset())
 
 
 @dataclass(frozen=True, slots=True)
-class Level:
+class ServiceLevel:
     """A level, what it keeps out, and its two conditions; times in microseconds, parts from 0 to 1."""
 
     name: str
-    bars: ServiceLevel
+    bars: ServiceLevelChanged
     enter_refused: float  # entered when the window refused more than this part of what was let to it
     enter_us: int  # over so long
     leave_fill: float  # left when load and what the level keeps out would fill less than this of the window
@@ -37,14 +37,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Change:
+class ServiceLevelTransition:
     """The level from now on, what it means for the policy, and why."""
 
     before: str
     now: str
     held_us: int
     reason: str
-    bars: ServiceLevel
+    bars: ServiceLevelChanged
 
 
 @dataclass(frozen=True, slots=True)
@@ -56,10 +56,10 @@
     fill: float
 
 
-class Ladder:
+class ServiceLevelController:
     """Which level is in force.  Give it a reading about every second; it never looks at a clock."""
 
-    def __init__(self, levels: tuple[Level, ...], hold_us: int, began: int) -> None:
+    def __init__(self, levels: tuple[ServiceLevel, ...], hold_us: int, began: int) -> None:
         self._levels = levels
         self._hold_us = max(hold_us, LEAST_HOLD_US)
         self._index = 0  # of the level in force, from 1; 0: full service
@@ -91,7 +91,7 @@
         held_s = (now - self._since) / 1e6
         return f"{self.name} for {held_s:.0f} s; refused {refused:.1%}, wanted {fill:.0%} of the window"
 
-    def read(self, now: int, pressure: Pressure) -> Change | None:
+    def read(self, now: int, pressure: Pressure) -> ServiceLevelTransition | None:
         """Take a reading; readings closer than the interval are left out, and gaps count as no news."""
         if self._last is None:
             self._last = now, pressure
@@ -100,12 +100,12 @@
         if now - at < READ_EVERY_US:
             return None
         self._last = now, pressure
-        asked = pressure.asked - before.asked
-        refused = pressure.refused - before.refused
+        asked = pressure.offered - before.offered
+        refused = pressure.rejected - before.rejected
         if now - at > 3 * READ_EVERY_US:
             self._readings.clear()  # guards against a process that stood still: the past says nothing of now
             return None
-        self._readings.append(_Reading(now, now - at, asked, refused, pressure.fill))
+        self._readings.append(_Reading(now, now - at, asked, refused, pressure.utilization))
         while self._readings[0].at < now - self._keep_us:
             self._readings.popleft()
         if self._changes and now - self._since < self._hold_us:
@@ -132,7 +132,7 @@
         fill = sum(each.fill * each.span for each in kept) / max(sum(each.span for each in kept), 1)
         return refused / max(asked, 1), asked, fill
 
-    def _enters(self, now: int, level: Level) -> str | None:
+    def _enters(self, now: int, level: ServiceLevel) -> str | None:
         """Why this level is to be entered; None: it is not."""
         if not self._covers(level.enter_us):
             return None
@@ -141,7 +141,7 @@
             return None
         return f"{refused:.1%} refused over {level.enter_us / 1e6:g} s, above {level.enter_refused:.1%}"
 
-    def _leaves(self, now: int, level: Level) -> str | None:
+    def _leaves(self, now: int, level: ServiceLevel) -> str | None:
         """Why this level is to be left; None: it is not."""
         span = level.leave_us * self._patience
         if not self._covers(span):
@@ -151,7 +151,7 @@
             return None
         return f"all of it would fill {fill:.0%} of the window, under {level.leave_fill:.0%}"
 
-    def _up(self, now: int, reason: str) -> Change:
+    def _up(self, now: int, reason: str) -> ServiceLevelTransition:
         left = self._left.get(self._index)
         if left is not None and now - left < REGRET_HOLDS * self._hold_us * self._patience:
             self._patience = min(2 * self._patience, PATIENCE_MOST)
@@ -159,23 +159,25 @@
             self._patience = 1
         return self._turn(now, self._index + 1, reason)
 
-    def _down(self, now: int, reason: str) -> Change:
+    def _down(self, now: int, reason: str) -> ServiceLevelTransition:
         self._left[self._index - 1] = now
         return self._turn(now, self._index - 1, reason)
 
-    def _turn(self, now: int, index: int, reason: str) -> Change:
+    def _turn(self, now: int, index: int, reason: str) -> ServiceLevelTransition:
         before, held = self.name, now - self._since
         self._index, self._since = index, now
         self._changes += 1
         self._readings.clear()
         bars = self._levels[index - 1].bars if index else _NOTHING
-        return Change(before, self.name, held, reason, bars)
+        return ServiceLevelTransition(before, self.name, held, reason, bars)
 
 
-def standard(least_worthy: str) -> tuple[Level, ...]:
+def standard(least_worthy: str) -> tuple[ServiceLevel, ...]:
     """The levels that staff asked for: first that class's traffic over its share goes, then all of it."""
     kept_out = frozenset((least_worthy,))
     return (
-        Level("spare", ServiceLevel(kept_out, frozenset()), 0.10, 20_000_000, 0.6, 30_000_000),
-        Level("orders-only", ServiceLevel(kept_out, kept_out), 0.30, 30_000_000, 0.6, 30_000_000),
+        ServiceLevel("spare", ServiceLevelChanged(kept_out, frozenset()), 0.10, 20_000_000, 0.6, 30_000_000),
+        ServiceLevel(
+            "orders-only", ServiceLevelChanged(kept_out, kept_out), 0.30, 30_000_000, 0.6, 30_000_000
+        ),
     )
--- a/tulipnotch/load_balancing/components.py
+++ b/tulipnotch/load_balancing/components.py
@@ -6,50 +6,50 @@
 from tulipnotch.load_balancing.admission.admission_control import AdmissionControl
 from tulipnotch.load_balancing.admission.concurrency_limit import ConcurrencyLimit
 from tulipnotch.load_balancing.context import Context
-from tulipnotch.load_balancing.endpoints.discovery_polling import DiscoveryCalls
-from tulipnotch.load_balancing.endpoints.endpoint_list import ServerList
-from tulipnotch.load_balancing.events import ListKind, ServersListed
-from tulipnotch.load_balancing.health.attempt_feedback import Feedback
+from tulipnotch.load_balancing.endpoints.discovery_polling import DiscoveryPolling
+from tulipnotch.load_balancing.endpoints.endpoint_list import EndpointList
+from tulipnotch.load_balancing.events import EndpointsUpdated, EndpointUpdateKind
+from tulipnotch.load_balancing.health.attempt_feedback import AttemptFeedback
 from tulipnotch.load_balancing.health.idle_connections import IdleConnections
 from tulipnotch.load_balancing.health.outlier_detection import OutlierDetection
 from tulipnotch.load_balancing.metrics.cost_estimates import ClassCosts, MeanWork
 from tulipnotch.load_balancing.metrics.latency import Latency
 from tulipnotch.load_balancing.metrics.load import Load
-from tulipnotch.load_balancing.metrics.response_times import AnswerTimes
-from tulipnotch.load_balancing.retries.attempt_timeouts import OverdueAttempts
+from tulipnotch.load_balancing.metrics.response_times import ResponseTimes
+from tulipnotch.load_balancing.retries.attempt_timeouts import AttemptTimeouts
 from tulipnotch.load_balancing.retries.retry_policy import RetryPolicy
 from tulipnotch.load_balancing.selection.best_of_k import Selection
-from tulipnotch.load_balancing.selection.locality_weights import ZoneWeights
+from tulipnotch.load_balancing.selection.locality_weights import LocalityWeights
 from tulipnotch.load_balancing.settings import Settings
 from tulipnotch.load_balancing.slow_start.warm_capacity import WarmCapacity
 from tulipnotch.load_balancing.slow_start.warm_up_budget import SlowStart
-from tulipnotch.load_balancing.timer_queue import Agenda
+from tulipnotch.load_balancing.timer_queue import TimerQueue
 
 
-class Parts:
+class Components:
     """Everything that decides for one balancer, or keeps what the decisions need."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         context = self.context = Context(settings, seed)
-        agenda = self.agenda = Agenda()
+        agenda = self.agenda = TimerQueue()
         load = self.load = Load(context)
         latency = self.latency = Latency(load)
-        answers = self.answers = AnswerTimes(load, concurrency_limit.LEVEL)
+        answers = self.answers = ResponseTimes(load, concurrency_limit.LEVEL)
         limit = self.limit = ConcurrencyLimit(context, load, answers)
         idle = self.idle = IdleConnections(context)
         capacity = self.capacity = WarmCapacity(context, load)
         slow_start = self.slow_start = SlowStart(context, capacity)
         outliers = self.outliers = OutlierDetection(context, load, capacity, slow_start, idle)
-        zones = self.zones = ZoneWeights(context, answers, limit)
+        zones = self.zones = LocalityWeights(context, answers, limit)
         selection = self.selection = Selection(context, load, zones, slow_start, outliers)
         self.class_costs = ClassCosts()
         self.mean_work = MeanWork()
         self.admission = AdmissionControl(context, load, latency, limit)
         self.retries = RetryPolicy(context)
-        self.overdue = OverdueAttempts(context, agenda, latency, limit, idle, outliers)
-        self.feedback = Feedback(context, load, latency, answers, limit, outliers, selection)
-        self.discovery = DiscoveryCalls(context, agenda)
-        self.server_list = ServerList(context, slow_start, idle, outliers)
+        self.overdue = AttemptTimeouts(context, agenda, latency, limit, idle, outliers)
+        self.feedback = AttemptFeedback(context, load, latency, answers, limit, outliers, selection)
+        self.discovery = DiscoveryPolling(context, agenda)
+        self.server_list = EndpointList(context, slow_start, idle, outliers)
 
     def settings_changed(self, settings: Settings) -> None:
         """Go by new settings; what was learnt of servers stays, and of classes that are still there."""
@@ -63,12 +63,12 @@
         self.zones.settings_changed()
         self.selection.settings_changed()
 
-    def servers_listed(self, event: ServersListed) -> None:
+    def servers_listed(self, event: EndpointsUpdated) -> None:
         """Take over a list, a change of it, or the word that a call for it failed."""
-        if event.kind is ListKind.FAILED:
+        if event.kind is EndpointUpdateKind.FAILED:
             self.discovery.call_failed()
             return
-        if event.kind is not ListKind.REMEMBERED:
+        if event.kind is not EndpointUpdateKind.CACHED:
             self.discovery.list_received()
         self.server_list.apply(event)
         self.zones.servers_listed()
--- a/tulipnotch/load_balancing/endpoints/discovery_polling.py
+++ b/tulipnotch/load_balancing/endpoints/discovery_polling.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from tulipnotch.load_balancing.actions import Follow
+from tulipnotch.load_balancing.actions import Subscribe
 from tulipnotch.load_balancing.context import Context
-from tulipnotch.load_balancing.settings import Discovery
-from tulipnotch.load_balancing.timer_queue import DISCOVERY, WHOLE_REQUEST, Agenda
+from tulipnotch.load_balancing.settings import DiscoveryMode
+from tulipnotch.load_balancing.timer_queue import DISCOVERY, WHOLE_REQUEST, TimerQueue
 
 ASK_FIRST_WAIT = 0.05  # before asking again after a failed call, of the time allowed without asking
 ASK_LONGEST_WAIT = 0.25  # of the same: three failed calls in a row still fit
@@ -13,10 +13,10 @@
 MOST_FAILURES = 8  # counted: the wait is at its longest long before
 
 
-class DiscoveryCalls:
+class DiscoveryPolling:
     """The schedule of calls to discovery."""
 
-    def __init__(self, context: Context, agenda: Agenda) -> None:
+    def __init__(self, context: Context, agenda: TimerQueue) -> None:
         self._context = context
         self._agenda = agenda
         self.failed_calls = 0  # in a row
@@ -28,9 +28,9 @@
         A call that is never answered is made again: an instance may not pass `ask_within_us` without one.
         """
         settings = self._context.settings
-        if settings.discovery is Discovery.ON_REQUEST:
-            self._context.actions.append(Follow(True))
-            self._ask_in(ASK_LONGEST_WAIT * settings.rules.ask_within_us)
+        if settings.discovery_mode is DiscoveryMode.POLLED:
+            self._context.actions.append(Subscribe(True))
+            self._ask_in(ASK_LONGEST_WAIT * settings.rules.max_poll_interval_us)
 
     def ask_if_due(self) -> None:
         """Ask, unless an answer or a later plan has replaced this one."""
@@ -39,7 +39,7 @@
 
     def call_failed(self) -> None:
         """Wait twice as long after each failed call in a row, with jitter."""
-        allowed = self._context.settings.rules.ask_within_us
+        allowed = self._context.settings.rules.max_poll_interval_us
         wait = min(ASK_FIRST_WAIT * allowed * 2**self.failed_calls, ASK_LONGEST_WAIT * allowed)
         self.failed_calls = min(self.failed_calls + 1, MOST_FAILURES)
         self._ask_in(wait * (ASK_JITTER_LEAST + (1.0 - ASK_JITTER_LEAST) * self._context.random.random()))
--- a/tulipnotch/load_balancing/events.py
+++ b/tulipnotch/load_balancing/events.py
@@ -14,43 +14,43 @@
 
 
 @unique
-class ServerState(Enum):
+class EndpointState(Enum):
     """What the server list says of a server."""
 
     READY = "ready"
     DRAINING = "draining"
-    GONE = "gone"
+    REMOVED = "gone"
 
 
 @unique
-class ListKind(Enum):
+class EndpointUpdateKind(Enum):
     """How a server list is to be read."""
 
-    CHANGES = "changes"  # changed entries only
+    DELTA = "changes"  # changed entries only
     COMPLETE = "complete"  # who is missing is gone
-    REMEMBERED = "remembered"  # complete, but as last held before a restart
+    CACHED = "remembered"  # complete, but as last held before a restart
     FAILED = "failed"  # a call failed or the subscription broke; nothing changes
 
 
 @dataclass(slots=True)
-class ListedServer:
+class EndpointDescription:
     """A line of the server list."""
 
-    server: str
+    name: str
     zone: str = ""
-    kind: str = ""
+    machine_type: str = ""
     cell: int = 0
-    state: ServerState = ServerState.READY
-    nominal: float = 1.0
+    state: EndpointState = EndpointState.READY
+    nominal_capacity: float = 1.0
     started_at: int | None = None  # None: long ago
 
 
 @dataclass(slots=True)
-class ServersListed:
+class EndpointsUpdated:
     """The server list was heard, or a call for it failed."""
 
-    kind: ListKind
-    servers: Sequence[ListedServer] = ()
+    kind: EndpointUpdateKind
+    endpoints: Sequence[EndpointDescription] = ()
     version: int = 0
 
 
@@ -65,12 +65,12 @@
     remaining_us: int
     cost_us: int | None = None  # a hint of the work, where the client gave one
     client_retry: bool = False
-    write: bool = False
-    coming: bool = False  # its body still comes, so its time has not begun: RequestWhole follows
+    is_write: bool = False
+    body_incomplete: bool = False  # its body still comes, so its time has not begun: RequestWhole follows
 
 
 @dataclass(slots=True)
-class RequestWhole:
+class RequestBodyCompleted:
     """The last byte of a request that was still coming is there: its time runs, and servers may begin it."""
 
     request: int
@@ -78,12 +78,12 @@
 
 
 @dataclass(slots=True)
-class AnswerStarted:
+class ResponseStarted:
     """The streamed answer of an attempt has begun; the attempt now belongs to the client."""
 
     request: int
     attempt: int
-    server: str
+    endpoint: str
     elapsed_us: int
 
 
@@ -93,17 +93,17 @@
 
     request: int
     attempt: int
-    server: str
+    endpoint: str
     outcome: Outcome
     elapsed_us: int
-    answered: bool
+    is_responded: bool
     report: Mapping[str, float] | None = None
-    again: bool = True  # whether the request can be written once more; what was not kept of it can't
-    is_answer_certain: bool = True  # whether the answer can belong to no earlier request on its connection
+    is_retryable: bool = True  # whether the request can be written once more; what was not kept of it can't
+    is_response_certain: bool = True  # whether the answer can belong to no earlier request on its connection
 
 
 @dataclass(slots=True)
-class RequestGone:
+class ClientDisconnected:
     """The client went away; nothing is owed any more."""
 
     request: int
@@ -117,17 +117,17 @@
 
 
 @dataclass(slots=True)
-class ProbeEnded:
+class HealthCheckEnded:
     """A probe came back."""
 
-    server: str
+    endpoint: str
     outcome: Outcome
     elapsed_us: int
     report: Mapping[str, float] | None = None
 
 
 @dataclass(slots=True)
-class MessageReceived:
+class PeerMessageReceived:
     """A message from another balancer of the tier."""
 
     sender: int
@@ -142,23 +142,23 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ServiceLevel:
+class ServiceLevelChanged:
     """From now on these classes are kept out: of some what is over a tenant's share, of others all of it."""
 
-    over_share: frozenset[str]
-    closed: frozenset[str]
+    over_quota_classes: frozenset[str]
+    rejected_classes: frozenset[str]
 
 
 Event = (
-    ServersListed
+    EndpointsUpdated
     | SettingsChanged
-    | ServiceLevel
+    | ServiceLevelChanged
     | RequestArrived
-    | RequestWhole
-    | AnswerStarted
+    | RequestBodyCompleted
+    | ResponseStarted
     | AttemptEnded
-    | RequestGone
+    | ClientDisconnected
     | TimerFired
-    | ProbeEnded
-    | MessageReceived
+    | HealthCheckEnded
+    | PeerMessageReceived
 )
--- a/tulipnotch/load_balancing/health/attempt_feedback.py
+++ b/tulipnotch/load_balancing/health/attempt_feedback.py
@@ -10,24 +10,24 @@
 from tulipnotch.load_balancing.health.outlier_detection import OutlierDetection
 from tulipnotch.load_balancing.metrics.latency import Latency
 from tulipnotch.load_balancing.metrics.load import Load
-from tulipnotch.load_balancing.metrics.response_times import AnswerTimes
+from tulipnotch.load_balancing.metrics.response_times import ResponseTimes
 from tulipnotch.load_balancing.outcomes import Outcome
 from tulipnotch.load_balancing.records import Attempt, Request
 from tulipnotch.load_balancing.retries.attempt_timeouts import HANDSHAKE_AIMS
 from tulipnotch.load_balancing.selection.best_of_k import Selection
 
 ABANDONED_LIFE = 0.3  # an abandoned attempt counts as in flight for this part of its wait more
-ABANDONED = (Outcome.EXPIRED, Outcome.CANCELLED)  # outcomes after which the server may still be at it
+ABANDONED = (Outcome.TIMED_OUT, Outcome.CANCELLED)  # outcomes after which the server may still be at it
 
 
 @dataclass(eq=False)
-class Feedback:
+class AttemptFeedback:
     """Passes what attempts show to outlier detection, latency ratios, selection and concurrency limit."""
 
     _context: Context
     _load: Load
     _latency: Latency
-    _answers: AnswerTimes
+    _answers: ResponseTimes
     _limit: ConcurrencyLimit
     _outliers: OutlierDetection
     _selection: Selection
@@ -36,8 +36,8 @@
         """Learn from an attempt that ended."""
         outcome = event.outcome
         was_abandoned = attempt.begun and outcome in ABANDONED
-        is_late = was_abandoned and event.elapsed_us >= request.kind.aim_us
-        self._outliers.attempt_ended(attempt, Outcome.EXPIRED if is_late else outcome)
+        is_late = was_abandoned and event.elapsed_us >= request.kind.latency_objective_us
+        self._outliers.attempt_ended(attempt, Outcome.TIMED_OUT if is_late else outcome)
         if event.report and "util" in event.report:
             self._answers.cores_reported(min(max(event.report["util"], 0.0), 1.0))
         if was_abandoned:
@@ -46,9 +46,9 @@
             self._latency.abandoned(attempt.server, request, event.elapsed_us)
         if outcome is Outcome.DELIVERED:
             self._delivered(request, attempt, event.elapsed_us)
-        elif outcome is Outcome.ERROR:
+        elif outcome is Outcome.SERVER_ERROR:
             self._latency.failed(attempt.server, request)
-        elif outcome is Outcome.FULL:
+        elif outcome is Outcome.OVERLOADED:
             self._selection.full_received(attempt.server, request.kind.name)
 
     def _delivered(self, request: Request, attempt: Attempt, elapsed_us: int) -> None:
@@ -60,8 +60,8 @@
         kind = request.kind
         is_first = attempt.opens_connection
         self._selection.answer_received(attempt.server, kind.name)
-        self._limit.answer_delivered(kind.aim_us)
-        part = elapsed_us / kind.aim_us - HANDSHAKE_AIMS * is_first
+        self._limit.answer_delivered(kind.latency_objective_us)
+        part = elapsed_us / kind.latency_objective_us - HANDSHAKE_AIMS * is_first
         if not is_first:
             self._latency.answered(attempt.server, request, elapsed_us)
         if not attempt.counted_late and (not is_first or part > self._answers.typical):
--- a/tulipnotch/load_balancing/health/idle_connections.py
+++ b/tulipnotch/load_balancing/health/idle_connections.py
@@ -8,10 +8,10 @@
 
 import math
 
-from tulipnotch.load_balancing.actions import CloseIdle
+from tulipnotch.load_balancing.actions import CloseIdleConnections
 from tulipnotch.load_balancing.context import Context
-from tulipnotch.load_balancing.events import ServerState
-from tulipnotch.load_balancing.records import Attempt, Server
+from tulipnotch.load_balancing.events import EndpointState
+from tulipnotch.load_balancing.records import Attempt, Endpoint
 
 IDLE_LEAST = 0.25  # of the longest aim: a connection idle for less is taken to be alive
 FAILURE_STEP = 0.5  # one failure on an idle connection makes stale ones as likely as not
@@ -30,7 +30,7 @@
         self._odds_at = 0
         self._stale_after = 0  # the shortest idle time at which one was
 
-    def take(self, server: Server) -> int:
+    def take(self, server: Endpoint) -> int:
         """How long the connection that a send would reuse has been idle; a doubtful one is closed first.
 
         It costs handshakes while a few silent servers are mistaken for stale connections.
@@ -38,7 +38,10 @@
         context = self._context
         since, server.idle_since = server.idle_since, None
         idle = 0 if since is None else context.now - since
-        if idle < IDLE_LEAST * context.longest_aim or idle >= context.settings.limits.idle_close_us:
+        if (
+            idle < IDLE_LEAST * context.max_latency_objective_us
+            or idle >= context.settings.limits.idle_timeout_us
+        ):
             return 0
         if self._current_odds() >= DOUBTFUL_ODDS and idle >= DOUBTFUL_TIME * self._stale_after:
             self.close(server)
@@ -69,23 +72,23 @@
         elif attempt.connection_idle_us and attempt.connection_idle_us >= self._stale_after:
             self._odds = self._current_odds() * (1.0 - ANSWER_STEP)
 
-    def close_if_leaving(self, server: Server) -> None:
+    def close_if_leaving(self, server: Endpoint) -> None:
         """Close idle connections to a server that drains or is gone, where a rule asks for it.
 
         When the list says so, and again whenever an attempt that is still pending there ends and leaves its
         connection idle.
         """
         rule = self._context.settings.rules.close_idle_within_us
-        if rule is not None and server.state is not ServerState.READY:
+        if rule is not None and server.state is not EndpointState.READY:
             self.close(server)
 
-    def close(self, server: Server) -> None:
+    def close(self, server: Endpoint) -> None:
         """Close the idle connections to a server."""
         server.connections = server.in_flight
-        self._context.actions.append(CloseIdle(server.name))
+        self._context.actions.append(CloseIdleConnections(server.name))
 
     def _current_odds(self) -> float:
         now = self._context.now
-        fade = math.exp((self._odds_at - now) / (FADE_AIMS * self._context.longest_aim))
+        fade = math.exp((self._odds_at - now) / (FADE_AIMS * self._context.max_latency_objective_us))
         self._odds, self._odds_at = self._odds * fade, now
         return self._odds
--- a/tulipnotch/load_balancing/health/outlier_detection.py
+++ b/tulipnotch/load_balancing/health/outlier_detection.py
@@ -5,21 +5,21 @@
 
 from __future__ import annotations
 
-from tulipnotch.load_balancing.actions import Note
+from tulipnotch.load_balancing.actions import LogEvent
 from tulipnotch.load_balancing.context import Context
-from tulipnotch.load_balancing.events import ServerState
+from tulipnotch.load_balancing.events import EndpointState
 from tulipnotch.load_balancing.health.idle_connections import IdleConnections
 from tulipnotch.load_balancing.metrics.load import Load
 from tulipnotch.load_balancing.outcomes import Outcome
-from tulipnotch.load_balancing.records import Attempt, Request, Server
+from tulipnotch.load_balancing.records import Attempt, Endpoint, Request
 from tulipnotch.load_balancing.selection.subset import subset_size
-from tulipnotch.load_balancing.settings import Repeat
+from tulipnotch.load_balancing.settings import Idempotency
 from tulipnotch.load_balancing.slow_start.warm_capacity import WarmCapacity
 from tulipnotch.load_balancing.slow_start.warm_up_budget import SlowStart
 
-ANSWERS = (Outcome.DELIVERED, Outcome.REJECTED)  # outcomes that show a server to be well
-FAILURES = (Outcome.EXPIRED, Outcome.DROPPED, Outcome.DIAL_FAILED, Outcome.ERROR)
-SILENCES = (Outcome.EXPIRED, Outcome.DROPPED)  # failures that a stale connection may have caused
+ANSWERS = (Outcome.DELIVERED, Outcome.CLIENT_ERROR)  # outcomes that show a server to be well
+FAILURES = (Outcome.TIMED_OUT, Outcome.CONNECTION_LOST, Outcome.CONNECT_FAILED, Outcome.SERVER_ERROR)
+SILENCES = (Outcome.TIMED_OUT, Outcome.CONNECTION_LOST)  # failures that a stale connection may have caused
 CONSECUTIVE_FAILURES = 2  # failures in a row, none answered between, that eject a server
 CONSECUTIVE_DROPPED = 3  # or so many that end in a broken connection, which may be the network's fault
 CONSECUTIVE_SPOILT = 6  # or so many spoilt answers: fewer are the network's fault
@@ -47,7 +47,7 @@
         self._capacity = capacity
         self._slow_start = slow_start
         self._idle = idle
-        self._ejected: list[Server] = []
+        self._ejected: list[Endpoint] = []
         self.answers = 0  # so far, from all servers
 
     def attempt_ended(self, attempt: Attempt, outcome: Outcome) -> None:
@@ -58,7 +58,7 @@
             server.trial = None
         if outcome in ANSWERS:
             self._answered(attempt)
-        elif outcome is Outcome.SPOILT:
+        elif outcome is Outcome.MALFORMED_RESPONSE:
             self._spoilt(server, is_trial)
         elif outcome in FAILURES:
             self._failed(attempt, outcome, is_trial)
@@ -73,36 +73,36 @@
         if server.ejected_until is not None:
             self.readmit(server)
 
-    def _spoilt(self, server: Server, is_trial: bool) -> None:
+    def _spoilt(self, server: Endpoint, is_trial: bool) -> None:
         """Prevents ejecting servers for what comes spoilt from all of them alike: it takes many in a row."""
         server.consecutive_spoilt += 1
         server.last_answer_at = self._context.now
         is_outlier = server.consecutive_spoilt >= CONSECUTIVE_SPOILT and server.ejected_until is None
         if is_trial or is_outlier:
-            self._eject(server, Outcome.SPOILT.value)
+            self._eject(server, Outcome.MALFORMED_RESPONSE.value)
 
     def _failed(self, attempt: Attempt, outcome: Outcome, is_trial: bool) -> None:
         server = attempt.server
-        if outcome is Outcome.EXPIRED and server.last_answer_at > attempt.sent_at:
+        if outcome is Outcome.TIMED_OUT and server.last_answer_at > attempt.sent_at:
             return  # it is slow, and no outlier: it answered others meanwhile
         if outcome in SILENCES and self._idle.is_blamed_for(attempt) and not is_trial:
             return
         server.consecutive_failures += 1
-        enough = CONSECUTIVE_DROPPED if outcome is Outcome.DROPPED else CONSECUTIVE_FAILURES
+        enough = CONSECUTIVE_DROPPED if outcome is Outcome.CONNECTION_LOST else CONSECUTIVE_FAILURES
         is_outlier = server.consecutive_failures >= enough and server.ejected_until is None
         if not is_trial and not is_outlier:
             return
         self._eject(server, outcome.value)
-        if is_trial and outcome is Outcome.DIAL_FAILED:
+        if is_trial and outcome is Outcome.CONNECT_FAILED:
             # Its process ended, and another may come before the list says so.  Connections that break say
             # less: the network may do that, and a fleet taken for cold has no room for anyone.
             self._slow_start.turned_cold(server)
 
-    def eject_silent(self, server: Server) -> None:
+    def eject_silent(self, server: Endpoint) -> None:
         """Eject a server that has answered nothing for long, unless too many are ejected already."""
         self._eject(server, SILENT, SILENT_MOST)
 
-    def _eject(self, server: Server, reason: str, most: float = EJECTED_MOST) -> None:
+    def _eject(self, server: Endpoint, reason: str, most: float = EJECTED_MOST) -> None:
         """Eject a server, or eject it for longer.
 
         Prevents ejecting so many (the panic threshold) that the rest would be overloaded.
@@ -114,12 +114,12 @@
                 return
             self._ejected.append(server)
             self._load.server_ejected(server)
-            context.actions.append(Note("ejected", server.name, reason))
+            context.actions.append(LogEvent("ejected", server.name, reason))
         aims = min(EJECT_AIMS * 2**server.ejections, EJECT_AIMS_MOST)
         server.ejections = min(server.ejections + 1, MOST_EJECTIONS)
         server.ejected_until = context.after_about(aims)
 
-    def readmit(self, server: Server) -> None:
+    def readmit(self, server: Endpoint) -> None:
         """End a server's ejection; its process may have been replaced meanwhile, and so be cold."""
         server.ejected_until = None
         self._ejected.remove(server)
@@ -128,21 +128,21 @@
         server.consecutive_failures = 0
         if server.cold_since is not None and not server.is_start_listed:
             self._slow_start.turned_cold(server)
-        self._context.actions.append(Note("readmitted", server.name))
+        self._context.actions.append(LogEvent("readmitted", server.name))
 
-    def forget(self, server: Server) -> None:
+    def forget(self, server: Endpoint) -> None:
         """Prevents servers that left for good from counting as a part of the list that is ejected."""
         if server in self._ejected:
             self._ejected.remove(server)
 
-    def trial_due(self, request: Request) -> Server | None:
+    def trial_due(self, request: Request) -> Endpoint | None:
         """The ejected server to try with this request, which must be one that may be repeated."""
-        if not self._ejected or request.kind.repeat is not Repeat.SAFE or request.attempts:
+        if not self._ejected or request.kind.idempotency is not Idempotency.IDEMPOTENT or request.attempts:
             return None
         now = self._context.now
         for server in self._ejected:
             is_due = server.ejected_until is not None and now >= server.ejected_until
-            if is_due and server.state is ServerState.READY and server.trial is None:
+            if is_due and server.state is EndpointState.READY and server.trial is None:
                 if self._slow_start.has_room(server, request.work):
                     return server
         return None
--- a/tulipnotch/load_balancing/metrics/demand.py
+++ b/tulipnotch/load_balancing/metrics/demand.py
@@ -41,12 +41,12 @@
     def __init__(self, context: Context) -> None:
         self._context = context
         self._traffic: dict[tuple[str, str | None], Traffic] = {}
-        self._barred_load = Rate(SPAN_AIMS * context.longest_aim)
+        self._barred_load = Rate(SPAN_AIMS * context.max_latency_objective_us)
 
     def settings_changed(self) -> None:
         """Go by the new classes and aims; keep nothing of classes that vanished."""
         classes = self._context.classes
-        span = SPAN_AIMS * self._context.longest_aim
+        span = SPAN_AIMS * self._context.max_latency_objective_us
         self._traffic = {key: each for key, each in self._traffic.items() if key[0] in classes}
         for (name, _), each in self._traffic.items():
             each.kind = classes[name]
@@ -58,7 +58,7 @@
         key = (kind.name, tenant)
         traffic = self._traffic.get(key)
         if traffic is None:
-            span = SPAN_AIMS * self._context.longest_aim
+            span = SPAN_AIMS * self._context.max_latency_objective_us
             traffic = self._traffic[key] = Traffic(kind, tenant, span)
         traffic.rate.add(self._context.now, 1.0)
         return traffic
--- a/tulipnotch/load_balancing/metrics/latency.py
+++ b/tulipnotch/load_balancing/metrics/latency.py
@@ -9,7 +9,7 @@
 from collections.abc import Container, Iterable
 
 from tulipnotch.load_balancing.metrics.load import Load
-from tulipnotch.load_balancing.records import Request, Server
+from tulipnotch.load_balancing.records import Endpoint, Request
 
 RATIO_STEP = 0.1  # a latency ratio follows a server's last ten answers or so, fewer where few are in flight
 RATIO_MOST = 4.0  # one answer counts for at most this many usual ones: heavy requests say little of a server
@@ -30,33 +30,35 @@
 
     def usual(self, request: Request) -> float:
         """The usual time of such a request, over all servers, in microseconds."""
-        return self.usual_us.get((request.kind.name, request.size), UNSEEN_AIMS * request.kind.aim_us)
+        return self.usual_us.get(
+            (request.kind.name, request.size), UNSEEN_AIMS * request.kind.latency_objective_us
+        )
 
-    def answered(self, server: Server, request: Request, elapsed_us: int) -> None:
+    def answered(self, server: Endpoint, request: Request, elapsed_us: int) -> None:
         """Learn from an answer, of the server and of such requests."""
         key = (request.kind.name, request.size)
         usual = self.usual_us.setdefault(key, float(elapsed_us))  # the first answer of its kind is usual
         self._follow_ratio(server, request, elapsed_us)
         self.usual_us[key] = usual + USUAL_STEP * (elapsed_us - usual)
 
-    def abandoned(self, server: Server, request: Request, elapsed_us: int) -> None:
+    def abandoned(self, server: Endpoint, request: Request, elapsed_us: int) -> None:
         """Learn from an attempt without an answer that took longer than usual at this server."""
         if elapsed_us > self.usual(request) * server.latency_ratio:
             self._follow_ratio(server, request, elapsed_us)
 
-    def failed(self, server: Server, request: Request) -> None:
+    def failed(self, server: Endpoint, request: Request) -> None:
         """Count an error as the slowest answer there is.
 
         Prevents taking a server that errors quickly for a quick server.
         """
         self._follow_ratio(server, request, int(RATIO_MOST * self.usual(request)))
 
-    def _follow_ratio(self, server: Server, request: Request, elapsed_us: int) -> None:
+    def _follow_ratio(self, server: Endpoint, request: Request, elapsed_us: int) -> None:
         ratio = min(elapsed_us / max(self.usual(request), 1.0), RATIO_MOST)
         server.latency_ratio += RATIO_STEP * self._load.stretch() * (ratio - server.latency_ratio)
 
 
-def zone_lag(servers: Iterable[Server], zone: str) -> float | None:
+def zone_lag(servers: Iterable[Endpoint], zone: str) -> float | None:
     """How much slower servers of this zone are than the others, by latency ratio and without ejected ones.
 
     0: as quick; None: one of the two has no servers to compare.
--- a/tulipnotch/load_balancing/metrics/load.py
+++ b/tulipnotch/load_balancing/metrics/load.py
@@ -6,7 +6,7 @@
 import math
 
 from tulipnotch.load_balancing.context import Context
-from tulipnotch.load_balancing.records import Server
+from tulipnotch.load_balancing.records import Endpoint
 
 FEW = 8.0  # with fewer own requests in flight than this, much of what is measured is chance
 LONGEST_STRETCH = 4.0  # so the fewer, the longer loads are averaged and the larger the steps, up to this
@@ -44,37 +44,37 @@
         lapse = self._context.now - self._followed_at
         if lapse > 0:
             self._followed_at = self._context.now
-            span = self.stretch() * self._context.longest_aim
+            span = self.stretch() * self._context.max_latency_objective_us
             load = self.current()
             if load > 0:
                 self.busy_at = self._followed_at
             self.mean = min(self.mean, max(load, limit, 1.0))  # more would delay relief
             self.mean += (load - self.mean) * (1.0 - math.exp(-lapse / span))
 
-    def attempt_began(self, server: Server) -> None:
+    def attempt_began(self, server: Endpoint) -> None:
         """Count an attempt as in flight."""
         server.in_flight += 1
         self._pending += 1
         if server.ejected_until is not None:
             self._at_ejected += 1
 
-    def attempt_ended(self, server: Server) -> None:
+    def attempt_ended(self, server: Endpoint) -> None:
         """Count an attempt as in flight no longer."""
         server.in_flight -= 1
         self._pending -= 1
         if server.ejected_until is not None:
             self._at_ejected -= 1
 
-    def attempt_abandoned(self, server: Server, until: int) -> None:
+    def attempt_abandoned(self, server: Endpoint, until: int) -> None:
         """Count an attempt that was given up on as in flight until then: it may well run on."""
         server.abandoned.append(until)
         if server.ejected_until is None:
             heapq.heappush(self._abandoned, until)
 
-    def server_ejected(self, server: Server) -> None:
+    def server_ejected(self, server: Endpoint) -> None:
         """Leave out what is in flight at a server that is ejected now."""
         self._at_ejected += server.in_flight
 
-    def server_readmitted(self, server: Server) -> None:
+    def server_readmitted(self, server: Endpoint) -> None:
         """Count what is in flight at a server that is ejected no longer."""
         self._at_ejected -= server.in_flight
--- a/tulipnotch/load_balancing/metrics/response_times.py
+++ b/tulipnotch/load_balancing/metrics/response_times.py
@@ -17,7 +17,7 @@
 CORES_STEP = 0.1  # of the last ten reports or so
 
 
-class AnswerTimes:
+class ResponseTimes:
     """What answers and servers' reports say of how busy the fleet is."""
 
     def __init__(self, load: Load, first_most: float) -> None:
--- a/tulipnotch/load_balancing/outcomes.py
+++ b/tulipnotch/load_balancing/outcomes.py
@@ -10,23 +10,23 @@
     """How an attempt ended."""
 
     DELIVERED = "delivered"
-    ERROR = "error"
-    FULL = "full"
-    EXPIRED = "expired"
-    DIAL_FAILED = "dial_failed"
-    DROPPED = "dropped"
+    SERVER_ERROR = "error"
+    OVERLOADED = "full"
+    TIMED_OUT = "expired"
+    CONNECT_FAILED = "dial_failed"
+    CONNECTION_LOST = "dropped"
     CANCELLED = "cancelled"
-    UNSENT = "unsent"
-    SPOILT = "spoilt"  # an answer came that can't be used; nothing is said of the server's health
-    REJECTED = "rejected"  # the server is well and found fault with the request
+    NOT_SENT = "unsent"
+    MALFORMED_RESPONSE = "spoilt"  # an answer came that can't be used; nothing is said of the server's health
+    CLIENT_ERROR = "rejected"  # the server is well and found fault with the request
 
 
 @unique
-class Reason(Enum):
+class TerminationReason(Enum):
     """Why a request is given up."""
 
     ADMISSION = "admission"  # the concurrency limit or the service level kept it out
-    NO_SERVER = "no_server"  # no server may have it now
+    NO_ENDPOINT = "no_server"  # no server may have it now
     NO_RETRY = "no_retry"  # an attempt ended, and no further one is permitted
     DEADLINE = "deadline"  # its time is up
-    AT_FAULT = "at_fault"  # a server found fault with it, as the next one would
+    CLIENT_ERROR = "at_fault"  # a server found fault with it, as the next one would
