--- a/tulipnotch/load_balancing/records.py
+++ b/tulipnotch/load_balancing/records.py
@@ -6,17 +6,17 @@
 from typing import TYPE_CHECKING
 
 from tulipnotch.load_balancing.clock_time import NEVER
-from tulipnotch.load_balancing.events import ServerState
+from tulipnotch.load_balancing.events import EndpointState
 from tulipnotch.load_balancing.settings import ServiceClass
 
 if TYPE_CHECKING:
-    from tulipnotch.load_balancing.slow_start.warm_up_budget import Allowance
+    from tulipnotch.load_balancing.slow_start.warm_up_budget import WarmUpBudget
 
 LEAST_SIZE = -3  # costs below an eighth of the mean of their class are taken alike
 LARGEST_SIZE = 4  # nor are those above eight times the mean: too few come to learn from
 
 
-class Server:
+class Endpoint:
     """What this balancer knows of one server."""
 
     __slots__ = (
@@ -51,11 +51,11 @@
         self.cell = 0
         self.nominal = 1.0
         self.latency_ratio = 1.0  # how long it takes, relative to the usual
-        self.state = ServerState.GONE
+        self.state = EndpointState.REMOVED
         self.started_at: int | None = None
         self.cold_since: int | None = None
         self.is_start_listed = False  # whether that is the start that the list tells
-        self.allowance: Allowance | None = None  # of a cold server
+        self.allowance: WarmUpBudget | None = None  # of a cold server
         self.in_flight = 0
         self.abandoned: list[int] = []  # when each abandoned attempt stops counting as in flight
         self.connections = 0  # that are open, as far as attempts tell
@@ -100,7 +100,7 @@
         "zone",
     )
 
-    def __init__(self, index: int, server: Server, sent_at: int, answers_before: int) -> None:
+    def __init__(self, index: int, server: Endpoint, sent_at: int, answers_before: int) -> None:
         self.answers_before = answers_before  # how many answers had come by then, from all servers
         self.index = index
         self.server = server
@@ -154,7 +154,7 @@
         self.work = work  # relative to the mean of all
         self.size = max(LEAST_SIZE, min(math.frexp(cost)[1], LARGEST_SIZE))  # cost by powers of two
         self.attempts: list[Attempt] = []
-        self.tried: list[Server] = []  # servers that failed this request, full ones included
+        self.tried: list[Endpoint] = []  # servers that failed this request, full ones included
         self.full_answers = 0
         self.answered = False
 
--- a/tulipnotch/load_balancing/retries/attempt_timeouts.py
+++ b/tulipnotch/load_balancing/retries/attempt_timeouts.py
@@ -14,7 +14,7 @@
 from tulipnotch.load_balancing.health.outlier_detection import OutlierDetection
 from tulipnotch.load_balancing.metrics.latency import Latency
 from tulipnotch.load_balancing.records import Attempt, Request
-from tulipnotch.load_balancing.timer_queue import Agenda
+from tulipnotch.load_balancing.timer_queue import TimerQueue
 
 PATIENCE = 2.5  # usual times (at this server's latency ratio) after which an attempt is overdue
 PATIENCE_AIMS = 0.1  # but never less than this part of the aim: short times are all jitter
@@ -25,11 +25,11 @@
 
 
 @dataclass(eq=False)
-class OverdueAttempts:
+class AttemptTimeouts:
     """Watches attempts that take far longer than usual."""
 
     _context: Context
-    _agenda: Agenda
+    _agenda: TimerQueue
     _latency: Latency
     _limit: ConcurrencyLimit
     _idle: IdleConnections
@@ -43,7 +43,9 @@
     def _patience(self, request: Request, attempt: Attempt) -> int:
         usual = PATIENCE * self._latency.usual(request) * max(attempt.server.latency_ratio, 1.0)
         least = HANDSHAKE_AIMS if attempt.opens_connection else PATIENCE_AIMS
-        return int(max(usual, least * request.kind.aim_us, self._context.settings.tick_us))
+        return int(
+            max(usual, least * request.kind.latency_objective_us, self._context.settings.clock_resolution_us)
+        )
 
     def gets_no_answer(self, request: Request, attempt: Attempt) -> bool:
         """Learn from an overdue attempt; say whether it gets none where it is, as far as is known."""
@@ -52,7 +54,9 @@
         self._count_if_late(request, attempt, waited)
         if server.last_answer_at > attempt.sent_at:
             return False
-        enough = int(max(SILENCE * self._patience(request, attempt), SILENCE_AIMS * request.kind.aim_us))
+        enough = int(
+            max(SILENCE * self._patience(request, attempt), SILENCE_AIMS * request.kind.latency_objective_us)
+        )
         if waited < enough:
             self._agenda.schedule(attempt.sent_at + enough, request.ident, attempt.index)
         elif self._is_singled_out(attempt) and not self._idle.is_blamed_for(attempt):
@@ -61,7 +65,7 @@
 
     def _count_if_late(self, request: Request, attempt: Attempt, waited: int) -> None:
         """Count the attempt as a sign of overload once it is late, unless its server is the cause."""
-        late = int(request.kind.aim_us * (1.0 + HANDSHAKE_AIMS * attempt.opens_connection))
+        late = int(request.kind.latency_objective_us * (1.0 + HANDSHAKE_AIMS * attempt.opens_connection))
         if waited < late:
             self._agenda.schedule(attempt.sent_at + late, request.ident, attempt.index)
         elif (
--- a/tulipnotch/load_balancing/retries/idempotency_rule.py
+++ b/tulipnotch/load_balancing/retries/idempotency_rule.py
@@ -14,7 +14,7 @@
 from typing import Protocol
 
 from tulipnotch.load_balancing.clock_time import NEVER
-from tulipnotch.load_balancing.settings import Group, Repeat, ServiceClass
+from tulipnotch.load_balancing.settings import DeduplicationScope, Idempotency, ServiceClass
 
 
 class Place(Protocol):
@@ -35,29 +35,39 @@
     def may_run_from(self) -> int: ...
 
 
-def begin_by(kind: ServiceClass, tick_us: int, attempts: Iterable[PriorAttempt]) -> int:
+def begin_by(kind: ServiceClass, clock_resolution_us: int, attempts: Iterable[PriorAttempt]) -> int:
     """Clock time from which on no attempt may begin beside these; NEVER: no bound, 0: not at all.
 
     One tick less than servers remember, since a clock may be read once a tick.
     """
-    if kind.repeat is Repeat.SAFE:
+    if kind.idempotency is Idempotency.IDEMPOTENT:
         return NEVER
     first = min((each.may_run_from for each in attempts if each.may_have_run), default=NEVER)
     if first == NEVER:
         return NEVER
-    return 0 if kind.repeat is Repeat.UNSAFE else first + kind.memory_us - tick_us
+    return (
+        0
+        if kind.idempotency is Idempotency.NON_IDEMPOTENT
+        else first + kind.deduplication_window_us - clock_resolution_us
+    )
 
 
 def is_in_group(kind: ServiceClass, place: Place, attempts: Sequence[PriorAttempt]) -> bool:
     """Whether servers at this place drop repeats of whatever may have run in these attempts."""
-    if kind.repeat is not Repeat.KEYED or kind.group is Group.ALL:
+    if (
+        kind.idempotency is not Idempotency.IDEMPOTENT_WITH_KEY
+        or kind.deduplication_scope is DeduplicationScope.ALL
+    ):
         return True
     ran = [each for each in attempts if each.may_have_run]
-    if kind.group is Group.ZONE:
+    if kind.deduplication_scope is DeduplicationScope.ZONE:
         return all(each.zone == place.zone for each in ran)
     return all(each.cell == place.cell for each in ran)
 
 
 def may_run_anywhere_again(kind: ServiceClass) -> bool:
     """Whether a request that may have run may also go out as a new one, to any server."""
-    return kind.repeat is Repeat.SAFE or (kind.repeat is Repeat.KEYED and kind.group is Group.ALL)
+    return kind.idempotency is Idempotency.IDEMPOTENT or (
+        kind.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
+        and kind.deduplication_scope is DeduplicationScope.ALL
+    )
--- a/tulipnotch/load_balancing/retries/retry_policy.py
+++ b/tulipnotch/load_balancing/retries/retry_policy.py
@@ -24,7 +24,9 @@
 
     def begin_by(self, request: Request) -> int:
         """Until when the request's class lets another attempt begin."""
-        return repeat_rule.begin_by(request.kind, self._context.settings.tick_us, request.attempts)
+        return repeat_rule.begin_by(
+            request.kind, self._context.settings.clock_resolution_us, request.attempts
+        )
 
     def may_retry(self, request: Request, was_full: bool) -> bool:
         """Whether to try again after an attempt that ended.
--- a/tulipnotch/load_balancing/selection/best_of_k.py
+++ b/tulipnotch/load_balancing/selection/best_of_k.py
@@ -13,10 +13,10 @@
 from tulipnotch.load_balancing.health.outlier_detection import OutlierDetection
 from tulipnotch.load_balancing.metrics.latency import RATIO_MOST
 from tulipnotch.load_balancing.metrics.load import Load
-from tulipnotch.load_balancing.records import BackOff, Request, Server
+from tulipnotch.load_balancing.records import BackOff, Endpoint, Request
 from tulipnotch.load_balancing.retries import idempotency_rule as repeat_rule
 from tulipnotch.load_balancing.selection import weighted_sampling as weighted_draw
-from tulipnotch.load_balancing.selection.locality_weights import ZoneWeights
+from tulipnotch.load_balancing.selection.locality_weights import LocalityWeights
 from tulipnotch.load_balancing.selection.subset import subset_size
 from tulipnotch.load_balancing.slow_start.warm_up_budget import SlowStart
 
@@ -33,11 +33,11 @@
 
     _context: Context
     _load: Load
-    _zones: ZoneWeights
+    _zones: LocalityWeights
     _slow_start: SlowStart
     _outliers: OutlierDetection
 
-    def choose(self, request: Request) -> Server | None:
+    def choose(self, request: Request) -> Endpoint | None:
         """The server to send a request to; None where no server may have it."""
         trial = self._outliers.trial_due(request)
         if trial is not None:
@@ -52,7 +52,7 @@
         # Not always, or nothing would be learnt of the others.
         is_far_slower = remote < 1.0 and context.random.random() >= remote * remote
         far = FAR_SLOWER if is_far_slower else 1.0
-        best: Server | None = None
+        best: Endpoint | None = None
         best_rank = (0, 0.0)
         count = DRAWN << request.full_answers
         for server in weighted_draw.drawn(context.random, pool, weights, count):
@@ -62,7 +62,7 @@
                 best, best_rank = server, rank
         return best
 
-    def busy(self, server: Server) -> int:
+    def busy(self, server: Endpoint) -> int:
         """Own requests in flight at a server, with those abandoned: they may well run on there.
 
         Prevents a slow or silent server from looking idle because its attempts were cancelled.
@@ -72,7 +72,7 @@
             server.abandoned = [until for until in server.abandoned if until > now]
         return server.in_flight + len(server.abandoned)
 
-    def full_received(self, server: Server, kind: str) -> None:
+    def full_received(self, server: Endpoint, kind: str) -> None:
         """Avoid a server that was full for a class, for requests of this class.
 
         Prevents redraws at servers that turn away one class or tenant while they have room for others.  It
@@ -82,7 +82,7 @@
         back_off.aims = min(2.0 * back_off.aims, BACK_OFF_AIMS_MOST) if back_off.aims else BACK_OFF_AIMS
         back_off.until = self._context.after_about(back_off.aims)
 
-    def answer_received(self, server: Server, kind: str) -> None:
+    def answer_received(self, server: Endpoint, kind: str) -> None:
         """A server has room for a class again."""
         server.backing_off.pop(kind, None)
 
@@ -93,7 +93,7 @@
             kept = {name: each for name, each in server.backing_off.items() if name in classes}
             server.backing_off = kept
 
-    def _subset(self, request: Request) -> list[Server]:
+    def _subset(self, request: Request) -> list[Endpoint]:
         """The first eligible servers in this balancer's own order, as many as its traffic can know.
 
         Prevents many small balancers from holding a connection each to every server of a large fleet: more
@@ -103,9 +103,9 @@
         near_slots, far_slots = self._slots(size)
         zone = self._context.settings.zone
         kind = request.kind.name
-        pool: list[Server] = []
-        spare: list[Server] = []
-        backing_off: list[Server] = []
+        pool: list[Endpoint] = []
+        spare: list[Endpoint] = []
+        backing_off: list[Endpoint] = []
         for server in self._context.ready:
             if not self._is_eligible(server, request):
                 continue
@@ -126,12 +126,12 @@
 
     def _slots(self, size: int) -> tuple[int, int]:
         """How many servers of the own zone, and of others, the subset has; the rest may fill it up."""
-        if self._context.settings.prices.cross_zone <= 0.0:
+        if self._context.settings.cost_weights.cross_zone <= 0.0:
             return size, size
         far = max(round(size * self._zones.remote() * self._zones.far_part), 1)
         return size - far, far
 
-    def _is_eligible(self, server: Server, request: Request) -> bool:
+    def _is_eligible(self, server: Endpoint, request: Request) -> bool:
         if server.ejected_until is not None:
             return False
         if request.attempts:
@@ -141,11 +141,11 @@
                 return False  # a second copy goes elsewhere
         return server.cold_since is None or self._slow_start.has_room(server, request.work)
 
-    def _is_backing_off(self, server: Server, kind: str) -> bool:
+    def _is_backing_off(self, server: Endpoint, kind: str) -> bool:
         back_off = server.backing_off.get(kind)
         return back_off is not None and self._context.now < back_off.until
 
-    def _weights(self, pool: list[Server], request: Request, remote: float) -> list[float]:
+    def _weights(self, pool: list[Endpoint], request: Request, remote: float) -> list[float]:
         """Slower servers are drawn less, still less so for heavy requests, and cold ones by their warmth.
 
         Only quick servers can answer heavy requests in time.
--- a/tulipnotch/load_balancing/selection/locality_weights.py
+++ b/tulipnotch/load_balancing/selection/locality_weights.py
@@ -9,7 +9,7 @@
 from tulipnotch.load_balancing.admission.concurrency_limit import FREE, ConcurrencyLimit
 from tulipnotch.load_balancing.context import Context
 from tulipnotch.load_balancing.metrics.latency import zone_lag
-from tulipnotch.load_balancing.metrics.response_times import AnswerTimes
+from tulipnotch.load_balancing.metrics.response_times import ResponseTimes
 
 REMOTE_LEAST = 0.25  # weight of a server in another zone while the own zone is as quick
 EVEN_LAG = 0.3  # the own zone this far behind the others by latency ratio, all zones are drawn alike
@@ -17,10 +17,10 @@
 EVEN_LATE = 0.05  # or this part of the answers late
 
 
-class ZoneWeights:
+class LocalityWeights:
     """The weight of servers in other zones."""
 
-    def __init__(self, context: Context, answers: AnswerTimes, limit: ConcurrencyLimit) -> None:
+    def __init__(self, context: Context, answers: ResponseTimes, limit: ConcurrencyLimit) -> None:
         self._context = context
         self._answers = answers
         self._limit = limit
@@ -45,7 +45,7 @@
         return self._remote
 
     def _weigh(self) -> float:
-        if self._context.settings.prices.cross_zone <= 0.0:
+        if self._context.settings.cost_weights.cross_zone <= 0.0:
             return 1.0
         if self._answers.late >= EVEN_LATE or self._limit.fill() > FREE:
             return 1.0  # room anywhere is worth more than a crossing
--- a/tulipnotch/load_balancing/settings.py
+++ b/tulipnotch/load_balancing/settings.py
@@ -15,16 +15,18 @@
 
 
 @unique
-class Repeat(Enum):
+class Idempotency(Enum):
     """What a class of requests says of a second attempt."""
 
-    SAFE = "safe"  # may run any number of times
-    KEYED = "keyed"  # repeats are dropped inside one group of servers, for a while
-    UNSAFE = "unsafe"  # must never run twice
+    IDEMPOTENT = "idempotent"  # may run any number of times
+    IDEMPOTENT_WITH_KEY = (
+        "idempotent_with_key"  # repeats are dropped inside one group of servers, for a while
+    )
+    NON_IDEMPOTENT = "non_idempotent"  # must never run twice
 
 
 @unique
-class Group(Enum):
+class DeduplicationScope(Enum):
     """Which servers drop the repeats of a keyed request."""
 
     ALL = "all"
@@ -33,18 +35,18 @@
 
 
 @unique
-class Discovery(Enum):
+class DiscoveryMode(Enum):
     """Whether changes of the server list come unasked."""
 
     PUSHED = "pushed"
-    ON_REQUEST = "on_request"
+    POLLED = "polled"
 
 
 @unique
-class Weights(Enum):
+class NominalCapacity(Enum):
     """What a server's nominal figure means."""
 
-    SILENT = "silent"
+    UNSPECIFIED = "unspecified"
     NOMINAL = "nominal"
     ROUGH = "rough"
     LIVE = "live"
@@ -54,13 +56,13 @@
 class ReportSource(Enum):
     """Where load reports come from."""
 
-    ANSWERS = "answers"
-    PROBES = "probes"
-    SILENT = "silent"
+    RESPONSES = "responses"
+    HEALTH_CHECKS = "health_checks"
+    NONE = "none"
 
 
 @unique
-class WorthBy(Enum):
+class PriorityWeightBasis(Enum):
     """What a class's worth is counted for."""
 
     REQUEST = "request"
@@ -73,14 +75,14 @@
 
     name: str
     deadline_us: int
-    aim_us: int
-    worth: float = 1.0
-    late_worth: float = 0.0
-    repeat: Repeat = Repeat.UNSAFE
-    group: Group = Group.CELL
-    memory_us: int = 0
+    latency_objective_us: int
+    priority_weight: float = 1.0
+    late_priority_weight: float = 0.0
+    idempotency: Idempotency = Idempotency.NON_IDEMPOTENT
+    deduplication_scope: DeduplicationScope = DeduplicationScope.CELL
+    deduplication_window_us: int = 0
     streaming: bool = False
-    aim_stretch: float = 0.0
+    latency_objective_stretch: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -88,7 +90,7 @@
     """One tenant and what it may ask of the whole fleet."""
 
     name: str
-    share: float = 1.0
+    weight: float = 1.0
     quota_per_s: float = 0.0
 
 
@@ -97,16 +99,16 @@
     """What the deployment permits."""
 
     max_attempts: int = 1
-    second_copies: bool = False
+    hedged_requests: bool = False
     may_cancel: bool = False
-    may_probe: bool = False
-    may_message: bool = False
+    may_health_check: bool = False
+    may_send_peer_messages: bool = False
     retry_after: bool = False
     max_retry_after_us: int = 0
-    dial_timeout_us: int = 250_000
-    idle_close_us: int = 15_000_000
+    connect_timeout_us: int = 250_000
+    idle_timeout_us: int = 15_000_000
     streams_per_connection: int = 1
-    max_open: int | None = None  # requests held at once, kept by the sidecar; None: no limit
+    max_open_requests: int | None = None  # requests held at once, kept by the sidecar; None: no limit
     cpu_us_per_s: int | None = None  # of CPU, for the whole instance
     cpu_us_per_request: float = 0.0  # of CPU, for a request with its outcomes, on average; 0: no limit
 
@@ -115,45 +117,45 @@
 class Rules:
     """The figures of the rules.  The defaults are the cautious ends."""
 
-    answer_slack_us: int = 0
-    ask_within_us: int = 10_000_000
+    response_slack_us: int = 0
+    max_poll_interval_us: int = 10_000_000
     drain_grace_us: int = 0
-    cold_from: float = 0.1
-    cold_us: int = 30_000_000
-    fall_multiple: float = 1.0
-    fall_us: int = 2_000_000
-    full_may_have_run: bool = False  # servers may answer full for work that they had begun
+    initial_capacity: float = 0.1
+    warm_up_us: int = 30_000_000
+    overload_multiple: float = 1.0
+    overload_window_us: int = 2_000_000
+    overloaded_may_have_run: bool = False  # servers may answer full for work that they had begun
     close_idle_within_us: int | None = None  # idle connections to draining servers go; None: no such rule
 
-    def never_ran(self, outcome: Outcome, is_answer_certain: bool = True) -> bool:
+    def proves_not_executed(self, outcome: Outcome, is_response_certain: bool = True) -> bool:
         """Whether the outcome proves that the server did nothing of the request: the one place to ask.
 
         An answer proves nothing unless it is certain that it belongs to this request.
         """
-        if outcome is Outcome.FULL:
-            return is_answer_certain and not self.full_may_have_run
-        return outcome in (Outcome.DIAL_FAILED, Outcome.UNSENT)
+        if outcome is Outcome.OVERLOADED:
+            return is_response_certain and not self.overloaded_may_have_run
+        return outcome in (Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 
 
 @dataclass(frozen=True, slots=True)
-class Prices:
+class CostWeights:
     """What extra traffic costs, as a part of all service, mostly for one a request."""
 
     cross_zone: float = 0.0
-    probe: float = 0.0
-    message: float = 0.0  # for 256 bytes a request, delivered
-    waste: float = 0.0  # for server work without an answer, as much as was asked for
+    health_check: float = 0.0
+    peer_message: float = 0.0  # for 256 bytes a request, delivered
+    wasted_work: float = 0.0  # for server work without an answer, as much as was asked for
     handshake: float = 0.0
     connection: float = 0.0  # for a hundred open connections a server
     discovery: float = 0.0  # for a hundred list lines a request
-    late_fail: float = 0.0  # for all worth ending unserved after its aim
+    late_failure: float = 0.0  # for all worth ending unserved after its aim
 
 
 @dataclass(frozen=True, slots=True)
-class Goal:
+class ObjectiveWeights:
     """What counts how much of the whole; all zero: not told."""
 
-    whole: float = 0.0
+    overall: float = 0.0
     worst_window: float = 0.0
     worst_class: float = 0.0
     worst_tenant: float = 0.0
@@ -168,19 +170,19 @@
     classes: tuple[ServiceClass, ...]
     tenants: tuple[Tenant, ...] = ()
     zone: str = ""
-    me: int = -1  # this instance's number in the group, from 0; -1: not told
-    group_size: int = 1
-    tick_us: int = 1_000
-    discovery: Discovery = Discovery.ON_REQUEST
-    weights: Weights = Weights.SILENT
-    worth_by: WorthBy = WorthBy.REQUEST
-    over_share_worth: float = 1.0
-    report_source: ReportSource = ReportSource.SILENT
+    instance_index: int = -1  # this instance's number in the group, from 0; -1: not told
+    instance_count: int = 1
+    clock_resolution_us: int = 1_000
+    discovery_mode: DiscoveryMode = DiscoveryMode.POLLED
+    nominal_capacity: NominalCapacity = NominalCapacity.UNSPECIFIED
+    priority_weight_basis: PriorityWeightBasis = PriorityWeightBasis.REQUEST
+    over_quota_weight: float = 1.0
+    report_source: ReportSource = ReportSource.NONE
     report_columns: tuple[str, ...] = ()
     limits: Limits = field(default_factory=Limits)
     rules: Rules = field(default_factory=Rules)
-    prices: Prices = field(default_factory=Prices)
-    goal: Goal = field(default_factory=Goal)
-    kinds: tuple[str, ...] = ()  # the kinds of machines that lists may name
+    cost_weights: CostWeights = field(default_factory=CostWeights)
+    objective_weights: ObjectiveWeights = field(default_factory=ObjectiveWeights)
+    machine_types: tuple[str, ...] = ()  # the kinds of machines that lists may name
     clients_mark_retries: bool = False
-    warm_keys: bool = False  # a server that met a key lately needs less work for it
+    has_key_affinity: bool = False  # a server that met a key lately needs less work for it
--- a/tulipnotch/load_balancing/settings_reader.py
+++ b/tulipnotch/load_balancing/settings_reader.py
@@ -7,19 +7,19 @@
 from typing import Any, TypeVar
 
 from tulipnotch.load_balancing.settings import (
-    Discovery,
-    Goal,
-    Group,
+    CostWeights,
+    DeduplicationScope,
+    DiscoveryMode,
+    Idempotency,
     Limits,
-    Prices,
-    Repeat,
+    NominalCapacity,
+    ObjectiveWeights,
+    PriorityWeightBasis,
     ReportSource,
     Rules,
     ServiceClass,
     Settings,
     Tenant,
-    Weights,
-    WorthBy,
 )
 
 
@@ -33,75 +33,77 @@
     if not classes:
         top.complain("classes: at least one class of requests is needed")
     tenants = tuple(
-        Tenant(each.text("name"), each.number("share", 1.0), each.number("quota_per_s", 0.0))
+        Tenant(each.text("name"), each.number("weight", 1.0), each.number("quota_per_s", 0.0))
         for each in top.parts("tenants")
     )
     for label, names in (("classes", [c.name for c in classes]), ("tenants", [t.name for t in tenants])):
         if len(set(names)) != len(names):
             top.complain(f"{label}: a name stands twice")
     report = top.part("report")
-    limits, rules, prices = top.part("limits"), top.part("rules"), top.part("prices")
-    goal, habits, domain = top.part("goal"), top.part("client_habits"), top.part("domain")
+    limits, rules, prices = top.part("limits"), top.part("rules"), top.part("cost_weights")
+    goal, habits, domain = top.part("objective_weights"), top.part("client_habits"), top.part("domain")
     return Settings(
         classes=classes,
         tenants=tenants,
         zone=top.text("zone", ""),
-        me=top.whole("me", -1),
-        group_size=top.whole("group_size", 1, low=1),
-        tick_us=top.whole("tick_us", 1_000, low=1),
-        discovery=top.choice("discovery", Discovery, Discovery.ON_REQUEST),
-        weights=top.choice("weights", Weights, Weights.SILENT),
-        worth_by=top.choice("worth_by", WorthBy, WorthBy.REQUEST),
-        over_share_worth=top.number("over_share_worth", 1.0, high=1.0),
-        report_source=report.choice("source", ReportSource, ReportSource.SILENT),
+        instance_index=top.whole("instance_index", -1),
+        instance_count=top.whole("instance_count", 1, low=1),
+        clock_resolution_us=top.whole("clock_resolution_us", 1_000, low=1),
+        discovery_mode=top.choice("discovery_mode", DiscoveryMode, DiscoveryMode.POLLED),
+        nominal_capacity=top.choice("nominal_capacity", NominalCapacity, NominalCapacity.UNSPECIFIED),
+        priority_weight_basis=top.choice(
+            "priority_weight_basis", PriorityWeightBasis, PriorityWeightBasis.REQUEST
+        ),
+        over_quota_weight=top.number("over_quota_weight", 1.0, high=1.0),
+        report_source=report.choice("source", ReportSource, ReportSource.NONE),
         report_columns=report.texts("columns"),
         limits=Limits(
             max_attempts=limits.whole("max_attempts", 1),
-            second_copies=limits.flag("second_copies", False),
+            hedged_requests=limits.flag("hedged_requests", False),
             may_cancel=limits.flag("may_cancel", False),
-            may_probe=limits.flag("may_probe", False),
-            may_message=limits.flag("may_message", False),
+            may_health_check=limits.flag("may_health_check", False),
+            may_send_peer_messages=limits.flag("may_send_peer_messages", False),
             retry_after=limits.flag("retry_after", False),
             max_retry_after_us=limits.whole("max_retry_after_us", 0),
-            dial_timeout_us=limits.whole("dial_timeout_us", 250_000),
-            idle_close_us=limits.whole("idle_close_us", 15_000_000),
+            connect_timeout_us=limits.whole("connect_timeout_us", 250_000),
+            idle_timeout_us=limits.whole("idle_timeout_us", 15_000_000),
             streams_per_connection=limits.whole("streams_per_connection", 1, low=1),
-            max_open=limits.optional_whole("max_open"),
+            max_open_requests=limits.optional_whole("max_open_requests"),
             cpu_us_per_s=limits.optional_whole("cpu_us_per_s"),
             cpu_us_per_request=limits.number("cpu_us_per_request", 0.0),
         ),
         rules=Rules(
-            answer_slack_us=rules.whole("answer_slack_us", 0),
-            ask_within_us=rules.whole("ask_within_us", 10_000_000, low=1),
+            response_slack_us=rules.whole("response_slack_us", 0),
+            max_poll_interval_us=rules.whole("max_poll_interval_us", 10_000_000, low=1),
             drain_grace_us=rules.whole("drain_grace_us", 0),
-            cold_from=rules.number("cold_from", 0.1, low=0.001, high=1.0),
-            cold_us=rules.whole("cold_us", 30_000_000),
-            fall_multiple=rules.number("fall_multiple", 1.0, low=0.001),
-            fall_us=rules.whole("fall_us", 2_000_000, low=1),
-            full_may_have_run=rules.flag("full_may_have_run", False),
+            initial_capacity=rules.number("initial_capacity", 0.1, low=0.001, high=1.0),
+            warm_up_us=rules.whole("warm_up_us", 30_000_000),
+            overload_multiple=rules.number("overload_multiple", 1.0, low=0.001),
+            overload_window_us=rules.whole("overload_window_us", 2_000_000, low=1),
+            overloaded_may_have_run=rules.flag("overloaded_may_have_run", False),
             close_idle_within_us=rules.optional_whole("close_idle_within_us"),
         ),
-        prices=Prices(
+        cost_weights=CostWeights(
             cross_zone=prices.number("cross_zone", 0.0),
-            probe=prices.number("probe", 0.0),
-            message=prices.number("message", 0.0),
-            waste=prices.number("waste", 0.0),
+            health_check=prices.number("health_check", 0.0),
+            peer_message=prices.number("peer_message", 0.0),
+            wasted_work=prices.number("wasted_work", 0.0),
             handshake=prices.number("handshake", 0.0),
             connection=prices.number("connection", 0.0),
             discovery=prices.number("discovery", 0.0),
-            late_fail=prices.number("late_fail", 0.0),
+            late_failure=prices.number("late_failure", 0.0),
         ),
-        goal=Goal(
-            whole=goal.number("whole", 0.0),
+        objective_weights=ObjectiveWeights(
+            overall=goal.number("overall", 0.0),
             worst_window=goal.number("worst_window", 0.0),
             worst_class=goal.number("worst_class", 0.0),
             worst_tenant=goal.number("worst_tenant", 0.0),
             tail=goal.number("tail", 0.0),
             tail_slack=goal.number("tail_slack", 0.0, high=1.0),
         ),
-        kinds=top.texts("kinds"),
+        machine_types=top.texts("machine_types"),
         clients_mark_retries=habits.flag("mark_retries", False),
-        warm_keys=domain.flag("warm_keys", False),
+        has_key_affinity=domain.flag("has_key_affinity", False),
     )
 
 
@@ -110,14 +112,14 @@
     return ServiceClass(
         name=each.text("name"),
         deadline_us=deadline,
-        aim_us=min(each.whole("aim_us", deadline, low=1), deadline),
-        worth=each.number("worth", 1.0),
-        late_worth=each.number("late_worth", 0.0),
-        repeat=each.choice("repeat", Repeat, Repeat.UNSAFE),
-        group=each.choice("group", Group, Group.CELL),
-        memory_us=each.whole("memory_us", 0),
+        latency_objective_us=min(each.whole("latency_objective_us", deadline, low=1), deadline),
+        priority_weight=each.number("priority_weight", 1.0),
+        late_priority_weight=each.number("late_priority_weight", 0.0),
+        idempotency=each.choice("idempotency", Idempotency, Idempotency.NON_IDEMPOTENT),
+        deduplication_scope=each.choice("deduplication_scope", DeduplicationScope, DeduplicationScope.CELL),
+        deduplication_window_us=each.whole("deduplication_window_us", 0),
         streaming=each.flag("streaming", False),
-        aim_stretch=each.number("aim_stretch", 0.0),
+        latency_objective_stretch=each.number("latency_objective_stretch", 0.0),
     )
 
 
--- a/tulipnotch/load_balancing/slow_start/warm_capacity.py
+++ b/tulipnotch/load_balancing/slow_start/warm_capacity.py
@@ -7,7 +7,7 @@
 from tulipnotch.load_balancing.context import Context
 from tulipnotch.load_balancing.metrics.load import Load
 from tulipnotch.load_balancing.metrics.rate import Rate
-from tulipnotch.load_balancing.records import Server
+from tulipnotch.load_balancing.records import Endpoint
 from tulipnotch.load_balancing.selection.subset import subset_size
 from tulipnotch.load_balancing.settings import Rules
 
@@ -16,9 +16,9 @@
 REPEATED = 1.25  # requests for each that clients want, where most are refused and come again
 
 
-def is_cold(server: Server, rules: Rules, now: int) -> bool:
+def is_cold(server: Endpoint, rules: Rules, now: int) -> bool:
     """Whether a server still warms up."""
-    return server.cold_since is not None and now < server.cold_since + rules.cold_us
+    return server.cold_since is not None and now < server.cold_since + rules.warm_up_us
 
 
 class WarmCapacity:
@@ -27,7 +27,7 @@
     def __init__(self, context: Context, load: Load) -> None:
         self._context = context
         self._load = load
-        span = RATE_SPANS * context.settings.rules.fall_us
+        span = RATE_SPANS * context.settings.rules.overload_window_us
         self._arrivals = Rate(span)
         self._served_warm = Rate(span)  # answers of warm servers
         self._rate = 0.0  # per us, as of _rate_at
@@ -38,13 +38,13 @@
     def settings_changed(self) -> None:
         """Average over the new fall time."""
         for rate in (self._arrivals, self._served_warm):
-            rate.over(RATE_SPANS * self._context.settings.rules.fall_us)
+            rate.over(RATE_SPANS * self._context.settings.rules.overload_window_us)
 
     def request_arrived(self) -> None:
         """Count a request."""
         self._arrivals.add(self._context.now, 1.0)
 
-    def answered(self, server: Server) -> None:
+    def answered(self, server: Endpoint) -> None:
         """Count an answer, if its server is warm."""
         if not is_cold(server, self._context.settings.rules, self._context.now):
             self._served_warm.add(self._context.now, 1.0)
@@ -58,7 +58,7 @@
         now = self._context.now
         if self._rate_at != now:
             lapse = now - self._rate_at if self._rate_at >= 0 else 0
-            faded = math.exp(-lapse / max(SERVED_FADES * self._context.settings.rules.cold_us, 1.0))
+            faded = math.exp(-lapse / max(SERVED_FADES * self._context.settings.rules.warm_up_us, 1.0))
             self._rate_at = now
             self._rate = max(self._served_by_each(), self._rate * faded)
         return self._rate
--- a/tulipnotch/load_balancing/slow_start/warm_up_budget.py
+++ b/tulipnotch/load_balancing/slow_start/warm_up_budget.py
@@ -18,7 +18,7 @@
 import zlib
 
 from tulipnotch.load_balancing.context import Context
-from tulipnotch.load_balancing.records import Server
+from tulipnotch.load_balancing.records import Endpoint
 from tulipnotch.load_balancing.settings import Rules
 from tulipnotch.load_balancing.slow_start.token_bucket import LapsingBucket
 from tulipnotch.load_balancing.slow_start.warm_capacity import WarmCapacity, is_cold
@@ -29,23 +29,23 @@
 HEAVIEST = 0.1  # roots of the server's budget that one request may cost beyond the mean: far less than chance
 
 
-def phase(name: str, started_at: int | None, me: int, group_size: int, chance: float) -> float:
+def phase(name: str, started_at: int | None, me: int, instance_count: int, chance: float) -> float:
     """The part of a turn that an instance begins with, from 0 to below 1.
 
     Evenly spread over the group for each start of each server.  Where the start or the own number is not
     known, `chance` (0 to below 1, the instance's own) takes its place.
     """
-    if started_at is None or not 0 <= me < group_size or group_size == 1:
+    if started_at is None or not 0 <= me < instance_count or instance_count == 1:
         return chance
     offset = zlib.crc32(f"{name} {started_at}".encode()) / 2.0**32
-    return (offset + me / group_size) % 1.0
+    return (offset + me / instance_count) % 1.0
 
 
 def warmth(rules: Rules, since: int | None, now: int) -> float:
     """The least share of its capacity that a server has, so long after its start; 1 where `since` is None."""
-    if since is None or now >= since + rules.cold_us:
+    if since is None or now >= since + rules.warm_up_us:
         return 1.0
-    return rules.cold_from + (1.0 - rules.cold_from) * max(now - since, 0) / rules.cold_us
+    return rules.initial_capacity + (1.0 - rules.initial_capacity) * max(now - since, 0) / rules.warm_up_us
 
 
 def heaviest(budget: float) -> float:
@@ -53,15 +53,15 @@
     return 1.0 + HEAVIEST * math.sqrt(max(budget, 0.0))
 
 
-class Allowance(LapsingBucket):
+class WarmUpBudget(LapsingBucket):
     """What an instance may put on one cold server, in requests of mean cost."""
 
     __slots__ = ()
 
-    def has_room(self, now: int, limit: float, fall_us: int, cost: float) -> bool:
+    def has_room(self, now: int, limit: float, overload_window_us: int, cost: float) -> bool:
         """Whether a request of this cost may go now; `limit` is the own part of what pushes over, per us."""
-        most = max(1.0, BURST * limit * fall_us)
-        self.fill(now, FILLS * limit, most, LAPSES * fall_us)
+        most = max(1.0, BURST * limit * overload_window_us)
+        self.fill(now, FILLS * limit, most, LAPSES * overload_window_us)
         return self.holds(min(cost, most))
 
 
@@ -72,24 +72,24 @@
         self._context = context
         self._capacity = capacity
 
-    def turned_cold(self, server: Server, started_at: int | None = None) -> None:
+    def turned_cold(self, server: Endpoint, started_at: int | None = None) -> None:
         """A server's process started then, by the list, or just now; one in the future has a wrong clock."""
         settings = self._context.settings
         server.cold_since = min(self._context.now if started_at is None else started_at, self._context.now)
         server.is_start_listed = started_at is not None
         chance = self._context.random.random()
-        begins_with = phase(server.name, started_at, settings.me, settings.group_size, chance)
-        server.allowance = Allowance(self._context.now, begins_with)
+        begins_with = phase(server.name, started_at, settings.instance_index, settings.instance_count, chance)
+        server.allowance = WarmUpBudget(self._context.now, begins_with)
 
-    def is_cold(self, server: Server) -> bool:
+    def is_cold(self, server: Endpoint) -> bool:
         """Whether a server still warms up."""
         return is_cold(server, self._context.settings.rules, self._context.now)
 
-    def warmth(self, server: Server) -> float:
+    def warmth(self, server: Endpoint) -> float:
         """The least share of its capacity that a server has now."""
         return warmth(self._context.settings.rules, server.cold_since, self._context.now)
 
-    def has_room(self, server: Server, work: float) -> bool:
+    def has_room(self, server: Endpoint, work: float) -> bool:
         """Whether a cold server's budget has room for a request of this much work, in means.
 
         The budget fills with a part of what would push the server over, judged by what this balancer's warm
@@ -102,14 +102,14 @@
         capacity = self._capacity.per_us()
         if self._capacity.mean_size > 0.0:
             capacity *= min(server.nominal / self._capacity.mean_size, 1.0)
-        limit = rules.fall_multiple * self.warmth(server) * capacity
+        limit = rules.overload_multiple * self.warmth(server) * capacity
         # What all instances may put on it, were all like this one.
-        of_all = limit * rules.fall_us * settings.group_size * self._capacity.sent_part
+        of_all = limit * rules.overload_window_us * settings.instance_count * self._capacity.sent_part
         if work > heaviest(of_all):
             return False
-        return server.allowance.has_room(self._context.now, limit, rules.fall_us, work)
+        return server.allowance.has_room(self._context.now, limit, rules.overload_window_us, work)
 
-    def spend(self, server: Server, work: float) -> None:
+    def spend(self, server: Endpoint, work: float) -> None:
         """A request of this much work goes to the server."""
         if server.allowance is not None and self.is_cold(server):
             server.allowance.spend(work)
--- a/tulipnotch/load_balancing/timer_queue.py
+++ b/tulipnotch/load_balancing/timer_queue.py
@@ -13,7 +13,7 @@
 TOKEN = "agenda"  # of the one timer
 
 
-class Entry(NamedTuple):
+class TimerEntry(NamedTuple):
     """One thing that falls due; entries are ordered by due time, and then as they were made."""
 
     due: int
@@ -22,11 +22,11 @@
     attempt: int  # or WHOLE_REQUEST
 
 
-class Agenda:
+class TimerQueue:
     """What falls due when, for requests by number."""
 
     def __init__(self) -> None:
-        self._entries: list[Entry] = []
+        self._entries: list[TimerEntry] = []
         self._order = 0
         self._timer_due: int | None = None
 
@@ -36,20 +36,20 @@
     def schedule(self, due: int, request: int, attempt: int) -> None:
         """Add an entry."""
         self._order += 1
-        heapq.heappush(self._entries, Entry(due, self._order, request, attempt))
+        heapq.heappush(self._entries, TimerEntry(due, self._order, request, attempt))
 
     def timer_fired(self, now: int) -> None:
         """The timer is over, unless it was one that an earlier timer replaced."""
         if self._timer_due is not None and now >= self._timer_due:
             self._timer_due = None
 
-    def pop_due(self, now: int) -> Entry | None:
+    def pop_due(self, now: int) -> TimerEntry | None:
         """Take out the next entry that has fallen due, if there is one."""
         if self._entries and self._entries[0][0] <= now:
             return heapq.heappop(self._entries)
         return None
 
-    def next_timer(self, now: int, is_settled: Callable[[Entry], bool]) -> SetTimer | None:
+    def next_timer(self, now: int, is_settled: Callable[[TimerEntry], bool]) -> SetTimer | None:
         """The timer to set, if the one that is set comes too late for the head of the agenda.
 
         Entries at the head for which nothing would be done are dropped.
--- a/tulipnotch/settings/check.py
+++ b/tulipnotch/settings/check.py
@@ -33,7 +33,7 @@
         return f"{where}{self.key}: {self.text}" if self.key else f"{where}{self.text}"
 
 
-class BadFile(Exception):
+class InvalidFileError(Exception):
     """A file can't be used; `faults` are all that was found, in the order of the file."""
 
     def __init__(self, path: str, faults: Iterable[Fault]) -> None:
@@ -65,17 +65,19 @@
     try:
         raw = path.read_bytes()
     except OSError as fault:
-        raise BadFile(str(path), [Fault(0, "", f"can't be read: {fault.strerror}")]) from None
+        raise InvalidFileError(str(path), [Fault(0, "", f"can't be read: {fault.strerror}")]) from None
     if len(raw) > 1 << 20:
-        raise BadFile(str(path), [Fault(0, "", "is larger than 1 MiB")])
+        raise InvalidFileError(str(path), [Fault(0, "", "is larger than 1 MiB")])
     try:
         text = raw.decode("utf-8")
         given = tomllib.loads(text)
     except UnicodeDecodeError as fault:
-        raise BadFile(str(path), [Fault(raw[: fault.start].count(b"\n") + 1, "", "is not UTF-8")]) from None
+        raise InvalidFileError(
+            str(path), [Fault(raw[: fault.start].count(b"\n") + 1, "", "is not UTF-8")]
+        ) from None
     except tomllib.TOMLDecodeError as fault:
         found = re.search(r"at line (\d+)", str(fault))
-        raise BadFile(str(path), [Fault(int(found[1]) if found else 0, "", str(fault))]) from None
+        raise InvalidFileError(str(path), [Fault(int(found[1]) if found else 0, "", str(fault))]) from None
     lines = toml_lines(text)
     faults: list[Fault] = []
     if prepare is not None:
@@ -83,10 +85,10 @@
             given = prepare(given)
         except ValueError as fault:
             key, _, told = str(fault).partition(": ")
-            raise BadFile(str(path), [Fault(line_of(lines, key), key, told)]) from None
+            raise InvalidFileError(str(path), [Fault(line_of(lines, key), key, told)]) from None
     value = convert(given, kind, "", lines, faults)
     if faults or value is None:
-        raise BadFile(str(path), faults)
+        raise InvalidFileError(str(path), faults)
     return Checked(value, lines)
 
 
--- a/tulipnotch/sidecar/configuration/configuration.py
+++ b/tulipnotch/sidecar/configuration/configuration.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from tulipnotch.load_balancing import Settings
-from tulipnotch.sidecar.discovery.client import Listing, parse_listing
+from tulipnotch.sidecar.discovery.client import DiscoveryResponse, parse_listing
 from tulipnotch.sidecar.upstream.connection import Address, parse_address
 from tulipnotch.simulator_wire.adapter import settings_from_wire, wire_path
 
@@ -33,7 +33,7 @@
     seed: int
     sockets: int
     memory_mb: int
-    known: Listing
+    known: DiscoveryResponse
     peer_listen: Address | None
     peers: tuple[Address, ...]
     peers_all: Address | None
@@ -167,9 +167,9 @@
     return known_as + colon + text
 
 
-def _known(given: object) -> Listing:
+def _known(given: object) -> DiscoveryResponse:
     try:
-        return parse_listing(given) if given is not None else Listing(0, True, ())
+        return parse_listing(given) if given is not None else DiscoveryResponse(0, True, ())
     except ValueError as nonsense:
         raise ConfigError(f"known: {nonsense}") from None
 
--- a/tulipnotch/sidecar/control/endpoint.py
+++ b/tulipnotch/sidecar/control/endpoint.py
@@ -26,17 +26,19 @@
     most_connections: int = 16
 
 
-class CallRefused(Exception):
+class CommandRejectedError(Exception):
     """A call can't be carried out; the text is the reason that its caller is told."""
 
 
-Call = Callable[[], Sequence[str]]  # gives what follows `+OK`: the rest of that line, and further lines
+CommandHandler = Callable[
+    [], Sequence[str]
+]  # gives what follows `+OK`: the rest of that line, and further lines
 
 
-class Control:
+class ControlEndpoint:
     """The listener and its connections, never more than the limits allow."""
 
-    def __init__(self, calls: Mapping[str, Call], limits: ControlLimits | None = None) -> None:
+    def __init__(self, calls: Mapping[str, CommandHandler], limits: ControlLimits | None = None) -> None:
         self._calls = calls
         self.limits = limits or ControlLimits()
         self._connections: dict[_Caller, None] = {}  # the stalest first
@@ -71,13 +73,13 @@
             name = line.decode("ascii").strip()
             call = self._calls.get(name)
             if not name:
-                raise CallRefused("empty call")
+                raise CommandRejectedError("empty call")
             if call is None:
-                raise CallRefused(f"unknown call; known are {', '.join(self._calls)}")
+                raise CommandRejectedError(f"unknown call; known are {', '.join(self._calls)}")
             first, *more = call()
         except UnicodeDecodeError:
             return b"-ERR a call is one line of ASCII\n"
-        except CallRefused as reason:
+        except CommandRejectedError as reason:
             return f"-ERR {reason}\n".encode()
         return "".join(f"{each}\n" for each in (f"+OK {first}".rstrip(), *more)).encode()
 
@@ -95,7 +97,7 @@
 class _Caller(asyncio.Protocol):
     """One connection of an operator: it carries one call."""
 
-    def __init__(self, control: Control) -> None:
+    def __init__(self, control: ControlEndpoint) -> None:
         self._control = control
         self._transport: asyncio.Transport | None = None
         self._line = b""
--- a/tulipnotch/sidecar/control/telemetry.py
+++ b/tulipnotch/sidecar/control/telemetry.py
@@ -5,12 +5,12 @@
 from collections.abc import Iterable, Mapping
 from enum import Enum, unique
 
-from tulipnotch.load_balancing.outcomes import Outcome, Reason
+from tulipnotch.load_balancing.outcomes import Outcome, TerminationReason
 from tulipnotch.sidecar.requests.invariants import CloseReason
 
 _OVERDUE = "overdue"  # in place of an outcome: the attempt before has none yet
 _MAX_OPEN = "max_open"  # in place of a reason: as many requests are open as the settings allow
-_RETRIED_AFTER = [each.value for each in Outcome if each not in (Outcome.DELIVERED, Outcome.REJECTED)]
+_RETRIED_AFTER = [each.value for each in Outcome if each not in (Outcome.DELIVERED, Outcome.CLIENT_ERROR)]
 
 
 @unique
@@ -30,8 +30,8 @@
         self.upstream_requests = 0  # attempts written whole to servers
         self.upstream_requests_withheld = 0  # attempts not written whole, since their clients had gone
         self._retries = dict.fromkeys([_OVERDUE, *_RETRIED_AFTER], 0)
-        self._refusals = dict.fromkeys([_MAX_OPEN, *(each.value for each in Reason)], 0)
-        self._failures = dict.fromkeys([each.value for each in Reason], 0)
+        self._refusals = dict.fromkeys([_MAX_OPEN, *(each.value for each in TerminationReason)], 0)
+        self._failures = dict.fromkeys([each.value for each in TerminationReason], 0)
         self._client_closes = dict.fromkeys((each.value for each in CloseReason), 0)
         self.config_reloads = 0
         self.config_reload_errors = 0
@@ -59,7 +59,7 @@
         """A request goes to a further server, after this outcome or (None) while it waits for one."""
         self._retries[_OVERDUE if after is None else after.value] += 1
 
-    def refused(self, reason: Reason | None) -> None:
+    def refused(self, reason: TerminationReason | None) -> None:
         """A request is refused, for this reason or (None) for as many as are open."""
         self._refusals[_MAX_OPEN if reason is None else reason.value] += 1
 
@@ -67,7 +67,7 @@
         """A client's connection has ended."""
         self._client_closes[reason.value] += 1
 
-    def given_up(self, reason: Reason) -> None:
+    def given_up(self, reason: TerminationReason) -> None:
         """A request is answered as failed."""
         self._failures[reason.value] += 1
 
--- a/tulipnotch/sidecar/discovery/client.py
+++ b/tulipnotch/sidecar/discovery/client.py
@@ -9,16 +9,21 @@
 from dataclasses import dataclass
 from typing import Any
 
-from tulipnotch.load_balancing.events import ListedServer, ListKind, ServersListed, ServerState
+from tulipnotch.load_balancing.events import (
+    EndpointDescription,
+    EndpointState,
+    EndpointsUpdated,
+    EndpointUpdateKind,
+)
 from tulipnotch.sidecar.clock import Clock
-from tulipnotch.sidecar.discovery.poll_schedule import Schedule
+from tulipnotch.sidecar.discovery.poll_schedule import PollSchedule
 from tulipnotch.sidecar.http1.messages import Request, Response, ResponseReader
-from tulipnotch.sidecar.upstream.connection import Address, ClientConnection, Failure, parse_address
+from tulipnotch.sidecar.upstream.connection import Address, ExchangeFailure, UpstreamConnection, parse_address
 
-_STATES = {"active": ServerState.READY, "leaving": ServerState.DRAINING, "left": ServerState.GONE}
+_STATES = {"active": EndpointState.READY, "leaving": EndpointState.DRAINING, "left": EndpointState.REMOVED}
 _PATH = "/catalog/members"
 _MOST_BYTES = 4 << 20  # of a whole list
-_PLAN = Schedule()
+_PLAN = PollSchedule()
 _MOST_BESIDE = (
     2  # calls soon beside an overdue one, at least: a directory that is late is not asked on and on
 )
@@ -33,27 +38,27 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Entry:
+class DiscoveredEndpoint:
     """A line of the list, with where the server can be reached from here."""
 
-    listed: ListedServer
+    listed: EndpointDescription
     address: Address | None  # None: it left
 
 
 @dataclass(frozen=True, slots=True)
-class Listing:
+class DiscoveryResponse:
     """An answer of discovery."""
 
     version: int
     full: bool
-    entries: tuple[Entry, ...]
+    entries: tuple[DiscoveredEndpoint, ...]
 
-    def event(self, kind: ListKind | None = None) -> ServersListed:
-        by_form = ListKind.COMPLETE if self.full else ListKind.CHANGES
-        return ServersListed(kind or by_form, [each.listed for each in self.entries], self.version)
+    def event(self, kind: EndpointUpdateKind | None = None) -> EndpointsUpdated:
+        by_form = EndpointUpdateKind.COMPLETE if self.full else EndpointUpdateKind.DELTA
+        return EndpointsUpdated(kind or by_form, [each.listed for each in self.entries], self.version)
 
 
-def parse_listing(given: object) -> Listing:
+def parse_listing(given: object) -> DiscoveryResponse:
     """Read a list of servers in discovery's form; raise ValueError on nonsense."""
     if not isinstance(given, dict):
         raise ValueError("an object is needed")
@@ -64,10 +69,10 @@
         raise ValueError(f"full: true or false is needed, not {full!r:.60}")
     if not isinstance(servers, list):
         raise ValueError(f"servers: a list is needed, not {servers!r:.60}")
-    return Listing(version, full, tuple(_entry(each) for each in servers))
+    return DiscoveryResponse(version, full, tuple(_entry(each) for each in servers))
 
 
-def _entry(given: object) -> Entry:
+def _entry(given: object) -> DiscoveredEndpoint:
     if not isinstance(given, dict):
         raise ValueError("servers: an object is needed for each")
     name = given.get("id")
@@ -77,18 +82,18 @@
         state = _STATES[given["state"]]
     except (KeyError, TypeError):
         raise ValueError(f"servers: unknown state {given.get('state')!r:.60} of {name:.60}") from None
-    address = None if state is ServerState.GONE else parse_address(given.get("addr"))
+    address = None if state is EndpointState.REMOVED else parse_address(given.get("addr"))
     started_ms = _number(given, "started_ms", 0)
-    listed = ListedServer(
-        server=name,
+    listed = EndpointDescription(
+        name=name,
         zone=_text(given, "zone"),
-        kind=_text(given, "kind"),
+        machine_type=_text(given, "kind"),
         cell=int(_number(given, "cell", 0)),
         state=state,
-        nominal=_number(given, "weight", 1.0),
+        nominal_capacity=_number(given, "weight", 1.0),
         started_at=int(started_ms * 1_000) or None,
     )
-    return Entry(listed, address)
+    return DiscoveredEndpoint(listed, address)
 
 
 def _text(given: dict[str, Any], key: str) -> str:
@@ -109,7 +114,7 @@
     return value
 
 
-class CallFailed(Exception):
+class DiscoveryError(Exception):
     """Discovery did not answer a call, or not with a list."""
 
 
@@ -123,7 +128,7 @@
     most_beside: int = _MOST_BESIDE  # calls soon beside one that is overdue
 
     @staticmethod
-    def of(pushed: bool, grace_us: int, plan: Schedule, ask_within_us: int | None = None) -> Waits:
+    def of(pushed: bool, grace_us: int, plan: PollSchedule, max_poll_interval_us: int | None = None) -> Waits:
         """Where lists are asked for, the decisions say when to ask again, and the plan by when at last.
 
         `ask_within_us` is how long the settings allow without asking (None: for ever).  Where that is less
@@ -131,8 +136,8 @@
         """
         if not pushed:
             apart_s = plan.apart_s
-            if ask_within_us is not None:
-                allowed_s = ask_within_us / 1e6
+            if max_poll_interval_us is not None:
+                allowed_s = max_poll_interval_us / 1e6
                 apart_s = min(apart_s, max(allowed_s - plan.late_s - plan.dial_again_s, allowed_s / 2))
             beside = min(math.ceil(plan.call_s / apart_s), _MOST_CALLS - 1)
             return Waits(apart_s, apart_s, plan.dial_s, max(beside, _MOST_BESIDE))
@@ -143,7 +148,7 @@
         return Waits(part(_PUSHED_AGAIN), part(_PUSHED_OVERDUE), part(_PUSHED_DIAL))
 
 
-class Discovery:
+class DiscoveryClient:
     """Calls to discovery.  Every `follow` and `fetch` is answered by `on_list` or `on_failed`.
 
     While the list is followed, calls begin `Schedule.apart_s` from each other at most, whatever became of the
@@ -156,14 +161,14 @@
         address: Address,
         version: int | None,
         pushed: bool,
-        on_list: Callable[[Listing], None],
+        on_list: Callable[[DiscoveryResponse], None],
         on_failed: Callable[[], None],
         on_fault: Callable[[str], None],
         grace_us: int = 0,
         instance: int = 0,  # its number in the fleet: it spreads the calls
-        plan: Schedule | None = None,
+        plan: PollSchedule | None = None,
         has_list: bool = True,  # whether any server is known: while none is, calls begin closer together
-        ask_within_us: int | None = None,  # how long the settings allow without asking; None: for ever
+        max_poll_interval_us: int | None = None,  # how long the settings allow without asking; None: for ever
     ) -> None:
         self._address = address
         self._version = version
@@ -173,7 +178,7 @@
         self._on_fault = on_fault
         self._fault: str | None = None  # what was reported last, while there is no list
         self._plan = plan or _PLAN
-        self._waits = Waits.of(pushed, grace_us, self._plan, ask_within_us)
+        self._waits = Waits.of(pushed, grace_us, self._plan, max_poll_interval_us)
         self._instance = instance
         self._has_list = has_list
         self._clock = Clock()
@@ -187,8 +192,8 @@
         self._fetches: set[asyncio.Task[None]] = set()
         self._tasks: set[asyncio.Task[None]] = set()
 
-    def obey(self, grace_us: int, ask_within_us: int | None = None) -> None:
-        self._waits = Waits.of(self._pushed, grace_us, self._plan, ask_within_us)
+    def apply_settings(self, grace_us: int, max_poll_interval_us: int | None = None) -> None:
+        self._waits = Waits.of(self._pushed, grace_us, self._plan, max_poll_interval_us)
 
     def start(self) -> None:
         """Where lists are pushed, the agent's are received from the start on, unasked."""
@@ -262,7 +267,7 @@
         line, changes = self._new_line(), self._changes
         try:
             listing = await line.call(None, 0)
-        except CallFailed as fault:
+        except DiscoveryError as fault:
             self._failed(fault)
             self._on_failed()
         else:
@@ -276,7 +281,7 @@
             self._is_awaited = True
             try:
                 await self._watch_on()
-            except CallFailed as fault:
+            except DiscoveryError as fault:
                 self._is_awaited = False
                 self._failed(fault)
                 if not self._pushed:
@@ -306,14 +311,14 @@
         finally:
             line.close()
 
-    async def _call(self, line: _Line, wait_ms: int) -> tuple[_Line, Listing, int]:
+    async def _call(self, line: _Line, wait_ms: int) -> tuple[_Line, DiscoveryResponse, int]:
         """Call, and call anew beside a call that is overdue; give the first list, and the line it came on.
 
         Guards against learning of a drain when its grace is over: a watch that fell silent looks like one
         with no news, and what it missed counts as announced whether or not it is given up.  The calls beside
         it wait for nothing, and go out on connections of their own.
         """
-        calls: dict[asyncio.Task[Listing], tuple[_Line, int]] = {}
+        calls: dict[asyncio.Task[DiscoveryResponse], tuple[_Line, int]] = {}
 
         def begin(on: _Line, for_ms: int) -> None:
             work = asyncio.get_running_loop().create_task(on.call(self._version, for_ms))
@@ -334,7 +339,7 @@
                     if fault is None:
                         return its, call.result(), changes
                     its.close()
-                    if not calls or not isinstance(fault, CallFailed):
+                    if not calls or not isinstance(fault, DiscoveryError):
                         raise fault
                     spare += 1  # one is always young: the rest may hang from before the agent was back
                 if not done:
@@ -346,13 +351,13 @@
                 call.cancel()
                 its.close()
 
-    def _failed(self, fault: CallFailed) -> None:
+    def _failed(self, fault: DiscoveryError) -> None:
         self.has_tried.set()
         if str(fault) != self._fault:
             self._fault = str(fault)
             self._on_fault(self._fault)
 
-    def _received(self, listing: Listing, changes: int) -> None:
+    def _received(self, listing: DiscoveryResponse, changes: int) -> None:
         """Take over an answer to a call that began when so many changes were known.
 
         Guards against a list that was overtaken: a fetch and a watch run side by side, and the one that began
@@ -360,7 +365,7 @@
         """
         known = self._version
         if changes != self._changes and known is not None and listing.version < known:
-            listing = Listing(known, False, ())
+            listing = DiscoveryResponse(known, False, ())
         else:
             self._version = listing.version
             self._changes += 1
@@ -373,17 +378,17 @@
 class _Line:
     """Calls to discovery one after another, over one connection while that lasts."""
 
-    def __init__(self, address: Address, dial_within_s: float, plan: Schedule) -> None:
+    def __init__(self, address: Address, dial_within_s: float, plan: PollSchedule) -> None:
         self._address = address
         self._dial_within_s = dial_within_s
         self._plan = plan
-        self._connection: ClientConnection | None = None
+        self._connection: UpstreamConnection | None = None
 
     def close(self) -> None:
         if self._connection is not None:
             self._connection.close()
 
-    async def call(self, after: int | None, wait_ms: int) -> Listing:
+    async def call(self, after: int | None, wait_ms: int) -> DiscoveryResponse:
         target = _PATH if after is None else f"{_PATH}?after={after}&wait_ms={wait_ms}"
         try:
             async with asyncio.timeout(
@@ -391,27 +396,27 @@
             ):
                 response = await self._get(target.encode())
         except TimeoutError:
-            raise CallFailed("no answer in time") from None
+            raise DiscoveryError("no answer in time") from None
         except OSError as fault:
-            raise CallFailed(f"no connection: {fault}") from None
-        if isinstance(response, Failure):
-            raise CallFailed(_WHY[response])
+            raise DiscoveryError(f"no connection: {fault}") from None
+        if isinstance(response, ExchangeFailure):
+            raise DiscoveryError(_WHY[response])
         if response.status != 200:
-            raise CallFailed(f"status {response.status}")
+            raise DiscoveryError(f"status {response.status}")
         try:
             return parse_listing(json.loads(response.body))
         except (ValueError, RecursionError) as nonsense:
-            raise CallFailed(f"the list can't be read: {nonsense}") from None
+            raise DiscoveryError(f"the list can't be read: {nonsense}") from None
 
-    async def _get(self, target: bytes) -> Response | Failure:
+    async def _get(self, target: bytes) -> Response | ExchangeFailure:
         if self._connection is None or not self._connection.is_usable():
             self.close()
             self._connection = await self._dial()
             if not self._connection.is_usable():
-                return Failure.UNWRITTEN  # it ended as it came up: nothing would tell of a call's end
-        answer: asyncio.Future[Response | Failure] = asyncio.get_running_loop().create_future()
+                return ExchangeFailure.UNWRITTEN  # it ended as it came up: nothing would tell of a call's end
+        answer: asyncio.Future[Response | ExchangeFailure] = asyncio.get_running_loop().create_future()
 
-        def ended(how: Response | Failure) -> None:
+        def ended(how: Response | ExchangeFailure) -> None:
             if not answer.done():
                 answer.set_result(how)
 
@@ -419,17 +424,17 @@
         self._connection.exchange(Request(b"GET", target, [(b"host", host)]), ended)
         return await answer
 
-    async def _dial(self) -> ClientConnection:
+    async def _dial(self) -> UpstreamConnection:
         """Dial, and dial again beside that where it doesn't come up soon; the first to come up serves.
 
         Guards against a dial whose packets are lost: it is silent up to its limit.
         """
         loop = asyncio.get_running_loop()
 
-        def made() -> ClientConnection:
-            return ClientConnection(ResponseReader(_MOST_BYTES), _ignore, _ignore, self._plan.stalled_s)
+        def made() -> UpstreamConnection:
+            return UpstreamConnection(ResponseReader(_MOST_BYTES), _ignore, _ignore, self._plan.stalled_s)
 
-        async def dial() -> ClientConnection:
+        async def dial() -> UpstreamConnection:
             _, connection = await loop.create_connection(made, *self._address)
             return connection
 
@@ -452,18 +457,18 @@
                 each.add_done_callback(_close_late)
 
 
-def _close_late(dial: asyncio.Task[ClientConnection]) -> None:
+def _close_late(dial: asyncio.Task[UpstreamConnection]) -> None:
     """One that came up in the moment in which it was called off is closed."""
     if not dial.cancelled() and dial.exception() is None:
         dial.result().close()
 
 
 _WHY = {
-    Failure.UNWRITTEN: "the connection broke under the call",
-    Failure.BROKEN: "the connection broke before the answer's end",
-    Failure.SPOILT: "the answer is no HTTP, too large or has no end",
+    ExchangeFailure.UNWRITTEN: "the connection broke under the call",
+    ExchangeFailure.CONNECTION_LOST: "the connection broke before the answer's end",
+    ExchangeFailure.MALFORMED_RESPONSE: "the answer is no HTTP, too large or has no end",
 }
 
 
-def _ignore(_: ClientConnection) -> None:
+def _ignore(_: UpstreamConnection) -> None:
     """Nothing is kept of it."""
--- a/tulipnotch/sidecar/discovery/peers.py
+++ b/tulipnotch/sidecar/discovery/peers.py
@@ -13,7 +13,7 @@
 MOST_BYTES = 256  # of a datagram; a longer one is never sent
 
 
-class Peers(asyncio.DatagramProtocol):
+class PeerMessenger(asyncio.DatagramProtocol):
     """Sends to sidecars of the tier by number, and tells who a datagram came from."""
 
     def __init__(
--- a/tulipnotch/sidecar/discovery/poll_schedule.py
+++ b/tulipnotch/sidecar/discovery/poll_schedule.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Schedule:
+class PollSchedule:
     """The parts of `announced_s`, in seconds.
 
     A change counts as announced `announced_s` after discovery had it and could be reached, whatever became of
--- a/tulipnotch/sidecar/downstream/incoming_request.py
+++ b/tulipnotch/sidecar/downstream/incoming_request.py
@@ -7,7 +7,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from tulipnotch.load_balancing.settings import Repeat, ServiceClass, Settings
+from tulipnotch.load_balancing.settings import Idempotency, ServiceClass, Settings
 from tulipnotch.sidecar.http1.messages import Body, Headers, Request
 
 _REQUEST_ID = re.compile(rb"[!-~]{1,128}")
@@ -24,7 +24,7 @@
 _ALWAYS_PASSED = frozenset((b"host", b"request-id", b"idempotency-key"))  # whatever `Connection` says of them
 
 
-class BadRequest(Exception):
+class BadRequestError(Exception):
     """What came is not a request of this protocol."""
 
     def __init__(self, text: str, status: int = 400) -> None:
@@ -33,7 +33,7 @@
 
 
 @dataclass(slots=True)
-class Incoming:
+class IncomingRequest:
     """A client's request, read and checked."""
 
     kind: ServiceClass  # as the settings had it when the request began to come
@@ -62,7 +62,9 @@
         )
 
 
-def read_request(request: Request, settings: Settings, classes: Mapping[str, ServiceClass]) -> Incoming:
+def read_request(
+    request: Request, settings: Settings, classes: Mapping[str, ServiceClass]
+) -> IncomingRequest:
     """Check a request; raise BadRequest on what no server must see."""
     own: dict[bytes, bytes] = {}
     headers: Headers = []
@@ -73,37 +75,41 @@
     for name, value in request.headers:
         if name in _OWN:
             if name in own:
-                raise BadRequest(f"{name.decode()} stands twice")
+                raise BadRequestError(f"{name.decode()} stands twice")
             own[name] = value
         if name not in dropped or name in _ALWAYS_PASSED:
             headers.append((name, value))
     _header(own, b"host")  # HTTP/1.0 may leave it out; towards servers it may not be
     kind = classes.get(_header(own, b"request-class").decode("latin-1"))
     if kind is None:
-        raise BadRequest("request-class is unknown")
+        raise BadRequestError("request-class is unknown")
     if not _REQUEST_ID.fullmatch(_header(own, b"request-id")):
-        raise BadRequest("request-id is nonsense")
+        raise BadRequestError("request-id is nonsense")
     timeout = _header(own, b"request-timeout")
     remaining_us = round(float(timeout) * 1e6) if _TIMEOUT.fullmatch(timeout) else 0
     if remaining_us <= 0:
-        raise BadRequest("request-timeout is nonsense")
+        raise BadRequestError("request-timeout is nonsense")
     is_get = request.method in (b"GET", b"HEAD")
-    if (request.method not in (b"GET", b"HEAD", b"POST")) or is_get != (kind.repeat is Repeat.SAFE):
-        raise BadRequest("the method is not that of the class")
-    if (b"idempotency-key" in own) != (kind.repeat is Repeat.KEYED) or own.get(b"idempotency-key") == b"":
-        raise BadRequest("idempotency-key does not go with the class")
+    if (request.method not in (b"GET", b"HEAD", b"POST")) or is_get != (
+        kind.idempotency is Idempotency.IDEMPOTENT
+    ):
+        raise BadRequestError("the method is not that of the class")
+    if (b"idempotency-key" in own) != (kind.idempotency is Idempotency.IDEMPOTENT_WITH_KEY) or own.get(
+        b"idempotency-key"
+    ) == b"":
+        raise BadRequestError("idempotency-key does not go with the class")
     if not request.target.startswith(b"/"):
-        raise BadRequest("the target is no path")
+        raise BadRequestError("the target is no path")
     hint = own.get(b"work-hint")
     if hint is not None and not _HINT.fullmatch(hint):
-        raise BadRequest("work-hint is nonsense")
+        raise BadRequestError("work-hint is nonsense")
     length = request.body.size if request.body.is_whole else request.length
     if length is None:
         headers.append((b"transfer-encoding", b"chunked"))
     elif length or not is_get:
         headers.append((b"content-length", b"%d" % length))
     tenant = own.get(b"tenant", b"").decode("latin-1")
-    return Incoming(
+    return IncomingRequest(
         kind=kind,
         tenant=tenant if any(each.name == tenant for each in settings.tenants) else None,
         key=_key(request.target),
@@ -123,7 +129,7 @@
 def _header(own: Mapping[bytes, bytes], name: bytes) -> bytes:
     value = own.get(name)
     if value is None:
-        raise BadRequest(f"{name.decode()} is missing")
+        raise BadRequestError(f"{name.decode()} is missing")
     return value
 
 
--- a/tulipnotch/sidecar/downstream/server.py
+++ b/tulipnotch/sidecar/downstream/server.py
@@ -14,7 +14,7 @@
 
 from tulipnotch.load_balancing.settings import ServiceClass, Settings
 from tulipnotch.sidecar.control.lifecycle import Lifecycle
-from tulipnotch.sidecar.downstream.incoming_request import BadRequest, Incoming, read_request
+from tulipnotch.sidecar.downstream.incoming_request import BadRequestError, IncomingRequest, read_request
 from tulipnotch.sidecar.downstream.listener import Acceptor
 from tulipnotch.sidecar.http1.messages import (
     CONTINUE,
@@ -26,7 +26,7 @@
     Response,
     chunk,
 )
-from tulipnotch.sidecar.requests.invariants import CloseReason, Guard
+from tulipnotch.sidecar.requests.invariants import CloseReason, InvariantChecker
 from tulipnotch.sidecar.upstream.connection import own_socket
 
 _READ_AT_ONCE = 32 << 10
@@ -61,7 +61,7 @@
 
 
 @unique
-class State(Enum):
+class ConnectionState(Enum):
     """What a client's connection is about."""
 
     ENDING = "ending"  # it has its last answer, or what is left of that is on its way
@@ -72,7 +72,7 @@
     SERVING = "serving"  # an answer is owed; never closed for room
 
 
-class Source(Protocol):
+class ResponseProducer(Protocol):
     """Where an answer that passes through comes from."""
 
     def pause(self) -> None: ...
@@ -80,10 +80,10 @@
     def resume(self) -> None: ...
 
 
-class ClientSide(asyncio.BufferedProtocol):
+class DownstreamConnection(asyncio.BufferedProtocol):
     """One connection of the application, one request at a time."""
 
-    def __init__(self, frontend: Frontend, waited_s: float = 0.0) -> None:
+    def __init__(self, frontend: DownstreamServer, waited_s: float = 0.0) -> None:
         self._frontend = frontend
         self._waited_s = waited_s  # how long its first request may have lain unread, before it was accepted
         self._reader = RequestReader()
@@ -92,7 +92,7 @@
         self._request: Request | None = None  # the one at hand
         self._classes: Mapping[str, ServiceClass] = {}  # as they were when the request that is read began
         self._owed: int | None = None  # the open request
-        self._source: Source | None = None  # of the answer that passes through
+        self._source: ResponseProducer | None = None  # of the answer that passes through
         self._answers_in_chunks = False
         self._is_writing_paused = False
         self.is_reading_paused = False
@@ -100,7 +100,7 @@
         self._looked_at = 0.0  # when it was last looked at how much had come
         self._came = 0  # bytes since then
         self._closed_for: CloseReason | None = None  # None: this side has not ended it
-        self.state = State.SILENT
+        self.state = ConnectionState.SILENT
         self.since = 0.0  # when it came to that state; for a part of a request, when that began
         self.held = 0  # bytes of the request at hand, and of what came behind it
 
@@ -108,7 +108,7 @@
     def is_idle(self) -> bool:
         """Whether closing it now loses nothing, not even a request that lies unread in the socket."""
         return (
-            self.state in (State.RESTING, State.SILENT)
+            self.state in (ConnectionState.RESTING, ConnectionState.SILENT)
             and self._transport is not None
             and not self.is_unsent
             and not self.has_unread
@@ -170,7 +170,7 @@
             return
         request = self._request
         if request is not None and not request.body.is_whole:
-            self._frontend.moved(self, State.ENDING)  # what still comes of it is nobody's
+            self._frontend.moved(self, ConnectionState.ENDING)  # what still comes of it is nobody's
         closing = self._closes_after(request)
         if closing:
             headers = [*headers, (b"connection", b"close")]
@@ -178,7 +178,7 @@
         self._transport.write(Response(status, headers, body, length).encode(with_body=with_body))
         self._answered(closing=closing)
 
-    def begin(self, status: int, headers: Headers, length: int | None, source: Source) -> None:
+    def begin(self, status: int, headers: Headers, length: int | None, source: ResponseProducer) -> None:
         """Write the head of an answer that passes through; `pass_on` brings its body, `finish` its end."""
         if self._transport is None or self._transport.is_closing():
             return
@@ -213,7 +213,7 @@
     def _closes_after(self, request: Request | None) -> bool:
         return (
             self._frontend.lifecycle.is_emptying
-            or self.state is State.ENDING
+            or self.state is ConnectionState.ENDING
             or (request is not None and not request.keep_alive)
         )
 
@@ -223,10 +223,10 @@
         if closing:
             self.close(CloseReason.ANSWERED)
             return
-        self._frontend.moved(self, State.RESTING)
+        self._frontend.moved(self, ConnectionState.RESTING)
         if self._reader.has_part or self._reader.requests or self._reader.fault is not None:
             # Guards against waiting for data when the next request came in one piece with this one.
-            self._frontend.moved(self, State.READING)
+            self._frontend.moved(self, ConnectionState.READING)
             asyncio.get_running_loop().call_soon(self._advance)
         elif not self._is_writing_paused:
             self._resume_reading()
@@ -242,7 +242,7 @@
         if transport is None or transport.is_closing():
             return
         self._ends(reason)
-        self._frontend.moved(self, State.ENDING)
+        self._frontend.moved(self, ConnectionState.ENDING)
         self._reader.release()
         if not self.is_unsent:
             # Guards against a request that comes between a look at the socket and the event loop's own
@@ -278,7 +278,7 @@
         follows nonsense for a request.
         """
         self._closed_for = self._closed_for or CloseReason.REJECTED
-        self._frontend.moved(self, State.ENDING)
+        self._frontend.moved(self, ConnectionState.ENDING)
         self.answer(status, [], f"{text}\n".encode() if text else b"")
 
     # What the event loop calls
@@ -293,10 +293,10 @@
         return self._frontend.buffer
 
     def buffer_updated(self, nbytes: int) -> None:
-        if self.state is State.ENDING:
+        if self.state is ConnectionState.ENDING:
             return
-        if self.state in (State.RESTING, State.SILENT):
-            self._frontend.moved(self, State.READING)
+        if self.state in (ConnectionState.RESTING, ConnectionState.SILENT):
+            self._frontend.moved(self, ConnectionState.READING)
         self._progress_at = asyncio.get_running_loop().time()
         self._came += nbytes
         if not self._reader.has_part and not self._reader.requests:
@@ -305,13 +305,13 @@
         self._reader.feed(bytes(self._frontend.buffer[:nbytes]))
         if self._reader.has_head and not had_head:
             self._looked_at, self._came = self._progress_at, 0
-        if self.state is State.PASSING:
+        if self.state is ConnectionState.PASSING:
             # Before what is held is counted: a request whose last byte has been passed on is not given up.
             self._pass_through()
         # What passes through is never held for long: it counts up to what is kept of it.
         self._frontend.holds(self, min(nbytes, KEPT + _WAITING - self.held))
         self._advance()
-        if self._owed is None or self.state is State.PASSING:
+        if self._owed is None or self.state is ConnectionState.PASSING:
             return
         if self._reader.has_part or self._reader.requests or self._reader.fault is not None:
             # Guards against a client that sends on and on behind its open request: none of it is due yet.
@@ -322,7 +322,7 @@
         self._progress_at = asyncio.get_running_loop().time()
         if self._source is not None:
             self._source.pause()
-        elif self._owed is None and self.state is not State.ENDING:
+        elif self._owed is None and self.state is not ConnectionState.ENDING:
             self._pause_reading()
 
     def resume_writing(self) -> None:
@@ -339,7 +339,7 @@
         self._gone()
         self._reader.release()
         self._frontend.closed(self, self._closed_for or CloseReason.CLIENT_LEFT)
-        self.state = State.ENDING
+        self.state = ConnectionState.ENDING
 
     # The rest
 
@@ -357,7 +357,7 @@
         if self._reader.fault is not None:
             self.give_up(self._reader.fault)
         elif request.body.is_whole:
-            self._frontend.moved(self, State.SERVING)
+            self._frontend.moved(self, ConnectionState.SERVING)
         elif request.body.waiting >= _WAITING:
             self._pause_reading()
 
@@ -370,7 +370,7 @@
         """Read on as far as what has come allows."""
         while (
             self._owed is None
-            and self.state is not State.ENDING
+            and self.state is not ConnectionState.ENDING
             and self._transport is not None
             and not self._transport.is_closing()
         ):
@@ -402,7 +402,9 @@
 
     def _taken(self, request: Request) -> None:
         self._request = request
-        self._frontend.moved(self, State.SERVING if request.body.is_whole else State.PASSING)
+        self._frontend.moved(
+            self, ConnectionState.SERVING if request.body.is_whole else ConnectionState.PASSING
+        )
         if request.target == _HEALTH:
             phase = self._frontend.lifecycle.phase.value
             self.answer(200 if self._frontend.lifecycle.is_ready else 503, [], f"{phase}\n".encode())
@@ -420,11 +422,11 @@
             if self._owed is not None and not request.body.is_whole:
                 request.body.on_taken = self._resume_reading
                 self._pass_through()
-        except BadRequest as fault:
+        except BadRequestError as fault:
             self.reject(fault.status, str(fault))
 
 
-class Frontend:
+class DownstreamServer:
     """All connections of the application, never more than `most`."""
 
     def __init__(
@@ -432,10 +434,10 @@
         settings: Settings,
         limits: ClientLimits,
         lifecycle: Lifecycle,
-        on_arrival: Callable[[ClientSide, Incoming], int | None],
+        on_arrival: Callable[[DownstreamConnection, IncomingRequest], int | None],
         on_gone: Callable[[int], None],
         on_closed: Callable[[CloseReason], None],
-        guard: Guard,
+        guard: InvariantChecker,
     ) -> None:
         self._settings = settings
         self.classes = {each.name: each for each in settings.classes}  # never changed, only replaced
@@ -447,7 +449,9 @@
         self.lifecycle = lifecycle
         self._on_closed = on_closed
         self.buffer = memoryview(bytearray(_READ_AT_ONCE))  # each read is used up before the next
-        self._by_state: dict[State, dict[ClientSide, None]] = {each: {} for each in State}
+        self._by_state: dict[ConnectionState, dict[DownstreamConnection, None]] = {
+            each: {} for each in ConnectionState
+        }
         self._held = 0
         self._acceptor: Acceptor | None = None
         self._sweep: asyncio.TimerHandle | None = None
@@ -455,7 +459,7 @@
 
     def listen(self, listener: socket.socket) -> None:
         """Take clients from this listening socket on."""
-        self._acceptor = Acceptor(listener, lambda waited_s: ClientSide(self, waited_s))
+        self._acceptor = Acceptor(listener, lambda waited_s: DownstreamConnection(self, waited_s))
         self._sweep_later()
 
     @property
@@ -463,7 +467,7 @@
         assert self._acceptor is not None
         return self._acceptor.port
 
-    def obey(self, settings: Settings) -> None:
+    def apply_settings(self, settings: Settings) -> None:
         """Read requests by these settings from now on."""
         now = {each.name: each for each in settings.classes}
         gone = {name: kind for name, kind in self.classes.items() if name not in now}
@@ -475,7 +479,7 @@
         """Take these classes no longer, unless they were named again meanwhile."""
         self.classes = {name: kind for name, kind in self.classes.items() if gone.get(name) is not kind}
 
-    def read(self, request: Request, classes: Mapping[str, ServiceClass]) -> Incoming:
+    def read(self, request: Request, classes: Mapping[str, ServiceClass]) -> IncomingRequest:
         """Check a request that began to come when there were these classes: it keeps its own."""
         known = self.classes if classes is self.classes else {**classes, **self.classes}
         return read_request(request, self._settings, known)
@@ -506,33 +510,38 @@
     def open_connections(self) -> int:
         return sum(len(each) for each in self._by_state.values())
 
-    def connections(self) -> Iterator[ClientSide]:
+    def connections(self) -> Iterator[DownstreamConnection]:
         for each in self._by_state.values():
             yield from each
 
     # What connections report
 
-    def opened(self, connection: ClientSide) -> None:
+    def opened(self, connection: DownstreamConnection) -> None:
         self.last_opened = connection.since = asyncio.get_running_loop().time()
         if self.open_connections >= self.most and not self._make_room():
-            connection.state = State.ENDING  # guards the limit on descriptors: there is none to close for it
+            connection.state = (
+                ConnectionState.ENDING
+            )  # guards the limit on descriptors: there is none to close for it
             connection.cut(CloseReason.NO_ROOM)
             return
-        self._by_state[State.SILENT][connection] = None
+        self._by_state[ConnectionState.SILENT][connection] = None
 
-    def moved(self, connection: ClientSide, state: State) -> None:
+    def moved(self, connection: DownstreamConnection, state: ConnectionState) -> None:
         before = connection.state
         if state is before:
             return
         self._by_state[before].pop(connection, None)
         self._by_state[state][connection] = None
         connection.state = state
-        if (before, state) != (State.SILENT, State.READING):  # its time runs from the connection on
+        if (before, state) != (
+            ConnectionState.SILENT,
+            ConnectionState.READING,
+        ):  # its time runs from the connection on
             connection.since = asyncio.get_running_loop().time()
-        if state in (State.RESTING, State.ENDING):
+        if state in (ConnectionState.RESTING, ConnectionState.ENDING):
             self._let_go(connection)
 
-    def holds(self, connection: ClientSide, more: int) -> None:
+    def holds(self, connection: DownstreamConnection, more: int) -> None:
         """Count what is kept in memory for requests; over the limit, the oldest half-sent one goes.
 
         Guards against many clients that each send a part of a large request, and no more.
@@ -540,17 +549,19 @@
         connection.held += more
         self._held += more
         while self._held > self._limits.most_bytes:
-            oldest = next(chain(self._by_state[State.READING], self._by_state[State.PASSING]), None)
+            oldest = next(
+                chain(self._by_state[ConnectionState.READING], self._by_state[ConnectionState.PASSING]), None
+            )
             if oldest is None:
                 return
             oldest.give_up(503)
 
-    def closed(self, connection: ClientSide, reason: CloseReason) -> None:
+    def closed(self, connection: DownstreamConnection, reason: CloseReason) -> None:
         self._on_closed(reason)
         self._by_state[connection.state].pop(connection, None)
         self._let_go(connection)
 
-    def _let_go(self, connection: ClientSide) -> None:
+    def _let_go(self, connection: DownstreamConnection) -> None:
         self._held -= connection.held
         connection.held = 0
 
@@ -559,18 +570,18 @@
         silent_since = asyncio.get_running_loop().time() - self._limits.greeting_s
         spare = next(
             chain(
-                (each for each in self._by_state[State.ENDING] if not each.is_unsent),
+                (each for each in self._by_state[ConnectionState.ENDING] if not each.is_unsent),
                 # Guards against closing a client that has just connected, its request on the way or unread,
                 # while others rest: it would be left without an answer.
                 (
                     each
-                    for each in islice(self._by_state[State.SILENT], 1)
+                    for each in islice(self._by_state[ConnectionState.SILENT], 1)
                     if each.since <= silent_since and each.is_idle
                 ),
-                (each for each in self._by_state[State.RESTING] if each.is_idle),
-                (each for each in self._by_state[State.SILENT] if each.is_idle),
+                (each for each in self._by_state[ConnectionState.RESTING] if each.is_idle),
+                (each for each in self._by_state[ConnectionState.SILENT] if each.is_idle),
                 # Guards against cutting off a request whose last byte has arrived: that one has been taken.
-                (each for each in self._by_state[State.READING] if not each.has_unread),
+                (each for each in self._by_state[ConnectionState.READING] if not each.has_unread),
             ),
             None,
         )
@@ -593,31 +604,31 @@
         """
         now, limits = asyncio.get_running_loop().time(), self._limits
         leaving_s = limits.leaving_s if self.lifecycle.is_emptying else limits.idle_timeout_s
-        for each in list(self._by_state[State.SILENT]):
+        for each in list(self._by_state[ConnectionState.SILENT]):
             if now - each.since >= min(limits.header_timeout_s, leaving_s) and each.is_idle:
                 each.close(CloseReason.SILENT)
-        for each in list(self._by_state[State.READING]):
+        for each in list(self._by_state[ConnectionState.READING]):
             late = now - each.since >= limits.header_timeout_s
             if each.is_stuck(now, limits) if each.has_head else late:
                 each.reject(408)
-        for each in list(self._by_state[State.PASSING]):
+        for each in list(self._by_state[ConnectionState.PASSING]):
             if each.is_stuck(now, limits):
                 each.give_up(408)
             elif each.is_reading_paused:
                 each.look()
-        for each in list(self._by_state[State.SERVING]):
+        for each in list(self._by_state[ConnectionState.SERVING]):
             if each.is_unread(now, limits):
                 each.cut(CloseReason.UNREAD)
             elif each.is_reading_paused:
                 each.look()
-        for each in list(self._by_state[State.RESTING]):
+        for each in list(self._by_state[ConnectionState.RESTING]):
             if now - each.since < min(leaving_s, limits.idle_timeout_s):
                 break  # they stand in the order in which they came to rest
             if each.is_idle:  # else its answer is still on the way, or a further request
                 each.close(CloseReason.IDLE)
             elif each.is_unread(now, limits):
                 each.cut(CloseReason.UNREAD)
-        for each in list(self._by_state[State.ENDING]):
+        for each in list(self._by_state[ConnectionState.ENDING]):
             if each.is_unsent:  # its time begins when all has left
                 each.since = now
                 if each.is_unread(now, limits):
--- a/tulipnotch/sidecar/program.py
+++ b/tulipnotch/sidecar/program.py
@@ -16,11 +16,11 @@
 
 import uvloop
 
-from tulipnotch.load_balancing.admission.service_levels import Level
-from tulipnotch.load_balancing.events import ServiceLevel
+from tulipnotch.load_balancing.admission.service_levels import ServiceLevel
+from tulipnotch.load_balancing.events import ServiceLevelChanged
 from tulipnotch.sidecar import BEGAN
 from tulipnotch.sidecar.configuration.configuration import Config, ConfigError, load
-from tulipnotch.sidecar.control.endpoint import Control, ControlLimits
+from tulipnotch.sidecar.control.endpoint import ControlEndpoint, ControlLimits
 from tulipnotch.sidecar.downstream.listener import adopt, listen, reserve_soon
 from tulipnotch.sidecar.logs import Format, LineLog, Log, LogLimits
 from tulipnotch.sidecar.requests.trace import Trace
@@ -67,15 +67,15 @@
         raise ConfigError(
             f"{_OPERATOR}: {missing.name} is not installed; it comes with tulipnotch[operator]"
         ) from None
-    except check.BadFile as bad:
+    except check.InvalidFileError as bad:
         raise ConfigError(f"{_OPERATOR}: {bad}") from None
 
 
 def _levels(given: OverloadTable) -> ServiceLevels | None:
     levels = tuple(
-        Level(
+        ServiceLevel(
             each.name,
-            ServiceLevel(frozenset(each.over_share), frozenset(each.closed)),
+            ServiceLevelChanged(frozenset(each.over_share), frozenset(each.closed)),
             each.enter_refused,
             int(each.enter_s * 1e6),
             each.leave_fill,
@@ -92,7 +92,7 @@
     return [
         f"overload.levels[{place}]: no class {name!r}; known are {', '.join(known)}"
         for place, each in enumerate(levels.levels if levels else ())
-        for name in sorted((each.bars.over_share | each.bars.closed) - set(known))
+        for name in sorted((each.bars.over_quota_classes | each.bars.rejected_classes) - set(known))
     ]
 
 
@@ -128,7 +128,7 @@
     )
     loop.add_signal_handler(signal.SIGHUP, reload, sidecar, log)
     signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})  # one may have come while the program loaded
-    control = Control(sidecar.calls(), replace(place.door, most_connections=sidecar.operators))
+    control = ControlEndpoint(sidecar.calls(), replace(place.door, most_connections=sidecar.operators))
     if config.control is not None:
         reserved = await reserve_soon(config.control)
         listen(reserved)
--- a/tulipnotch/sidecar/requests/invariants.py
+++ b/tulipnotch/sidecar/requests/invariants.py
@@ -12,7 +12,7 @@
 from enum import Enum, unique
 
 from tulipnotch.load_balancing.retries.idempotency_rule import may_run_anywhere_again
-from tulipnotch.load_balancing.settings import Group, Repeat, ServiceClass
+from tulipnotch.load_balancing.settings import DeduplicationScope, Idempotency, ServiceClass
 
 
 @unique
@@ -60,7 +60,7 @@
     may_have_run: bool = True
 
 
-class Guard:
+class InvariantChecker:
     """The invariants of one process, and how often each was broken."""
 
     def __init__(self, on_broken: Callable[[Invariant, str], None] | None = None) -> None:
@@ -114,12 +114,12 @@
 
 def _may_run_beside(kind: ServiceClass, new: WrittenAttempt, ran: list[WrittenAttempt]) -> bool:
     """Whether running once more has no further effect, by the class's own words."""
-    if not ran or kind.repeat is Repeat.SAFE:
+    if not ran or kind.idempotency is Idempotency.IDEMPOTENT:
         return True
-    if kind.repeat is Repeat.UNSAFE:
+    if kind.idempotency is Idempotency.NON_IDEMPOTENT:
         return False
-    if new.written_at >= min(each.written_at for each in ran) + kind.memory_us:
+    if new.written_at >= min(each.written_at for each in ran) + kind.deduplication_window_us:
         return False
-    if kind.group is Group.ZONE:
+    if kind.deduplication_scope is DeduplicationScope.ZONE:
         return all(each.zone == new.zone for each in ran)
-    return kind.group is Group.ALL or all(each.cell == new.cell for each in ran)
+    return kind.deduplication_scope is DeduplicationScope.ALL or all(each.cell == new.cell for each in ran)
--- a/tulipnotch/sidecar/requests/open_request.py
+++ b/tulipnotch/sidecar/requests/open_request.py
@@ -5,10 +5,10 @@
 from dataclasses import dataclass
 
 from tulipnotch.load_balancing.outcomes import Outcome
-from tulipnotch.sidecar.downstream.incoming_request import Incoming
-from tulipnotch.sidecar.downstream.server import ClientSide
+from tulipnotch.sidecar.downstream.incoming_request import IncomingRequest
+from tulipnotch.sidecar.downstream.server import DownstreamConnection
 from tulipnotch.sidecar.requests.invariants import WrittenAttempt
-from tulipnotch.sidecar.upstream.pool import Call
+from tulipnotch.sidecar.upstream.pool import UpstreamRequest
 
 
 class OpenRequest:
@@ -27,14 +27,16 @@
         "written",
     )
 
-    def __init__(self, client: ClientSide, incoming: Incoming) -> None:
-        self.client: ClientSide | None = client  # None: it has its answer, or the first part of it, or left
+    def __init__(self, client: DownstreamConnection, incoming: IncomingRequest) -> None:
+        self.client: DownstreamConnection | None = (
+            client  # None: it has its answer, or the first part of it, or left
+        )
         self.has_left = False  # whether the client went before it had an answer, or its body was given up
-        self.reading: ClientSide | None = None  # who an answer is being passed on to
+        self.reading: DownstreamConnection | None = None  # who an answer is being passed on to
         self.streamed: int | None = None  # by which attempt
         self.whole_at = 0  # when the last byte of a request came that had to pass through
         self.incoming = incoming
-        self.calls: list[Call] = []
+        self.calls: list[UpstreamRequest] = []
         self.written: dict[int, WrittenAttempt] = {}  # by number: those whose last byte has left
         self.out = 0
         self.last_outcome: Outcome | None = None
--- a/tulipnotch/sidecar/requests/possibly_executed.py
+++ b/tulipnotch/sidecar/requests/possibly_executed.py
@@ -9,7 +9,7 @@
 _MOST_SPENT = 65_536  # ids remembered; beyond that the oldest are forgotten, at some 100 bytes each
 
 
-class SpentRequests:
+class PossiblyExecutedRequests:
     """Ids that are not taken again until a time; all times are clock times in microseconds."""
 
     def __init__(self) -> None:
--- a/tulipnotch/sidecar/sidecar.py
+++ b/tulipnotch/sidecar/sidecar.py
@@ -16,54 +16,57 @@
 from tulipnotch.load_balancing import Balancer, Settings
 from tulipnotch.load_balancing.actions import (
     Action,
-    Cancel,
-    CloseIdle,
-    Fail,
-    FetchList,
-    Follow,
-    Note,
-    Probe,
-    Refuse,
-    Send,
+    CancelAttempt,
+    CloseIdleConnections,
+    FailRequest,
+    FetchEndpoints,
+    LogEvent,
+    RejectRequest,
+    SendPeerMessage,
     SetTimer,
-    Tell,
+    StartAttempt,
+    StartHealthCheck,
+    Subscribe,
+)
+from tulipnotch.load_balancing.admission.service_levels import (
+    READ_EVERY_US,
+    ServiceLevel,
+    ServiceLevelController,
 )
-from tulipnotch.load_balancing.admission.service_levels import READ_EVERY_US, Ladder, Level
 from tulipnotch.load_balancing.events import (
     AttemptEnded,
+    ClientDisconnected,
+    EndpointsUpdated,
+    EndpointUpdateKind,
     Event,
-    ListKind,
-    MessageReceived,
-    ProbeEnded,
+    HealthCheckEnded,
+    PeerMessageReceived,
     RequestArrived,
-    RequestGone,
-    RequestWhole,
-    ServersListed,
+    RequestBodyCompleted,
     SettingsChanged,
     TimerFired,
 )
 from tulipnotch.load_balancing.outcomes import Outcome
 from tulipnotch.load_balancing.retries import idempotency_rule as repeat_rule
-from tulipnotch.load_balancing.settings import Discovery, ReportSource
+from tulipnotch.load_balancing.settings import DiscoveryMode, ReportSource
 from tulipnotch.sidecar.clock import Clock
 from tulipnotch.sidecar.configuration.configuration import Config
-from tulipnotch.sidecar.control.endpoint import Call as ControlCall
-from tulipnotch.sidecar.control.endpoint import CallRefused, ControlLimits
+from tulipnotch.sidecar.control.endpoint import CommandHandler, CommandRejectedError, ControlLimits
 from tulipnotch.sidecar.control.lifecycle import Lifecycle, Phase
 from tulipnotch.sidecar.control.telemetry import Result, Telemetry
 from tulipnotch.sidecar.discovery import client as discovery
-from tulipnotch.sidecar.discovery.peers import Peers
-from tulipnotch.sidecar.downstream.incoming_request import BadRequest, Incoming
+from tulipnotch.sidecar.discovery.peers import PeerMessenger
+from tulipnotch.sidecar.downstream.incoming_request import BadRequestError, IncomingRequest
 from tulipnotch.sidecar.downstream.listener import left_waiting, listen, reserve_soon
-from tulipnotch.sidecar.downstream.server import ClientLimits, ClientSide, Frontend
+from tulipnotch.sidecar.downstream.server import ClientLimits, DownstreamConnection, DownstreamServer
 from tulipnotch.sidecar.http1.messages import Headers, Request, Response
 from tulipnotch.sidecar.logs import Log
-from tulipnotch.sidecar.requests.invariants import CloseReason, Guard, Invariant, WrittenAttempt
+from tulipnotch.sidecar.requests.invariants import CloseReason, Invariant, InvariantChecker, WrittenAttempt
 from tulipnotch.sidecar.requests.open_request import AttemptId, OpenRequest
-from tulipnotch.sidecar.requests.possibly_executed import SpentRequests
+from tulipnotch.sidecar.requests.possibly_executed import PossiblyExecutedRequests
 from tulipnotch.sidecar.requests.trace import Trace
-from tulipnotch.sidecar.upstream.connection import ClientConnection, Sink
-from tulipnotch.sidecar.upstream.pool import Call, Upstream, load_report
+from tulipnotch.sidecar.upstream.connection import ResponseConsumer, UpstreamConnection
+from tulipnotch.sidecar.upstream.pool import UpstreamPool, UpstreamRequest, load_report
 
 RESERVED = 32  # descriptors for everything but clients, servers and operators
 _FOR_WORK = 0.25  # of all descriptors, for clients and servers at least, however many operators may connect
@@ -73,7 +76,8 @@
 )  # for each MB of the limit: a quarter, at 4 KiB for one at rest
 _REQUESTS_OF_MEMORY = (1 << 20) // 8  # for each MB of the limit: what unanswered requests may take of it
 _ONLY_AT_START = ("name", "listen", "control", "peer_listen", "seed", "memory_mb")
-_SETTINGS_ONLY_AT_START = ("discovery", "me")
+# Settings that only a restart applies, with their keys in the configuration.
+_SETTINGS_ONLY_AT_START = {"discovery_mode": "settings.discovery", "instance_index": "settings.me"}
 _PROBE_WITHIN_US = 1_000_000
 _SHARED = 0.5  # of what servers' connections may take, while a second process of this sidecar may run
 _SHARED_FOR_S = 5.0  # from a new version's yes: the longest time in which the old one may still be there
@@ -93,7 +97,7 @@
 class ServiceLevels:
     """The levels of reduced service that staff have set, and the least time between two changes."""
 
-    levels: tuple[Level, ...]
+    levels: tuple[ServiceLevel, ...]
     hold_us: int
 
 
@@ -123,7 +127,7 @@
         self._is_handling = False
         self._open: dict[int, OpenRequest] = {}
         self._owed: set[bytes] = set()  # ids of the requests without their final answer
-        self._spent = SpentRequests()
+        self._spent = PossiblyExecutedRequests()
         self._next_request = 1
         self._has_fresh_list = asyncio.Event()
         self._has_waited = False  # for a list, in vain
@@ -134,8 +138,8 @@
         if trace is not None:
             self.lifecycle.on_change(lambda: trace.phase_changed(self.lifecycle.phase.value))
         self.telemetry = Telemetry(each.name for each in config.settings.classes)
-        self._guard = Guard(self._invariant_broken)
-        self.frontend = Frontend(
+        self._guard = InvariantChecker(self._invariant_broken)
+        self.frontend = DownstreamServer(
             config.settings,
             limits or client_limits(config),
             self.lifecycle,
@@ -144,26 +148,28 @@
             self._client_closed,
             self._guard,
         )
-        self._upstream = Upstream(self._clock, config.settings, self._guard)
+        self._upstream = UpstreamPool(self._clock, config.settings, self._guard)
         self._divide_descriptors(config.sockets)
-        self._discovery = discovery.Discovery(
+        self._discovery = discovery.DiscoveryClient(
             config.discovery,
             config.known.version,
-            config.settings.discovery is Discovery.PUSHED,
+            config.settings.discovery_mode is DiscoveryMode.PUSHED,
             self._listed,
-            lambda: self._post(ServersListed(ListKind.FAILED)),
+            lambda: self._post(EndpointsUpdated(EndpointUpdateKind.FAILED)),
             lambda fault: self._log("no_list", fault=fault),
             config.settings.rules.drain_grace_us,
-            config.settings.me,
+            config.settings.instance_index,
             has_list=bool(config.known.entries),
-            ask_within_us=config.settings.rules.ask_within_us,
+            max_poll_interval_us=config.settings.rules.max_poll_interval_us,
+        )
+        self._ladder = (
+            ServiceLevelController(levels.levels, levels.hold_us, self._clock.now()) if levels else None
         )
-        self._ladder = Ladder(levels.levels, levels.hold_us, self._clock.now()) if levels else None
-        self._peers = Peers(
+        self._peers = PeerMessenger(
             config.peers,
             config.peers_all,
-            config.settings.me,
-            lambda number, payload: self._post(MessageReceived(number, payload)),
+            config.settings.instance_index,
+            lambda number, payload: self._post(PeerMessageReceived(number, payload)),
         )
 
     async def start(self, inherited: socket.socket | None = None) -> None:
@@ -175,13 +181,13 @@
         """
         self._is_inherited = self._shares_room = inherited is not None
         reserved = await reserve_soon(self.config.listen) if inherited is None else None
-        if self._settings.limits.may_message and self.config.peer_listen is not None:
+        if self._settings.limits.may_send_peer_messages and self.config.peer_listen is not None:
             await self._peers.listen(self.config.peer_listen)
-        self._upstream.listed(self.config.known)
-        self._post(self.config.known.event(ListKind.REMEMBERED))
+        self._upstream.endpoints_updated(self.config.known)
+        self._post(self.config.known.event(EndpointUpdateKind.CACHED))
         self._discovery.start()
         if inherited is None:
-            if self._settings.discovery is Discovery.PUSHED:
+            if self._settings.discovery_mode is DiscoveryMode.PUSHED:
                 # Nothing listens meanwhile: what the kernel accepts is lost if this start is called off.
                 await self._until(self._discovery.has_tried, _FRESH_WITHIN_S)
             assert reserved is not None
@@ -204,7 +210,7 @@
     @property
     def _must_look(self) -> bool:
         """Whether the list that was known before the start is not enough to serve by."""
-        return self._is_inherited or self._settings.discovery is Discovery.PUSHED
+        return self._is_inherited or self._settings.discovery_mode is DiscoveryMode.PUSHED
 
     def _client_closed(self, reason: CloseReason) -> None:
         self.telemetry.client_closed(reason)
@@ -214,7 +220,7 @@
     def _invariant_broken(self, invariant: Invariant, about: str) -> None:
         self._log("invariant_broken", invariant=invariant.value, about=about)
 
-    def _read_pressure(self, ladder: Ladder) -> None:
+    def _read_pressure(self, ladder: ServiceLevelController) -> None:
         """Bring the ladder a reading, again and again, and its change of level to the decisions."""
         change = ladder.read(self._clock.now(), self._balancer.pressure())
         if change is not None:
@@ -266,7 +272,7 @@
         """Requests that are not over: unanswered, or with an attempt still out."""
         return len(self._open)
 
-    def calls(self) -> Mapping[str, ControlCall]:
+    def calls(self) -> Mapping[str, CommandHandler]:
         """What operators may ask for."""
         return {
             "readyz": self._readyz,
@@ -278,12 +284,12 @@
 
     def _readyz(self) -> Sequence[str]:
         if not self.lifecycle.is_ready:
-            raise CallRefused(self.lifecycle.phase.value)
+            raise CommandRejectedError(self.lifecycle.phase.value)
         return ["ready"]
 
     def _level(self) -> Sequence[str]:
         if self._ladder is None:
-            raise CallRefused("no levels are set")
+            raise CommandRejectedError("no levels are set")
         return [self._ladder.told(self._clock.now())]
 
     def _figures(self) -> Sequence[str]:
@@ -311,7 +317,7 @@
 
     def _activate(self) -> Sequence[str]:
         if not self.lifecycle.activate():
-            raise CallRefused(self.lifecycle.phase.value)
+            raise CommandRejectedError(self.lifecycle.phase.value)
         return [self.lifecycle.phase.value]
 
     def reload(self, config: Config) -> None:
@@ -329,7 +335,7 @@
         self._peers.rename(config.peers, config.peers_all)
         self._divide_descriptors(config.sockets)
         self._obey(settings)
-        kept += [f"settings.{key}" for key in fixed]
+        kept += [_SETTINGS_ONLY_AT_START[key] for key in fixed]
         waits = f"; only a restart takes up {', '.join(kept)}" if kept else ""
         address = f"{config.discovery[0]}:{config.discovery[1]}"
         self._log("reloaded", discovery=address, waits=waits)
@@ -340,9 +346,9 @@
             return
         self._settings = settings
         self.telemetry.show(each.name for each in settings.classes)
-        self._upstream.obey(settings)
-        self._discovery.obey(settings.rules.drain_grace_us, settings.rules.ask_within_us)
-        self.frontend.obey(settings)
+        self._upstream.apply_settings(settings)
+        self._discovery.apply_settings(settings.rules.drain_grace_us, settings.rules.max_poll_interval_us)
+        self.frontend.apply_settings(settings)
         self._post(SettingsChanged(settings))
 
     def _divide_descriptors(self, sockets: int) -> None:
@@ -417,7 +423,7 @@
             while self._events:
                 event = self._events.popleft()
                 if isinstance(event, AttemptEnded):
-                    event.answered = self._is_answered(event.request)
+                    event.is_responded = self._is_answered(event.request)
                 self._handle(event)
                 if isinstance(event, AttemptEnded):
                     self._forget_if_over(event.request)
@@ -440,19 +446,19 @@
     def _defect(self, where: Event | Action, fault: Exception) -> None:
         """Live on after a defect, and owe nobody an answer because of it."""
         self._log("internal_error", where=type(where).__name__, fault=repr(fault))
-        if isinstance(where, (RequestArrived, AttemptEnded, Send, Refuse, Fail)):
+        if isinstance(where, (RequestArrived, AttemptEnded, StartAttempt, RejectRequest, FailRequest)):
             self._answer(where.request, 500, [])
 
-    def _listed(self, listing: discovery.Listing) -> None:
+    def _listed(self, listing: discovery.DiscoveryResponse) -> None:
         self._has_fresh_list.set()
-        self._upstream.listed(listing)
+        self._upstream.endpoints_updated(listing)
         self._post(listing.event())
 
-    def _arrived(self, client: ClientSide, incoming: Incoming) -> int | None:
-        most = self._settings.limits.max_open
+    def _arrived(self, client: DownstreamConnection, incoming: IncomingRequest) -> int | None:
+        most = self._settings.limits.max_open_requests
         if incoming.ident in self._owed:
             # Guards against a client that takes another's id: servers tell requests apart by it.
-            raise BadRequest("request-id is that of an open request", 409)
+            raise BadRequestError("request-id is that of an open request", 409)
         if most is not None and len(self._owed) >= most:
             self.telemetry.ended(incoming.service_class, Result.REJECTED)
             self.telemetry.refused(None)
@@ -461,7 +467,7 @@
         now = self._clock.now()
         if self._spent.has(incoming.ident, now):
             # Guards rule 2: its client left, and may take it for one that was never read.
-            raise BadRequest("request-id is that of a request that may have run", 409)
+            raise BadRequestError("request-id is that of a request that may have run", 409)
         if self._stop_by is not None:
             incoming.remaining_us = max(min(incoming.remaining_us, self._stop_by - now), 1)
         number = self._next_request
@@ -482,8 +488,8 @@
                 remaining_us=incoming.remaining_us,
                 cost_us=incoming.cost_us,
                 client_retry=incoming.client_retry,
-                write=incoming.method == b"POST",
-                coming=coming,
+                is_write=incoming.method == b"POST",
+                body_incomplete=coming,
             )
         )
         return number if not self._is_answered(number) else None
@@ -499,7 +505,7 @@
             remaining_us = max(min(remaining_us, self._stop_by - held.whole_at), 1)
         for call in held.calls:
             self._upstream.limit(call, held.whole_at + remaining_us)
-        self._post(RequestWhole(request, remaining_us))
+        self._post(RequestBodyCompleted(request, remaining_us))
 
     def _gone(self, request: int) -> None:
         held = self._open.get(request)
@@ -513,7 +519,7 @@
             if self._trace is not None:
                 self._trace.request_ended(held.name, 0)
         self._settle(request)
-        self._post(RequestGone(request))
+        self._post(ClientDisconnected(request))
         self._forget_if_over(request)
 
     def _remember_spent(self, held: OpenRequest) -> None:
@@ -534,7 +540,7 @@
             self._forget_if_over(attempt.request)
             return
         held.last_outcome = outcome
-        if held.has_left and outcome is Outcome.UNSENT:
+        if held.has_left and outcome is Outcome.NOT_SENT:
             self.telemetry.attempt_withheld()
         if outcome is Outcome.DELIVERED and response is not None:
             self._answer(attempt.request, 200, _passed_back(response), response.body, response.length)
@@ -548,18 +554,20 @@
         again = held.incoming.body.is_repeatable
         number, server = attempt.number, attempt.server
         # Whether it is answered is looked up when the event's turn comes.
-        is_certain = held.calls[number].is_answer_certain
+        is_certain = held.calls[number].is_response_certain
         written = held.written.get(number)
         if written is not None:
             written.is_out = False
-            written.may_have_run = not self._settings.rules.never_ran(outcome, is_certain)
+            written.may_have_run = not self._settings.rules.proves_not_executed(outcome, is_certain)
         self._post(
             AttemptEnded(attempt.request, number, server, outcome, elapsed, False, report, again, is_certain)
         )
 
     # Answers that pass through
 
-    def _stream_began(self, attempt: AttemptId, head: Response, source: ClientConnection) -> Sink | None:
+    def _stream_began(
+        self, attempt: AttemptId, head: Response, source: UpstreamConnection
+    ) -> ResponseConsumer | None:
         """The first bytes of an answer are there that is too large to be kept: it passes on from now.
 
         For the decisions it is delivered here: how fast the client reads says nothing of the server.
@@ -596,41 +604,41 @@
 
     def _carry_out(self, action: Action) -> None:
         match action:
-            case Send():
+            case StartAttempt():
                 self._send(action)
             case SetTimer():
-                self._set_timer(self._clock.now() + action.in_us, action.token)
-            case Refuse():
+                self._set_timer(self._clock.now() + action.delay_us, action.token)
+            case RejectRequest():
                 self._refuse(action)
-            case Fail():
+            case FailRequest():
                 self._fail(action)
-            case Cancel():
+            case CancelAttempt():
                 held = self._open.get(action.request)
                 if held is not None and action.attempt < len(held.calls):
                     self._upstream.cancel(held.calls[action.attempt])
-            case CloseIdle():
-                self._upstream.close_idle(action.server)
-            case Follow():
-                self._discovery.follow(action.wanted)
-            case FetchList():
+            case CloseIdleConnections():
+                self._upstream.close_idle(action.endpoint)
+            case Subscribe():
+                self._discovery.follow(action.is_subscribed)
+            case FetchEndpoints():
                 self._discovery.fetch()
-            case Probe():
-                self._probe(action.server)
-            case Tell():
+            case StartHealthCheck():
+                self._probe(action.endpoint)
+            case SendPeerMessage():
                 if not self._peers.tell(action.receiver, action.payload):
                     self._log("message_unsent")
-            case Note():
+            case LogEvent():
                 self._log(action.event, **action.fields)
 
-    def _send(self, action: Send) -> None:
+    def _send(self, action: StartAttempt) -> None:
         held = self._open[action.request]
         body = held.incoming.body
-        attempt = AttemptId(action.request, len(held.calls), action.server, self._clock.now())
+        attempt = AttemptId(action.request, len(held.calls), action.endpoint, self._clock.now())
 
         def done(outcome: Outcome, response: Response | None) -> None:
             self._attempt_ended(attempt, outcome, response)
 
-        def began(head: Response, source: ClientConnection) -> Sink | None:
+        def began(head: Response, source: UpstreamConnection) -> ResponseConsumer | None:
             return self._stream_began(attempt, head, source)
 
         def wanted() -> bool:
@@ -640,7 +648,7 @@
 
         # A body that passes through goes to one server at a time, and to none once a part of it has gone.
         can_be_sent = body.is_repeatable and (held.out == 0 or not body.passes_through)
-        until = action.until if can_be_sent else 0
+        until = action.deadline if can_be_sent else 0
 
         self._note_attempt(held, attempt)
 
@@ -652,10 +660,12 @@
                 if other is not call:
                     self._upstream.bound_changed(other)
 
-        def latest_begin() -> int:
-            return self._balancer.latest_begin(attempt.request, attempt.number)
+        def latest_start() -> int:
+            return self._balancer.latest_start(attempt.request, attempt.number)
 
-        call = Call(action.server, until, held.incoming.message, done, written, began, wanted, latest_begin)
+        call = UpstreamRequest(
+            action.endpoint, until, held.incoming.message, done, written, began, wanted, latest_start
+        )
         held.calls.append(call)
         held.out += 1
         self._upstream.start(call)
@@ -669,7 +679,7 @@
             cause = "" if not held.calls else "overdue" if after is None else after.value
             self._trace.attempt_begun(held.name, attempt.number, attempt.server, cause)
 
-    def _check_written(self, held: OpenRequest, attempt: AttemptId, call: Call) -> None:
+    def _check_written(self, held: OpenRequest, attempt: AttemptId, call: UpstreamRequest) -> None:
         """The last byte of an attempt leaves in this instant: look whether the rules let it."""
         zone, cell = self._upstream.place(attempt.server)
         new = WrittenAttempt(zone, cell, call.allowed_at)
@@ -678,7 +688,7 @@
             ident, is_waited_for=held.client is not None, now=new.written_at, until=call.until
         )
         if held.written:
-            second_copies = self._settings.limits.second_copies
+            second_copies = self._settings.limits.hedged_requests
             before = held.written.values()
             self._guard.repeating(ident, held.incoming.kind, new, before, second_copies=second_copies)
         held.written[attempt.number] = new
@@ -687,22 +697,24 @@
 
     def _probe(self, server: str) -> None:
         sent_at = self._clock.now()
-        in_body = self._settings.report_source is not ReportSource.SILENT
+        in_body = self._settings.report_source is not ReportSource.NONE
 
         def done(outcome: Outcome, response: Response | None) -> None:
             report = load_report(response, self._settings.report_columns, in_body=in_body)
-            self._post(ProbeEnded(server, outcome, self._clock.now() - sent_at, report))
+            self._post(HealthCheckEnded(server, outcome, self._clock.now() - sent_at, report))
 
         message = Request(b"GET", b"/_load" if in_body else b"/ping", [(b"host", server.encode())])
-        self._upstream.start(Call(server, sent_at + _PROBE_WITHIN_US, lambda left_us: message, done))
+        self._upstream.start(
+            UpstreamRequest(server, sent_at + _PROBE_WITHIN_US, lambda left_us: message, done)
+        )
 
-    def _fail(self, action: Fail) -> None:
+    def _fail(self, action: FailRequest) -> None:
         held = self._open.get(action.request)
         self.telemetry.given_up(action.reason)
-        is_late = held is not None and held.last_outcome in (None, Outcome.EXPIRED)
+        is_late = held is not None and held.last_outcome in (None, Outcome.TIMED_OUT)
         self._answer(action.request, 504 if is_late else 502, [])
 
-    def _refuse(self, action: Refuse) -> None:
+    def _refuse(self, action: RejectRequest) -> None:
         held = self._open.get(action.request)
         self.telemetry.refused(action.reason)
         if held is not None:
@@ -741,7 +753,7 @@
             client.answer(status, headers, body, length)
         self._forget_if_over(request)
 
-    def _settle(self, request: int) -> ClientSide | None:
+    def _settle(self, request: int) -> DownstreamConnection | None:
         """Nothing is owed from here on; give the client if something was.
 
         What has not left whole stays here: a dial that comes up later would send a request that nobody waits
--- a/tulipnotch/sidecar/upstream/connection.py
+++ b/tulipnotch/sidecar/upstream/connection.py
@@ -55,39 +55,41 @@
 
 
 @unique
-class Failure(Enum):
+class ExchangeFailure(Enum):
     """Why an exchange has no answer."""
 
     UNWRITTEN = "unwritten"  # the connection broke before the request's last byte was written
-    BROKEN = "broken"  # it broke or ended after that
-    SPOILT = "spoilt"  # what came is not HTTP, can be read in two ways, is too large or has no end
+    CONNECTION_LOST = "broken"  # it broke or ended after that
+    MALFORMED_RESPONSE = (
+        "spoilt"  # what came is not HTTP, can be read in two ways, is too large or has no end
+    )
 
 
 # What every connection reads into; each read is used up before the next.  Guards against answers that keep
 # coming: an event loop's own buffer is 256 KiB for each read, and several may come before one can close.
 _BUFFER = memoryview(bytearray(32 << 10))
 
-Ended = Callable[[Response | Failure], None]
+Ended = Callable[[Response | ExchangeFailure], None]
 
 
-class Sink(Protocol):
+class ResponseConsumer(Protocol):
     """Who an answer is passed on to, piece by piece."""
 
     def pass_on(self, piece: bytes) -> None: ...
 
 
 # Given the head of an answer too large to be kept, and its connection: who takes it, or None for nobody.
-Began = Callable[[Response, "ClientConnection"], Sink | None]
+Began = Callable[[Response, "UpstreamConnection"], ResponseConsumer | None]
 
 
-class ClientConnection(asyncio.BufferedProtocol):
+class UpstreamConnection(asyncio.BufferedProtocol):
     """One connection.  `on_free` is called when it can be used again, `on_closed` once when it never can."""
 
     def __init__(
         self,
         reader: ResponseReader,
-        on_free: Callable[[ClientConnection], None],
-        on_closed: Callable[[ClientConnection], None],
+        on_free: Callable[[UpstreamConnection], None],
+        on_closed: Callable[[UpstreamConnection], None],
         answer_timeout_s: float,  # without a byte of an answer that has begun and is not passed on yet
     ) -> None:
         self._reader = reader
@@ -103,7 +105,7 @@
         self._written: Callable[[], None] | None = None  # until the request's last byte is written
         self._began: Began | None = None
         self._may_write: Callable[[], bool] | None = None  # asked before more of a request is written
-        self._sink: Sink | None = None
+        self._sink: ResponseConsumer | None = None
         self._request: Request | None = None  # while a part of it is still to be written
         self._unsent = b""  # what was cut off the request's end, since the kernel had no room for all of it
         self._has_end = False  # whether that is all that is left of it
@@ -294,7 +296,7 @@
         return not self._is_written
 
     @property
-    def is_answer_certain(self) -> bool:
+    def is_response_certain(self) -> bool:
         """Whether an answer can belong to the request under way only: no other was written here before."""
         return self._requests <= 1
 
@@ -309,13 +311,13 @@
         """Carry on as far as what has come of the answer allows."""
         reader = self._reader
         if reader.is_spoilt:
-            self._fail(Failure.SPOILT)
+            self._fail(ExchangeFailure.MALFORMED_RESPONSE)
             return
         if self._sink is None and self._began is not None and reader.is_due_on and not self.is_unwritten:
             assert reader.head is not None
             self._sink = self._began(reader.head, self)
             if self._sink is None:
-                self._fail(Failure.SPOILT)  # nobody waits for it any more
+                self._fail(ExchangeFailure.MALFORMED_RESPONSE)  # nobody waits for it any more
                 return
         if self._sink is not None:
             piece = reader.take()
@@ -337,7 +339,7 @@
         allowed = self._answer_timeout_s if self._sink is None else _PASSING_TIMEOUT_S
         left = self._progress_at + allowed - loop.time()
         if left <= 0.0:
-            self._fail(Failure.SPOILT)
+            self._fail(ExchangeFailure.MALFORMED_RESPONSE)
         else:
             self._stall_timer = loop.call_later(left, self._watch_for_stall)
 
@@ -352,14 +354,14 @@
         if self.is_unwritten and response.status == 200:
             # An answer to what was not asked yet belongs to something else.
             self._ended = ended
-            self._fail(Failure.SPOILT)
+            self._fail(ExchangeFailure.MALFORMED_RESPONSE)
             return
         # Guards against an answer that belongs to another request: nothing in it names its own, so a
         # connection that brought more than was due, or before all was asked, is never used again.
         is_clean = not self.is_unwritten and not self._has_backlog and not self._reader.has_more
         # Nor may its request go elsewhere while it may be at this server still: an answer that ends nothing
         # for the client, on a connection that had others, may be a copy of an earlier one.
-        is_over = response.status == 200 or self.is_answer_certain
+        is_over = response.status == 200 or self.is_response_certain
         if self._reader.keep_alive and is_clean and is_over:
             self._began = self._may_write = self._sink = None
             if self._is_paused:
@@ -371,9 +373,9 @@
             ended(response)
 
     def _break(self) -> None:
-        self._fail(Failure.UNWRITTEN if self.is_unwritten else Failure.BROKEN)
+        self._fail(ExchangeFailure.UNWRITTEN if self.is_unwritten else ExchangeFailure.CONNECTION_LOST)
 
-    def _fail(self, failure: Failure) -> None:
+    def _fail(self, failure: ExchangeFailure) -> None:
         ended = self._ended
         self.close()
         if ended is not None:
--- a/tulipnotch/sidecar/upstream/pool.py
+++ b/tulipnotch/sidecar/upstream/pool.py
@@ -8,19 +8,25 @@
 from dataclasses import dataclass
 
 from tulipnotch.load_balancing.clock_time import NEVER
-from tulipnotch.load_balancing.events import ServerState
+from tulipnotch.load_balancing.events import EndpointState
 from tulipnotch.load_balancing.outcomes import Outcome
 from tulipnotch.load_balancing.settings import Settings
 from tulipnotch.sidecar.clock import Clock
-from tulipnotch.sidecar.discovery.client import Listing
+from tulipnotch.sidecar.discovery.client import DiscoveryResponse
 from tulipnotch.sidecar.http1.messages import KEPT, MOST_BODY, Request, Response, ResponseReader
-from tulipnotch.sidecar.requests.invariants import Guard, Invariant
-from tulipnotch.sidecar.upstream.connection import Address, Began, ClientConnection, Failure, Sink
+from tulipnotch.sidecar.requests.invariants import Invariant, InvariantChecker
+from tulipnotch.sidecar.upstream.connection import (
+    Address,
+    Began,
+    ExchangeFailure,
+    ResponseConsumer,
+    UpstreamConnection,
+)
 
 _IDLE_MARGIN = 0.1  # of the idle limit: a connection this near to it may be closed at the far end by now
 # How long a connection rests after an answer.  A server may answer twice, the second time some milliseconds
 # late (1 to 3 were seen).  The rest keeps most of these from being taken for the next request's answer; it is
-# no proof that one is not, so nothing is concluded from it (`ClientConnection.is_answer_certain`).
+# no proof that one is not, so nothing is concluded from it (`UpstreamConnection.is_response_certain`).
 _REST_US = 10_000
 # An answer that has begun may stand still for this part of the shortest aim, while its request can still go
 # elsewhere; what one core and a busy network do to any answer is less than the least.  That least is never
@@ -43,7 +49,7 @@
     return NEVER
 
 
-class Call:
+class UpstreamRequest:
     """One request to one server.  `done` is called exactly once, never from within `start` or `cancel`."""
 
     __slots__ = (
@@ -52,8 +58,8 @@
         "connection",
         "done",
         "ended",
-        "is_answer_certain",
-        "latest_begin",
+        "is_response_certain",
+        "latest_start",
         "message",
         "server",
         "timer",
@@ -72,11 +78,11 @@
         written: Callable[[], None] | None = None,
         began: Began | None = None,
         wanted: Callable[[], bool] | None = None,
-        latest_begin: Callable[[], int] = _never,
+        latest_start: Callable[[], int] = _never,
     ) -> None:
         self.server = server
         self.until = until
-        self.latest_begin = latest_begin  # from when on its last byte may not leave any more, as of now
+        self.latest_start = latest_start  # from when on its last byte may not leave any more, as of now
         self.message = message  # given the time left, in microseconds
         self.done = done
         self.written = written  # called in the instant in which its last byte leaves: a server may begin it
@@ -85,8 +91,8 @@
         self.ended = False
         self.allowed_at = 0  # clock time at which it was last allowed to write
         self.told_at: int | None = None  # clock time from which on the time that its head tells passes
-        self.is_answer_certain = True  # whether an answer can belong to no other request
-        self.connection: ClientConnection | None = None  # once it is written
+        self.is_response_certain = True  # whether an answer can belong to no other request
+        self.connection: UpstreamConnection | None = None  # once it is written
         self.timer: asyncio.TimerHandle | None = None
 
     @property
@@ -97,7 +103,7 @@
 
 @dataclass(slots=True)
 class _Idle:
-    connection: ClientConnection
+    connection: UpstreamConnection
     since: int
 
 
@@ -115,40 +121,40 @@
         self.idle: list[_Idle] = []  # the most recently used last
 
 
-class Upstream:
+class UpstreamPool:
     """All connections to servers, never more than `most`."""
 
-    def __init__(self, clock: Clock, settings: Settings, guard: Guard | None = None) -> None:
+    def __init__(self, clock: Clock, settings: Settings, guard: InvariantChecker | None = None) -> None:
         self._clock = clock
-        self._guard = guard or Guard()
-        self.obey(settings)
+        self._guard = guard or InvariantChecker()
+        self.apply_settings(settings)
         self.most = 0  # connections; set by whoever knows how many descriptors there are
         self._servers: dict[str, _Server] = {}
-        self._owners: dict[ClientConnection, _Server] = {}  # of every open connection
+        self._owners: dict[UpstreamConnection, _Server] = {}  # of every open connection
         self._dialling = 0
         self._tasks: set[asyncio.Task[None]] = set()
-        self._resting: dict[ClientConnection, asyncio.TimerHandle] = {}  # those that a call waits for
+        self._resting: dict[UpstreamConnection, asyncio.TimerHandle] = {}  # those that a call waits for
         self._sweep: asyncio.TimerHandle | None = None
 
-    def obey(self, settings: Settings) -> None:
+    def apply_settings(self, settings: Settings) -> None:
         """Go by these settings from now on."""
         limits = settings.limits
-        shortest_s = min(each.aim_us for each in settings.classes) / 1e6
+        shortest_s = min(each.latency_objective_us for each in settings.classes) / 1e6
         deadline_s = min(each.deadline_us for each in settings.classes) / 1e6
         least_s = min(_STALL_LEAST_S, _STALL_DEADLINES * deadline_s)
         self._answer_within_s = max(_STALL_AIMS * shortest_s, least_s)
-        self._dial_within_s = limits.dial_timeout_us / 1e6
-        self._use_within_us = int(limits.idle_close_us * (1.0 - _IDLE_MARGIN))
+        self._dial_within_s = limits.connect_timeout_us / 1e6
+        self._use_within_us = int(limits.idle_timeout_us * (1.0 - _IDLE_MARGIN))
 
     # The list
 
-    def listed(self, listing: Listing) -> None:
+    def endpoints_updated(self, listing: DiscoveryResponse) -> None:
         """Take over a list or its changes, before any action that follows from it."""
         if listing.full:
-            for name in self._servers.keys() - {each.listed.server for each in listing.entries}:
+            for name in self._servers.keys() - {each.listed.name for each in listing.entries}:
                 self._drop(name)
         for entry in listing.entries:
-            name, address = entry.listed.server, entry.address
+            name, address = entry.listed.name, entry.address
             if address is None:
                 self._drop(name)
                 continue
@@ -158,7 +164,7 @@
                 self._drop(name)
                 server = self._servers[name] = _Server(address, entry.listed.started_at)
             server.zone, server.cell = entry.listed.zone, entry.listed.cell
-            server.is_leaving = entry.listed.state is not ServerState.READY
+            server.is_leaving = entry.listed.state is not EndpointState.READY
             if server.is_leaving:
                 self._close_idle(server)
 
@@ -170,18 +176,18 @@
 
     # Calls
 
-    def start(self, call: Call) -> None:
+    def start(self, call: UpstreamRequest) -> None:
         loop = asyncio.get_running_loop()
         server = self._servers.get(call.server)
         if server is None or server.is_leaving or self._clock.now() >= call.until:
-            loop.call_soon(self._end, call, Outcome.UNSENT)
+            loop.call_soon(self._end, call, Outcome.NOT_SENT)
             return
         if not self._may_write(call):
             return
         self._arm(call)
         self._connect(call, server)
 
-    def _connect(self, call: Call, server: _Server) -> None:
+    def _connect(self, call: UpstreamRequest, server: _Server) -> None:
         """Bring the call to a connection: one at rest, one that has nearly rested, or a new one."""
         loop = asyncio.get_running_loop()
         connection = self._take(server)
@@ -200,19 +206,19 @@
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
         else:
-            loop.call_soon(self._end, call, Outcome.UNSENT)
+            loop.call_soon(self._end, call, Outcome.NOT_SENT)
 
-    def _rested(self, call: Call, server: _Server, connection: ClientConnection) -> None:
+    def _rested(self, call: UpstreamRequest, server: _Server, connection: UpstreamConnection) -> None:
         del self._resting[connection]
         if not self._put_to_use(call, server, connection):
             self._connect(call, server)  # not a byte was written to it
 
-    def _put_to_use(self, call: Call, server: _Server, connection: ClientConnection) -> bool:
+    def _put_to_use(self, call: UpstreamRequest, server: _Server, connection: UpstreamConnection) -> bool:
         """Write the call to a connection that was waited for; say whether the connection was good."""
         if server.is_leaving:
             # Guards rule 3: word of its drain came meanwhile.
             connection.close()
-            self._end(call, Outcome.UNSENT)
+            self._end(call, Outcome.NOT_SENT)
         elif not self._may_write(call):
             self._freed(connection)  # not a byte was written to it
         elif connection.is_usable():
@@ -222,7 +228,7 @@
             return False
         return True
 
-    def limit(self, call: Call, until: int) -> None:
+    def limit(self, call: UpstreamRequest, until: int) -> None:
         """Abandon the call at this time: it had no limit before."""
         if not call.ended and call.until >= NEVER:
             call.until = until
@@ -230,12 +236,12 @@
                 call.told_at = self._clock.now()  # its head told all that a whole request has
             self._arm(call)
 
-    def cancel(self, call: Call) -> None:
+    def cancel(self, call: UpstreamRequest) -> None:
         """Stop waiting; the outcome follows."""
         if not call.ended:
-            self._stop(call, Outcome.UNSENT if call.is_unwritten else Outcome.CANCELLED)
+            self._stop(call, Outcome.NOT_SENT if call.is_unwritten else Outcome.CANCELLED)
 
-    def _stop(self, call: Call, outcome: Outcome) -> None:
+    def _stop(self, call: UpstreamRequest, outcome: Outcome) -> None:
         """End a call from this side: nothing is written for it any more, also when a dial comes up."""
         call.ended = True
         if call.timer is not None:
@@ -244,7 +250,7 @@
             call.connection.close()
         asyncio.get_running_loop().call_soon(call.done, outcome, None)
 
-    def withdraw(self, call: Call) -> None:
+    def withdraw(self, call: UpstreamRequest) -> None:
         """Stop what has not left whole.  No server has begun it, so no permission to cancel is needed."""
         if call.is_unwritten:
             self.cancel(call)
@@ -268,35 +274,35 @@
         for connection in list(self._owners):
             connection.close()
 
-    def bound_changed(self, call: Call) -> None:
+    def bound_changed(self, call: UpstreamRequest) -> None:
         """Go by the call's latest beginning as it is now, since another attempt has begun."""
         if not call.ended and call.is_unwritten:
             self._arm(call)
 
-    def _arm(self, call: Call) -> None:
+    def _arm(self, call: UpstreamRequest) -> None:
         """Set the call's timer for the time at which it ends as it stands, if there is one."""
         if call.timer is not None:
             call.timer.cancel()
-        due = min(call.until, call.latest_begin()) if call.is_unwritten else call.until
+        due = min(call.until, call.latest_start()) if call.is_unwritten else call.until
         if due < NEVER:
             left_s = max(due - self._clock.now(), _TIMER_LEAST_US) / 1e6
             call.timer = asyncio.get_running_loop().call_later(left_s, self._expire, call)
 
-    def _expire(self, call: Call) -> None:
+    def _expire(self, call: UpstreamRequest) -> None:
         """End the call if its time is up, or the time until which it may begin and has not."""
         now = self._clock.now()
-        outcome = Outcome.EXPIRED
+        outcome = Outcome.TIMED_OUT
         if call.is_unwritten:
             # That a class may begin no more says nothing of the server.
-            outcome = Outcome.UNSENT if now >= call.latest_begin() else Outcome.DIAL_FAILED
-        if outcome is not Outcome.UNSENT and now < call.until:
+            outcome = Outcome.NOT_SENT if now >= call.latest_start() else Outcome.CONNECT_FAILED
+        if outcome is not Outcome.NOT_SENT and now < call.until:
             self._arm(call)  # it has begun in time, or its bound is a later one by now
             return
         if call.connection is not None:
             call.connection.close()
         self._end(call, outcome)
 
-    def _end(self, call: Call, outcome: Outcome, response: Response | None = None) -> None:
+    def _end(self, call: UpstreamRequest, outcome: Outcome, response: Response | None = None) -> None:
         if call.ended:
             return
         call.ended = True
@@ -304,7 +310,7 @@
             call.timer.cancel()
         call.done(outcome, response)
 
-    def _may_write(self, call: Call) -> bool:
+    def _may_write(self, call: UpstreamRequest) -> bool:
         """Whether its class lets it begin, and somebody waits for it, as of now; if not, it is ended.
 
         The gate of every attempt, first or further: passed in the instant in which a dial is begun, a first
@@ -315,22 +321,22 @@
         if not call.ended:
             # Read before the write: a process that is held up within it counts from here.
             call.allowed_at = self._clock.now()
-            if call.allowed_at >= call.latest_begin():
-                self._stop(call, Outcome.UNSENT)  # guards rule 2
+            if call.allowed_at >= call.latest_start():
+                self._stop(call, Outcome.NOT_SENT)  # guards rule 2
             elif call.allowed_at >= call.until:
-                self._stop(call, Outcome.DIAL_FAILED)  # its timer is late
+                self._stop(call, Outcome.CONNECT_FAILED)  # its timer is late
             elif call.told_at is not None and call.allowed_at > call.told_at + _TOLD_LATE_US:
                 # Guards against a server that takes a request slowly, and believes that it has longer than
                 # the client waits: it never ran there, and another is told what is left now.
-                self._stop(call, Outcome.DIAL_FAILED)
+                self._stop(call, Outcome.CONNECT_FAILED)
         return not call.ended
 
-    def _write(self, call: Call, connection: ClientConnection) -> None:
-        def ended(how: Response | Failure) -> None:
-            call.is_answer_certain = connection.is_answer_certain or call.is_unwritten
+    def _write(self, call: UpstreamRequest, connection: UpstreamConnection) -> None:
+        def ended(how: Response | ExchangeFailure) -> None:
+            call.is_response_certain = connection.is_response_certain or call.is_unwritten
             self._end(call, _outcome(how), how if isinstance(how, Response) else None)
 
-        def began(head: Response, connection: ClientConnection) -> Sink | None:
+        def began(head: Response, connection: UpstreamConnection) -> ResponseConsumer | None:
             if call.timer is not None:
                 call.timer.cancel()  # its time is kept: from here on, progress counts
             return None if call.began is None else call.began(head, connection)
@@ -348,7 +354,7 @@
             lambda: self._may_write(call),
         )
 
-    def _is_ready(self, name: str, connection: ClientConnection) -> bool:
+    def _is_ready(self, name: str, connection: UpstreamConnection) -> bool:
         """Whether the list has this server ready, and the connection leads to the process that is there."""
         server = self._servers.get(name)
         return server is not None and not server.is_leaving and self._owners.get(connection) is server
@@ -360,20 +366,20 @@
 
     # Connections
 
-    async def _dial(self, call: Call, server: _Server) -> None:
-        outcome = Outcome.DIAL_FAILED
-        connection: ClientConnection | None = None
+    async def _dial(self, call: UpstreamRequest, server: _Server) -> None:
+        outcome = Outcome.CONNECT_FAILED
+        connection: UpstreamConnection | None = None
         try:
             async with asyncio.timeout(self._dial_within_s):
                 _, connection = await asyncio.get_running_loop().create_connection(
-                    lambda: ClientConnection(
+                    lambda: UpstreamConnection(
                         ResponseReader(KEPT, MOST_BODY), self._freed, self._closed, self._answer_within_s
                     ),
                     *server.address,
                 )
         except (OSError, TimeoutError) as fault:
             if isinstance(fault, OSError) and fault.errno in _OWN_FAULTS:
-                outcome = Outcome.UNSENT
+                outcome = Outcome.NOT_SENT
         finally:
             self._dialling -= 1
         if connection is None or connection.is_closed:
@@ -382,7 +388,7 @@
             return
         self._owners[connection] = server
         if not self._put_to_use(call, server, connection):
-            self._end(call, Outcome.DIAL_FAILED)
+            self._end(call, Outcome.CONNECT_FAILED)
 
     def _has_room(self) -> bool:
         """Whether one more connection may be opened, at the price of the one that is idle for longest."""
@@ -398,11 +404,11 @@
         oldest.idle.pop(0).connection.close()
         return True
 
-    def _take(self, server: _Server) -> ClientConnection | None:
+    def _take(self, server: _Server) -> UpstreamConnection | None:
         """The most recently used idle connection that is good and has rested, if there is one."""
         now = self._clock.now()
         resting: list[_Idle] = []
-        taken: ClientConnection | None = None
+        taken: UpstreamConnection | None = None
         while server.idle and taken is None:
             idle = server.idle.pop()
             if now - idle.since < _REST_US:
@@ -414,7 +420,7 @@
         server.idle += reversed(resting)
         return taken
 
-    def _freed(self, connection: ClientConnection) -> None:
+    def _freed(self, connection: UpstreamConnection) -> None:
         server = self._owners.get(connection)
         if server is None or server.is_leaving:
             connection.close()
@@ -433,7 +439,7 @@
         if any(server.idle for server in self._servers.values()):
             self._sweep = asyncio.get_running_loop().call_later(self._use_within_us / 4e6, self._close_old)
 
-    def _closed(self, connection: ClientConnection) -> None:
+    def _closed(self, connection: UpstreamConnection) -> None:
         server = self._owners.pop(connection, None)
         if server is not None:
             server.idle = [each for each in server.idle if each.connection is not connection]
@@ -444,21 +450,21 @@
             each.connection.close()
 
 
-def _outcome(how: Response | Failure) -> Outcome:
-    if how is Failure.UNWRITTEN:
-        return Outcome.DIAL_FAILED
-    if how is Failure.BROKEN:
-        return Outcome.DROPPED
-    if how is Failure.SPOILT:
-        return Outcome.SPOILT
+def _outcome(how: Response | ExchangeFailure) -> Outcome:
+    if how is ExchangeFailure.UNWRITTEN:
+        return Outcome.CONNECT_FAILED
+    if how is ExchangeFailure.CONNECTION_LOST:
+        return Outcome.CONNECTION_LOST
+    if how is ExchangeFailure.MALFORMED_RESPONSE:
+        return Outcome.MALFORMED_RESPONSE
     if isinstance(how, Response):
         if how.status == 200:
             return Outcome.DELIVERED
         if how.status in (503, 504) and how.all_headers(b"not-started") == {b"1"}:
-            return Outcome.FULL
+            return Outcome.OVERLOADED
         if 400 <= how.status < 500:
-            return Outcome.REJECTED
-    return Outcome.ERROR
+            return Outcome.CLIENT_ERROR
+    return Outcome.SERVER_ERROR
 
 
 def load_report(
--- a/tulipnotch/simulator_wire/adapter.py
+++ b/tulipnotch/simulator_wire/adapter.py
@@ -13,31 +13,31 @@
 
 from tulipnotch.load_balancing.actions import (
     Action,
-    Cancel,
-    CloseIdle,
-    Fail,
-    FetchList,
-    Follow,
-    Note,
-    Probe,
-    Refuse,
-    Send,
+    CancelAttempt,
+    CloseIdleConnections,
+    FailRequest,
+    FetchEndpoints,
+    LogEvent,
+    RejectRequest,
+    SendPeerMessage,
     SetTimer,
-    Tell,
+    StartAttempt,
+    StartHealthCheck,
+    Subscribe,
 )
 from tulipnotch.load_balancing.balancer import Balancer
 from tulipnotch.load_balancing.events import (
-    AnswerStarted,
     AttemptEnded,
+    ClientDisconnected,
+    EndpointDescription,
+    EndpointState,
+    EndpointsUpdated,
+    EndpointUpdateKind,
     Event,
-    ListedServer,
-    ListKind,
-    MessageReceived,
-    ProbeEnded,
+    HealthCheckEnded,
+    PeerMessageReceived,
     RequestArrived,
-    RequestGone,
-    ServersListed,
-    ServerState,
+    ResponseStarted,
     TimerFired,
 )
 from tulipnotch.load_balancing.outcomes import Outcome
@@ -54,19 +54,19 @@
     "lanes": "classes",
     "realms": "tenants",
     "zone": "zone",
-    "me": "me",
-    "groupSize": "group_size",
-    "quantumUs": "tick_us",
-    "discovery": "discovery",
-    "weights": "weights",
-    "worthBy": "worth_by",
-    "overShareWorth": "over_share_worth",
+    "me": "instance_index",
+    "groupSize": "instance_count",
+    "quantumUs": "clock_resolution_us",
+    "discovery": "discovery_mode",
+    "weights": "nominal_capacity",
+    "worthBy": "priority_weight_basis",
+    "overShareWorth": "over_quota_weight",
     "report": "report",
     "bounds": "limits",
     "guarantees": "rules",
-    "prices": "prices",
-    "goal": "goal",
-    "kinds": "kinds",
+    "prices": "cost_weights",
+    "goal": "objective_weights",
+    "kinds": "machine_types",
     "clientHabits": "client_habits",
     "domain": "domain",
 }
@@ -74,55 +74,55 @@
     "classes": {
         "name": "name",
         "giveUpUs": "deadline_us",
-        "promiseUs": "aim_us",
-        "worth": "worth",
-        "lateValue": "late_worth",
-        "repeat": "repeat",
-        "group": "group",
-        "memorySpanUs": "memory_us",
+        "promiseUs": "latency_objective_us",
+        "worth": "priority_weight",
+        "lateValue": "late_priority_weight",
+        "repeat": "idempotency",
+        "group": "deduplication_scope",
+        "memorySpanUs": "deduplication_window_us",
         "streaming": "streaming",
-        "aimStretch": "aim_stretch",
+        "aimStretch": "latency_objective_stretch",
     },
-    "tenants": {"name": "name", "portion": "share", "quotaRps": "quota_per_s"},
+    "tenants": {"name": "name", "portion": "weight", "quotaRps": "quota_per_s"},
     "report": {"columns": "columns", "source": "source"},
     "limits": {
         "sendCap": "max_attempts",
-        "secondCopies": "second_copies",
+        "secondCopies": "hedged_requests",
         "mayCancel": "may_cancel",
-        "probing": "may_probe",
-        "mayTell": "may_message",
+        "probing": "may_health_check",
+        "mayTell": "may_send_peer_messages",
         "retryAfter": "retry_after",
         "maxRetryAfterUs": "max_retry_after_us",
-        "dialTimeoutUs": "dial_timeout_us",
-        "idleCloseUs": "idle_close_us",
+        "dialTimeoutUs": "connect_timeout_us",
+        "idleCloseUs": "idle_timeout_us",
         "streamsPerConn": "streams_per_connection",
-        "maxOpen": "max_open",
+        "maxOpen": "max_open_requests",
         "cpuUsPerS": "cpu_us_per_s",
         "cpuUsPerRequest": "cpu_us_per_request",
     },
     "rules": {
-        "answerSlackUs": "answer_slack_us",
-        "askWithinUs": "ask_within_us",
+        "answerSlackUs": "response_slack_us",
+        "askWithinUs": "max_poll_interval_us",
         "drainGraceUs": "drain_grace_us",
-        "coldFrom": "cold_from",
-        "coldUs": "cold_us",
-        "fallMultiple": "fall_multiple",
-        "fallUs": "fall_us",
-        "lateShedding": "full_may_have_run",
+        "coldFrom": "initial_capacity",
+        "coldUs": "warm_up_us",
+        "fallMultiple": "overload_multiple",
+        "fallUs": "overload_window_us",
+        "lateShedding": "overloaded_may_have_run",
         "letGoInUs": "close_idle_within_us",
     },
-    "prices": {
+    "cost_weights": {
         "crossZone": "cross_zone",
-        "probe": "probe",
-        "peer": "message",
-        "waste": "waste",
+        "probe": "health_check",
+        "peer": "peer_message",
+        "waste": "wasted_work",
         "handshake": "handshake",
         "connection": "connection",
         "discovery": "discovery",
-        "lateFail": "late_fail",
+        "lateFail": "late_failure",
     },
-    "goal": {
-        "whole": "whole",
+    "objective_weights": {
+        "whole": "overall",
         "worstWindow": "worst_window",
         "worstClass": "worst_class",
         "worstTenant": "worst_tenant",
@@ -130,29 +130,35 @@
         "tailSlack": "tail_slack",
     },
     "client_habits": {"marksRetry": "mark_retries"},
-    "domain": {"warmKeys": "warm_keys"},
+    "domain": {"warmKeys": "has_key_affinity"},
 }
 # Words that stand for values.
 _WORDS = {
-    "repeat": {"read_like": "safe", "idempotency_key": "keyed", "non_idempotent": "unsafe"},
-    "source": {"piggyback": "answers", "pull": "probes"},
+    "idempotency": {
+        "read_like": "idempotent",
+        "idempotency_key": "idempotent_with_key",
+        "non_idempotent": "non_idempotent",
+    },
+    "discovery_mode": {"on_request": "polled"},
+    "nominal_capacity": {"silent": "unspecified"},
+    "source": {"piggyback": "responses", "pull": "health_checks", "silent": "none"},
 }
 _LIST_KINDS = {
-    "delta": ListKind.CHANGES,
-    "full": ListKind.COMPLETE,
-    "cached": ListKind.REMEMBERED,
-    "failed": ListKind.FAILED,
+    "delta": EndpointUpdateKind.DELTA,
+    "full": EndpointUpdateKind.COMPLETE,
+    "cached": EndpointUpdateKind.CACHED,
+    "failed": EndpointUpdateKind.FAILED,
 }
-_STATES = {each.value: each for each in ServerState}
+_STATES = {each.value: each for each in EndpointState}
 _OUTCOMES = {
     "delivered": Outcome.DELIVERED,
-    "app_error": Outcome.ERROR,
-    "shed": Outcome.FULL,
-    "expired": Outcome.EXPIRED,
-    "dial_failed": Outcome.DIAL_FAILED,
-    "dropped": Outcome.DROPPED,
+    "app_error": Outcome.SERVER_ERROR,
+    "shed": Outcome.OVERLOADED,
+    "expired": Outcome.TIMED_OUT,
+    "dial_failed": Outcome.CONNECT_FAILED,
+    "dropped": Outcome.CONNECTION_LOST,
     "revoked": Outcome.CANCELLED,
-    "unused": Outcome.UNSENT,
+    "unused": Outcome.NOT_SENT,
 }
 _HINT_VALID, _CLIENT_RETRY, _WRITE = 1, 2, 4
 _EVERY_PEER = -1
@@ -243,20 +249,20 @@
         raise WireError("hex digits are needed") from None
 
 
-def _listed(line: object) -> ListedServer:
+def _listed(line: object) -> EndpointDescription:
     if not isinstance(line, list) or len(line) < 6:
         raise WireError("an entry of a server list has at least 6 values")
     nominal = line[5]
     if isinstance(nominal, bool) or not isinstance(nominal, (int, float)):
         raise WireError("a nominal figure must be a number")
     started = _optional_whole(line[6]) if len(line) > 6 else None
-    return ListedServer(
-        server=_text(line[0]),
+    return EndpointDescription(
+        name=_text(line[0]),
         zone=_text(line[1]),
-        kind=_text(line[2]),
+        machine_type=_text(line[2]),
         cell=_whole(line[3]),
         state=_word(line[4], _STATES),
-        nominal=float(nominal),
+        nominal_capacity=float(nominal),
         started_at=started or None,
     )
 
@@ -271,29 +277,29 @@
         remaining_us=_whole(m[6]),
         cost_us=_optional_whole(m[7]) if flags & _HINT_VALID else None,
         client_retry=bool(flags & _CLIENT_RETRY),
-        write=bool(flags & _WRITE),
+        is_write=bool(flags & _WRITE),
     )
 
 
 def _started(m: list[Any]) -> Event:
-    return AnswerStarted(_whole(m[2]), _whole(m[3]), _text(m[5]), _whole(m[4]))
+    return ResponseStarted(_whole(m[2]), _whole(m[3]), _text(m[5]), _whole(m[4]))
 
 
 def _ended(m: list[Any]) -> Event:
     return AttemptEnded(
         request=_whole(m[2]),
         attempt=_whole(m[3]),
-        server=_text(m[4]),
+        endpoint=_text(m[4]),
         outcome=_word(m[5], _OUTCOMES),
         elapsed_us=_whole(m[6]),
-        answered=_flag(m[7]),
+        is_responded=_flag(m[7]),
         report=_report(m[8]) if len(m) > 8 else None,
     )
 
 
 def _probed(m: list[Any]) -> Event:
     report = _report(m[5]) if len(m) > 5 else None
-    return ProbeEnded(_text(m[4]), _word(m[3], _OUTCOMES), _whole(m[2]), report)
+    return HealthCheckEnded(_text(m[4]), _word(m[3], _OUTCOMES), _whole(m[2]), report)
 
 
 # Event name -> least number of values (the name included) and how to read them.
@@ -301,25 +307,25 @@
     "WORK_ITEM": (9, _request),
     "FIRST": (6, _started),
     "ATTEMPT_END": (8, _ended),
-    "CLIENT_GONE": (3, lambda m: RequestGone(_whole(m[2]))),
+    "CLIENT_GONE": (3, lambda m: ClientDisconnected(_whole(m[2]))),
     "WAKE": (3, lambda m: TimerFired(_text(m[2]))),
     "SAMPLED": (5, _probed),
-    "MEMO": (4, lambda m: MessageReceived(_whole(m[2]), _payload(m[3]))),
+    "MEMO": (4, lambda m: PeerMessageReceived(_whole(m[2]), _payload(m[3]))),
 }
 
 # Action type -> how to write it, after the instance's name.
 _ACTIONS: dict[type[Any], tuple[str, Callable[[Any], list[Any]]]] = {
-    Send: ("ASSIGN", lambda a: [a.request, a.server, a.until]),
-    Refuse: ("NOT_NOW", lambda a: [a.request, a.retry_after_us]),
-    Fail: ("SURRENDER", lambda a: [a.request]),
-    Cancel: ("ABORT_ATTEMPT", lambda a: [a.request, a.attempt]),
-    SetTimer: ("REMIND", lambda a: [a.in_us, a.token]),
-    Probe: ("CHECK", lambda a: [a.server]),
-    CloseIdle: ("SHUT_IDLE", lambda a: [a.server]),
-    Tell: ("POST", lambda a: [_EVERY_PEER if a.receiver is None else a.receiver, a.payload.hex()]),
-    Follow: ("FOLLOW", lambda a: [a.wanted]),
-    FetchList: ("REFRESH", lambda a: []),
-    Note: ("REMARK", lambda a: [a.text]),
+    StartAttempt: ("ASSIGN", lambda a: [a.request, a.endpoint, a.deadline]),
+    RejectRequest: ("NOT_NOW", lambda a: [a.request, a.retry_after_us]),
+    FailRequest: ("SURRENDER", lambda a: [a.request]),
+    CancelAttempt: ("ABORT_ATTEMPT", lambda a: [a.request, a.attempt]),
+    SetTimer: ("REMIND", lambda a: [a.delay_us, a.token]),
+    StartHealthCheck: ("CHECK", lambda a: [a.endpoint]),
+    CloseIdleConnections: ("SHUT_IDLE", lambda a: [a.endpoint]),
+    SendPeerMessage: ("POST", lambda a: [_EVERY_PEER if a.receiver is None else a.receiver, a.payload.hex()]),
+    Subscribe: ("FOLLOW", lambda a: [a.is_subscribed]),
+    FetchEndpoints: ("REFRESH", lambda a: []),
+    LogEvent: ("REMARK", lambda a: [a.text]),
 }
 
 
@@ -337,7 +343,7 @@
 
     def __init__(self) -> None:
         self._balancers: dict[str, Balancer] = {}
-        self._pages: dict[int, list[ListedServer]] = {}
+        self._pages: dict[int, list[EndpointDescription]] = {}
         self._now = 0
         self._open = False
         self._reply: list[str] = []
@@ -401,14 +407,14 @@
             self._need(message, least)
             self._play(who, balancer, read(message))
 
-    def _targets(self, message: list[Any]) -> ServersListed:
+    def _targets(self, message: list[Any]) -> EndpointsUpdated:
         kind = _word(message[2], _LIST_KINDS)
-        if kind is ListKind.FAILED:
-            return ServersListed(kind)
+        if kind is EndpointUpdateKind.FAILED:
+            return EndpointsUpdated(kind)
         page = self._pages.get(_whole(message[3]))
         if page is None:
             raise WireError(f"TARGETS names list {message[3]}, which was not given")
-        return ServersListed(kind, page, _whole(message[4]))
+        return EndpointsUpdated(kind, page, _whole(message[4]))
 
     def _play(self, who: str, balancer: Balancer, event: Event) -> None:
         try:
