--- a/tests/lab/broken_sidecar.py
+++ b/tests/lab/broken_sidecar.py
@@ -11,7 +11,8 @@
 from tulipnotch.sidecar.__main__ import main
 from tulipnotch.sidecar.discovery import client as discovery
 from tulipnotch.sidecar.sidecar import Sidecar
-from tulipnotch.sidecar.upstream.pool import UpstreamPool, UpstreamRequest
+from tulipnotch.sidecar.upstream.pool import UpstreamPool
+from tulipnotch.sidecar.upstream.request import IndependentRequestObserver, UpstreamRequest
 
 
 def forgets() -> None:
@@ -41,7 +42,10 @@
 
     def broken(self: UpstreamPool, call: UpstreamRequest) -> None:
         start(self, call)
-        start(self, UpstreamRequest(call.server, call.until, call.message, lambda *_: None))
+        start(
+            self,
+            UpstreamRequest(call.endpoint, call.deadline, call.build_message, IndependentRequestObserver()),
+        )
 
     UpstreamPool.start = broken  # type: ignore[method-assign]
 
@@ -56,7 +60,7 @@
     choose = Selection.choose
 
     def broken(self: Selection, request: Any) -> Any:
-        started = [each for each in self._context.ready if each.started_at]
+        started = [each for each in self._context.ready_endpoints if each.started_at]
         newest = max(started, key=lambda each: each.started_at or 0, default=None)
         return newest if newest is not None else choose(self, request)
 
--- a/tests/overload/test_levels.py
+++ b/tests/overload/test_levels.py
@@ -40,7 +40,7 @@
         came = int(rate * let_in)
         asked += came
         refused += round(came * max(1.0 - 1.0 / let_in, 0.0)) if let_in > 0 else 0
-        change = ladder.read(second * 1_000_000, Pressure(asked, refused, min(load, 3.0)))
+        change = ladder.observe(second * 1_000_000, Pressure(asked, refused, min(load, 3.0)))
         if change is not None:
             changes.append((second, change))
     return changes
@@ -52,12 +52,12 @@
 
 def test_a_busy_thursday_climbs_and_comes_back() -> None:
     changes = played(lambda second: 1.9 if second < 300 else 0.4, 600)
-    assert [change.now for _, change in changes] == ["spare", "orders-only", "spare", "full"]
+    assert [change.current for _, change in changes] == ["spare", "orders-only", "spare", "full"]
     first, _ = changes[0]
     assert first <= 25  # twenty seconds of refusing are enough
     assert (
-        changes[1][1].bars.rejected_classes == {"consulter"}
-        and changes[-1][1].bars.rejected_classes == frozenset()
+        changes[1][1].effect.rejected_classes == {"consulter"}
+        and changes[-1][1].effect.rejected_classes == frozenset()
     )
     assert "refused over" in changes[0][1].reason and "of the window" in changes[-1][1].reason
 
@@ -107,17 +107,17 @@
 def test_a_process_that_stood_still_judges_anew() -> None:
     ladder = ServiceLevelController(standard("consulter"), HOLD_S * 1_000_000, 0)
     for second in range(20):
-        assert ladder.read(second * 1_000_000, Pressure(400 * second, 200 * second, 2.0)) is None
+        assert ladder.observe(second * 1_000_000, Pressure(400 * second, 200 * second, 2.0)) is None
     # The clock jumps by an hour, as after a suspend: the readings before say nothing of now.
-    assert ladder.read(3_600_000_000, Pressure(8_000, 4_000, 2.0)) is None
-    assert ladder.read(3_601_000_000, Pressure(8_400, 4_200, 2.0)) is None
+    assert ladder.observe(3_600_000_000, Pressure(8_000, 4_000, 2.0)) is None
+    assert ladder.observe(3_601_000_000, Pressure(8_400, 4_200, 2.0)) is None
     assert ladder.name == "full"
 
 
 def test_readings_are_bounded() -> None:
     ladder = ServiceLevelController(standard("consulter"), HOLD_S * 1_000_000, 0)
     for second in range(5_000):
-        ladder.read(second * 1_000_000, Pressure(10 * second, 0, 0.1))
-        ladder.read(second * 1_000_000 + 1, Pressure(10 * second, 0, 0.1))  # too soon: left out
+        ladder.observe(second * 1_000_000, Pressure(10 * second, 0, 0.1))
+        ladder.observe(second * 1_000_000 + 1, Pressure(10 * second, 0, 0.1))  # too soon: left out
     longest = levels.PATIENCE_MOST * max(each.leave_us for each in standard("consulter"))
     assert len(ladder._readings) <= longest / 1_000_000 + 3
--- a/tests/overload/test_levels_in_force.py
+++ b/tests/overload/test_levels_in_force.py
@@ -72,7 +72,7 @@
     """How full the window would be with all that is asked for, long after the cause of its shrinking went."""
     given.servers(names(6))
     served(given, "look", None, 100)
-    given.balancer._parts.limit.limit = 0.2
+    given.balancer._parts.concurrency_limit.limit = 0.2
     given.play(CLOSED)
     for _ in range(60):
         served(given, "look", None, 10)
@@ -103,7 +103,7 @@
             "full", "shut", 41_000_000, "too much", ServiceLevelChanged(frozenset(), frozenset({"check"}))
         )
         told = [change]
-        monkeypatch.setattr(levels.ServiceLevelController, "read", lambda *_: told.pop() if told else None)
+        monkeypatch.setattr(levels.ServiceLevelController, "observe", lambda *_: told.pop() if told else None)
         given = ServiceLevels(levels.standard("check"), 30_000_000)
         async with stage(OK, levels=given) as scene:
             await until(lambda: any("level shut, was full for 41 s: too much" in each for each in scene.log))
--- a/tests/test_accept_faults.py
+++ b/tests/test_accept_faults.py
@@ -64,7 +64,7 @@
         acceptor = Acceptor(listener, lambda _: _Served(served))
         clients = [socket.create_connection(listener.getsockname()) for _ in range(_CLIENTS)]
         async with asyncio.timeout(5.0):
-            while not acceptor.take_waiting():
+            while not acceptor.accept_pending():
                 await asyncio.sleep(0)
         acceptor.close()
         await until(lambda: len(served) == _CLIENTS)
--- a/tests/test_announced.py
+++ b/tests/test_announced.py
@@ -253,7 +253,7 @@
 def _failures(scene: Stage, dials: Dials) -> int:
     """Calls that failed in a row where lists are asked for; where they are pushed, dials are as many."""
     asked = scene.sidecar.config.settings.discovery_mode is Mode.POLLED
-    return scene.sidecar._balancer._parts.discovery.failed_calls if asked else dials.made
+    return scene.sidecar._balancer._parts.discovery_polling.failed_calls if asked else dials.made
 
 
 def test_where_lists_are_pushed_a_start_receives_the_list_before_it_listens(
@@ -334,13 +334,13 @@
             before = scene.sidecar.config
             raw = _raw(before.name, other.address)
             scene.sidecar.reload(parse(raw, raw))
-            await until(lambda: "s-1" in scene.sidecar._balancer._context.servers)
+            await until(lambda: "s-1" in scene.sidecar._balancer._context.endpoints)
             assert (await scene.ask("check")).status == 503  # one open request is all that is taken now
             release.set()
             assert (await client.answer()).status == 200  # it keeps its class, its limits and its server
             assert (await scene.ask("check")).status == 200
             assert [len(each.heard) for each in scene.servers] == [1, 1]
-            assert scene.sidecar._balancer._context.servers["s-1"].state is EndpointState.READY
+            assert scene.sidecar._balancer._context.endpoints["s-1"].state is EndpointState.READY
             other.stop()
 
     play(work)
@@ -370,7 +370,7 @@
         async with stage(OK) as scene:
             with socket.create_connection((HOST, scene.sidecar.frontend.port)) as caller:
                 caller.sendall(request("lodge"))  # the event loop has had no turn since
-                assert scene.sidecar.frontend.take_waiting()
+                assert scene.sidecar.frontend.accept_pending()
                 scene.sidecar.frontend.stop_listening()
                 caller.setblocking(False)
                 came = await asyncio.get_running_loop().sock_recv(caller, 1_000)
@@ -386,9 +386,9 @@
 
         async with stage(await ScriptedServer(reports).start()) as scene:
             assert (await scene.ask()).status == 200
-            assert scene.sidecar._balancer._parts.answers.cores is not None
+            assert scene.sidecar._balancer._parts.response_times.cores is not None
             raw = _raw(scene.sidecar.config.name, scene.discovery.address)
             scene.sidecar.reload(parse(raw, raw))
-            assert scene.sidecar._balancer._parts.answers.cores is None
+            assert scene.sidecar._balancer._parts.response_times.cores is None
 
     play(work)
--- a/tests/test_any_sequence.py
+++ b/tests/test_any_sequence.py
@@ -126,7 +126,7 @@
         for request in self.requests.values():
             for each in request["attempts"]:
                 out[each["server"]] += each["pending"]
-        for name, server in self.balancer._context.servers.items():
+        for name, server in self.balancer._context.endpoints.items():
             assert server.in_flight == out[name], "the count of requests in flight is off"
 
     def arrive(self, name: str, remaining_us: int) -> None:
--- a/tests/test_connection_accounting.py
+++ b/tests/test_connection_accounting.py
@@ -54,7 +54,7 @@
             _resume_dials_after_the_end(monkeypatch, ports)
             upstream = scene.sidecar._upstream
             client = await scene.client()
-            for _ in range(4 * upstream.most):
+            for _ in range(4 * upstream.max_connections):
                 await client.ask("check")
             server.hangs_up = False
             ports.clear()
@@ -70,7 +70,7 @@
         self._source = source
         self.came = 0
 
-    def pass_on(self, piece: bytes) -> None:
+    def write_body(self, piece: bytes) -> None:
         self.came += len(piece)
         self._source.pause()
         if self.came < len(_LARGE):
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -137,8 +137,8 @@
     figures = Telemetry(["look", "odd name=\n"])
     assert "app.downstream_requests.look.rejected=0" in figures.lines({})
     assert "app.downstream_requests.odd_name__.failed=0" in figures.lines({})
-    figures.ended("look", Result.FAILED)
-    figures.show(["new"])
+    figures.request_ended("look", Result.FAILED)
+    figures.add_classes(["new"])
     lines = figures.lines({"pending": 3})
     assert "app.downstream_requests.look.failed=1" in lines
     assert "app.downstream_requests.new.completed=0" in lines
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -231,7 +231,7 @@
     async def work() -> None:
         config = parse(given, given)
         sidecar = Sidecar(config, lambda event, /, **fields: None, operators=door)
-        shares = sidecar.frontend.most, sidecar._upstream.most, sidecar.operators
+        shares = sidecar.frontend.max_connections, sidecar._upstream.max_connections, sidecar.operators
         assert min(shares) >= 1
         assert sum(shares) + RESERVED <= sockets
         if door == 16:
@@ -253,7 +253,7 @@
 
     async def work() -> None:
         sidecar = Sidecar(parse(given, given), lambda event, /, **fields: None)
-        assert sidecar.frontend.most + sidecar._upstream.most == connections
+        assert sidecar.frontend.max_connections + sidecar._upstream.max_connections == connections
         assert connections * MOST_BYTES_A_CONNECTION <= memory_mb * (1 << 20) / 4
         sidecar.close()
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -68,9 +68,9 @@
         server.servers = [line("s-1", "127.0.0.2:80")]
         await server.start()
         ears = Ears(server)
-        ears.discovery.follow(True)
+        ears.discovery.subscribe(True)
         first = await ears.next()
-        assert first is not None and first.full and first.version == 1
+        assert first is not None and first.is_complete and first.version == 1
         await until(lambda: len(server.heard) == 2)
         assert server.heard[0].target == "/catalog/members?after=41&wait_ms=0"
         path, _, wait_ms = server.heard[1].target.rpartition("=")
@@ -78,9 +78,9 @@
         assert 0 < int(wait_ms) <= 1_000 * PollSchedule().watch_s
         server.tell(line("s-1", "127.0.0.2:80", state="leaving"))
         news = await ears.next()
-        assert news is not None and not news.full and news.version == 2
+        assert news is not None and not news.is_complete and news.version == 2
         await until(lambda: len(server.heard) == 3)
-        ears.discovery.follow(False)
+        ears.discovery.subscribe(False)
         await until(lambda: len(server.closed) == 0 or server.closed == [0])
         ears.discovery.close()
         server.stop()
@@ -121,7 +121,7 @@
 
         def call() -> None:
             if how == "follow":
-                ears.discovery.follow(True)
+                ears.discovery.subscribe(True)
             else:
                 ears.discovery.fetch()
 
@@ -144,10 +144,10 @@
         await old.start()
         await new.start()
         ears = Ears(old)
-        ears.discovery.follow(True)
+        ears.discovery.subscribe(True)
         assert await ears.next() is not None
         await until(lambda: len(old.heard) == 2)
-        ears.discovery.move(parse_address(new.address))
+        ears.discovery.change_address(parse_address(new.address))
         old.tell(line("s-9", "127.0.0.2:80"))  # nobody receives it any more
         received = await ears.next()
         assert received is not None and received.version == 5
@@ -179,7 +179,7 @@
         ears = Ears(server)
         ears.discovery.fetch()
         await until(lambda: len(server.heard) == 1)
-        ears.discovery.follow(True)
+        ears.discovery.subscribe(True)
         news = await ears.next()
         assert news is not None and news.version == 42
         release.set()
@@ -196,7 +196,7 @@
         server = await ScriptedServer(None).start()
         ears = Ears(server)
         server.stop()
-        ears.discovery.follow(True)
+        ears.discovery.subscribe(True)
         assert await ears.next() is None
         ears.discovery.fetch()
         assert await ears.next() is None
@@ -216,9 +216,9 @@
         server = await ScriptedServer(slow).start()
         ears = Ears(server)
         for _ in range(3):
-            ears.discovery.follow(True)
+            ears.discovery.subscribe(True)
         await until(lambda: len(server.heard) == 1)
-        ears.discovery.follow(True)
+        ears.discovery.subscribe(True)
         release.set()
         assert await ears.next() is not None
         assert server.connections == 1
@@ -268,7 +268,7 @@
         server.servers = [line("s-1", f"{HOST}:80")]
         await server.start()
         ears = Ears(server, plan=SOON)
-        ears.discovery.follow(True)
+        ears.discovery.subscribe(True)
         assert await ears.next() is not None
         server.version, server.servers = 2, [line("s-1", f"{HOST}:80", state="leaving")]
         received = await ears.next()
@@ -293,7 +293,7 @@
         began: list[float] = []
         server = await ScriptedServer(answer).start()
         ears = Ears(server, plan=plan)
-        ears.discovery.follow(True)
+        ears.discovery.subscribe(True)
         await until(lambda: len(began) == 4)
         waits = [later - earlier for earlier, later in itertools.pairwise(began)]
         # Each of them hangs; the first wait is that between the answer and the watch after it.
@@ -324,7 +324,7 @@
         ears = Ears(
             server, plan=PollSchedule(4.8)
         )  # 0.2 s to the second dial, 0.8 s to the limit of the first
-        ears.discovery.follow(True)
+        ears.discovery.subscribe(True)
         received = await ears.next()
         assert received is not None and received.version == 7 and ears.faults == []
         ears.discovery.close()
@@ -395,7 +395,7 @@
 
         server = await ScriptedServer(hang).start()
         ears = Ears(server, max_poll_interval_us=int(allowed_s * 1e6))
-        ears.discovery.follow(True)
+        ears.discovery.subscribe(True)
         await until(lambda: len(begun) == 5)  # beyond the end of the first
         apart = [later - earlier for earlier, later in itertools.pairwise(begun)]
         assert max(apart) < allowed_s, apart
@@ -460,9 +460,9 @@
         ears.discovery.start()
         received: DiscoveryResponse | None = None
         while received is None:
-            ears.discovery.follow(True)  # where lists are pushed it asks by itself
+            ears.discovery.subscribe(True)  # where lists are pushed it asks by itself
             received = await ears.next()
-        assert received.version == 7 and [each.listed.name for each in received.entries] == ["s-1"]
+        assert received.version == 7 and [each.description.name for each in received.endpoints] == ["s-1"]
         assert len(ears.faults) == 1 and cause in ears.faults[0]
         ears.discovery.close()
         server.stop()
@@ -474,7 +474,7 @@
     listing = parse_listing(
         {"version": 3, "full": False, "servers": [line("a", "127.0.0.1:80", started_ms=1_700_000_000_123)]}
     )
-    listed = listing.entries[0].listed
+    listed = listing.endpoints[0].description
     assert listed.started_at == 1_700_000_000_123_000
     gone = parse_listing({"version": 3, "full": False, "servers": [{"id": "a", "state": "left"}]})
-    assert gone.entries[0].address is None
+    assert gone.endpoints[0].address is None
--- a/tests/test_draw.py
+++ b/tests/test_draw.py
@@ -82,7 +82,7 @@
     again = stage.request("pay")
     assert stage.target(again) in names(2)
     stage.wait(S)
-    assert stage.balancer._parts.selection.busy(stage.balancer._context.servers[hung]) <= 1
+    assert stage.balancer._parts.selection.busy(stage.balancer._context.endpoints[hung]) <= 1
 
 
 def _with_one_hung(stage: Stage, rounds: int) -> tuple[str, list[int]]:
@@ -136,7 +136,7 @@
     for _ in range(200):
         stage.request("pay")
         stage.wait(15 * MS)
-    ejected = [each for each in stage.balancer._context.servers.values() if each.ejected_until is not None]
+    ejected = [each for each in stage.balancer._context.endpoints.values() if each.ejected_until is not None]
     assert len(ejected) <= 2
 
 
@@ -226,7 +226,7 @@
                 out.append(request)
         if tick % 2 and out:  # one answer for four requests, oldest first
             request = out.pop(0)
-            if request in stage.balancer._requests and not stage.balancer._requests[request].answered:
+            if request in stage.balancer._requests and not stage.balancer._requests[request].is_responded:
                 stage.end(request, attempt=0)
     return looks
 
@@ -249,8 +249,8 @@
     stage.wait(10 * S)
     for request in list(stage.balancer._requests.values()):
         for attempt in request.attempts:
-            if attempt.pending:
-                stage.end(request.ident, Outcome.CANCELLED, attempt.index, answered=True)
+            if attempt.is_pending:
+                stage.end(request.request_id, Outcome.CANCELLED, attempt.index, answered=True)
     stage.wait(15 * S)  # what was given up on, up to 14 s old, counts for as long again
     stage.serve(300)  # a small window takes some aims to grow
     refused = len(stage.said(RejectRequest))
@@ -269,7 +269,7 @@
     stage = Stage()
     hung, _ = _with_one_hung(stage, 20)
     stage.servers([EndpointDescription(hung, "east", started_at=stage.now)], EndpointUpdateKind.DELTA)
-    server = stage.balancer._context.servers[hung]
+    server = stage.balancer._context.endpoints[hung]
     assert server.ejected_until is None and stage.balancer._parts.slow_start.is_cold(server)
 
 
@@ -369,8 +369,8 @@
 def test_two_at_once_are_no_overload_for_a_small_balancer() -> None:
     stage = Stage()
     stage.servers(names(8))
-    stage.balancer._parts.limit.limit = 1.0
-    stage.balancer._parts.limit._resized_at = stage.now
+    stage.balancer._parts.concurrency_limit.limit = 1.0
+    stage.balancer._parts.concurrency_limit._resized_at = stage.now
     for _ in range(10):
         pair = (stage.request(), stage.request())
         stage.wait(50 * MS)
@@ -438,7 +438,7 @@
         else:
             stage.serve(400, every_us, taking_us)
         request = stage.request()
-        server = stage.balancer._context.servers[stage.target(request)]
+        server = stage.balancer._context.endpoints[stage.target(request)]
         stage.wait(2 * taking_us)
         before = server.latency_ratio
         stage.end(request)
@@ -527,7 +527,7 @@
         for close in [each for _, each in stage.log[seen:] if isinstance(each, CloseIdleConnections)]:
             used.pop(close.endpoint, None)
         for old in lost:  # given up at its deadline, and so called off
-            if stage.balancer._requests.get(old) is not None and stage.balancer._requests[old].answered:
+            if stage.balancer._requests.get(old) is not None and stage.balancer._requests[old].is_responded:
                 stage.end(old, Outcome.CANCELLED, answered=True)
         if not stage.sends(request):
             continue
--- a/tests/test_frontend.py
+++ b/tests/test_frontend.py
@@ -394,6 +394,6 @@
             info = frontend._acceptor._listener.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 104)
             places = struct.unpack_from("=I", info, 28)[0]  # of a listening socket: tcpi_sacked
             system = int(Path("/proc/sys/net/core/somaxconn").read_text())
-            assert places == min(max(frontend.most, 1_024), system)
+            assert places == min(max(frontend.max_connections, 1_024), system)
 
     play(work)
--- a/tests/test_instants.py
+++ b/tests/test_instants.py
@@ -218,7 +218,7 @@
             await asyncio.sleep(10 * _LIMITS.linger_s)
             frontend = scene.sidecar.frontend
             assert frontend.open_connections == 1
-            frontend.most = 1
+            frontend.max_connections = 1
             assert not frontend._make_room()  # it is owed the rest
             got, was_reset = await client.rest()
             assert got.endswith(b"\r\n\r\n" + bytes(size)) and not was_reset
@@ -316,7 +316,9 @@
     async def work() -> None:
         def reader_has_part() -> bool:
             calls = [call for each in scene.sidecar._open.values() for call in each.calls]
-            return any(each.connection is not None and each.connection._reader.has_part for each in calls)
+            return any(
+                each.connection is not None and each.connection._reader.is_mid_message for each in calls
+            )
 
         async def script(heard: Heard) -> None:
             heard.writer.write(_NO_LENGTH + b"served")
@@ -399,8 +401,8 @@
 
         discovery = await ScriptedServer(script).start()
         async with stage(OK, given={"discovery": discovery.address}) as scene:
-            await until(lambda: scene.sidecar._discovery.has_tried.is_set())
-            members = len(scene.sidecar._balancer._context.servers)
+            await until(lambda: scene.sidecar._discovery.first_call_ended.is_set())
+            members = len(scene.sidecar._balancer._context.endpoints)
             if end == "fin":
                 await until(lambda: scene.sidecar._has_fresh_list.is_set())
                 assert scene.sidecar._balancer.members()[0] == 0
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -18,8 +18,8 @@
 from tulipnotch.sidecar.http1.messages import Request
 from tulipnotch.sidecar.requests.invariants import CloseReason, Invariant, InvariantChecker, WrittenAttempt
 from tulipnotch.sidecar.sidecar import Sidecar
-from tulipnotch.sidecar.upstream import pool as upstream_module
 from tulipnotch.sidecar.upstream.pool import UpstreamPool
+from tulipnotch.sidecar.upstream.request import IndependentRequestObserver, UpstreamRequest
 
 _KEYED = ServiceClass(
     "amend",
@@ -43,7 +43,7 @@
 
 
 def _written(zone: str = "a", cell: int = 1, at: int = 0, **other: bool) -> WrittenAttempt:
-    return WrittenAttempt(zone, cell, at, **{"is_out": False, **other})
+    return WrittenAttempt(zone, cell, at, **{"is_in_flight": False, **other})
 
 
 @pytest.mark.parametrize(
@@ -64,16 +64,18 @@
     kind: ServiceClass, before: WrittenAttempt, new: WrittenAttempt, holds: bool
 ) -> None:
     guard = InvariantChecker()
-    guard.repeating(b"r-1", kind, new, [before], second_copies=True)
-    assert guard.broken[Invariant.REPEATED_IN_BOUNDS] == (not holds)
+    guard.check_retry(b"r-1", kind, new, [before], second_copies=True)
+    assert guard.broken[Invariant.RETRY_WITHIN_DEDUPLICATION] == (not holds)
     assert guard.violations == (not holds)
 
 
 def test_a_second_copy_is_checked_by_the_settings() -> None:
     for second_copies in (True, False):
         guard = InvariantChecker()
-        guard.repeating(b"r-1", _SAFE, _written(), [_written(is_out=True)], second_copies=second_copies)
-        assert guard.broken[Invariant.REPEATED_ALONE] == (not second_copies)
+        guard.check_retry(
+            b"r-1", _SAFE, _written(), [_written(is_in_flight=True)], second_copies=second_copies
+        )
+        assert guard.broken[Invariant.RETRY_WITHOUT_HEDGING] == (not second_copies)
 
 
 async def _two_servers(scene: Stage) -> None:
@@ -101,8 +103,8 @@
     ("defect", "invariant"),
     [
         (None, None),
-        (_repeats_anything, Invariant.REPEATED_IN_BOUNDS),
-        (_refuses_anything, Invariant.REFUSED_UNRUN),
+        (_repeats_anything, Invariant.RETRY_WITHIN_DEDUPLICATION),
+        (_refuses_anything, Invariant.REJECTION_WITHOUT_EFFECT),
     ],
     ids=["none", "repeats anything", "refuses anything"],
 )
@@ -132,7 +134,7 @@
 def test_a_write_for_a_client_that_has_left_shows(monkeypatch: pytest.MonkeyPatch) -> None:
     # The gate before each write is taken out, and so is what withdraws an attempt.
     monkeypatch.setattr(UpstreamPool, "_may_write", lambda upstream, call: True)
-    monkeypatch.setattr(UpstreamPool, "withdraw", lambda upstream, call: None)
+    monkeypatch.setattr(UpstreamPool, "cancel_unwritten", lambda upstream, call: None)
 
     async def work() -> None:
         async with stage(OK) as scene:
@@ -150,7 +152,7 @@
             client.close()
             await until(lambda: all(each.client is None for each in scene.sidecar._open.values()))
             exchange(*held[0])
-            assert scene.sidecar._guard.broken[Invariant.SENT_FOR_A_CLIENT] == 1
+            assert scene.sidecar._guard.broken[Invariant.CLIENT_WAITS_FOR_ATTEMPT] == 1
 
     play(work)
 
@@ -191,7 +193,7 @@
             (side,) = scene.sidecar.frontend.connections()
             assert isinstance(side, DownstreamConnection)
             side.close(CloseReason.IDLE)
-            assert scene.sidecar._guard.broken[Invariant.CLOSED_UNOWED] == 1
+            assert scene.sidecar._guard.broken[Invariant.CLOSE_WITHOUT_PENDING_RESPONSE] == 1
             release.set()
 
     play(work)
@@ -239,8 +241,8 @@
 
 def test_a_write_whose_time_is_up_shows() -> None:
     guard = InvariantChecker()
-    guard.sending(b"r-1", is_waited_for=True, now=5, until=5)
-    assert [each for each, count in guard.broken.items() if count] == [Invariant.SENT_IN_TIME]
+    guard.check_attempt(b"r-1", is_waited_for=True, now=5, until=5)
+    assert [each for each, count in guard.broken.items() if count] == [Invariant.ATTEMPT_BEFORE_DEADLINE]
 
 
 def test_a_write_to_a_server_that_drains_shows() -> None:
@@ -251,9 +253,9 @@
             (server,) = upstream._servers.values()
             connection = server.idle.pop().connection
             server.is_leaving = True
-            call = upstream_module.UpstreamRequest("s-0", 2**61, lambda left_us: _PING, lambda *given: None)
+            call = UpstreamRequest("s-0", 2**61, lambda left_us: _PING, IndependentRequestObserver())
             upstream._write(call, connection)
-            assert scene.sidecar._guard.broken[Invariant.SENT_TO_READY] == 1
+            assert scene.sidecar._guard.broken[Invariant.ATTEMPT_TO_READY_ENDPOINT] == 1
 
     play(work)
 
@@ -267,7 +269,7 @@
     async def work() -> None:
         for discovery, broken in (("pushed", 1), ("on_request", 0)):
             async with stage(OK, discovery=discovery, silent_discovery=True) as scene:
-                assert scene.sidecar._guard.broken[Invariant.SERVED_LISTED] == broken
+                assert scene.sidecar._guard.broken[Invariant.READY_AFTER_DISCOVERY] == broken
 
     play(work)
 
@@ -281,6 +283,6 @@
             await until(lambda: len(scene.heard) == 1)
             monkeypatch.setattr(scene.sidecar, "_answer", lambda *given: None)
             await scene.sidecar.drain()
-            assert scene.sidecar._guard.broken[Invariant.STOPPED_UNOWED] == 1
+            assert scene.sidecar._guard.broken[Invariant.STOP_WITHOUT_PENDING_RESPONSE] == 1
 
     play(work)
--- a/tests/test_large_lists.py
+++ b/tests/test_large_lists.py
@@ -155,14 +155,14 @@
         peers = PeerMessenger(addresses, None, 0, lambda by, what: heard.put_nowait(by))
         try:
             await peers.listen((HOST, 0))
-            assert peers.tell(None, b"news")
+            assert peers.send(None, b"news")
             loop = asyncio.get_running_loop()
             for number in range(1, MANY):
                 assert await soon(loop.sock_recv(ears[number % len(ears)], 256)) == b"news"
             with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as last:
                 last.bind((addresses[-1][0], 0))
-                peers.rename((*addresses[:-1], last.getsockname()), None)
-                assert peers.tell(MANY - 1, b"to the last") and not peers.tell(MANY, b"nobody")
+                peers.set_addresses((*addresses[:-1], last.getsockname()), None)
+                assert peers.send(MANY - 1, b"to the last") and not peers.send(MANY, b"nobody")
                 data, sidecar = last.recvfrom(256)
                 assert data == b"to the last"
                 last.sendto(b"from the last", sidecar)
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -139,7 +139,7 @@
             await until(lambda: len(scene.discovery.heard) >= 3)
             # The decisions would send a second copy once others had answered meanwhile; it is sent here.
             balancer = scene.sidecar._balancer
-            assert balancer._send(balancer._requests[number], balancer._context.servers["s-slow"])
+            assert balancer._send(balancer._requests[number], balancer._context.endpoints["s-slow"])
             scene.sidecar._carry_out(balancer._context.actions[-1])
             release.set()
             assert (await client.answer()).status == 200
@@ -311,16 +311,16 @@
             scene.clients[0].close()
             await until(lambda: scene.sidecar.frontend.open_connections == 0)
             decisions = scene.sidecar._balancer
-            listed = decisions._context.servers["s-0"]
+            listed = decisions._context.endpoints["s-0"]
             if is_trial:
-                decisions._parts.outliers._ejected.append(listed)
+                decisions._parts.outlier_detection._ejected.append(listed)
                 listed.ejected_until = 0  # its time to come back
             with _application(scene) as application:
                 application.send(request("check", timeout="15") + ahead)
                 rests = scene.sidecar._upstream._resting
                 await until(lambda: len(rests) == 1)
                 await _paused(scene, ahead)
-                assert (listed.trial is not None) == is_trial
+                assert (listed.probation_attempt is not None) == is_trial
                 _go(application, how, None if how == "stays" else _only(scene))
                 ((connection, timer),) = rests.items()
                 timer.cancel()
@@ -332,7 +332,7 @@
                     return
                 await _is_over(scene)
                 assert len(scene.heard) == 1 and scene.servers[0].connections == 1
-                assert _withheld(scene) == 1 and listed.trial is None
+                assert _withheld(scene) == 1 and listed.probation_attempt is None
 
     play(work)
 
@@ -402,9 +402,9 @@
                 accepted, _ = await loop.sock_accept(server)
                 await _paused(scene, _AHEAD)
                 (held,) = scene.sidecar._open.values()
-                assert held.incoming.body.is_whole and held.incoming.body.waiting > 1
+                assert held.incoming.body.is_complete and held.incoming.body.pending_bytes > 1
                 got = b""
-                while held.incoming.body.waiting > 1:
+                while held.incoming.body.pending_bytes > 1:
                     got += await loop.sock_recv(accepted, 1_000)
                 _go(application, how, None if how == "stays" else _only(scene))
                 while not got.endswith(b"\r\n\r\n" + body):
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -159,7 +159,7 @@
     kept = [kind for kind, _ in parts.admission._demand._traffic]
     kept += [kind for kind, _ in parts.latency.usual_us]
     kept += list(parts.class_costs._means)
-    kept += [kind for server in balancer._context.servers.values() for kind in server.backing_off]
+    kept += [kind for server in balancer._context.endpoints.values() for kind in server.back_offs]
     assert set(kept) <= {"look-19"}
 
 
@@ -229,7 +229,7 @@
             else:
                 release.set()
             slow.send(raw[:40])
-            await until(lambda: any(each._reader.has_part for each in frontend.connections()))
+            await until(lambda: any(each._reader.is_mid_message for each in frontend.connections()))
             scene.sidecar.reload(changed(scene.sidecar.config, lanes=[{**CLASSES[0], "name": "new"}]))
             await until(lambda: set(frontend.classes) == {"new"})
             release.set()
--- a/tests/test_repeat_bounds.py
+++ b/tests/test_repeat_bounds.py
@@ -24,6 +24,7 @@
 from tulipnotch.sidecar.http1.messages import KEPT
 from tulipnotch.sidecar.upstream import connection as client
 from tulipnotch.sidecar.upstream import pool as upstream
+from tulipnotch.sidecar.upstream.request import UpstreamRequest
 
 MS = 1_000
 WINDOW_US = 300 * MS
@@ -50,7 +51,7 @@
     ran: list[Heard]  # attempts that others than the first server have read whole
     let_run: asyncio.Event  # ends those that run on
 
-    def attempts(self) -> list[upstream.UpstreamRequest]:
+    def attempts(self) -> list[UpstreamRequest]:
         (held,) = self.scene.sidecar._open.values()
         return held.calls
 
@@ -118,7 +119,7 @@
         seen = Overtaken(scene, client, ran, let_run)
         await until(lambda: len(ran) == len(ends))
         done = len(ends) if "runs on" not in ends else ends.index("runs on")
-        await until(lambda: all(each.ended for each in seen.attempts()[1 : 1 + done]))
+        await until(lambda: all(each.has_ended for each in seen.attempts()[1 : 1 + done]))
         yield seen
 
 
@@ -256,7 +257,7 @@
                 held.release(late.address)
                 await until(lambda: len(late.heard) == 1)
                 if end == "reset":
-                    await until(lambda: seen.attempts()[0].ended)
+                    await until(lambda: seen.attempts()[0].has_ended)
                 clock.advance(WINDOW_US)
                 for each in seen.scene.servers:
                     held.release(each.address)
@@ -391,7 +392,7 @@
             while loop.time() - began < WINDOW_US / 1e6 + 0.1:
                 await asyncio.sleep(0.01)
                 clock.now_us = clock_began + int((loop.time() - began) * 1e6)
-            assert first.ended
+            assert first.has_ended
             got = await server.read_to(_BODY)
             assert not got.endswith(_BODY)
             await _is_over(seen, "cell", end)
--- a/tests/test_repeat_orders.py
+++ b/tests/test_repeat_orders.py
@@ -39,7 +39,8 @@
 
 from tulipnotch.load_balancing.clock_time import NEVER
 from tulipnotch.sidecar.upstream.connection import UpstreamConnection
-from tulipnotch.sidecar.upstream.pool import UpstreamPool, UpstreamRequest
+from tulipnotch.sidecar.upstream.pool import UpstreamPool
+from tulipnotch.sidecar.upstream.request import UpstreamRequest
 
 DEPTH = 4
 
@@ -89,14 +90,14 @@
     def without_bound(
         self: UpstreamPool, call: UpstreamRequest, server: Any, connection: UpstreamConnection
     ) -> bool:
-        bound = call.latest_start
+        bound = call.observer.latest_start
         has_carried = bool(cast(Connection, connection._transport).exchanges)
         if has_carried is not is_new:
-            call.latest_start = lambda: NEVER
+            call.observer.latest_start = lambda: NEVER  # type: ignore[method-assign]
         try:
             return put_to_use(self, call, server, connection)
         finally:
-            call.latest_start = bound
+            call.observer.latest_start = bound  # type: ignore[method-assign]
 
     with mock.patch.object(UpstreamPool, "_put_to_use", without_bound):
         yield
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -281,7 +281,9 @@
     stage.servers(names(3))
     request = stage.balancer._requests[stage.request()]
     server = next(
-        each for each in stage.balancer._context.servers.values() if each is not request.attempts[0].server
+        each
+        for each in stage.balancer._context.endpoints.values()
+        if each is not request.attempts[0].endpoint
     )
     stage.drain(server.name, EndpointState.DRAINING)
     assert not stage.balancer._send(request, server)
@@ -299,8 +301,8 @@
         request = stage.balancer._requests[stage.request()]
         server = next(
             each
-            for each in stage.balancer._context.servers.values()
-            if each is not request.attempts[0].server
+            for each in stage.balancer._context.endpoints.values()
+            if each is not request.attempts[0].endpoint
         )
         assert stage.balancer._send(request, server) is allowed
 
@@ -406,11 +408,11 @@
     stage = Stage()
     stage.servers(names(4))
     stage.serve(200)
-    bore = stage.balancer._parts.capacity.per_us()
+    bore = stage.balancer._parts.warm_capacity.per_us()
     assert bore > 0.0
     stage.wait(5 * S)  # half of the time to warm up, and nothing is served in it
     stage.request()
-    assert bore / 4 < stage.balancer._parts.capacity.per_us() < bore / 2
+    assert bore / 4 < stage.balancer._parts.warm_capacity.per_us() < bore / 2
     stage.wait(60 * S)
     stage.request()
-    assert stage.balancer._parts.capacity.per_us() < bore / 1_000
+    assert stage.balancer._parts.warm_capacity.per_us() < bore / 1_000
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -26,10 +26,10 @@
                 stage.end(request, Outcome.DELIVERED if round_ % 7 else Outcome.CONNECTION_LOST)
     stage.wait(20 * S)
     balancer = stage.balancer
-    assert len(balancer._context.servers) == 5
+    assert len(balancer._context.endpoints) == 5
     assert len(balancer._requests) == len(balancer._parts.load._abandoned) == 0
-    assert len(balancer._parts.agenda) <= 2
-    assert all(each.state is EndpointState.READY for each in balancer._parts.outliers._ejected)
+    assert len(balancer._parts.timers) <= 2
+    assert all(each.state is EndpointState.READY for each in balancer._parts.outlier_detection._ejected)
 
 
 def test_a_server_that_left_is_kept_until_its_last_attempt_has_ended() -> None:
@@ -38,9 +38,9 @@
     request = stage.request("pay")
     (server,) = names(1)
     stage.servers([EndpointDescription(server, state=EndpointState.REMOVED)], EndpointUpdateKind.DELTA)
-    assert server in stage.balancer._context.servers
+    assert server in stage.balancer._context.endpoints
     stage.end(request)
-    assert stage.balancer._context.servers == {}
+    assert stage.balancer._context.endpoints == {}
     assert stage.balancer._parts.load.current() == 0
 
 
--- a/tests/test_streaming.py
+++ b/tests/test_streaming.py
@@ -141,7 +141,7 @@
             await asyncio.sleep(0.3)
             assert not sending.done()
             (held,) = scene.sidecar._open.values()
-            assert held.incoming.body.waiting <= 200_000
+            assert held.incoming.body.pending_bytes <= 200_000
             assert figure(scene.sidecar, "app.upstream_requests") == 0  # its last byte is not written
             assert figure(scene.sidecar, "app.pending") == 0  # nor taken
             server.go_on.set()
@@ -473,9 +473,9 @@
 
 def test_a_body_keeps_its_first_part_and_gives_the_rest_once() -> None:
     body = Body(is_whole=False)
-    body.add(bytes(KEPT - 10))
-    body.add(b"x" * 20)
-    body.add(b"y" * 5)
-    assert (len(body.kept), body.waiting, body.is_repeatable) == (KEPT - 10, 25, True)
+    body.feed(bytes(KEPT - 10))
+    body.feed(b"x" * 20)
+    body.feed(b"y" * 5)
+    assert (len(body.buffered), body.pending_bytes, body.is_replayable) == (KEPT - 10, 25, True)
     assert body.take() == b"x" * 20 + b"y" * 5
-    assert (body.take(), body.is_repeatable, body.size) == (b"", False, KEPT + 15)
+    assert (body.take(), body.is_replayable, body.size) == (b"", False, KEPT + 15)
--- a/tests/test_unlisted.py
+++ b/tests/test_unlisted.py
@@ -40,7 +40,7 @@
 
     try:
         discovery.start()
-        discovery.follow(True)
+        discovery.subscribe(True)
         began = time.monotonic()
         # Where lists are pushed, the third is the last that goes out quickly beside a first call.
         await until(lambda: calls() >= (3 if pushed else 4))
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -205,12 +205,12 @@
     async def work() -> None:
         monkeypatch.setattr("tulipnotch.sidecar.sidecar._SHARED_FOR_S", 0.2)
         async with stage(OK, started=False) as scene:
-            whole = scene.sidecar._upstream.most
+            whole = scene.sidecar._upstream.max_connections
             await scene.sidecar.start(adopt(str(os.dup(listener.fileno()))))
-            assert scene.sidecar._upstream.most == whole // 2
-            await until(lambda: scene.sidecar._upstream.most == whole)
+            assert scene.sidecar._upstream.max_connections == whole // 2
+            await until(lambda: scene.sidecar._upstream.max_connections == whole)
             ending = asyncio.ensure_future(scene.sidecar.drain())
-            await until(lambda: scene.sidecar._upstream.most == whole // 2)
+            await until(lambda: scene.sidecar._upstream.max_connections == whole // 2)
             await soon(ending)
 
     play(work)
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -357,7 +357,7 @@
     async def work() -> None:
         release, hold = holding()
         async with stage(hold, given={"limits": {"sockets": 80}}) as scene:
-            scene.sidecar.frontend.most = 32
+            scene.sidecar.frontend.max_connections = 32
             clients = []
             for number in range(20):
                 clients.append(await scene.client())
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -29,7 +29,7 @@
         [EndpointDescription(each, zone="east", started_at=START + ahead_s * S) for each in names(4)]
     )
     slow_start = scene.balancer._parts.slow_start
-    servers = list(scene.balancer._context.servers.values())
+    servers = list(scene.balancer._context.endpoints.values())
     assert all(slow_start.is_cold(each) for each in servers)
     scene.wait(cold_us + 1 * MS)
     scene.request()
@@ -44,8 +44,8 @@
     )
     scene.wait(given.rules.warm_up_us + 1 * MS)
     scene.request()
-    outliers = scene.balancer._parts.outliers
-    server = next(iter(scene.balancer._context.servers.values()))
+    outliers = scene.balancer._parts.outlier_detection
+    server = next(iter(scene.balancer._context.endpoints.values()))
     outliers._eject(server, "error")
     outliers.readmit(server)
     assert not scene.balancer._parts.slow_start.is_cold(server)
--- a/tulipnotch/lab/policies.py
+++ b/tulipnotch/lab/policies.py
@@ -296,9 +296,9 @@
         if now < self._read_at:
             return actions
         self._read_at = now + READ_EVERY_US
-        change = self._ladder.read(now, self._balancer.pressure())
+        change = self._ladder.observe(now, self._balancer.pressure())
         if change is not None:
-            actions = [*actions, *self._balancer.handle(now, change.bars)]
+            actions = [*actions, *self._balancer.handle(now, change.effect)]
         return actions
 
 
--- a/tulipnotch/load_balancing/admission/admission_control.py
+++ b/tulipnotch/load_balancing/admission/admission_control.py
@@ -58,7 +58,7 @@
 
     def refuses(self, request: Request, tenant: str | None) -> bool:
         """Whether to refuse a new request: likelier under more pressure, and for less worth."""
-        traffic = self._demand.request_arrived(request.kind, tenant)
+        traffic = self._demand.request_arrived(request.service_class, tenant)
         if self._level is not None and self._is_barred(traffic, self._level):
             self._demand.request_barred(self._latency.usual(request))
             self._limit.has_refused = True  # unless the limit can grow, no level is ever left
@@ -85,8 +85,10 @@
         if not limits.retry_after:
             return 0
         chance = self._context.random
-        wait = RETRY_AIMS * request.kind.latency_objective_us * (RETRY_JITTER_LEAST + chance.random())
-        if self._level is not None and request.kind.name in self._level.rejected_classes:
+        wait = (
+            RETRY_AIMS * request.service_class.latency_objective_us * (RETRY_JITTER_LEAST + chance.random())
+        )
+        if self._level is not None and request.service_class.name in self._level.rejected_classes:
             # There is no room before the level ends.
             jitter = RETRY_JITTER_LEAST + (1.0 - RETRY_JITTER_LEAST) * chance.random()
             wait = limits.max_retry_after_us * jitter
--- a/tulipnotch/load_balancing/admission/concurrency_limit.py
+++ b/tulipnotch/load_balancing/admission/concurrency_limit.py
@@ -49,7 +49,7 @@
 
         Prevents a start under load from overloading servers before any answer comes.
         """
-        ready = self._context.ready
+        ready = self._context.ready_endpoints
         if self.limit == math.inf and ready:
             self.limit = max(START_LIMIT * len(ready) / self._context.settings.instance_count, FEW)
 
@@ -69,7 +69,7 @@
         Prevents refusing everything for long: without attempts no answer tells of relief.  Where instances
         are many for the servers, each rests the longer.
         """
-        crowding = self._context.settings.instance_count / max(len(self._context.ready), 1)
+        crowding = self._context.settings.instance_count / max(len(self._context.ready_endpoints), 1)
         rest = REST_AIMS * self._context.max_latency_objective_us * max(crowding, 1.0)
         return self._context.now - self._load.busy_at >= rest
 
--- a/tulipnotch/load_balancing/admission/service_levels.py
+++ b/tulipnotch/load_balancing/admission/service_levels.py
@@ -29,7 +29,7 @@
     """A level, what it keeps out, and its two conditions; times in microseconds, parts from 0 to 1."""
 
     name: str
-    bars: ServiceLevelChanged
+    effect: ServiceLevelChanged
     enter_refused: float  # entered when the window refused more than this part of what was let to it
     enter_us: int  # over so long
     leave_fill: float  # left when load and what the level keeps out would fill less than this of the window
@@ -40,11 +40,11 @@
 class ServiceLevelTransition:
     """The level from now on, what it means for the policy, and why."""
 
-    before: str
-    now: str
-    held_us: int
+    previous: str
+    current: str
+    previous_duration_us: int
     reason: str
-    bars: ServiceLevelChanged
+    effect: ServiceLevelChanged
 
 
 @dataclass(frozen=True, slots=True)
@@ -85,13 +85,13 @@
     def name(self) -> str:
         return self._levels[self._index - 1].name if self._index else FULL_SERVICE
 
-    def told(self, now: int) -> str:
+    def describe(self, now: int) -> str:
         """The level for people: its name, for how long, and what the window does."""
         refused, _, fill = self._over(now, max((each.enter_us for each in self._levels), default=0))
         held_s = (now - self._since) / 1e6
         return f"{self.name} for {held_s:.0f} s; refused {refused:.1%}, wanted {fill:.0%} of the window"
 
-    def read(self, now: int, pressure: Pressure) -> ServiceLevelTransition | None:
+    def observe(self, now: int, pressure: Pressure) -> ServiceLevelTransition | None:
         """Take a reading; readings closer than the interval are left out, and gaps count as no news."""
         if self._last is None:
             self._last = now, pressure
@@ -168,7 +168,7 @@
         self._index, self._since = index, now
         self._changes += 1
         self._readings.clear()
-        bars = self._levels[index - 1].bars if index else _NOTHING
+        bars = self._levels[index - 1].effect if index else _NOTHING
         return ServiceLevelTransition(before, self.name, held, reason, bars)
 
 
--- a/tulipnotch/load_balancing/components.py
+++ b/tulipnotch/load_balancing/components.py
@@ -31,25 +31,25 @@
 
     def __init__(self, settings: Settings, seed: int) -> None:
         context = self.context = Context(settings, seed)
-        agenda = self.agenda = TimerQueue()
+        agenda = self.timers = TimerQueue()
         load = self.load = Load(context)
         latency = self.latency = Latency(load)
-        answers = self.answers = ResponseTimes(load, concurrency_limit.LEVEL)
-        limit = self.limit = ConcurrencyLimit(context, load, answers)
-        idle = self.idle = IdleConnections(context)
-        capacity = self.capacity = WarmCapacity(context, load)
+        answers = self.response_times = ResponseTimes(load, concurrency_limit.LEVEL)
+        limit = self.concurrency_limit = ConcurrencyLimit(context, load, answers)
+        idle = self.idle_connections = IdleConnections(context)
+        capacity = self.warm_capacity = WarmCapacity(context, load)
         slow_start = self.slow_start = SlowStart(context, capacity)
-        outliers = self.outliers = OutlierDetection(context, load, capacity, slow_start, idle)
-        zones = self.zones = LocalityWeights(context, answers, limit)
+        outliers = self.outlier_detection = OutlierDetection(context, load, capacity, slow_start, idle)
+        zones = self.locality_weights = LocalityWeights(context, answers, limit)
         selection = self.selection = Selection(context, load, zones, slow_start, outliers)
         self.class_costs = ClassCosts()
         self.mean_work = MeanWork()
         self.admission = AdmissionControl(context, load, latency, limit)
         self.retries = RetryPolicy(context)
-        self.overdue = AttemptTimeouts(context, agenda, latency, limit, idle, outliers)
+        self.attempt_timeouts = AttemptTimeouts(context, agenda, latency, limit, idle, outliers)
         self.feedback = AttemptFeedback(context, load, latency, answers, limit, outliers, selection)
-        self.discovery = DiscoveryPolling(context, agenda)
-        self.server_list = EndpointList(context, slow_start, idle, outliers)
+        self.discovery_polling = DiscoveryPolling(context, agenda)
+        self.endpoint_list = EndpointList(context, slow_start, idle, outliers)
 
     def settings_changed(self, settings: Settings) -> None:
         """Go by new settings; what was learnt of servers stays, and of classes that are still there."""
@@ -57,19 +57,19 @@
         self.latency.keep_classes(self.context.classes)
         self.class_costs.keep_classes(self.context.classes)
         if "util" not in settings.report_columns:
-            self.answers.forget_cores()
+            self.response_times.forget_cores()
         self.admission.settings_changed()
-        self.capacity.settings_changed()
-        self.zones.settings_changed()
+        self.warm_capacity.settings_changed()
+        self.locality_weights.settings_changed()
         self.selection.settings_changed()
 
     def servers_listed(self, event: EndpointsUpdated) -> None:
         """Take over a list, a change of it, or the word that a call for it failed."""
         if event.kind is EndpointUpdateKind.FAILED:
-            self.discovery.call_failed()
+            self.discovery_polling.call_failed()
             return
         if event.kind is not EndpointUpdateKind.CACHED:
-            self.discovery.list_received()
-        self.server_list.apply(event)
-        self.zones.servers_listed()
-        self.limit.start()
+            self.discovery_polling.list_received()
+        self.endpoint_list.apply(event)
+        self.locality_weights.servers_listed()
+        self.concurrency_limit.start()
--- a/tulipnotch/load_balancing/context.py
+++ b/tulipnotch/load_balancing/context.py
@@ -22,11 +22,11 @@
     __slots__ = (
         "actions",
         "classes",
+        "endpoints",
         "max_latency_objective_us",
         "now",
         "random",
-        "ready",
-        "servers",
+        "ready_endpoints",
         "settings",
     )
 
@@ -34,8 +34,8 @@
         self.now = 0
         self.actions: list[Action] = []  # of the event that is being handled
         self.random = random.Random(seed)
-        self.servers: dict[str, Endpoint] = {}  # those listed, and those left with an attempt still pending
-        self.ready: list[Endpoint] = []  # in this balancer's own order
+        self.endpoints: dict[str, Endpoint] = {}  # those listed, and those left with an attempt still pending
+        self.ready_endpoints: list[Endpoint] = []  # in this balancer's own order
         self.apply(settings)
 
     def apply(self, settings: Settings) -> None:
--- a/tulipnotch/load_balancing/endpoints/endpoint_list.py
+++ b/tulipnotch/load_balancing/endpoints/endpoint_list.py
@@ -30,7 +30,7 @@
 
     def apply(self, event: EndpointsUpdated) -> None:
         """Take over a list or a change of it."""
-        servers = self._context.servers
+        servers = self._context.endpoints
         if event.kind is not EndpointUpdateKind.DELTA:
             listed = {line.name for line in event.endpoints}
             for server in servers.values():
@@ -41,13 +41,15 @@
         for server in [each for each in servers.values() if each.state is EndpointState.REMOVED]:
             self.forget_if_gone(server)
         ready = [each for each in servers.values() if each.state is EndpointState.READY]
-        ready.sort(key=lambda each: each.order)
-        self._context.ready = ready
+        ready.sort(key=lambda each: each.sort_key)
+        self._context.ready_endpoints = ready
         self._set_ratios(ready)
 
     def members(self) -> tuple[int, int]:
         """How many servers are listed, and how many of these get no ordinary request now."""
-        listed = [each for each in self._context.servers.values() if each.state is not EndpointState.REMOVED]
+        listed = [
+            each for each in self._context.endpoints.values() if each.state is not EndpointState.REMOVED
+        ]
         now = self._context.now
         # One whose ejection has run out is due for a trial, and so not left out any more.
         avoided = [
@@ -65,20 +67,20 @@
         cold by that.
         """
         if server.state is EndpointState.REMOVED and server.in_flight == 0:
-            if self._context.servers.get(server.name) is server:
-                del self._context.servers[server.name]
+            if self._context.endpoints.get(server.name) is server:
+                del self._context.endpoints[server.name]
             self._outliers.forget(server)
 
     def _line_received(self, line: EndpointDescription) -> None:
-        servers = self._context.servers
+        servers = self._context.endpoints
         server = servers.get(line.name)
         if server is None:
             server = servers[line.name] = Endpoint(line.name, self._context.random.random())
         server.zone = line.zone
         server.cell = line.cell
-        if server.state is EndpointState.REMOVED or line.nominal_capacity != server.nominal:
+        if server.state is EndpointState.REMOVED or line.nominal_capacity != server.nominal_capacity:
             server.latency_ratio = UNSET_RATIO
-        server.nominal = max(line.nominal_capacity, 0.0)
+        server.nominal_capacity = max(line.nominal_capacity, 0.0)
         self._state_received(server, line.state)
         if line.started_at is not None and line.started_at != server.started_at:
             self._process_started(server, line.started_at)
@@ -98,7 +100,9 @@
     @staticmethod
     def _set_ratios(ready: list[Endpoint]) -> None:
         """Until answers tell, a server is as quick as its nominal size."""
-        mean_size = sum(each.nominal for each in ready) / max(len(ready), 1)
+        mean_size = sum(each.nominal_capacity for each in ready) / max(len(ready), 1)
         for server in ready:
             if server.latency_ratio <= UNSET_RATIO:
-                server.latency_ratio = mean_size / server.nominal if server.nominal > 0.0 else 1.0
+                server.latency_ratio = (
+                    mean_size / server.nominal_capacity if server.nominal_capacity > 0.0 else 1.0
+                )
--- a/tulipnotch/load_balancing/health/idle_connections.py
+++ b/tulipnotch/load_balancing/health/idle_connections.py
@@ -60,13 +60,13 @@
         if odds < DOUBTFUL_ODDS or attempt.connection_idle_us < self._stale_after:
             self._stale_after = attempt.connection_idle_us
         self._odds = odds + FAILURE_STEP * (1.0 - odds)
-        self.close(attempt.server)
-        attempt.server.idle_since = None
+        self.close(attempt.endpoint)
+        attempt.endpoint.idle_since = None
         return True
 
     def answered(self, attempt: Attempt) -> None:
         """Learn from an attempt that was answered; its connection is idle from now on."""
-        attempt.server.idle_since = self._context.now
+        attempt.endpoint.idle_since = self._context.now
         if attempt.silence_recorded:
             self._odds = 0.0  # it was slow, not stale
         elif attempt.connection_idle_us and attempt.connection_idle_us >= self._stale_after:
--- a/tulipnotch/load_balancing/health/outlier_detection.py
+++ b/tulipnotch/load_balancing/health/outlier_detection.py
@@ -52,10 +52,10 @@
 
     def attempt_ended(self, attempt: Attempt, outcome: Outcome) -> None:
         """Learn of a server's health from the end of an attempt."""
-        server = attempt.server
-        is_trial = server.trial is attempt
+        server = attempt.endpoint
+        is_trial = server.probation_attempt is attempt
         if is_trial:
-            server.trial = None
+            server.probation_attempt = None
         if outcome in ANSWERS:
             self._answered(attempt)
         elif outcome is Outcome.MALFORMED_RESPONSE:
@@ -64,9 +64,9 @@
             self._failed(attempt, outcome, is_trial)
 
     def _answered(self, attempt: Attempt) -> None:
-        server = attempt.server
-        server.consecutive_failures = server.consecutive_spoilt = 0
-        server.last_answer_at = self._context.now
+        server = attempt.endpoint
+        server.consecutive_failures = server.consecutive_malformed = 0
+        server.last_response_at = self._context.now
         self._idle.answered(attempt)
         self.answers += 1
         self._capacity.answered(server)
@@ -75,15 +75,15 @@
 
     def _spoilt(self, server: Endpoint, is_trial: bool) -> None:
         """Prevents ejecting servers for what comes spoilt from all of them alike: it takes many in a row."""
-        server.consecutive_spoilt += 1
-        server.last_answer_at = self._context.now
-        is_outlier = server.consecutive_spoilt >= CONSECUTIVE_SPOILT and server.ejected_until is None
+        server.consecutive_malformed += 1
+        server.last_response_at = self._context.now
+        is_outlier = server.consecutive_malformed >= CONSECUTIVE_SPOILT and server.ejected_until is None
         if is_trial or is_outlier:
             self._eject(server, Outcome.MALFORMED_RESPONSE.value)
 
     def _failed(self, attempt: Attempt, outcome: Outcome, is_trial: bool) -> None:
-        server = attempt.server
-        if outcome is Outcome.TIMED_OUT and server.last_answer_at > attempt.sent_at:
+        server = attempt.endpoint
+        if outcome is Outcome.TIMED_OUT and server.last_response_at > attempt.sent_at:
             return  # it is slow, and no outlier: it answered others meanwhile
         if outcome in SILENCES and self._idle.is_blamed_for(attempt) and not is_trial:
             return
@@ -109,7 +109,7 @@
         """
         context = self._context
         if server.ejected_until is None:
-            known = min(len(context.ready), subset_size(self._load.mean))
+            known = min(len(context.ready_endpoints), subset_size(self._load.mean))
             if len(self._ejected) + 1 > most * known:
                 return
             self._ejected.append(server)
@@ -126,7 +126,7 @@
         self._load.server_readmitted(server)
         server.ejections = 0
         server.consecutive_failures = 0
-        if server.cold_since is not None and not server.is_start_listed:
+        if server.warm_up_started_at is not None and not server.is_start_announced:
             self._slow_start.turned_cold(server)
         self._context.actions.append(LogEvent("readmitted", server.name))
 
@@ -137,12 +137,16 @@
 
     def trial_due(self, request: Request) -> Endpoint | None:
         """The ejected server to try with this request, which must be one that may be repeated."""
-        if not self._ejected or request.kind.idempotency is not Idempotency.IDEMPOTENT or request.attempts:
+        if (
+            not self._ejected
+            or request.service_class.idempotency is not Idempotency.IDEMPOTENT
+            or request.attempts
+        ):
             return None
         now = self._context.now
         for server in self._ejected:
             is_due = server.ejected_until is not None and now >= server.ejected_until
-            if is_due and server.state is EndpointState.READY and server.trial is None:
+            if is_due and server.state is EndpointState.READY and server.probation_attempt is None:
                 if self._slow_start.has_room(server, request.work):
                     return server
         return None
--- a/tulipnotch/load_balancing/metrics/latency.py
+++ b/tulipnotch/load_balancing/metrics/latency.py
@@ -31,12 +31,13 @@
     def usual(self, request: Request) -> float:
         """The usual time of such a request, over all servers, in microseconds."""
         return self.usual_us.get(
-            (request.kind.name, request.size), UNSEEN_AIMS * request.kind.latency_objective_us
+            (request.service_class.name, request.cost_bucket),
+            UNSEEN_AIMS * request.service_class.latency_objective_us,
         )
 
     def answered(self, server: Endpoint, request: Request, elapsed_us: int) -> None:
         """Learn from an answer, of the server and of such requests."""
-        key = (request.kind.name, request.size)
+        key = (request.service_class.name, request.cost_bucket)
         usual = self.usual_us.setdefault(key, float(elapsed_us))  # the first answer of its kind is usual
         self._follow_ratio(server, request, elapsed_us)
         self.usual_us[key] = usual + USUAL_STEP * (elapsed_us - usual)
--- a/tulipnotch/load_balancing/retries/attempt_timeouts.py
+++ b/tulipnotch/load_balancing/retries/attempt_timeouts.py
@@ -38,39 +38,48 @@
     def watch(self, request: Request, attempt: Attempt) -> None:
         """Look at an attempt that begins now once it is overdue."""
         due = self._context.now + self._patience(request, attempt)
-        self._agenda.schedule(due, request.ident, attempt.index)
+        self._agenda.schedule(due, request.request_id, attempt.index)
 
     def _patience(self, request: Request, attempt: Attempt) -> int:
-        usual = PATIENCE * self._latency.usual(request) * max(attempt.server.latency_ratio, 1.0)
+        usual = PATIENCE * self._latency.usual(request) * max(attempt.endpoint.latency_ratio, 1.0)
         least = HANDSHAKE_AIMS if attempt.opens_connection else PATIENCE_AIMS
         return int(
-            max(usual, least * request.kind.latency_objective_us, self._context.settings.clock_resolution_us)
+            max(
+                usual,
+                least * request.service_class.latency_objective_us,
+                self._context.settings.clock_resolution_us,
+            )
         )
 
     def gets_no_answer(self, request: Request, attempt: Attempt) -> bool:
         """Learn from an overdue attempt; say whether it gets none where it is, as far as is known."""
-        server = attempt.server
+        server = attempt.endpoint
         waited = self._context.now - attempt.sent_at
         self._count_if_late(request, attempt, waited)
-        if server.last_answer_at > attempt.sent_at:
+        if server.last_response_at > attempt.sent_at:
             return False
         enough = int(
-            max(SILENCE * self._patience(request, attempt), SILENCE_AIMS * request.kind.latency_objective_us)
+            max(
+                SILENCE * self._patience(request, attempt),
+                SILENCE_AIMS * request.service_class.latency_objective_us,
+            )
         )
         if waited < enough:
-            self._agenda.schedule(attempt.sent_at + enough, request.ident, attempt.index)
+            self._agenda.schedule(attempt.sent_at + enough, request.request_id, attempt.index)
         elif self._is_singled_out(attempt) and not self._idle.is_blamed_for(attempt):
             self._outliers.eject_silent(server)
         return server.ejected_until is not None or attempt.is_connection_suspect
 
     def _count_if_late(self, request: Request, attempt: Attempt, waited: int) -> None:
         """Count the attempt as a sign of overload once it is late, unless its server is the cause."""
-        late = int(request.kind.latency_objective_us * (1.0 + HANDSHAKE_AIMS * attempt.opens_connection))
+        late = int(
+            request.service_class.latency_objective_us * (1.0 + HANDSHAKE_AIMS * attempt.opens_connection)
+        )
         if waited < late:
-            self._agenda.schedule(attempt.sent_at + late, request.ident, attempt.index)
+            self._agenda.schedule(attempt.sent_at + late, request.request_id, attempt.index)
         elif (
             not attempt.counted_late
-            and attempt.server.ejected_until is None
+            and attempt.endpoint.ejected_until is None
             and not attempt.is_connection_suspect
         ):
             attempt.counted_late = True
@@ -78,5 +87,5 @@
 
     def _is_singled_out(self, attempt: Attempt) -> bool:
         """Whether others answered meanwhile, so that the silence is this server's own."""
-        answers = self._outliers.answers - attempt.answers_before
-        return attempt.server.ejected_until is None and answers >= OTHER_ANSWERS
+        answers = self._outliers.answers - attempt.responses_before
+        return attempt.endpoint.ejected_until is None and answers >= OTHER_ANSWERS
--- a/tulipnotch/load_balancing/retries/retry_policy.py
+++ b/tulipnotch/load_balancing/retries/retry_policy.py
@@ -25,7 +25,7 @@
     def begin_by(self, request: Request) -> int:
         """Until when the request's class lets another attempt begin."""
         return repeat_rule.begin_by(
-            request.kind, self._context.settings.clock_resolution_us, request.attempts
+            request.service_class, self._context.settings.clock_resolution_us, request.attempts
         )
 
     def may_retry(self, request: Request, was_full: bool) -> bool:
@@ -49,4 +49,4 @@
     def is_refusal_harmless(self, request: Request) -> bool:
         """Whether a client may be told that trying again has no double effect."""
         may_have_run = any(each.may_have_run for each in request.attempts)
-        return not may_have_run or repeat_rule.may_run_anywhere_again(request.kind)
+        return not may_have_run or repeat_rule.may_run_anywhere_again(request.service_class)
--- a/tulipnotch/load_balancing/selection/best_of_k.py
+++ b/tulipnotch/load_balancing/selection/best_of_k.py
@@ -54,7 +54,7 @@
         far = FAR_SLOWER if is_far_slower else 1.0
         best: Endpoint | None = None
         best_rank = (0, 0.0)
-        count = DRAWN << request.full_answers
+        count = DRAWN << request.overloaded_responses
         for server in weighted_draw.drawn(context.random, pool, weights, count):
             slower = 1.0 if server.zone == zone else far
             rank = (self.busy(server), server.latency_ratio * slower)
@@ -78,20 +78,24 @@
         Prevents redraws at servers that turn away one class or tenant while they have room for others.  It
         gives way where nothing else is left.
         """
-        back_off = server.backing_off.setdefault(kind, BackOff())
-        back_off.aims = min(2.0 * back_off.aims, BACK_OFF_AIMS_MOST) if back_off.aims else BACK_OFF_AIMS
-        back_off.until = self._context.after_about(back_off.aims)
+        back_off = server.back_offs.setdefault(kind, BackOff())
+        back_off.latency_objectives = (
+            min(2.0 * back_off.latency_objectives, BACK_OFF_AIMS_MOST)
+            if back_off.latency_objectives
+            else BACK_OFF_AIMS
+        )
+        back_off.until = self._context.after_about(back_off.latency_objectives)
 
     def answer_received(self, server: Endpoint, kind: str) -> None:
         """A server has room for a class again."""
-        server.backing_off.pop(kind, None)
+        server.back_offs.pop(kind, None)
 
     def settings_changed(self) -> None:
         """Keep nothing of classes that vanished."""
         classes = self._context.classes
-        for server in self._context.servers.values():
-            kept = {name: each for name, each in server.backing_off.items() if name in classes}
-            server.backing_off = kept
+        for server in self._context.endpoints.values():
+            kept = {name: each for name, each in server.back_offs.items() if name in classes}
+            server.back_offs = kept
 
     def _subset(self, request: Request) -> list[Endpoint]:
         """The first eligible servers in this balancer's own order, as many as its traffic can know.
@@ -102,14 +106,14 @@
         size = subset_size(self._load.mean)
         near_slots, far_slots = self._slots(size)
         zone = self._context.settings.zone
-        kind = request.kind.name
+        kind = request.service_class.name
         pool: list[Endpoint] = []
         spare: list[Endpoint] = []
         backing_off: list[Endpoint] = []
-        for server in self._context.ready:
+        for server in self._context.ready_endpoints:
             if not self._is_eligible(server, request):
                 continue
-            if server.backing_off and self._is_backing_off(server, kind):
+            if server.back_offs and self._is_backing_off(server, kind):
                 backing_off.append(server)
                 continue
             if server.zone == zone:
@@ -135,14 +139,16 @@
         if server.ejected_until is not None:
             return False
         if request.attempts:
-            if server in request.tried or not repeat_rule.is_in_group(request.kind, server, request.attempts):
+            if server in request.failed_endpoints or not repeat_rule.is_in_group(
+                request.service_class, server, request.attempts
+            ):
                 return False
-            if any(each.pending and each.server is server for each in request.attempts):
+            if any(each.is_pending and each.endpoint is server for each in request.attempts):
                 return False  # a second copy goes elsewhere
-        return server.cold_since is None or self._slow_start.has_room(server, request.work)
+        return server.warm_up_started_at is None or self._slow_start.has_room(server, request.work)
 
     def _is_backing_off(self, server: Endpoint, kind: str) -> bool:
-        back_off = server.backing_off.get(kind)
+        back_off = server.back_offs.get(kind)
         return back_off is not None and self._context.now < back_off.until
 
     def _weights(self, pool: list[Endpoint], request: Request, remote: float) -> list[float]:
@@ -151,10 +157,10 @@
         Only quick servers can answer heavy requests in time.
         """
         zone = self._context.settings.zone
-        power = min(max(1.0, float(request.size)), HEAVY_POWER)
+        power = min(max(1.0, float(request.cost_bucket)), HEAVY_POWER)
         weights = []
         for server in pool:
             slowness = math.pow(max(server.latency_ratio, 1.0 / RATIO_MOST), power)
-            warmth = 1.0 if server.cold_since is None else self._slow_start.warmth(server)
+            warmth = 1.0 if server.warm_up_started_at is None else self._slow_start.warmth(server)
             weights.append(warmth / slowness * (1.0 if server.zone == zone else remote))
         return weights
--- a/tulipnotch/load_balancing/selection/locality_weights.py
+++ b/tulipnotch/load_balancing/selection/locality_weights.py
@@ -34,7 +34,7 @@
 
     def servers_listed(self) -> None:
         """Count the ready servers that are in other zones."""
-        ready = self._context.ready
+        ready = self._context.ready_endpoints
         zone = self._context.settings.zone
         self.far_part = sum(each.zone != zone for each in ready) / max(len(ready), 1)
 
@@ -49,7 +49,7 @@
             return 1.0
         if self._answers.late >= EVEN_LATE or self._limit.fill() > FREE:
             return 1.0  # room anywhere is worth more than a crossing
-        lag = zone_lag(self._context.ready, self._context.settings.zone)
+        lag = zone_lag(self._context.ready_endpoints, self._context.settings.zone)
         if lag is None:
             return 1.0
         loaded = (
--- a/tulipnotch/load_balancing/slow_start/warm_capacity.py
+++ b/tulipnotch/load_balancing/slow_start/warm_capacity.py
@@ -18,7 +18,7 @@
 
 def is_cold(server: Endpoint, rules: Rules, now: int) -> bool:
     """Whether a server still warms up."""
-    return server.cold_since is not None and now < server.cold_since + rules.warm_up_us
+    return server.warm_up_started_at is not None and now < server.warm_up_started_at + rules.warm_up_us
 
 
 class WarmCapacity:
@@ -66,7 +66,7 @@
     def _served_by_each(self) -> float:
         """What each server sent to serves just now; with no warm server all count, as sends go to all."""
         now, rules = self._context.now, self._context.settings.rules
-        ready = self._context.ready
+        ready = self._context.ready_endpoints
         warm = [each for each in ready if not is_cold(each, rules, now)]
         peers = warm or ready  # ejected ones too: they served a part of what is counted
         if warm:
@@ -76,5 +76,5 @@
             sent_to = len(peers)
             served = self._arrivals.per_us(now) / (REPEATED * max(sent_to, 1))
         self.sent_part = sent_to / max(len(peers), 1)
-        self.mean_size = sum(each.nominal for each in peers) / max(len(peers), 1)
+        self.mean_size = sum(each.nominal_capacity for each in peers) / max(len(peers), 1)
         return served
--- a/tulipnotch/load_balancing/slow_start/warm_up_budget.py
+++ b/tulipnotch/load_balancing/slow_start/warm_up_budget.py
@@ -75,11 +75,13 @@
     def turned_cold(self, server: Endpoint, started_at: int | None = None) -> None:
         """A server's process started then, by the list, or just now; one in the future has a wrong clock."""
         settings = self._context.settings
-        server.cold_since = min(self._context.now if started_at is None else started_at, self._context.now)
-        server.is_start_listed = started_at is not None
+        server.warm_up_started_at = min(
+            self._context.now if started_at is None else started_at, self._context.now
+        )
+        server.is_start_announced = started_at is not None
         chance = self._context.random.random()
         begins_with = phase(server.name, started_at, settings.instance_index, settings.instance_count, chance)
-        server.allowance = WarmUpBudget(self._context.now, begins_with)
+        server.warm_up_budget = WarmUpBudget(self._context.now, begins_with)
 
     def is_cold(self, server: Endpoint) -> bool:
         """Whether a server still warms up."""
@@ -87,7 +89,7 @@
 
     def warmth(self, server: Endpoint) -> float:
         """The least share of its capacity that a server has now."""
-        return warmth(self._context.settings.rules, server.cold_since, self._context.now)
+        return warmth(self._context.settings.rules, server.warm_up_started_at, self._context.now)
 
     def has_room(self, server: Endpoint, work: float) -> bool:
         """Whether a cold server's budget has room for a request of this much work, in means.
@@ -95,21 +97,21 @@
         The budget fills with a part of what would push the server over, judged by what this balancer's warm
         servers serve for it; all balancers doing so stay under the whole.
         """
-        if server.allowance is None or not self.is_cold(server):
+        if server.warm_up_budget is None or not self.is_cold(server):
             return True
         settings = self._context.settings
         rules = settings.rules
         capacity = self._capacity.per_us()
         if self._capacity.mean_size > 0.0:
-            capacity *= min(server.nominal / self._capacity.mean_size, 1.0)
+            capacity *= min(server.nominal_capacity / self._capacity.mean_size, 1.0)
         limit = rules.overload_multiple * self.warmth(server) * capacity
         # What all instances may put on it, were all like this one.
         of_all = limit * rules.overload_window_us * settings.instance_count * self._capacity.sent_part
         if work > heaviest(of_all):
             return False
-        return server.allowance.has_room(self._context.now, limit, rules.overload_window_us, work)
+        return server.warm_up_budget.has_room(self._context.now, limit, rules.overload_window_us, work)
 
     def spend(self, server: Endpoint, work: float) -> None:
         """A request of this much work goes to the server."""
-        if server.allowance is not None and self.is_cold(server):
-            server.allowance.spend(work)
+        if server.warm_up_budget is not None and self.is_cold(server):
+            server.warm_up_budget.spend(work)
--- a/tulipnotch/sidecar/control/lifecycle.py
+++ b/tulipnotch/sidecar/control/lifecycle.py
@@ -33,7 +33,7 @@
         return self._phase is Phase.SERVING
 
     @property
-    def is_emptying(self) -> bool:
+    def is_draining(self) -> bool:
         """Whether clients are to leave: each answer closes its connection, and idle ones are let go."""
         return self._phase in (Phase.EVACUATING, Phase.STOPPING)
 
--- a/tulipnotch/sidecar/control/telemetry.py
+++ b/tulipnotch/sidecar/control/telemetry.py
@@ -35,9 +35,9 @@
         self._client_closes = dict.fromkeys((each.value for each in CloseReason), 0)
         self.config_reloads = 0
         self.config_reload_errors = 0
-        self.show(classes)
+        self.add_classes(classes)
 
-    def show(self, classes: Iterable[str]) -> None:
+    def add_classes(self, classes: Iterable[str]) -> None:
         """Show these classes from now on, with zeros until something is counted.
 
         A class that the settings no longer name stays: its requests under way still end.
@@ -45,7 +45,7 @@
         for each in classes:
             self._ended.setdefault(each, dict.fromkeys(Result, 0))
 
-    def ended(self, service_class: str, result: Result) -> None:
+    def request_ended(self, service_class: str, result: Result) -> None:
         """A request has its final answer."""
         self._ended[service_class][result] += 1
 
@@ -55,19 +55,19 @@
     def attempt_withheld(self) -> None:
         self.upstream_requests_withheld += 1
 
-    def retried(self, after: Outcome | None) -> None:
+    def request_retried(self, after: Outcome | None) -> None:
         """A request goes to a further server, after this outcome or (None) while it waits for one."""
         self._retries[_OVERDUE if after is None else after.value] += 1
 
-    def refused(self, reason: TerminationReason | None) -> None:
+    def request_rejected(self, reason: TerminationReason | None) -> None:
         """A request is refused, for this reason or (None) for as many as are open."""
         self._refusals[_MAX_OPEN if reason is None else reason.value] += 1
 
-    def client_closed(self, reason: CloseReason) -> None:
+    def connection_closed(self, reason: CloseReason) -> None:
         """A client's connection has ended."""
         self._client_closes[reason.value] += 1
 
-    def given_up(self, reason: TerminationReason) -> None:
+    def request_failed(self, reason: TerminationReason) -> None:
         """A request is answered as failed."""
         self._failures[reason.value] += 1
 
--- a/tulipnotch/sidecar/discovery/client.py
+++ b/tulipnotch/sidecar/discovery/client.py
@@ -41,7 +41,7 @@
 class DiscoveredEndpoint:
     """A line of the list, with where the server can be reached from here."""
 
-    listed: EndpointDescription
+    description: EndpointDescription
     address: Address | None  # None: it left
 
 
@@ -50,12 +50,12 @@
     """An answer of discovery."""
 
     version: int
-    full: bool
-    entries: tuple[DiscoveredEndpoint, ...]
+    is_complete: bool
+    endpoints: tuple[DiscoveredEndpoint, ...]
 
     def event(self, kind: EndpointUpdateKind | None = None) -> EndpointsUpdated:
-        by_form = EndpointUpdateKind.COMPLETE if self.full else EndpointUpdateKind.DELTA
-        return EndpointsUpdated(kind or by_form, [each.listed for each in self.entries], self.version)
+        by_form = EndpointUpdateKind.COMPLETE if self.is_complete else EndpointUpdateKind.DELTA
+        return EndpointsUpdated(kind or by_form, [each.description for each in self.endpoints], self.version)
 
 
 def parse_listing(given: object) -> DiscoveryResponse:
@@ -182,7 +182,7 @@
         self._instance = instance
         self._has_list = has_list
         self._clock = Clock()
-        self.has_tried = asyncio.Event()  # whether a call has been answered, or has failed
+        self.first_call_ended = asyncio.Event()  # whether a call has been answered, or has failed
         self._is_followed = pushed
         self._changes = 0  # of what is known, so far
         self._watch: asyncio.Task[None] | None = None
@@ -200,7 +200,7 @@
         if self._pushed and self._watch is None:  # a reload may have come first
             self._begin_watch()
 
-    def follow(self, wanted: bool) -> None:
+    def subscribe(self, wanted: bool) -> None:
         """Watch the list from now on, or no longer.
 
         Asked again before its first answer, a watch goes on as it is: to call anew would give up the place in
@@ -226,7 +226,7 @@
         self._fetches.add(fetch)
         fetch.add_done_callback(self._fetches.discard)
 
-    def move(self, address: Address) -> None:
+    def change_address(self, address: Address) -> None:
         """Ask at another address from now on, and leave the old one at once.
 
         What was on its way is asked anew there: no failure of the old one is reported.  The other discovery
@@ -301,7 +301,7 @@
             wait_ms = 0
             while True:
                 line, listing, changes = await self._call(line, wait_ms)
-                is_news = listing.full or bool(listing.entries)
+                is_news = listing.is_complete or bool(listing.endpoints)
                 if is_news or self._is_awaited:
                     self._is_awaited = False
                     self._received(listing, changes)
@@ -352,7 +352,7 @@
                 its.close()
 
     def _failed(self, fault: DiscoveryError) -> None:
-        self.has_tried.set()
+        self.first_call_ended.set()
         if str(fault) != self._fault:
             self._fault = str(fault)
             self._on_fault(self._fault)
@@ -371,7 +371,7 @@
             self._changes += 1
         self._fault = None
         self._has_list = True
-        self.has_tried.set()
+        self.first_call_ended.set()
         self._on_list(listing)
 
 
--- a/tulipnotch/sidecar/discovery/peers.py
+++ b/tulipnotch/sidecar/discovery/peers.py
@@ -23,13 +23,13 @@
         me: int,
         on_message: Callable[[int, bytes], None],
     ) -> None:
-        self.rename(peers, everyone)
+        self.set_addresses(peers, everyone)
         self._me = me
         self._on_message = on_message
         self._transport: asyncio.DatagramTransport | None = None
         self._binding: asyncio.Task[None] | None = None  # until the address can be had
 
-    def rename(self, peers: tuple[Address, ...], everyone: Address | None) -> None:
+    def set_addresses(self, peers: tuple[Address, ...], everyone: Address | None) -> None:
         """Reach the tier's sidecars at these addresses from now on."""
         self._peers = peers
         self._everyone = everyone
@@ -54,7 +54,7 @@
             with suppress(OSError):
                 await self._bind(address)
 
-    def tell(self, receiver: int | None, payload: bytes) -> bool:
+    def send(self, receiver: int | None, payload: bytes) -> bool:
         """Send to one sidecar, or to all; say whether it could be sent at all."""
         if self._transport is None or len(payload) > MOST_BYTES:
             return False
--- a/tulipnotch/sidecar/downstream/incoming_request.py
+++ b/tulipnotch/sidecar/downstream/incoming_request.py
@@ -36,13 +36,13 @@
 class IncomingRequest:
     """A client's request, read and checked."""
 
-    kind: ServiceClass  # as the settings had it when the request began to come
+    service_class: ServiceClass  # as the settings had it when the request began to come
     tenant: str | None
     key: int | None
     remaining_us: int
     cost_us: int | None
     client_retry: bool
-    ident: bytes
+    request_id: bytes
     method: bytes
     target: bytes
     headers: Headers  # as they go on to a server, but for the time that it has
@@ -50,11 +50,11 @@
     is_chunked: bool  # on its way to a server: its length is not known yet
 
     @property
-    def service_class(self) -> str:
+    def class_name(self) -> str:
         """The name of its class."""
-        return self.kind.name
+        return self.service_class.name
 
-    def message(self, left_us: int) -> Request:
+    def upstream_message(self, left_us: int) -> Request:
         """The same request as a server gets it, when the sidecar will wait for so long."""
         timeout = (b"request-timeout", b"%.3f" % (min(left_us, self.remaining_us) / 1e6))
         return Request(
@@ -103,21 +103,21 @@
     hint = own.get(b"work-hint")
     if hint is not None and not _HINT.fullmatch(hint):
         raise BadRequestError("work-hint is nonsense")
-    length = request.body.size if request.body.is_whole else request.length
+    length = request.body.size if request.body.is_complete else request.length
     if length is None:
         headers.append((b"transfer-encoding", b"chunked"))
     elif length or not is_get:
         headers.append((b"content-length", b"%d" % length))
     tenant = own.get(b"tenant", b"").decode("latin-1")
     return IncomingRequest(
-        kind=kind,
+        service_class=kind,
         tenant=tenant if any(each.name == tenant for each in settings.tenants) else None,
         key=_key(request.target),
         # Guards against a client that claims more time than its class has: each open request holds memory.
         remaining_us=min(remaining_us, kind.deadline_us),
         cost_us=int(hint) if hint is not None else None,
         client_retry=own.get(b"client-retry") == b"1",
-        ident=own[b"request-id"],
+        request_id=own[b"request-id"],
         method=request.method,
         target=request.target,
         headers=headers,
--- a/tulipnotch/sidecar/downstream/listener.py
+++ b/tulipnotch/sidecar/downstream/listener.py
@@ -143,7 +143,7 @@
         """How many were accepted and are not connected yet."""
         return len(self._accepting)
 
-    def take_waiting(self) -> bool:
+    def accept_pending(self) -> bool:
         """Accept all that the kernel has accepted for this process; say whether nothing is left there.
 
         For the last process to listen: its close resets what is left, with the requests written there.  Where
--- a/tulipnotch/sidecar/downstream/server.py
+++ b/tulipnotch/sidecar/downstream/server.py
@@ -153,7 +153,7 @@
 
     # What the sidecar calls
 
-    def look(self) -> None:
+    def check_disconnected(self) -> None:
         """See whether the client is still there, before something is done for it.
 
         Guards against sending on what nobody waits for: its leaving may lie in the socket before the event
@@ -161,15 +161,15 @@
         """
         if self._owed is not None and self._has_left:
             self._gone()
-            self.cut(CloseReason.CLIENT_LEFT)
+            self.abort(CloseReason.CLIENT_LEFT)
 
-    def answer(self, status: int, headers: Headers, body: bytes, length: int | None = None) -> None:
+    def send_response(self, status: int, headers: Headers, body: bytes, length: int | None = None) -> None:
         """Write the one answer to the open request; `length` is given where no body may follow."""
         self._owed = None
         if self._transport is None or self._transport.is_closing():
             return
         request = self._request
-        if request is not None and not request.body.is_whole:
+        if request is not None and not request.body.is_complete:
             self._frontend.moved(self, ConnectionState.ENDING)  # what still comes of it is nobody's
         closing = self._closes_after(request)
         if closing:
@@ -178,7 +178,9 @@
         self._transport.write(Response(status, headers, body, length).encode(with_body=with_body))
         self._answered(closing=closing)
 
-    def begin(self, status: int, headers: Headers, length: int | None, source: ResponseProducer) -> None:
+    def start_response(
+        self, status: int, headers: Headers, length: int | None, source: ResponseProducer
+    ) -> None:
         """Write the head of an answer that passes through; `pass_on` brings its body, `finish` its end."""
         if self._transport is None or self._transport.is_closing():
             return
@@ -196,12 +198,12 @@
             framing.append((b"transfer-encoding", b"chunked"))
         self._transport.write(Response(status, headers).head(framing))
 
-    def pass_on(self, piece: bytes) -> None:
+    def write_body(self, piece: bytes) -> None:
         if self._transport is not None and not self._transport.is_closing():
             self._progress_at = asyncio.get_running_loop().time()
             self._transport.write(chunk(piece) if self._answers_in_chunks else piece)
 
-    def finish(self) -> None:
+    def finish_response(self) -> None:
         """The answer that passed through is whole."""
         self._owed = self._source = None
         if self._transport is None or self._transport.is_closing():
@@ -212,7 +214,7 @@
 
     def _closes_after(self, request: Request | None) -> bool:
         return (
-            self._frontend.lifecycle.is_emptying
+            self._frontend.lifecycle.is_draining
             or self.state is ConnectionState.ENDING
             or (request is not None and not request.keep_alive)
         )
@@ -224,7 +226,7 @@
             self.close(CloseReason.ANSWERED)
             return
         self._frontend.moved(self, ConnectionState.RESTING)
-        if self._reader.has_part or self._reader.requests or self._reader.fault is not None:
+        if self._reader.is_mid_message or self._reader.requests or self._reader.fault is not None:
             # Guards against waiting for data when the next request came in one piece with this one.
             self._frontend.moved(self, ConnectionState.READING)
             asyncio.get_running_loop().call_soon(self._advance)
@@ -252,7 +254,7 @@
         transport.write_eof()
         self._resume_reading()
 
-    def cut(self, reason: CloseReason) -> None:
+    def abort(self, reason: CloseReason) -> None:
         """Close it whatever is unsent; in the middle of an answer by a reset.
 
         Guards against an answer that ends with its connection: after an orderly end it would look whole.
@@ -267,7 +269,7 @@
 
     def _ends(self, reason: CloseReason) -> None:
         """Keep why this side ends the connection; every such end passes here."""
-        self._frontend.guard.closing(reason, is_owed=self._owed is not None)
+        self._frontend.guard.check_close(reason, is_owed=self._owed is not None)
         if self._closed_for is None:
             self._closed_for = reason
 
@@ -279,7 +281,7 @@
         """
         self._closed_for = self._closed_for or CloseReason.REJECTED
         self._frontend.moved(self, ConnectionState.ENDING)
-        self.answer(status, [], f"{text}\n".encode() if text else b"")
+        self.send_response(status, [], f"{text}\n".encode() if text else b"")
 
     # What the event loop calls
 
@@ -299,7 +301,7 @@
             self._frontend.moved(self, ConnectionState.READING)
         self._progress_at = asyncio.get_running_loop().time()
         self._came += nbytes
-        if not self._reader.has_part and not self._reader.requests:
+        if not self._reader.is_mid_message and not self._reader.requests:
             self._classes = self._frontend.classes
         had_head = self._reader.has_head
         self._reader.feed(bytes(self._frontend.buffer[:nbytes]))
@@ -313,7 +315,7 @@
         self._advance()
         if self._owed is None or self.state is ConnectionState.PASSING:
             return
-        if self._reader.has_part or self._reader.requests or self._reader.fault is not None:
+        if self._reader.is_mid_message or self._reader.requests or self._reader.fault is not None:
             # Guards against a client that sends on and on behind its open request: none of it is due yet.
             self._pause_reading()
 
@@ -356,9 +358,9 @@
             return
         if self._reader.fault is not None:
             self.give_up(self._reader.fault)
-        elif request.body.is_whole:
+        elif request.body.is_complete:
             self._frontend.moved(self, ConnectionState.SERVING)
-        elif request.body.waiting >= _WAITING:
+        elif request.body.pending_bytes >= _WAITING:
             self._pause_reading()
 
     def give_up(self, status: int) -> None:
@@ -403,23 +405,23 @@
     def _taken(self, request: Request) -> None:
         self._request = request
         self._frontend.moved(
-            self, ConnectionState.SERVING if request.body.is_whole else ConnectionState.PASSING
+            self, ConnectionState.SERVING if request.body.is_complete else ConnectionState.PASSING
         )
         if request.target == _HEALTH:
             phase = self._frontend.lifecycle.phase.value
-            self.answer(200 if self._frontend.lifecycle.is_ready else 503, [], f"{phase}\n".encode())
+            self.send_response(200 if self._frontend.lifecycle.is_ready else 503, [], f"{phase}\n".encode())
             return
         if self._has_left:
-            self.cut(CloseReason.CLIENT_LEFT)  # it sent this ahead, and did not wait for it
+            self.abort(CloseReason.CLIENT_LEFT)  # it sent this ahead, and did not wait for it
             return
         try:
             incoming = self._frontend.read(request, self._classes)
-            if request.body.is_whole:
+            if request.body.is_complete:
                 # Its time runs from when its client sent it, and servers are told what is left of that.
                 incoming.remaining_us = max(incoming.remaining_us - int(self._waited_s * 1e6), 1)
             self._waited_s = 0.0
             self._owed = self._frontend.arrived(self, incoming)
-            if self._owed is not None and not request.body.is_whole:
+            if self._owed is not None and not request.body.is_complete:
                 request.body.on_taken = self._resume_reading
                 self._pass_through()
         except BadRequestError as fault:
@@ -441,7 +443,7 @@
     ) -> None:
         self._settings = settings
         self.classes = {each.name: each for each in settings.classes}  # never changed, only replaced
-        self.most = 0  # connections; set by whoever knows how many descriptors there are
+        self.max_connections = 0  # connections; set by whoever knows how many descriptors there are
         self._limits = limits
         self.arrived = on_arrival
         self.gone = on_gone
@@ -485,7 +487,7 @@
         return read_request(request, self._settings, known)
 
     @property
-    def is_empty(self) -> bool:
+    def has_no_connections(self) -> bool:
         """Whether no client is connected, nor accepted and about to be."""
         return not self.open_connections and (self._acceptor is None or not self._acceptor.coming)
 
@@ -493,9 +495,9 @@
         for each in [each for each in self.connections() if each.is_idle]:
             each.close(CloseReason.IDLE)
 
-    def take_waiting(self) -> bool:
+    def accept_pending(self) -> bool:
         """Take all connections that wait in the kernel; say whether none is left there."""
-        return self._acceptor is None or self._acceptor.take_waiting()
+        return self._acceptor is None or self._acceptor.accept_pending()
 
     def stop_listening(self) -> None:
         if self._acceptor is not None:
@@ -518,11 +520,11 @@
 
     def opened(self, connection: DownstreamConnection) -> None:
         self.last_opened = connection.since = asyncio.get_running_loop().time()
-        if self.open_connections >= self.most and not self._make_room():
+        if self.open_connections >= self.max_connections and not self._make_room():
             connection.state = (
                 ConnectionState.ENDING
             )  # guards the limit on descriptors: there is none to close for it
-            connection.cut(CloseReason.NO_ROOM)
+            connection.abort(CloseReason.NO_ROOM)
             return
         self._by_state[ConnectionState.SILENT][connection] = None
 
@@ -588,7 +590,7 @@
         if spare is None:
             return False
         self._by_state[spare.state].pop(spare)
-        spare.cut(CloseReason.NO_ROOM)
+        spare.abort(CloseReason.NO_ROOM)
         return True
 
     # Time limits
@@ -603,7 +605,7 @@
         has its next request answered, with word that the connection closes, and none meets a closed one.
         """
         now, limits = asyncio.get_running_loop().time(), self._limits
-        leaving_s = limits.leaving_s if self.lifecycle.is_emptying else limits.idle_timeout_s
+        leaving_s = limits.leaving_s if self.lifecycle.is_draining else limits.idle_timeout_s
         for each in list(self._by_state[ConnectionState.SILENT]):
             if now - each.since >= min(limits.header_timeout_s, leaving_s) and each.is_idle:
                 each.close(CloseReason.SILENT)
@@ -615,24 +617,24 @@
             if each.is_stuck(now, limits):
                 each.give_up(408)
             elif each.is_reading_paused:
-                each.look()
+                each.check_disconnected()
         for each in list(self._by_state[ConnectionState.SERVING]):
             if each.is_unread(now, limits):
-                each.cut(CloseReason.UNREAD)
+                each.abort(CloseReason.UNREAD)
             elif each.is_reading_paused:
-                each.look()
+                each.check_disconnected()
         for each in list(self._by_state[ConnectionState.RESTING]):
             if now - each.since < min(leaving_s, limits.idle_timeout_s):
                 break  # they stand in the order in which they came to rest
             if each.is_idle:  # else its answer is still on the way, or a further request
                 each.close(CloseReason.IDLE)
             elif each.is_unread(now, limits):
-                each.cut(CloseReason.UNREAD)
+                each.abort(CloseReason.UNREAD)
         for each in list(self._by_state[ConnectionState.ENDING]):
             if each.is_unsent:  # its time begins when all has left
                 each.since = now
                 if each.is_unread(now, limits):
-                    each.cut(CloseReason.UNREAD)
+                    each.abort(CloseReason.UNREAD)
             elif now - each.since >= limits.linger_s:
-                each.cut(CloseReason.LINGERED)
+                each.abort(CloseReason.LINGERED)
         self._sweep_later()
--- a/tulipnotch/sidecar/http1/messages.py
+++ b/tulipnotch/sidecar/http1/messages.py
@@ -29,38 +29,47 @@
     until it is taken, once, and from then on the body can't be written again.
     """
 
-    __slots__ = ("_waiting", "is_repeatable", "is_whole", "kept", "on_more", "on_taken", "on_whole", "size")
+    __slots__ = (
+        "_waiting",
+        "buffered",
+        "is_complete",
+        "is_replayable",
+        "on_complete",
+        "on_more",
+        "on_taken",
+        "size",
+    )
 
     def __init__(self, data: bytes = b"", *, is_whole: bool = True) -> None:
-        self.kept = bytearray(data)
+        self.buffered = bytearray(data)
         self.size = len(data)  # of all that has come
-        self.is_whole = is_whole
-        self.is_repeatable = True
+        self.is_complete = is_whole
+        self.is_replayable = True
         self._waiting = bytearray()
         self.on_more: Callable[[], None] | None = None  # for whoever passes it on
         self.on_taken: Callable[[], None] | None = None  # for whoever reads it
-        self.on_whole: Callable[[], None] | None = None  # for whoever counts its time
+        self.on_complete: Callable[[], None] | None = None  # for whoever counts its time
 
     @property
-    def waiting(self) -> int:
+    def pending_bytes(self) -> int:
         return len(self._waiting)
 
     @property
-    def passes_through(self) -> bool:
+    def is_streamed(self) -> bool:
         """Whether it has outgrown what is kept."""
-        return self.size > len(self.kept)
+        return self.size > len(self.buffered)
 
-    def add(self, piece: bytes) -> None:
-        fits = not self.passes_through and self.size + len(piece) <= KEPT
+    def feed(self, piece: bytes) -> None:
+        fits = not self.is_streamed and self.size + len(piece) <= KEPT
         self.size += len(piece)
-        (self.kept if fits else self._waiting).extend(piece)
+        (self.buffered if fits else self._waiting).extend(piece)
         if self.on_more is not None:
             self.on_more()
 
-    def end(self) -> None:
+    def complete(self) -> None:
         """Its last byte has come."""
-        self.is_whole = True
-        for heard in (self.on_whole, self.on_more):
+        self.is_complete = True
+        for heard in (self.on_complete, self.on_more):
             if heard is not None:
                 heard()
 
@@ -70,14 +79,14 @@
             return b""
         taken = bytes(self._waiting[: len(self._waiting) - but])
         del self._waiting[: len(taken)]
-        self.is_repeatable = False
+        self.is_replayable = False
         if self.on_taken is not None:
             self.on_taken()
         return taken
 
-    def let_go(self) -> None:
+    def detach(self) -> None:
         """Nobody hears of it any more."""
-        self.on_more = self.on_taken = self.on_whole = None
+        self.on_more = self.on_taken = self.on_complete = None
 
 
 @dataclass(slots=True)
@@ -96,7 +105,7 @@
     def start(self) -> bytes:
         """The head, and what is kept of the body."""
         head = b"%s %s HTTP/1.1\r\n%s\r\n" % (self.method, self.target, _lines(self.headers))
-        return head + self.framed(bytes(self.body.kept))
+        return head + self.framed(bytes(self.body.buffered))
 
     def framed(self, piece: bytes) -> bytes:
         return chunk(piece) if self.is_chunked else piece
@@ -176,7 +185,7 @@
         vars(self).pop("_parser", None)
 
     @property
-    def has_part(self) -> bool:
+    def is_mid_message(self) -> bool:
         return self._part is not None
 
     def on_message_begin(self) -> None:
@@ -208,7 +217,7 @@
     def release(self) -> None:
         self._turn_away(400)
         self.requests.clear()
-        self._body.let_go()
+        self._body.detach()
         self._body = Body()
         super().release()
 
@@ -263,8 +272,8 @@
         if self._body.size + len(body) > self._most_body:
             self._turn_away(413)
             return
-        self._body.add(body)
-        if self._body.passes_through and not self._is_announced:
+        self._body.feed(body)
+        if self._body.is_streamed and not self._is_announced:
             self._announce(self._part)
 
     def on_message_complete(self) -> None:
@@ -273,10 +282,10 @@
         if part is None or self.fault is not None:
             return
         if not self._is_announced:
-            self._body.is_whole = True
+            self._body.is_complete = True
             self._announce(part)
         else:
-            self._body.end()
+            self._body.complete()
 
     def _announce(self, part: _Part) -> None:
         parser = self._parser
@@ -312,8 +321,8 @@
     def expect(self, *, is_head: bool = False) -> None:
         """The answer to a further request is due."""
         self.head: Response | None = None
-        self.is_whole = False
-        self.is_spoilt = False
+        self.is_complete = False
+        self.is_malformed = False
         self._is_head = is_head
         self._ends_with_connection = False
         self._waiting = bytearray()
@@ -328,7 +337,7 @@
     @property
     def response(self) -> Response | None:
         """The answer, once it is whole."""
-        if not self.is_whole or self.head is None:
+        if not self.is_complete or self.head is None:
             return None
         return Response(self.head.status, self.head.headers, bytes(self._waiting), self.head.length)
 
@@ -351,22 +360,22 @@
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            self.is_spoilt = True
-        if self.is_whole:
-            self.has_more = self.has_more or self.is_spoilt
-            self.is_spoilt = False  # the answer itself was whole by then
+            self.is_malformed = True
+        if self.is_complete:
+            self.has_more = self.has_more or self.is_malformed
+            self.is_malformed = False  # the answer itself was whole by then
 
     def feed_end(self) -> None:
         """The connection has ended in order: so has an answer that nothing else frames."""
-        if self._ends_with_connection and self._part is not None and not self.is_spoilt:
+        if self._ends_with_connection and self._part is not None and not self.is_malformed:
             self._part = None
-            self.is_whole = True
+            self.is_complete = True
             self.keep_alive = False
 
     # What the parser calls
 
     def on_message_begin(self) -> None:
-        self.has_more = self.is_whole
+        self.has_more = self.is_complete
         super().on_message_begin()
 
     def on_headers_complete(self) -> None:
@@ -375,40 +384,40 @@
             return
         part.has_head = True
         status = self._parser.get_status_code()
-        if self.is_whole:
+        if self.is_complete:
             return
         if status < 200:
             self._interim += 1
-            self.is_spoilt = self.is_spoilt or self._interim > _MOST_INTERIM
+            self.is_malformed = self.is_malformed or self._interim > _MOST_INTERIM
             return
         lengths = part.values(b"content-length")
         codings = [each.lower() for each in part.values(b"transfer-encoding")]
         length = int(lengths[0]) if lengths else None
         if (codings and codings != [b"chunked"]) or (length is not None and length > self._most_body):
-            self.is_spoilt = True  # guards against waiting for what will be thrown away
+            self.is_malformed = True  # guards against waiting for what will be thrown away
             return
         self.head = Response(status, part.headers, length=length)
         if self._is_head:
             # The parser expects a body, which does not come: this connection can't be read any further.
             self._part = None
-            self.is_whole = True
+            self.is_complete = True
             self.keep_alive = False
         elif length is None and not codings and status not in (204, 304):
             self._ends_with_connection = True
 
     def on_body(self, body: bytes) -> None:
-        if self._part is None or self.is_spoilt or self.is_whole or self.head is None:
+        if self._part is None or self.is_malformed or self.is_complete or self.head is None:
             return
         self._size += len(body)
         if self._size > self._most_body:
-            self.is_spoilt = True
+            self.is_malformed = True
         elif self.head.status == 200:
             self._waiting += body
         elif self._size > self._most_held:
             self._end(keep_alive=False)  # the status says it all: the text of a long error is not waited for
 
     def on_message_complete(self) -> None:
-        if self._part is None or self.is_spoilt or self.is_whole:
+        if self._part is None or self.is_malformed or self.is_complete:
             self._part = None
         elif self.head is None:
             self._part = None  # a 1xx answer ahead
@@ -417,5 +426,5 @@
 
     def _end(self, *, keep_alive: bool) -> None:
         self._part = None
-        self.is_whole = True
+        self.is_complete = True
         self.keep_alive = keep_alive
--- a/tulipnotch/sidecar/program.py
+++ b/tulipnotch/sidecar/program.py
@@ -92,7 +92,7 @@
     return [
         f"overload.levels[{place}]: no class {name!r}; known are {', '.join(known)}"
         for place, each in enumerate(levels.levels if levels else ())
-        for name in sorted((each.bars.over_quota_classes | each.bars.rejected_classes) - set(known))
+        for name in sorted((each.effect.over_quota_classes | each.effect.rejected_classes) - set(known))
     ]
 
 
--- a/tulipnotch/sidecar/requests/invariants.py
+++ b/tulipnotch/sidecar/requests/invariants.py
@@ -19,15 +19,21 @@
 class Invariant(Enum):
     """What always holds."""
 
-    SENT_FOR_A_CLIENT = "sent_for_a_client"  # a last byte leaves only while its client waits
-    SENT_IN_TIME = "sent_in_time"  # and before the request's time is up
-    SENT_TO_READY = "sent_to_ready"  # a first byte goes only to a server that the list calls ready
-    REPEATED_ALONE = "repeated_alone"  # no second copy is out where the settings forbid it
-    REPEATED_IN_BOUNDS = "repeated_in_bounds"  # what may have run runs again only where repeats are dropped
-    REFUSED_UNRUN = "refused_unrun"  # a refusal promises that trying again has no double effect
-    CLOSED_UNOWED = "closed_unowed"  # no connection is ended from this side while an answer is owed on it
-    SERVED_LISTED = "served_listed"  # a process is ready only once it has looked for a list
-    STOPPED_UNOWED = "stopped_unowed"  # and ends only with every answer given
+    CLIENT_WAITS_FOR_ATTEMPT = "sent_for_a_client"  # a last byte leaves only while its client waits
+    ATTEMPT_BEFORE_DEADLINE = "sent_in_time"  # and before the request's time is up
+    ATTEMPT_TO_READY_ENDPOINT = (
+        "sent_to_ready"  # a first byte goes only to a server that the list calls ready
+    )
+    RETRY_WITHOUT_HEDGING = "repeated_alone"  # no second copy is out where the settings forbid it
+    RETRY_WITHIN_DEDUPLICATION = (
+        "repeated_in_bounds"  # what may have run runs again only where repeats are dropped
+    )
+    REJECTION_WITHOUT_EFFECT = "refused_unrun"  # a refusal promises that trying again has no double effect
+    CLOSE_WITHOUT_PENDING_RESPONSE = (
+        "closed_unowed"  # no connection is ended from this side while an answer is owed on it
+    )
+    READY_AFTER_DISCOVERY = "served_listed"  # a process is ready only once it has looked for a list
+    STOP_WITHOUT_PENDING_RESPONSE = "stopped_unowed"  # and ends only with every answer given
 
 
 @unique
@@ -56,7 +62,7 @@
     zone: str
     cell: int
     written_at: int
-    is_out: bool = True  # whether its outcome is not known yet
+    is_in_flight: bool = True  # whether its outcome is not known yet
     may_have_run: bool = True
 
 
@@ -80,12 +86,12 @@
         if self._on_broken is not None:
             self._on_broken(invariant, about if isinstance(about, str) else about.decode("latin-1"))
 
-    def sending(self, request: bytes, *, is_waited_for: bool, now: int, until: int) -> None:
+    def check_attempt(self, request: bytes, *, is_waited_for: bool, now: int, until: int) -> None:
         """A request's last byte leaves for a server."""
-        self.check(is_waited_for, Invariant.SENT_FOR_A_CLIENT, request)
-        self.check(now < until, Invariant.SENT_IN_TIME, request)
+        self.check(is_waited_for, Invariant.CLIENT_WAITS_FOR_ATTEMPT, request)
+        self.check(now < until, Invariant.ATTEMPT_BEFORE_DEADLINE, request)
 
-    def repeating(
+    def check_retry(
         self,
         request: bytes,
         kind: ServiceClass,
@@ -96,20 +102,20 @@
     ) -> None:
         """A request's last byte leaves for a further server."""
         before = list(before)
-        is_alone = second_copies or not any(each.is_out for each in before)
-        self.check(is_alone, Invariant.REPEATED_ALONE, request)
+        is_alone = second_copies or not any(each.is_in_flight for each in before)
+        self.check(is_alone, Invariant.RETRY_WITHOUT_HEDGING, request)
         ran = [each for each in before if each.may_have_run]
-        self.check(_may_run_beside(kind, new, ran), Invariant.REPEATED_IN_BOUNDS, request)
+        self.check(_may_run_beside(kind, new, ran), Invariant.RETRY_WITHIN_DEDUPLICATION, request)
 
-    def refusing(self, request: bytes, kind: ServiceClass, attempts: Iterable[WrittenAttempt]) -> None:
+    def check_rejection(self, request: bytes, kind: ServiceClass, attempts: Iterable[WrittenAttempt]) -> None:
         """A client is told that trying again does no harm."""
         is_harmless = may_run_anywhere_again(kind) or not any(each.may_have_run for each in attempts)
-        self.check(is_harmless, Invariant.REFUSED_UNRUN, request)
+        self.check(is_harmless, Invariant.REJECTION_WITHOUT_EFFECT, request)
 
-    def closing(self, reason: CloseReason, *, is_owed: bool) -> None:
+    def check_close(self, reason: CloseReason, *, is_owed: bool) -> None:
         """A client's connection is ended from this side."""
         holds = not is_owed or reason in _OWES_NOTHING_MORE
-        self.check(holds, Invariant.CLOSED_UNOWED, reason.value)
+        self.check(holds, Invariant.CLOSE_WITHOUT_PENDING_RESPONSE, reason.value)
 
 
 def _may_run_beside(kind: ServiceClass, new: WrittenAttempt, ran: list[WrittenAttempt]) -> bool:
--- a/tulipnotch/sidecar/requests/open_request.py
+++ b/tulipnotch/sidecar/requests/open_request.py
@@ -8,7 +8,7 @@
 from tulipnotch.sidecar.downstream.incoming_request import IncomingRequest
 from tulipnotch.sidecar.downstream.server import DownstreamConnection
 from tulipnotch.sidecar.requests.invariants import WrittenAttempt
-from tulipnotch.sidecar.upstream.pool import UpstreamRequest
+from tulipnotch.sidecar.upstream.request import UpstreamRequest
 
 
 class OpenRequest:
@@ -44,7 +44,7 @@
     @property
     def name(self) -> str:
         """The id that its client gave it, for records."""
-        return self.incoming.ident.decode("latin-1")
+        return self.incoming.request_id.decode("latin-1")
 
     @property
     def is_over(self) -> bool:
--- a/tulipnotch/sidecar/sidecar.py
+++ b/tulipnotch/sidecar/sidecar.py
@@ -66,7 +66,8 @@
 from tulipnotch.sidecar.requests.possibly_executed import PossiblyExecutedRequests
 from tulipnotch.sidecar.requests.trace import Trace
 from tulipnotch.sidecar.upstream.connection import ResponseConsumer, UpstreamConnection
-from tulipnotch.sidecar.upstream.pool import UpstreamPool, UpstreamRequest, load_report
+from tulipnotch.sidecar.upstream.pool import UpstreamPool, load_report
+from tulipnotch.sidecar.upstream.request import IndependentRequestObserver, UpstreamRequest
 
 RESERVED = 32  # descriptors for everything but clients, servers and operators
 _FOR_WORK = 0.25  # of all descriptors, for clients and servers at least, however many operators may connect
@@ -159,7 +160,7 @@
             lambda fault: self._log("no_list", fault=fault),
             config.settings.rules.drain_grace_us,
             config.settings.instance_index,
-            has_list=bool(config.known.entries),
+            has_list=bool(config.known.endpoints),
             max_poll_interval_us=config.settings.rules.max_poll_interval_us,
         )
         self._ladder = (
@@ -189,20 +190,22 @@
         if inherited is None:
             if self._settings.discovery_mode is DiscoveryMode.PUSHED:
                 # Nothing listens meanwhile: what the kernel accepts is lost if this start is called off.
-                await self._until(self._discovery.has_tried, _FRESH_WITHIN_S)
+                await self._until(self._discovery.first_call_ended, _FRESH_WITHIN_S)
             assert reserved is not None
-            listen(reserved, self.frontend.most)
+            listen(reserved, self.frontend.max_connections)
             self.frontend.listen(reserved)
-            if not self.config.known.entries:  # else its clients need not wait, and nobody else serves them
+            if not self.config.known.endpoints:  # else its clients need not wait, and nobody else serves them
                 await self._freshly_listed(_FRESH_WITHIN_S)
         else:
             self._divide_descriptors(self.config.sockets)
             await self._freshly_listed_or_alone(inherited)
             self.frontend.listen(inherited)
             asyncio.get_running_loop().call_later(_SHARED_FOR_S, self._alone)
-        has_looked = self._has_waited or self._has_fresh_list.is_set() or self._discovery.has_tried.is_set()
-        is_known = bool(self.config.known.entries) and not self._must_look
-        self._guard.check(is_known or has_looked, Invariant.SERVED_LISTED, self.config.name)
+        has_looked = (
+            self._has_waited or self._has_fresh_list.is_set() or self._discovery.first_call_ended.is_set()
+        )
+        is_known = bool(self.config.known.endpoints) and not self._must_look
+        self._guard.check(is_known or has_looked, Invariant.READY_AFTER_DISCOVERY, self.config.name)
         self.lifecycle.started()
         if self._ladder is not None:
             self._read_pressure(self._ladder)
@@ -213,7 +216,7 @@
         return self._is_inherited or self._settings.discovery_mode is DiscoveryMode.PUSHED
 
     def _client_closed(self, reason: CloseReason) -> None:
-        self.telemetry.client_closed(reason)
+        self.telemetry.connection_closed(reason)
         if self._trace is not None:
             self._trace.connection_closed(reason)
 
@@ -222,11 +225,13 @@
 
     def _read_pressure(self, ladder: ServiceLevelController) -> None:
         """Bring the ladder a reading, again and again, and its change of level to the decisions."""
-        change = ladder.read(self._clock.now(), self._balancer.pressure())
+        change = ladder.observe(self._clock.now(), self._balancer.pressure())
         if change is not None:
-            held_s = round(change.held_us / 1e6, 1)
-            self._log("level", now=change.now, before=change.before, held_s=held_s, reason=change.reason)
-            self._post(change.bars)
+            held_s = round(change.previous_duration_us / 1e6, 1)
+            self._log(
+                "level", now=change.current, before=change.previous, held_s=held_s, reason=change.reason
+            )
+            self._post(change.effect)
         if self.lifecycle.phase is not Phase.STOPPING:
             asyncio.get_running_loop().call_later(READ_EVERY_US / 1e6, self._read_pressure, ladder)
 
@@ -290,7 +295,7 @@
     def _level(self) -> Sequence[str]:
         if self._ladder is None:
             raise CommandRejectedError("no levels are set")
-        return [self._ladder.told(self._clock.now())]
+        return [self._ladder.describe(self._clock.now())]
 
     def _figures(self) -> Sequence[str]:
         members, unavailable = self._balancer.members()
@@ -307,7 +312,7 @@
     def _pending(self) -> int:
         """Requests that were taken and are not over for their clients; one is taken with its last byte."""
         return sum(
-            each.incoming.body.is_whole and (each.client is not None or each.reading is not None)
+            each.incoming.body.is_complete and (each.client is not None or each.reading is not None)
             for each in self._open.values()
         )
 
@@ -331,8 +336,8 @@
         settings = replace(settings, **{key: getattr(self._settings, key) for key in fixed})
         self.config = replace(config, settings=settings, **{key: getattr(before, key) for key in kept})
         if config.discovery != before.discovery:
-            self._discovery.move(config.discovery)
-        self._peers.rename(config.peers, config.peers_all)
+            self._discovery.change_address(config.discovery)
+        self._peers.set_addresses(config.peers, config.peers_all)
         self._divide_descriptors(config.sockets)
         self._obey(settings)
         kept += [_SETTINGS_ONLY_AT_START[key] for key in fixed]
@@ -345,7 +350,7 @@
         if settings == self._settings:
             return
         self._settings = settings
-        self.telemetry.show(each.name for each in settings.classes)
+        self.telemetry.add_classes(each.name for each in settings.classes)
         self._upstream.apply_settings(settings)
         self._discovery.apply_settings(settings.rules.drain_grace_us, settings.rules.max_poll_interval_us)
         self.frontend.apply_settings(settings)
@@ -354,9 +359,11 @@
     def _divide_descriptors(self, sockets: int) -> None:
         room = max(sockets - RESERVED - self.operators, int(_FOR_WORK * sockets))
         room = min(room, self.config.memory_mb * _CONNECTIONS_OF_MEMORY)
-        self.frontend.most = int(room * _FOR_CLIENTS)
+        self.frontend.max_connections = int(room * _FOR_CLIENTS)
         # Clients come to either process, never more of them in all; it is servers that both connect to.
-        self._upstream.most = int((room - self.frontend.most) * (_SHARED if self._shares_room else 1.0))
+        self._upstream.max_connections = int(
+            (room - self.frontend.max_connections) * (_SHARED if self._shares_room else 1.0)
+        )
 
     async def drain(self) -> None:
         """Answer all that was taken and is still coming, then let go of everything."""
@@ -375,7 +382,7 @@
             if held is not None:
                 self._stream_ended(held, Outcome.CANCELLED)
         await asyncio.sleep(0)
-        self._guard.check(not self._owed, Invariant.STOPPED_UNOWED, str(len(self._owed)))
+        self._guard.check(not self._owed, Invariant.STOP_WITHOUT_PENDING_RESPONSE, str(len(self._owed)))
         self.close()
 
     async def _hand_over(self, until: float) -> None:
@@ -387,7 +394,7 @@
         self._shares_room = True
         self._divide_descriptors(self.config.sockets)
         self._upstream.close_all_idle()
-        while not self.frontend.is_empty and asyncio.get_running_loop().time() < until:
+        while not self.frontend.has_no_connections and asyncio.get_running_loop().time() < until:
             await asyncio.sleep(0.01)
 
     async def _run_dry(self, began: float, until: float) -> None:
@@ -397,10 +404,10 @@
         await asyncio.sleep(_NEW_FOR_S)
         while loop.time() < self.frontend.last_opened + _QUIET_S and loop.time() < began + _KILLED_AFTER_S:
             await asyncio.sleep(_QUIET_S / 2)
-        while not self.frontend.take_waiting() and loop.time() < until:
+        while not self.frontend.accept_pending() and loop.time() < until:
             await asyncio.sleep(_QUIET_S / 2)
         self.frontend.stop_listening()
-        while (self._owed or not self.frontend.is_empty) and loop.time() < until:
+        while (self._owed or not self.frontend.has_no_connections) and loop.time() < until:
             if not self._owed:
                 self.frontend.close_idle()
             await asyncio.sleep(0.01)
@@ -456,16 +463,16 @@
 
     def _arrived(self, client: DownstreamConnection, incoming: IncomingRequest) -> int | None:
         most = self._settings.limits.max_open_requests
-        if incoming.ident in self._owed:
+        if incoming.request_id in self._owed:
             # Guards against a client that takes another's id: servers tell requests apart by it.
             raise BadRequestError("request-id is that of an open request", 409)
         if most is not None and len(self._owed) >= most:
-            self.telemetry.ended(incoming.service_class, Result.REJECTED)
-            self.telemetry.refused(None)
-            client.answer(503, [], b"")
+            self.telemetry.request_ended(incoming.class_name, Result.REJECTED)
+            self.telemetry.request_rejected(None)
+            client.send_response(503, [], b"")
             return None
         now = self._clock.now()
-        if self._spent.has(incoming.ident, now):
+        if self._spent.has(incoming.request_id, now):
             # Guards rule 2: its client left, and may take it for one that was never read.
             raise BadRequestError("request-id is that of a request that may have run", 409)
         if self._stop_by is not None:
@@ -473,16 +480,16 @@
         number = self._next_request
         self._next_request += 1
         self._open[number] = OpenRequest(client, incoming)
-        coming = not incoming.body.is_whole
+        coming = not incoming.body.is_complete
         if coming:
-            incoming.body.on_whole = lambda: self._whole(number)
-        self._owed.add(incoming.ident)
+            incoming.body.on_complete = lambda: self._whole(number)
+        self._owed.add(incoming.request_id)
         if self._trace is not None:
-            self._trace.request_taken(self._open[number].name, incoming.service_class, incoming.remaining_us)
+            self._trace.request_taken(self._open[number].name, incoming.class_name, incoming.remaining_us)
         self._post(
             RequestArrived(
                 request=number,
-                service_class=incoming.service_class,
+                service_class=incoming.class_name,
                 tenant=incoming.tenant,
                 key=incoming.key,
                 remaining_us=incoming.remaining_us,
@@ -504,7 +511,7 @@
         if self._stop_by is not None:
             remaining_us = max(min(remaining_us, self._stop_by - held.whole_at), 1)
         for call in held.calls:
-            self._upstream.limit(call, held.whole_at + remaining_us)
+            self._upstream.set_deadline(call, held.whole_at + remaining_us)
         self._post(RequestBodyCompleted(request, remaining_us))
 
     def _gone(self, request: int) -> None:
@@ -524,11 +531,11 @@
 
     def _remember_spent(self, held: OpenRequest) -> None:
         """Take a request no second time whose client has left, if it may have run and must not run twice."""
-        kind = held.incoming.kind
+        kind = held.incoming.service_class
         if repeat_rule.may_run_anywhere_again(kind) or all(call.is_unwritten for call in held.calls):
             return
         now = self._clock.now()
-        self._spent.add(held.incoming.ident, now, now + kind.deadline_us)
+        self._spent.add(held.incoming.request_id, now, now + kind.deadline_us)
 
     def _attempt_ended(self, attempt: AttemptId, outcome: Outcome, response: Response | None) -> None:
         held = self._open[attempt.request]
@@ -551,13 +558,13 @@
     ) -> None:
         report = load_report(response, self._settings.report_columns)
         elapsed = self._clock.now() - max(attempt.sent_at, held.whole_at)
-        again = held.incoming.body.is_repeatable
+        again = held.incoming.body.is_replayable
         number, server = attempt.number, attempt.server
         # Whether it is answered is looked up when the event's turn comes.
         is_certain = held.calls[number].is_response_certain
         written = held.written.get(number)
         if written is not None:
-            written.is_out = False
+            written.is_in_flight = False
             written.may_have_run = not self._settings.rules.proves_not_executed(outcome, is_certain)
         self._post(
             AttemptEnded(attempt.request, number, server, outcome, elapsed, False, report, again, is_certain)
@@ -576,11 +583,11 @@
         client = self._settle(attempt.request)
         if client is None:
             return None
-        self._owed.add(held.incoming.ident)  # until its last byte
+        self._owed.add(held.incoming.request_id)  # until its last byte
         held.reading, held.streamed = client, attempt.number
         if self._trace is not None:
             self._trace.request_ended(held.name, head.status)
-        client.begin(head.status, _passed_back(head), head.length, source)
+        client.start_response(head.status, _passed_back(head), head.length, source)
         self._tell_end(held, attempt, Outcome.DELIVERED, head)
         return client
 
@@ -591,14 +598,14 @@
         whole = outcome is Outcome.DELIVERED
         self._stream_over(held, Result.COMPLETED if whole else Result.FAILED)
         if whole:
-            client.finish()
+            client.finish_response()
         else:
-            client.cut(CloseReason.ANSWER_BROKEN)  # before its end, so that the client can tell
+            client.abort(CloseReason.ANSWER_BROKEN)  # before its end, so that the client can tell
 
     def _stream_over(self, held: OpenRequest, result: Result) -> None:
         held.reading = None
-        self._owed.discard(held.incoming.ident)
-        self.telemetry.ended(held.incoming.service_class, result)
+        self._owed.discard(held.incoming.request_id)
+        self.telemetry.request_ended(held.incoming.class_name, result)
 
     # Actions
 
@@ -619,13 +626,13 @@
             case CloseIdleConnections():
                 self._upstream.close_idle(action.endpoint)
             case Subscribe():
-                self._discovery.follow(action.is_subscribed)
+                self._discovery.subscribe(action.is_subscribed)
             case FetchEndpoints():
                 self._discovery.fetch()
             case StartHealthCheck():
                 self._probe(action.endpoint)
             case SendPeerMessage():
-                if not self._peers.tell(action.receiver, action.payload):
+                if not self._peers.send(action.receiver, action.payload):
                     self._log("message_unsent")
             case LogEvent():
                 self._log(action.event, **action.fields)
@@ -635,62 +642,47 @@
         body = held.incoming.body
         attempt = AttemptId(action.request, len(held.calls), action.endpoint, self._clock.now())
 
-        def done(outcome: Outcome, response: Response | None) -> None:
-            self._attempt_ended(attempt, outcome, response)
-
-        def began(head: Response, source: UpstreamConnection) -> ResponseConsumer | None:
-            return self._stream_began(attempt, head, source)
-
-        def wanted() -> bool:
-            if held.client is not None:
-                held.client.look()
-            return held.client is not None  # guards against a further attempt that was decided on before
-
         # A body that passes through goes to one server at a time, and to none once a part of it has gone.
-        can_be_sent = body.is_repeatable and (held.out == 0 or not body.passes_through)
+        can_be_sent = body.is_replayable and (held.out == 0 or not body.is_streamed)
         until = action.deadline if can_be_sent else 0
-
         self._note_attempt(held, attempt)
-
-        def written() -> None:
-            self.telemetry.attempt_written()
-            self._check_written(held, attempt, call)
-            self._balancer.attempt_began(attempt.request, attempt.number, call.allowed_at)
-            for other in held.calls:
-                if other is not call:
-                    self._upstream.bound_changed(other)
-
-        def latest_start() -> int:
-            return self._balancer.latest_start(attempt.request, attempt.number)
-
-        call = UpstreamRequest(
-            action.endpoint, until, held.incoming.message, done, written, began, wanted, latest_start
-        )
+        observer = _AttemptObserver(self, held, attempt)
+        call = UpstreamRequest(action.endpoint, until, held.incoming.upstream_message, observer)
         held.calls.append(call)
         held.out += 1
         self._upstream.start(call)
 
+    def _attempt_written(self, held: OpenRequest, attempt: AttemptId, call: UpstreamRequest) -> None:
+        self.telemetry.attempt_written()
+        self._check_written(held, attempt, call)
+        self._balancer.attempt_written(attempt.request, attempt.number, call.last_allowed_at)
+        for other in held.calls:
+            if other is not call:
+                self._upstream.latest_start_changed(other)
+
     def _note_attempt(self, held: OpenRequest, attempt: AttemptId) -> None:
         """Count and trace an attempt, by what became of the one before."""
         after = None if held.out else held.last_outcome
         if held.calls:
-            self.telemetry.retried(after)
+            self.telemetry.request_retried(after)
         if self._trace is not None:
             cause = "" if not held.calls else "overdue" if after is None else after.value
             self._trace.attempt_begun(held.name, attempt.number, attempt.server, cause)
 
     def _check_written(self, held: OpenRequest, attempt: AttemptId, call: UpstreamRequest) -> None:
         """The last byte of an attempt leaves in this instant: look whether the rules let it."""
-        zone, cell = self._upstream.place(attempt.server)
-        new = WrittenAttempt(zone, cell, call.allowed_at)
-        ident = held.incoming.ident
-        self._guard.sending(
-            ident, is_waited_for=held.client is not None, now=new.written_at, until=call.until
+        zone, cell = self._upstream.locality(attempt.server)
+        new = WrittenAttempt(zone, cell, call.last_allowed_at)
+        ident = held.incoming.request_id
+        self._guard.check_attempt(
+            ident, is_waited_for=held.client is not None, now=new.written_at, until=call.deadline
         )
         if held.written:
             second_copies = self._settings.limits.hedged_requests
             before = held.written.values()
-            self._guard.repeating(ident, held.incoming.kind, new, before, second_copies=second_copies)
+            self._guard.check_retry(
+                ident, held.incoming.service_class, new, before, second_copies=second_copies
+            )
         held.written[attempt.number] = new
         if self._trace is not None:
             self._trace.attempt_written(held.name, attempt.number)
@@ -699,26 +691,31 @@
         sent_at = self._clock.now()
         in_body = self._settings.report_source is not ReportSource.NONE
 
-        def done(outcome: Outcome, response: Response | None) -> None:
-            report = load_report(response, self._settings.report_columns, in_body=in_body)
-            self._post(HealthCheckEnded(server, outcome, self._clock.now() - sent_at, report))
-
         message = Request(b"GET", b"/_load" if in_body else b"/ping", [(b"host", server.encode())])
+        observer = _HealthCheckObserver(self, server, sent_at, in_body=in_body)
         self._upstream.start(
-            UpstreamRequest(server, sent_at + _PROBE_WITHIN_US, lambda left_us: message, done)
+            UpstreamRequest(server, sent_at + _PROBE_WITHIN_US, lambda left_us: message, observer)
         )
 
+    def _health_check_ended(
+        self, server: str, sent_at: int, outcome: Outcome, response: Response | None, *, in_body: bool
+    ) -> None:
+        report = load_report(response, self._settings.report_columns, in_body=in_body)
+        self._post(HealthCheckEnded(server, outcome, self._clock.now() - sent_at, report))
+
     def _fail(self, action: FailRequest) -> None:
         held = self._open.get(action.request)
-        self.telemetry.given_up(action.reason)
+        self.telemetry.request_failed(action.reason)
         is_late = held is not None and held.last_outcome in (None, Outcome.TIMED_OUT)
         self._answer(action.request, 504 if is_late else 502, [])
 
     def _refuse(self, action: RejectRequest) -> None:
         held = self._open.get(action.request)
-        self.telemetry.refused(action.reason)
+        self.telemetry.request_rejected(action.reason)
         if held is not None:
-            self._guard.refusing(held.incoming.ident, held.incoming.kind, held.written.values())
+            self._guard.check_rejection(
+                held.incoming.request_id, held.incoming.service_class, held.written.values()
+            )
         headers: Headers = []
         if action.retry_after_us > 0 and self._settings.limits.retry_after:
             headers.append((b"retry-after", b"%.3f" % (action.retry_after_us / 1e6)))
@@ -747,10 +744,10 @@
         held = self._open.get(request)
         client = self._settle(request)
         if held is not None and client is not None:
-            self.telemetry.ended(held.incoming.service_class, _RESULTS.get(status, Result.FAILED))
+            self.telemetry.request_ended(held.incoming.class_name, _RESULTS.get(status, Result.FAILED))
             if self._trace is not None:
                 self._trace.request_ended(held.name, status)
-            client.answer(status, headers, body, length)
+            client.send_response(status, headers, body, length)
         self._forget_if_over(request)
 
     def _settle(self, request: int) -> DownstreamConnection | None:
@@ -763,10 +760,10 @@
         if held is None or held.client is None:
             return None
         client, held.client = held.client, None
-        held.incoming.body.on_whole = None
-        self._owed.discard(held.incoming.ident)
+        held.incoming.body.on_complete = None
+        self._owed.discard(held.incoming.request_id)
         for call in held.calls:
-            self._upstream.withdraw(call)
+            self._upstream.cancel_unwritten(call)
         return client
 
     def _forget_if_over(self, request: int) -> None:
@@ -775,6 +772,50 @@
             del self._open[request]
 
 
+class _AttemptObserver:
+    """Observes one attempt of an open request."""
+
+    streams_responses = True
+
+    def __init__(self, sidecar: Sidecar, held: OpenRequest, attempt: AttemptId) -> None:
+        self._sidecar = sidecar
+        self._held = held
+        self._attempt = attempt
+
+    def is_client_waiting(self) -> bool:
+        held = self._held
+        if held.client is not None:
+            held.client.check_disconnected()
+        return held.client is not None  # guards against a further attempt that was decided on before
+
+    def latest_start(self) -> int:
+        return self._sidecar._balancer.latest_start(self._attempt.request, self._attempt.number)
+
+    def request_written(self, request: UpstreamRequest) -> None:
+        self._sidecar._attempt_written(self._held, self._attempt, request)
+
+    def response_started(self, head: Response, connection: UpstreamConnection) -> ResponseConsumer | None:
+        return self._sidecar._stream_began(self._attempt, head, connection)
+
+    def ended(self, outcome: Outcome, response: Response | None) -> None:
+        self._sidecar._attempt_ended(self._attempt, outcome, response)
+
+
+class _HealthCheckObserver(IndependentRequestObserver):
+    """Observes one health check."""
+
+    def __init__(self, sidecar: Sidecar, server: str, sent_at: int, *, in_body: bool) -> None:
+        self._sidecar = sidecar
+        self._server = server
+        self._sent_at = sent_at
+        self._in_body = in_body
+
+    def ended(self, outcome: Outcome, response: Response | None) -> None:
+        self._sidecar._health_check_ended(
+            self._server, self._sent_at, outcome, response, in_body=self._in_body
+        )
+
+
 def client_limits(config: Config, given: Mapping[str, Any] | None = None) -> ClientLimits:
     """What a client may take by default, but for the times that are given."""
     limits = ClientLimits(most_bytes=config.memory_mb * _REQUESTS_OF_MEMORY)
--- a/tulipnotch/sidecar/upstream/connection.py
+++ b/tulipnotch/sidecar/upstream/connection.py
@@ -75,7 +75,7 @@
 class ResponseConsumer(Protocol):
     """Who an answer is passed on to, piece by piece."""
 
-    def pass_on(self, piece: bytes) -> None: ...
+    def write_body(self, piece: bytes) -> None: ...
 
 
 # Given the head of an answer too large to be kept, and its connection: who takes it, or None for nobody.
@@ -236,7 +236,7 @@
             return
         if self._may_write is not None and not self._may_write():
             return
-        if request.body.is_whole:
+        if request.body.is_complete:
             if not self._has_end:
                 self._unsent += request.framed(request.body.take()) + request.end
                 self._has_end = True
@@ -310,7 +310,7 @@
     def _go_on(self) -> None:
         """Carry on as far as what has come of the answer allows."""
         reader = self._reader
-        if reader.is_spoilt:
+        if reader.is_malformed:
             self._fail(ExchangeFailure.MALFORMED_RESPONSE)
             return
         if self._sink is None and self._began is not None and reader.is_due_on and not self.is_unwritten:
@@ -322,12 +322,12 @@
         if self._sink is not None:
             piece = reader.take()
             if piece:
-                self._sink.pass_on(piece)
+                self._sink.write_body(piece)
         if self._ended is None:
             return  # whoever takes it has given it up meanwhile
         if reader.response is not None:
             self._answered(reader.response)
-        elif reader.has_part and self._stall_timer is None:
+        elif reader.is_mid_message and self._stall_timer is None:
             # Guards against an answer that was begun and never ends: it would hold its request until the
             # deadline, too late to try another server.  A 1xx ahead begins nothing.
             self._watch_for_stall()
--- a/tulipnotch/sidecar/upstream/pool.py
+++ b/tulipnotch/sidecar/upstream/pool.py
@@ -4,7 +4,6 @@
 
 import asyncio
 import errno
-from collections.abc import Callable
 from dataclasses import dataclass
 
 from tulipnotch.load_balancing.clock_time import NEVER
@@ -13,15 +12,15 @@
 from tulipnotch.load_balancing.settings import Settings
 from tulipnotch.sidecar.clock import Clock
 from tulipnotch.sidecar.discovery.client import DiscoveryResponse
-from tulipnotch.sidecar.http1.messages import KEPT, MOST_BODY, Request, Response, ResponseReader
+from tulipnotch.sidecar.http1.messages import KEPT, MOST_BODY, Response, ResponseReader
 from tulipnotch.sidecar.requests.invariants import Invariant, InvariantChecker
 from tulipnotch.sidecar.upstream.connection import (
     Address,
-    Began,
     ExchangeFailure,
     ResponseConsumer,
     UpstreamConnection,
 )
+from tulipnotch.sidecar.upstream.request import UpstreamRequest
 
 _IDLE_MARGIN = 0.1  # of the idle limit: a connection this near to it may be closed at the far end by now
 # How long a connection rests after an answer.  A server may answer twice, the second time some milliseconds
@@ -42,64 +41,6 @@
 # What says that this machine, not the server, had no room for a connection.
 _OWN_FAULTS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL)
 
-Done = Callable[[Outcome, Response | None], None]
-
-
-def _never() -> int:
-    return NEVER
-
-
-class UpstreamRequest:
-    """One request to one server.  `done` is called exactly once, never from within `start` or `cancel`."""
-
-    __slots__ = (
-        "allowed_at",
-        "began",
-        "connection",
-        "done",
-        "ended",
-        "is_response_certain",
-        "latest_start",
-        "message",
-        "server",
-        "timer",
-        "told_at",
-        "until",
-        "wanted",
-        "written",
-    )
-
-    def __init__(
-        self,
-        server: str,
-        until: int,
-        message: Callable[[int], Request],
-        done: Done,
-        written: Callable[[], None] | None = None,
-        began: Began | None = None,
-        wanted: Callable[[], bool] | None = None,
-        latest_start: Callable[[], int] = _never,
-    ) -> None:
-        self.server = server
-        self.until = until
-        self.latest_start = latest_start  # from when on its last byte may not leave any more, as of now
-        self.message = message  # given the time left, in microseconds
-        self.done = done
-        self.written = written  # called in the instant in which its last byte leaves: a server may begin it
-        self.began = began  # called once an answer has begun that is too large to be kept
-        self.wanted = wanted  # asked before a dial or a byte; it may be cancelled within
-        self.ended = False
-        self.allowed_at = 0  # clock time at which it was last allowed to write
-        self.told_at: int | None = None  # clock time from which on the time that its head tells passes
-        self.is_response_certain = True  # whether an answer can belong to no other request
-        self.connection: UpstreamConnection | None = None  # once it is written
-        self.timer: asyncio.TimerHandle | None = None
-
-    @property
-    def is_unwritten(self) -> bool:
-        """Whether its last byte has not left, so that no server can have begun it."""
-        return self.connection is None or self.connection.is_unwritten
-
 
 @dataclass(slots=True)
 class _Idle:
@@ -128,7 +69,7 @@
         self._clock = clock
         self._guard = guard or InvariantChecker()
         self.apply_settings(settings)
-        self.most = 0  # connections; set by whoever knows how many descriptors there are
+        self.max_connections = 0  # connections; set by whoever knows how many descriptors there are
         self._servers: dict[str, _Server] = {}
         self._owners: dict[UpstreamConnection, _Server] = {}  # of every open connection
         self._dialling = 0
@@ -150,21 +91,24 @@
 
     def endpoints_updated(self, listing: DiscoveryResponse) -> None:
         """Take over a list or its changes, before any action that follows from it."""
-        if listing.full:
-            for name in self._servers.keys() - {each.listed.name for each in listing.entries}:
+        if listing.is_complete:
+            for name in self._servers.keys() - {each.description.name for each in listing.endpoints}:
                 self._drop(name)
-        for entry in listing.entries:
-            name, address = entry.listed.name, entry.address
+        for entry in listing.endpoints:
+            name, address = entry.description.name, entry.address
             if address is None:
                 self._drop(name)
                 continue
             server = self._servers.get(name)
-            if server is None or (server.address, server.started_at) != (address, entry.listed.started_at):
+            if server is None or (server.address, server.started_at) != (
+                address,
+                entry.description.started_at,
+            ):
                 # Guards against writing to what was there before under the same id.
                 self._drop(name)
-                server = self._servers[name] = _Server(address, entry.listed.started_at)
-            server.zone, server.cell = entry.listed.zone, entry.listed.cell
-            server.is_leaving = entry.listed.state is not EndpointState.READY
+                server = self._servers[name] = _Server(address, entry.description.started_at)
+            server.zone, server.cell = entry.description.zone, entry.description.cell
+            server.is_leaving = entry.description.state is not EndpointState.READY
             if server.is_leaving:
                 self._close_idle(server)
 
@@ -178,8 +122,8 @@
 
     def start(self, call: UpstreamRequest) -> None:
         loop = asyncio.get_running_loop()
-        server = self._servers.get(call.server)
-        if server is None or server.is_leaving or self._clock.now() >= call.until:
+        server = self._servers.get(call.endpoint)
+        if server is None or server.is_leaving or self._clock.now() >= call.deadline:
             loop.call_soon(self._end, call, Outcome.NOT_SENT)
             return
         if not self._may_write(call):
@@ -228,29 +172,29 @@
             return False
         return True
 
-    def limit(self, call: UpstreamRequest, until: int) -> None:
+    def set_deadline(self, call: UpstreamRequest, until: int) -> None:
         """Abandon the call at this time: it had no limit before."""
-        if not call.ended and call.until >= NEVER:
-            call.until = until
+        if not call.has_ended and call.deadline >= NEVER:
+            call.deadline = until
             if call.connection is not None:
-                call.told_at = self._clock.now()  # its head told all that a whole request has
+                call.head_written_at = self._clock.now()  # its head told all that a whole request has
             self._arm(call)
 
     def cancel(self, call: UpstreamRequest) -> None:
         """Stop waiting; the outcome follows."""
-        if not call.ended:
+        if not call.has_ended:
             self._stop(call, Outcome.NOT_SENT if call.is_unwritten else Outcome.CANCELLED)
 
     def _stop(self, call: UpstreamRequest, outcome: Outcome) -> None:
         """End a call from this side: nothing is written for it any more, also when a dial comes up."""
-        call.ended = True
+        call.has_ended = True
         if call.timer is not None:
             call.timer.cancel()
         if call.connection is not None:
             call.connection.close()
-        asyncio.get_running_loop().call_soon(call.done, outcome, None)
+        asyncio.get_running_loop().call_soon(call.observer.ended, outcome, None)
 
-    def withdraw(self, call: UpstreamRequest) -> None:
+    def cancel_unwritten(self, call: UpstreamRequest) -> None:
         """Stop what has not left whole.  No server has begun it, so no permission to cancel is needed."""
         if call.is_unwritten:
             self.cancel(call)
@@ -274,16 +218,16 @@
         for connection in list(self._owners):
             connection.close()
 
-    def bound_changed(self, call: UpstreamRequest) -> None:
+    def latest_start_changed(self, call: UpstreamRequest) -> None:
         """Go by the call's latest beginning as it is now, since another attempt has begun."""
-        if not call.ended and call.is_unwritten:
+        if not call.has_ended and call.is_unwritten:
             self._arm(call)
 
     def _arm(self, call: UpstreamRequest) -> None:
         """Set the call's timer for the time at which it ends as it stands, if there is one."""
         if call.timer is not None:
             call.timer.cancel()
-        due = min(call.until, call.latest_start()) if call.is_unwritten else call.until
+        due = min(call.deadline, call.observer.latest_start()) if call.is_unwritten else call.deadline
         if due < NEVER:
             left_s = max(due - self._clock.now(), _TIMER_LEAST_US) / 1e6
             call.timer = asyncio.get_running_loop().call_later(left_s, self._expire, call)
@@ -294,8 +238,8 @@
         outcome = Outcome.TIMED_OUT
         if call.is_unwritten:
             # That a class may begin no more says nothing of the server.
-            outcome = Outcome.NOT_SENT if now >= call.latest_start() else Outcome.CONNECT_FAILED
-        if outcome is not Outcome.NOT_SENT and now < call.until:
+            outcome = Outcome.NOT_SENT if now >= call.observer.latest_start() else Outcome.CONNECT_FAILED
+        if outcome is not Outcome.NOT_SENT and now < call.deadline:
             self._arm(call)  # it has begun in time, or its bound is a later one by now
             return
         if call.connection is not None:
@@ -303,12 +247,12 @@
         self._end(call, outcome)
 
     def _end(self, call: UpstreamRequest, outcome: Outcome, response: Response | None = None) -> None:
-        if call.ended:
+        if call.has_ended:
             return
-        call.ended = True
+        call.has_ended = True
         if call.timer is not None:
             call.timer.cancel()
-        call.done(outcome, response)
+        call.observer.ended(outcome, response)
 
     def _may_write(self, call: UpstreamRequest) -> bool:
         """Whether its class lets it begin, and somebody waits for it, as of now; if not, it is ended.
@@ -316,20 +260,23 @@
         The gate of every attempt, first or further: passed in the instant in which a dial is begun, a first
         byte is written or a further piece of it is, its last one among them.
         """
-        if not call.ended and call.wanted is not None and not call.wanted():
+        if not call.has_ended and not call.observer.is_client_waiting():
             self.cancel(call)
-        if not call.ended:
+        if not call.has_ended:
             # Read before the write: a process that is held up within it counts from here.
-            call.allowed_at = self._clock.now()
-            if call.allowed_at >= call.latest_start():
+            call.last_allowed_at = self._clock.now()
+            if call.last_allowed_at >= call.observer.latest_start():
                 self._stop(call, Outcome.NOT_SENT)  # guards rule 2
-            elif call.allowed_at >= call.until:
+            elif call.last_allowed_at >= call.deadline:
                 self._stop(call, Outcome.CONNECT_FAILED)  # its timer is late
-            elif call.told_at is not None and call.allowed_at > call.told_at + _TOLD_LATE_US:
+            elif (
+                call.head_written_at is not None
+                and call.last_allowed_at > call.head_written_at + _TOLD_LATE_US
+            ):
                 # Guards against a server that takes a request slowly, and believes that it has longer than
                 # the client waits: it never ran there, and another is told what is left now.
                 self._stop(call, Outcome.CONNECT_FAILED)
-        return not call.ended
+        return not call.has_ended
 
     def _write(self, call: UpstreamRequest, connection: UpstreamConnection) -> None:
         def ended(how: Response | ExchangeFailure) -> None:
@@ -339,18 +286,20 @@
         def began(head: Response, connection: UpstreamConnection) -> ResponseConsumer | None:
             if call.timer is not None:
                 call.timer.cancel()  # its time is kept: from here on, progress counts
-            return None if call.began is None else call.began(head, connection)
+            return call.observer.response_started(head, connection)
 
-        self._guard.check(self._is_ready(call.server, connection), Invariant.SENT_TO_READY, call.server)
+        self._guard.check(
+            self._is_ready(call.endpoint, connection), Invariant.ATTEMPT_TO_READY_ENDPOINT, call.endpoint
+        )
         call.connection = connection
         now = self._clock.now()
-        call.told_at = now if call.until < NEVER else None
-        message = call.message(max(call.until - now, 1_000))
+        call.head_written_at = now if call.deadline < NEVER else None
+        message = call.build_message(max(call.deadline - now, 1_000))
         connection.exchange(
             message,
             ended,
-            call.written,
-            began if call.began is not None else None,
+            lambda: call.observer.request_written(call),
+            began if call.observer.streams_responses else None,
             lambda: self._may_write(call),
         )
 
@@ -359,7 +308,7 @@
         server = self._servers.get(name)
         return server is not None and not server.is_leaving and self._owners.get(connection) is server
 
-    def place(self, name: str) -> tuple[str, int]:
+    def locality(self, name: str) -> tuple[str, int]:
         """The zone and the cell of a server, as listed; empty and 0 where it has left."""
         server = self._servers.get(name)
         return ("", 0) if server is None else (server.zone, server.cell)
@@ -392,7 +341,7 @@
 
     def _has_room(self) -> bool:
         """Whether one more connection may be opened, at the price of the one that is idle for longest."""
-        if len(self._owners) + self._dialling < self.most:
+        if len(self._owners) + self._dialling < self.max_connections:
             return True
         oldest = min(
             (server for server in self._servers.values() if server.idle),
