--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -24,7 +24,9 @@
     """Count in the process that hears of all tests, which is no worker of pytest-xdist."""
     if not _is_worker(config):
         config.pluginmanager.register(Calls(config), "calls")
-        config.pluginmanager.register(known_red.Printed(known_red.read(config.rootpath)), "known_red")
+        config.pluginmanager.register(
+            known_red.KnownFailuresReport(known_red.read(config.rootpath)), "known_red"
+        )
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,8 +1,8 @@
-"""Tests that fail for a fault which is known and not mended yet, as `KNOWN-RED.txt` lists them.
+"""Tests that fail for a known fault, as `KNOWN-RED.txt` at the root lists them.
 
-One line a test, `TEST | CAUSE | ISSUE`; a test is named with its parameters, or without for all of them.
-They run and are printed, and only these may fail.  One that passes fails the run, so that its line goes with
-the mend.
+One entry a line, `TEST | COMMAND AND SEED | OBSERVED | ISSUE`; a test that is named without its parameters means
+all of its cases.  Listed tests run and are printed, and no other test may fail.  A listed test that passes
+fails the run, so that its entry is removed together with the fault.
 """
 
 from __future__ import annotations
@@ -13,51 +13,61 @@
 
 import pytest
 
-MOST = 3
-_FILE = "KNOWN-RED.txt"
+FILE_NAME = "KNOWN-RED.txt"
+MAX_ENTRIES = 3
+_FIELDS = ("TEST", "COMMAND AND SEED", "OBSERVED", "ISSUE")
+
+
+class KnownFailuresError(ValueError):
+    """The list of known failures can't be read."""
 
 
 @dataclass(frozen=True, slots=True)
 class KnownFailure:
-    """A line of the list."""
+    """One entry of the list."""
 
     test: str
-    cause: str
+    command: str
+    observed: str
     issue: str
 
+    def __str__(self) -> str:
+        """The entry as it is printed at the end of a run."""
+        return f"known red: {self.test}: {self.observed} ({self.command}; {self.issue})"
+
 
 def read(root: Path) -> list[KnownFailure]:
-    """The list; raise ValueError on a line that is none, or on more lines than may stand there."""
-    path = root / _FILE
+    """The entries of the list under `root`; KnownFailuresError if one is malformed or there are too many."""
+    path = root / FILE_NAME
     lines = path.read_text(encoding="utf-8").splitlines() if path.exists() else []
-    known = [KnownFailure(*_parts(each)) for each in lines if each.strip()]
-    if len(known) > MOST:
-        raise ValueError(f"{_FILE}: {len(known)} tests are listed, {MOST} at most may be")
-    return known
+    failures = [_parse(line) for line in lines if line.strip()]
+    if len(failures) > MAX_ENTRIES:
+        raise KnownFailuresError(f"{FILE_NAME}: {len(failures)} entries, at most {MAX_ENTRIES} are allowed")
+    return failures
 
 
-def _parts(text: str) -> tuple[str, str, str]:
-    parts = [each.strip() for each in text.split("|")]
-    if len(parts) != 3 or not all(parts):
-        raise ValueError(f"{_FILE}: TEST | CAUSE | ISSUE is needed, not {text!r:.80}")
-    return parts[0], parts[1], parts[2]
+def _parse(line: str) -> KnownFailure:
+    fields = [field.strip() for field in line.split("|")]
+    if len(fields) != len(_FIELDS) or not all(fields):
+        raise KnownFailuresError(f"{FILE_NAME}: expected {' | '.join(_FIELDS)}, got {line!r:.80}")
+    return KnownFailure(*fields)
 
 
-def mark(items: Sequence[pytest.Item], known: Sequence[KnownFailure]) -> None:
+def mark(items: Sequence[pytest.Item], failures: Sequence[KnownFailure]) -> None:
     """Expect these tests, and no others, to fail."""
-    for failure in known:
+    for failure in failures:
         for item in items:
             if failure.test in (item.nodeid, item.nodeid.partition("[")[0]):
-                item.add_marker(pytest.mark.xfail(reason=f"known: {failure.cause}", strict=True))
+                item.add_marker(pytest.mark.xfail(reason=f"known: {failure.observed}", strict=True))
 
 
-class Printed:
+class KnownFailuresReport:
     """Prints the list at the end of a run."""
 
-    def __init__(self, known: Sequence[KnownFailure]) -> None:
-        self._known = known
+    def __init__(self, failures: Sequence[KnownFailure]) -> None:
+        self._failures = failures
 
     def pytest_terminal_summary(self, terminalreporter: pytest.TerminalReporter) -> None:
-        """Say which tests are expected to fail, and why."""
-        for each in self._known:
-            terminalreporter.write_line(f"known red: {each.test}: {each.cause} ({each.issue})", yellow=True)
+        """Print which tests are expected to fail, and why."""
+        for failure in self._failures:
+            terminalreporter.write_line(str(failure), yellow=True)
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -114,17 +114,17 @@
 
 def test_a_test_that_is_known_to_fail_is_printed_and_fails_nothing(folder: Path) -> None:
     (folder / "test_it.py").write_text(TESTS.replace("    pass\n", "    assert False\n", 1))
-    done = _run_with_known(folder, "test_it.py::test_together | a cause | issue 1\n")
+    done = _run_with_known(folder, "test_it.py::test_together | pytest, seed 7 | a cause | issue 1\n")
     assert done.returncode == pytest.ExitCode.OK, done.stdout
-    assert "known red: test_it.py::test_together: a cause (issue 1)" in done.stdout
+    assert "known red: test_it.py::test_together: a cause (pytest, seed 7; issue 1)" in done.stdout
 
 
 def test_a_test_that_is_known_to_fail_and_passes_fails_the_run(folder: Path) -> None:
-    done = _run_with_known(folder, "test_it.py::test_together | a cause | issue 1\n")
+    done = _run_with_known(folder, "test_it.py::test_together | pytest, seed 7 | a cause | issue 1\n")
     assert done.returncode == pytest.ExitCode.TESTS_FAILED, done.stdout
 
 
-@pytest.mark.parametrize("known", ["test_it.py::test_together | a cause\n", "a | b | c\n" * 4])
+@pytest.mark.parametrize("known", ["test_it.py::test_together | a cause | issue 1\n", "a | b | c | d\n" * 4])
 def test_a_list_of_known_failures_that_is_nonsense_or_too_long_runs_nothing(folder: Path, known: str) -> None:
     done = _run_with_known(folder, known)
     assert done.returncode not in (pytest.ExitCode.OK, pytest.ExitCode.TESTS_FAILED)
