--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -2,8 +2,9 @@
 
     python -m benchmarks.start --runs 15 -- .venv/bin/python -m tulipnotch.sidecar
 
-Prints the median and the range of the time from exec to the line that says it serves (ms), and of resident
-then (kB).  Several commands, parted by a further `--`, are played in turn: they see the same machine.
+Prints the median and the range of the time from exec to the log line that reports readiness (ms), and of the
+resident memory at that moment (kB).  Several commands, separated by a further `--`, run in turn, so that all
+of them see the same machine.
 """
 
 from __future__ import annotations
@@ -13,12 +14,15 @@
 import signal
 import statistics
 import subprocess
-import sys
 import tempfile
 import time
+from collections.abc import Iterable, Sequence
+from dataclasses import dataclass
 from pathlib import Path
 
-CONFIG = {
+import click
+
+_CONFIGURATION = {
     "name": "n0",
     "listen": "127.0.0.1:0",
     "discovery": "127.0.0.1:9",
@@ -35,43 +39,73 @@
     "settings": {"lanes": [{"name": "look", "giveUpUs": 1_500_000, "promiseUs": 600_000,
                             "repeat": "read_like"}], "discovery": "on_request"},
 }  # fmt: skip
+_READY_TEXT = "serves on"  # in the log line of a sidecar that is ready
+_SEPARATOR = "--"
+
+
+@dataclass(frozen=True, slots=True)
+class StartMeasurement:
+    """One start: time to ready in milliseconds, and resident memory then in kB."""
+
+    ready_ms: float
+    resident_kb: int
+
+
+def measure_start(command: Sequence[str], configuration: Path) -> StartMeasurement:
+    """Start a sidecar once and kill it; ClickException if it reports no readiness in its first line."""
+    started_at = time.perf_counter()
+    environment = {**os.environ, "BALANCER_CONFIG": str(configuration)}
+    with subprocess.Popen(command, env=environment, stderr=subprocess.PIPE, text=True) as process:
+        first_line = "" if process.stderr is None else process.stderr.readline()
+        ready_ms = (time.perf_counter() - started_at) * 1e3
+        try:
+            if _READY_TEXT not in first_line:
+                raise click.ClickException(f"{' '.join(command)} is not ready: {first_line.strip()}")
+            return StartMeasurement(ready_ms, _resident_kb(process.pid))
+        finally:
+            process.send_signal(signal.SIGKILL)
 
 
-def once(command: list[str], config: Path) -> tuple[float, int]:
-    began = time.perf_counter()
-    process = subprocess.Popen(
-        command, env={**os.environ, "BALANCER_CONFIG": str(config)}, stderr=subprocess.PIPE, text=True
-    )
-    assert process.stderr is not None
-    said = process.stderr.readline()
-    took_ms = (time.perf_counter() - began) * 1e3
-    if "serves on" not in said:
-        raise SystemExit(f"{command} did not serve: {said}")
-    status = Path(f"/proc/{process.pid}/status").read_text()
-    memory_kb = next(int(line.split()[1]) for line in status.splitlines() if line.startswith("VmRSS"))
-    process.send_signal(signal.SIGKILL)
-    process.wait()
-    process.stderr.close()
-    return took_ms, memory_kb
-
-
-def main(arguments: list[str]) -> None:
-    runs = int(arguments[arguments.index("--runs") + 1]) if "--runs" in arguments[:2] else 15
-    commands: list[list[str]] = []
-    for each in arguments[arguments.index("--") :]:
-        if each == "--":
+def _resident_kb(process_id: int) -> int:
+    status = Path(f"/proc/{process_id}/status").read_text(encoding="ascii")
+    return next(int(line.split()[1]) for line in status.splitlines() if line.startswith("VmRSS"))
+
+
+def split_commands(arguments: Iterable[str]) -> list[list[str]]:
+    """The commands that stand between separators; ClickException if one of them is empty."""
+    commands: list[list[str]] = [[]]
+    for argument in arguments:
+        if argument == _SEPARATOR:
             commands.append([])
         else:
-            commands[-1].append(each)
+            commands[-1].append(argument)
+    if not all(commands):
+        raise click.UsageError("a command is empty")
+    return commands
+
+
+def _print_row(unit: str, values: Sequence[float], command: Sequence[str]) -> None:
+    low, middle, high = min(values), statistics.median(values), max(values)
+    click.echo(f"{middle:9.1f} {unit} ({low:.1f} to {high:.1f})  {' '.join(command)}")
+
+
+@click.command(help=(__doc__ or "").partition("\n")[0])
+@click.option("--runs", type=click.IntRange(1), default=15, show_default=True, help="Starts of each command.")
+@click.argument("commands", nargs=-1, required=True, type=click.UNPROCESSED)
+def main(runs: int, commands: tuple[str, ...]) -> None:
+    """Measure each command in turn and print its figures."""
+    command_lines = split_commands(commands)
+    measurements: list[list[StartMeasurement]] = [[] for _ in command_lines]
     with tempfile.TemporaryDirectory() as folder:
-        config = Path(folder) / "config.json"
-        config.write_text(json.dumps(CONFIG))
-        seen = [[once(command, config) for command in commands] for _ in range(runs)]
-    for index, command in enumerate(commands):
-        for name, figures in zip(("ms", "kB"), zip(*[row[index] for row in seen], strict=True), strict=True):
-            low, middle, high = min(figures), statistics.median(figures), max(figures)
-            print(f"{middle:9.1f} {name} ({low:.1f} to {high:.1f})  {' '.join(command)}")
+        configuration = Path(folder) / "config.json"
+        configuration.write_text(json.dumps(_CONFIGURATION), encoding="utf-8")
+        for _ in range(runs):
+            for command, found in zip(command_lines, measurements, strict=True):
+                found.append(measure_start(command, configuration))
+    for command, found in zip(command_lines, measurements, strict=True):
+        _print_row("ms", [measurement.ready_ms for measurement in found], command)
+        _print_row("kB", [measurement.resident_kb for measurement in found], command)
 
 
 if __name__ == "__main__":
-    main(sys.argv[1:])
+    main()
--- a/tests/test_readme.py
+++ b/tests/documentation/test_readme.py
@@ -9,7 +9,7 @@
 
 
 def test_the_embedding_example_sends_its_request(capsys: pytest.CaptureFixture[str]) -> None:
-    text = (Path(__file__).parent.parent / "README.md").read_text(encoding="utf-8")
+    text = (Path(__file__).parents[2] / "README.md").read_text(encoding="utf-8")
     example = re.search(r"```python\n(.*?)```", text, re.DOTALL)
     assert example is not None and example[1].count("\n") <= 16
     exec(compile(example[1], "README.md", "exec"), {})
