--- a/tests/lab/broken_sidecar.py
+++ b/tests/lab/broken_sidecar.py
@@ -10,30 +10,33 @@
 from tulipnotch.load_balancing.slow_start.warm_up_budget import SlowStart
 from tulipnotch.sidecar.__main__ import main
 from tulipnotch.sidecar.discovery import client as discovery
-from tulipnotch.sidecar.sidecar import Sidecar
+from tulipnotch.sidecar.event_queue import EventQueue
+from tulipnotch.sidecar.requests.responses import ResponseSender
 from tulipnotch.sidecar.upstream.pool import UpstreamPool
 from tulipnotch.sidecar.upstream.request import IndependentRequestObserver, UpstreamRequest
 
 
 def forgets() -> None:
     """Some requests are taken and never heard of again."""
-    post = Sidecar._post
+    post = EventQueue.post
 
-    def broken(self: Sidecar, event: Any) -> None:
+    def broken(self: EventQueue, event: Any) -> None:
         if not (isinstance(event, RequestArrived) and event.request % 20 == 0):
             post(self, event)
 
-    Sidecar._post = broken  # type: ignore[method-assign]
+    EventQueue.post = broken  # type: ignore[method-assign]
 
 
 def invents() -> None:
     """Some clients are served with what no server made."""
-    answer = Sidecar._answer
+    respond = ResponseSender.respond
 
-    def broken(self: Sidecar, request: int, status: int, headers: Any, body: bytes = b"", *rest: Any) -> None:
-        answer(self, request, status, headers, b"invented" if request % 20 == 0 else body, *rest)
+    def broken(
+        self: ResponseSender, request: int, status: int, headers: Any, body: bytes = b"", *rest: Any
+    ) -> None:
+        respond(self, request, status, headers, b"invented" if request % 20 == 0 else body, *rest)
 
-    Sidecar._answer = broken  # type: ignore[method-assign,assignment]
+    ResponseSender.respond = broken  # type: ignore[method-assign,assignment]
 
 
 def doubles() -> None:
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -16,7 +16,8 @@
 from tulipnotch.sidecar import logs
 from tulipnotch.sidecar.configuration.configuration import parse
 from tulipnotch.sidecar.downstream.server import ClientLimits
-from tulipnotch.sidecar.sidecar import ServiceLevels, Sidecar
+from tulipnotch.sidecar.service_level_monitor import ServiceLevels
+from tulipnotch.sidecar.sidecar import Sidecar
 
 # Each worker of pytest-xdist has its own address: no other takes a port that a test closes and opens again.
 _WORKER = os.environ.get("PYTEST_XDIST_WORKER", "")
--- a/tests/orders.py
+++ b/tests/orders.py
@@ -293,7 +293,7 @@
         config = _config(case, seed)
         self.sidecar = Sidecar(config, self._note)
         self.sidecar._upstream.endpoints_updated(config.known)
-        self.sidecar._post(config.known.event(EndpointUpdateKind.CACHED))
+        self.sidecar._events.post(config.known.event(EndpointUpdateKind.CACHED))
         self.sidecar.lifecycle.started()
         if start.is_warm:
             self._warm()
--- a/tests/overload/test_levels_in_force.py
+++ b/tests/overload/test_levels_in_force.py
@@ -16,7 +16,7 @@
 from tulipnotch.load_balancing.events import RequestArrived, ServiceLevelChanged
 from tulipnotch.settings.check import InvalidFileError
 from tulipnotch.settings.operator import load
-from tulipnotch.sidecar.sidecar import ServiceLevels
+from tulipnotch.sidecar.service_level_monitor import ServiceLevels
 
 CLOSED = ServiceLevelChanged(frozenset({"look"}), frozenset({"look"}))
 SPARE = ServiceLevelChanged(frozenset({"look"}), frozenset())
@@ -98,7 +98,7 @@
 
 def test_the_door_shows_the_level_and_the_log_names_each_change(monkeypatch: pytest.MonkeyPatch) -> None:
     async def work() -> None:
-        monkeypatch.setattr("tulipnotch.sidecar.sidecar.READ_EVERY_US", 10_000)
+        monkeypatch.setattr("tulipnotch.sidecar.service_level_monitor.READ_EVERY_US", 10_000)
         change = levels.ServiceLevelTransition(
             "full", "shut", 41_000_000, "too much", ServiceLevelChanged(frozenset(), frozenset({"check"}))
         )
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -30,7 +30,8 @@
 from running import GOOD, Program, program, resident_bytes, running_on
 
 from tulipnotch.sidecar.configuration.configuration import parse
-from tulipnotch.sidecar.sidecar import RESERVED, Sidecar
+from tulipnotch.sidecar.descriptor_budget import RESERVED_DESCRIPTORS
+from tulipnotch.sidecar.sidecar import Sidecar
 
 pytestmark = pytest.mark.alone
 
@@ -233,7 +234,7 @@
         sidecar = Sidecar(config, lambda event, /, **fields: None, operators=door)
         shares = sidecar.frontend.max_connections, sidecar._upstream.max_connections, sidecar.operators
         assert min(shares) >= 1
-        assert sum(shares) + RESERVED <= sockets
+        assert sum(shares) + RESERVED_DESCRIPTORS <= sockets
         if door == 16:
             assert shares == ((sockets - 48) // 2, (sockets - 48) - (sockets - 48) // 2, 16)
         sidecar.close()
--- a/tests/test_instants.py
+++ b/tests/test_instants.py
@@ -315,7 +315,7 @@
 def test_an_answer_of_no_length_is_whole_after_an_end_and_broken_after_a_reset(end: str) -> None:
     async def work() -> None:
         def reader_has_part() -> bool:
-            calls = [call for each in scene.sidecar._open.values() for call in each.calls]
+            calls = [call for each in scene.sidecar._registry for call in each.upstream_requests]
             return any(
                 each.connection is not None and each.connection._reader.is_mid_message for each in calls
             )
@@ -404,11 +404,11 @@
             await until(lambda: scene.sidecar._discovery.first_call_ended.is_set())
             members = len(scene.sidecar._balancer._context.endpoints)
             if end == "fin":
-                await until(lambda: scene.sidecar._has_fresh_list.is_set())
+                await until(lambda: scene.sidecar._endpoints.received.is_set())
                 assert scene.sidecar._balancer.members()[0] == 0
             else:
                 await until(lambda: answered >= 3)
-                assert not scene.sidecar._has_fresh_list.is_set()
+                assert not scene.sidecar._endpoints.received.is_set()
                 assert scene.sidecar._balancer.members()[0] == members == 1
                 assert any("broke" in each for each in scene.log)
         discovery.stop()
@@ -486,7 +486,7 @@
             client.send(request("lodge", timeout="15"))
             await until(lambda: len(scene.heard) == 1)
             if when == "given up":
-                ((call,),) = [each.calls for each in scene.sidecar._open.values()]
+                ((call,),) = [each.upstream_requests for each in scene.sidecar._registry]
                 scene.sidecar._upstream.cancel(call)
             else:
                 release.set()
@@ -585,7 +585,7 @@
             assert (await patient.answer()).status == 200
             # Either serves from here on, and none is opened beside them.
             patient.send(request("lodge", timeout="15", target="/api/next"))
-            await until(lambda: len(scene.sidecar._open) == 1)
+            await until(lambda: len(scene.sidecar._registry) == 1)
             (waiting,) = [each for each in asked if each is not used]
             again = asyncio.ensure_future(_asked(accepted[asked.index(used)]))
             (used,), _ = await asyncio.wait((waiting, again), return_when=asyncio.FIRST_COMPLETED)
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -17,7 +17,7 @@
 from tulipnotch.sidecar.downstream.server import DownstreamConnection
 from tulipnotch.sidecar.http1.messages import Request
 from tulipnotch.sidecar.requests.invariants import CloseReason, Invariant, InvariantChecker, WrittenAttempt
-from tulipnotch.sidecar.sidecar import Sidecar
+from tulipnotch.sidecar.startup import Startup
 from tulipnotch.sidecar.upstream.pool import UpstreamPool
 from tulipnotch.sidecar.upstream.request import IndependentRequestObserver, UpstreamRequest
 
@@ -64,7 +64,7 @@
     kind: ServiceClass, before: WrittenAttempt, new: WrittenAttempt, holds: bool
 ) -> None:
     guard = InvariantChecker()
-    guard.check_retry(b"r-1", kind, new, [before], second_copies=True)
+    guard.check_retry(b"r-1", kind, new, [before], allows_hedging=True)
     assert guard.broken[Invariant.RETRY_WITHIN_DEDUPLICATION] == (not holds)
     assert guard.violations == (not holds)
 
@@ -73,7 +73,7 @@
     for second_copies in (True, False):
         guard = InvariantChecker()
         guard.check_retry(
-            b"r-1", _SAFE, _written(), [_written(is_in_flight=True)], second_copies=second_copies
+            b"r-1", _SAFE, _written(), [_written(is_in_flight=True)], allows_hedging=second_copies
         )
         assert guard.broken[Invariant.RETRY_WITHOUT_HEDGING] == (not second_copies)
 
@@ -122,10 +122,12 @@
 
         async with stage(silent, OK, listed=False) as scene:
             await _two_servers(scene)
-            broken = [each for each, count in scene.sidecar._guard.broken.items() if count]
+            broken = [each for each, count in scene.sidecar._context.invariants.broken.items() if count]
             assert broken == ([] if invariant is None else [invariant])
             assert any("invariant broken" in each for each in scene.log) == (invariant is not None)
-            (figure,) = [each for each in scene.sidecar._figures() if "invariant_violations" in each]
+            (figure,) = [
+                each for each in scene.sidecar.calls()["telemetry"]() if "invariant_violations" in each
+            ]
             assert figure == f"app.invariant_violations={len(broken)}"
 
     play(work)
@@ -150,9 +152,9 @@
             client.send(request("check"))
             await until(lambda: bool(held))
             client.close()
-            await until(lambda: all(each.client is None for each in scene.sidecar._open.values()))
+            await until(lambda: not any(each.is_waiting for each in scene.sidecar._registry))
             exchange(*held[0])
-            assert scene.sidecar._guard.broken[Invariant.CLIENT_WAITS_FOR_ATTEMPT] == 1
+            assert scene.sidecar._context.invariants.broken[Invariant.CLIENT_WAITS_FOR_ATTEMPT] == 1
 
     play(work)
 
@@ -178,7 +180,7 @@
             put_to_use(*held[0])
             assert (await client.answer()).status in (503, 504)
             assert scene.heard == []
-            assert scene.sidecar._guard.violations == 0
+            assert scene.sidecar._context.invariants.violations == 0
 
     play(work)
 
@@ -193,7 +195,7 @@
             (side,) = scene.sidecar.frontend.connections()
             assert isinstance(side, DownstreamConnection)
             side.close(CloseReason.IDLE)
-            assert scene.sidecar._guard.broken[Invariant.CLOSE_WITHOUT_PENDING_RESPONSE] == 1
+            assert scene.sidecar._context.invariants.broken[Invariant.CLOSE_WITHOUT_PENDING_RESPONSE] == 1
             release.set()
 
     play(work)
@@ -211,7 +213,7 @@
             assert (await client.ask("check")).status == 200
             client.close()
             await until(lambda: not scene.sidecar.frontend.open_connections)
-            figures = dict(each.partition("=")[::2] for each in scene.sidecar._figures())
+            figures = dict(each.partition("=")[::2] for each in scene.sidecar.calls()["telemetry"]())
             assert figures["app.retries.full"] == figures["app.retries.error"] == "1"
             assert figures["app.client_closes.client_left"] == "1"
             assert figures["app.invariant_violations"] == "0"
@@ -224,7 +226,7 @@
 
     async def work() -> None:
         async with stage(ERROR, OK) as scene:
-            scene.sidecar._trace = Trace(scene.sidecar._log)
+            scene.sidecar._context.trace = Trace(scene.sidecar._context.log)
             first, second = scene.servers
             await tell(scene, server_line(0, first.address))
             await scene.ask("check", Request_Id="r-7")
@@ -241,7 +243,7 @@
 
 def test_a_write_whose_time_is_up_shows() -> None:
     guard = InvariantChecker()
-    guard.check_attempt(b"r-1", is_waited_for=True, now=5, until=5)
+    guard.check_attempt(b"r-1", is_client_waiting=True, now=5, deadline=5)
     assert [each for each, count in guard.broken.items() if count] == [Invariant.ATTEMPT_BEFORE_DEADLINE]
 
 
@@ -255,7 +257,7 @@
             server.is_leaving = True
             call = UpstreamRequest("s-0", 2**61, lambda left_us: _PING, IndependentRequestObserver())
             upstream._write(call, connection)
-            assert scene.sidecar._guard.broken[Invariant.ATTEMPT_TO_READY_ENDPOINT] == 1
+            assert scene.sidecar._context.invariants.broken[Invariant.ATTEMPT_TO_READY_ENDPOINT] == 1
 
     play(work)
 
@@ -264,12 +266,12 @@
     async def goes_on(*given: object) -> None:
         return None
 
-    monkeypatch.setattr(Sidecar, "_until", goes_on)
+    monkeypatch.setattr(Startup, "_wait", goes_on)
 
     async def work() -> None:
         for discovery, broken in (("pushed", 1), ("on_request", 0)):
             async with stage(OK, discovery=discovery, silent_discovery=True) as scene:
-                assert scene.sidecar._guard.broken[Invariant.READY_AFTER_DISCOVERY] == broken
+                assert scene.sidecar._context.invariants.broken[Invariant.READY_AFTER_DISCOVERY] == broken
 
     play(work)
 
@@ -281,8 +283,8 @@
             client = await scene.client()
             client.send(request("check", timeout="0.2"))
             await until(lambda: len(scene.heard) == 1)
-            monkeypatch.setattr(scene.sidecar, "_answer", lambda *given: None)
+            monkeypatch.setattr(scene.sidecar._responses, "respond", lambda *given: None)
             await scene.sidecar.drain()
-            assert scene.sidecar._guard.broken[Invariant.STOP_WITHOUT_PENDING_RESPONSE] == 1
+            assert scene.sidecar._context.invariants.broken[Invariant.STOP_WITHOUT_PENDING_RESPONSE] == 1
 
     play(work)
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -134,13 +134,13 @@
             client = await scene.client()
             client.send(request("check", timeout="15"))
             await until(lambda: len(scene.heard) == 1)
-            (number,) = scene.sidecar._open
+            (held,) = scene.sidecar._registry
             scene.discovery.tell(line("s-slow", slow.address))
             await until(lambda: len(scene.discovery.heard) >= 3)
             # The decisions would send a second copy once others had answered meanwhile; it is sent here.
             balancer = scene.sidecar._balancer
-            assert balancer._send(balancer._requests[number], balancer._context.endpoints["s-slow"])
-            scene.sidecar._carry_out(balancer._context.actions[-1])
+            assert balancer._send(balancer._requests[held.number], balancer._context.endpoints["s-slow"])
+            scene.sidecar._executor.execute(balancer._context.actions[-1])
             release.set()
             assert (await client.answer()).status == 200
             accepted = await slow.let_go()
@@ -229,7 +229,7 @@
             return [StartAttempt(self._request, each, NEVER) for each in self._servers]
         return []
 
-    def attempt_began(self, request: int, attempt: int, now: int) -> None:
+    def attempt_written(self, request: int, attempt: int, now: int) -> None:
         """Nothing here bounds another attempt."""
 
     def latest_start(self, request: int, attempt: int) -> int:
@@ -255,7 +255,7 @@
                 await until(lambda: scene.sidecar.open_requests == 1)
                 await _paused(scene, ahead)
                 _go(application, how, _only(scene))
-                scene.sidecar._post(TimerFired("due"))
+                scene.sidecar._events.post(TimerFired("due"))
                 await _is_over(scene)
                 assert decisions.ended == [Outcome.NOT_SENT] * 2
                 assert _withheld(scene) == 2
@@ -279,8 +279,8 @@
                 await until(lambda: len(scene.heard) == 1)
                 await _paused(scene, ahead)
                 _go(application, how, None if how == "stays" else _only(scene))
-                (held,) = scene.sidecar._open.values()
-                connection = held.calls[0].connection
+                (held,) = scene.sidecar._registry
+                connection = held.upstream_requests[0].connection
                 assert connection is not None
                 if end is not None:
                     connection._read(end)
@@ -324,9 +324,9 @@
                 _go(application, how, None if how == "stays" else _only(scene))
                 ((connection, timer),) = rests.items()
                 timer.cancel()
-                (held,) = scene.sidecar._open.values()
+                (held,) = scene.sidecar._registry
                 server = scene.sidecar._upstream._servers["s-0"]
-                scene.sidecar._upstream._rested(held.calls[0], server, connection)
+                scene.sidecar._upstream._rested(held.upstream_requests[0], server, connection)
                 if how == "stays":
                     await until(lambda: len(scene.heard) == 2)
                     return
@@ -352,7 +352,7 @@
                 await until(lambda: [each.state for each in scene.sidecar.frontend.connections()] == [state])
                 if state is ConnectionState.PASSING:
                     await until(lambda: scene.servers[0].connections == 1)
-                    (held,) = scene.sidecar._open.values()
+                    (held,) = scene.sidecar._registry
                     await until(lambda: held.incoming.body.size == size - 20_000)
                 at_sidecar = _only(scene)
                 application.sendall(whole[cut:] + ahead)
@@ -401,7 +401,7 @@
                 application.sendall(request("lodge", timeout="15", body=body) + _AHEAD)
                 accepted, _ = await loop.sock_accept(server)
                 await _paused(scene, _AHEAD)
-                (held,) = scene.sidecar._open.values()
+                (held,) = scene.sidecar._registry
                 assert held.incoming.body.is_complete and held.incoming.body.pending_bytes > 1
                 got = b""
                 while held.incoming.body.pending_bytes > 1:
--- a/tests/test_never_ran.py
+++ b/tests/test_never_ran.py
@@ -63,10 +63,10 @@
             client.send(request("lodge", timeout="4.0", body=_BODY))
             if not used:
                 await server.accept()
-            await until(lambda: len(scene.sidecar._open) == 1)
-            (held,) = scene.sidecar._open.values()
-            await until(lambda: held.calls[0].connection is not None)
-            assert held.calls[0].is_unwritten
+            await until(lambda: len(scene.sidecar._registry) == 1)
+            (held,) = scene.sidecar._registry
+            await until(lambda: held.upstream_requests[0].connection is not None)
+            assert held.upstream_requests[0].is_unwritten
             await tell(scene, server_line(1, scene.servers[0].address))
             await _goes(server, how)
             assert (await client.answer()).status == 200
@@ -383,11 +383,11 @@
             whole = request("lodge", timeout="4.0", body=b"x" * (KEPT + 20_000))
             client.send(whole[:-16_000])
             await until(lambda: scene.servers[0].connections == 1)
-            (held,) = scene.sidecar._open.values()
+            (held,) = scene.sidecar._registry
             await until(lambda: held.incoming.body.size == KEPT + 4_000)
-            await until(lambda: held.calls[0].connection is not None)
+            await until(lambda: held.upstream_requests[0].connection is not None)
             client.send(whole[-16_000:] + behind)
-            await until(lambda: not held.calls[0].is_unwritten)
+            await until(lambda: not held.upstream_requests[0].is_unwritten)
             let_go.set()
             answer = await client.answer()
             assert answer.status not in _REFUSED
--- a/tests/test_on_call.py
+++ b/tests/test_on_call.py
@@ -76,7 +76,7 @@
     page = (ROOT / "docs" / "on-call.md").read_text(encoding="utf-8")
     rows = [each.split("|")[1] for each in page.splitlines() if each.startswith("| `app.")]
     shown = set(re.findall(r"`(?:app)?\.([\w.]+)`", " ".join(rows)))
-    source = (ROOT / "tulipnotch" / "sidecar" / "sidecar.py").read_text(encoding="utf-8")
+    source = (ROOT / "tulipnotch" / "sidecar" / "control_commands.py").read_text(encoding="utf-8")
     gauges = dict.fromkeys(
         re.findall(r'"(\w+)": \w', source[source.index("gauges = {") :].split("return")[0]), 0
     )
--- a/tests/test_repeat_bounds.py
+++ b/tests/test_repeat_bounds.py
@@ -52,8 +52,8 @@
     let_run: asyncio.Event  # ends those that run on
 
     def attempts(self) -> list[UpstreamRequest]:
-        (held,) = self.scene.sidecar._open.values()
-        return held.calls
+        (held,) = self.scene.sidecar._registry
+        return held.upstream_requests
 
 
 @asynccontextmanager
@@ -107,7 +107,7 @@
             assert (await scene.ask("check")).status == 200
         client = await scene.client()
         client.send(request("amend", timeout="4.0", body=body))
-        await until(lambda: len(scene.sidecar._open) == 1)
+        await until(lambda: len(scene.sidecar._registry) == 1)
         await begun(scene)
         await tell(scene, *(server_line(n + 1, each.address) for n, each in enumerate(scene.servers)))
         for _ in range(PEERS_ANSWERS):
@@ -346,9 +346,9 @@
 
     async def begun(scene: Stage) -> None:
         await server.accept()
-        (held,) = scene.sidecar._open.values()
-        await until(lambda: held.calls[0].connection is not None)
-        assert held.calls[0].is_unwritten
+        (held,) = scene.sidecar._registry
+        await until(lambda: held.upstream_requests[0].connection is not None)
+        assert held.upstream_requests[0].is_unwritten
 
     try:
         async with _overtaken(clock, server.address, *ends, group=group, body=_BODY, begun=begun) as seen:
@@ -478,16 +478,16 @@
                 await until(lambda: late.connections == 1)
             await tell(scene, *(server_line(n, each.address) for n, each in enumerate(scene.servers) if n))
             clock.advance(2 * OVERDUE_US)
-            scene.sidecar._post(TimerFired("due"))
+            scene.sidecar._events.post(TimerFired("due"))
             assert [each for each in scene.heard if each.method == "POST"] == []
-            (at_sidecar,) = scene.sidecar._open.values()
+            (at_sidecar,) = scene.sidecar._registry
             client.send(whole[-1:])
-            await until(lambda: at_sidecar.whole_at > 0)
+            await until(lambda: at_sidecar.body_completed_at > 0)
             for _ in range(PEERS_ANSWERS):
                 assert (await scene.ask("check")).status == 200
             clock.advance(OVERDUE_US)
             if first == "held back":
-                scene.sidecar._post(TimerFired("due"))
+                scene.sidecar._events.post(TimerFired("due"))
                 clock.advance(WINDOW_US)
                 held.release(late.address)
             assert (await client.answer()).status == 200
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -64,7 +64,7 @@
         finally:
             self._inside = False
 
-    def attempt_began(self, request: int, attempt: int, now: int) -> None:
+    def attempt_written(self, request: int, attempt: int, now: int) -> None:
         """Nothing here bounds another attempt."""
 
     def latest_start(self, request: int, attempt: int) -> int:
@@ -308,7 +308,7 @@
                 if event == "readmitted":
                     raise OSError("no room")
 
-            scene.sidecar._log = note
+            scene.sidecar._context.log = note
             assert (await scene.ask("check")).status == 200
             assert said == ["readmitted", "internal_error"]
 
--- a/tests/test_streaming.py
+++ b/tests/test_streaming.py
@@ -140,7 +140,7 @@
             await until(lambda: server.got > 0)
             await asyncio.sleep(0.3)
             assert not sending.done()
-            (held,) = scene.sidecar._open.values()
+            (held,) = scene.sidecar._registry
             assert held.incoming.body.pending_bytes <= 200_000
             assert figure(scene.sidecar, "app.upstream_requests") == 0  # its last byte is not written
             assert figure(scene.sidecar, "app.pending") == 0  # nor taken
--- a/tests/test_told_deadline.py
+++ b/tests/test_told_deadline.py
@@ -26,10 +26,10 @@
             client = await scene.client()
             client.send(request("lodge", timeout=f"{_TIMEOUT_S}", body=_BODY))
             await slow.accept()
-            await until(lambda: len(scene.sidecar._open) == 1)
-            (held,) = scene.sidecar._open.values()
-            await until(lambda: held.calls[0].connection is not None)
-            assert held.calls[0].is_unwritten
+            await until(lambda: len(scene.sidecar._registry) == 1)
+            (held,) = scene.sidecar._registry
+            await until(lambda: held.upstream_requests[0].connection is not None)
+            assert held.upstream_requests[0].is_unwritten
             await tell(scene, server_line(1, scene.servers[0].address))
             clock.advance(int(late_s * 1e6))
             got = await slow.read_to(_BODY)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -139,7 +139,7 @@
 ) -> None:
     # Guards against waiting for a discovery that is down: others wait for this process.
     async def work() -> None:
-        monkeypatch.setattr("tulipnotch.sidecar.sidecar._FRESH_WITHIN_S", 0.5)
+        monkeypatch.setattr("tulipnotch.sidecar.startup._LIST_TIMEOUT_S", 0.5)
         async with stage(OK, silent_discovery=True, started=False, given={"known": None}) as scene:
             starting = asyncio.ensure_future(scene.sidecar.start())
             await asyncio.sleep(0)
@@ -203,7 +203,7 @@
     listener: socket.socket, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def work() -> None:
-        monkeypatch.setattr("tulipnotch.sidecar.sidecar._SHARED_FOR_S", 0.2)
+        monkeypatch.setattr("tulipnotch.sidecar.startup._TAKEOVER_OVERLAP_S", 0.2)
         async with stage(OK, started=False) as scene:
             whole = scene.sidecar._upstream.max_connections
             await scene.sidecar.start(adopt(str(os.dup(listener.fileno()))))
--- /dev/null
+++ b/tulipnotch/sidecar/action_executor.py
@@ -0,0 +1,126 @@
+"""The execution of the balancer's actions, each by its owner; timers and health checks are owned here."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Any
+
+from tulipnotch.load_balancing.actions import (
+    Action,
+    CancelAttempt,
+    CloseIdleConnections,
+    FailRequest,
+    FetchEndpoints,
+    LogEvent,
+    RejectRequest,
+    SendPeerMessage,
+    SetTimer,
+    StartAttempt,
+    StartHealthCheck,
+    Subscribe,
+)
+from tulipnotch.load_balancing.events import HealthCheckEnded, TimerFired
+from tulipnotch.load_balancing.outcomes import Outcome
+from tulipnotch.load_balancing.settings import ReportSource
+from tulipnotch.sidecar.discovery.client import DiscoveryClient
+from tulipnotch.sidecar.discovery.peers import PeerMessenger
+from tulipnotch.sidecar.event_queue import EventQueue
+from tulipnotch.sidecar.http1.messages import Request, Response
+from tulipnotch.sidecar.requests.attempts import AttemptStarter
+from tulipnotch.sidecar.requests.context import SidecarContext
+from tulipnotch.sidecar.requests.responses import ResponseSender
+from tulipnotch.sidecar.upstream.pool import load_report
+from tulipnotch.sidecar.upstream.request import IndependentRequestObserver, UpstreamRequest
+
+_HEALTH_CHECK_TIMEOUT_US = 1_000_000
+
+
+@dataclass(frozen=True, slots=True)
+class ActionTargets:
+    """Who executes the actions that are not executed by the event loop or the upstream pool."""
+
+    attempts: AttemptStarter
+    responses: ResponseSender
+    discovery: DiscoveryClient
+    peers: PeerMessenger
+
+
+class ActionExecutor:
+    """Brings each action to its owner."""
+
+    def __init__(self, context: SidecarContext, events: EventQueue, targets: ActionTargets) -> None:
+        """Timers and health checks post their ends to `events`."""
+        self._context = context
+        self._events = events
+        self._peers = targets.peers
+        discovery = targets.discovery
+        upstream = context.upstream
+        # Looked up by class for each action; a handler takes actions of its own class only.
+        self._handlers: dict[type[Action], Callable[[Any], None]] = {
+            StartAttempt: targets.attempts.start,
+            CancelAttempt: targets.attempts.cancel,
+            RejectRequest: targets.responses.reject,
+            FailRequest: targets.responses.fail,
+            SetTimer: self._set_timer,
+            StartHealthCheck: self._start_health_check,
+            CloseIdleConnections: lambda action: upstream.close_idle(action.endpoint),
+            Subscribe: lambda action: discovery.subscribe(action.is_subscribed),
+            FetchEndpoints: lambda _: discovery.fetch(),
+            SendPeerMessage: self._send_peer_message,
+            LogEvent: self._log_event,
+        }
+
+    def execute(self, action: Action) -> None:
+        """Executes one action; whatever its owner raises is raised here."""
+        self._handlers[type(action)](action)
+
+    def _set_timer(self, action: SetTimer) -> None:
+        self._arm_timer(self._context.clock.now() + action.delay_us, action.token)
+
+    def _arm_timer(self, due: int, token: str) -> None:
+        clock = self._context.clock
+        delay_s = (due - clock.now()) / 1e6
+
+        def fire() -> None:
+            if clock.now() < due:
+                self._arm_timer(due, token)  # event loops may fire some microseconds early
+            else:
+                self._events.post(TimerFired(token))
+
+        asyncio.get_running_loop().call_later(max(delay_s, 0.0), fire)
+
+    def _start_health_check(self, action: StartHealthCheck) -> None:
+        context = self._context
+        started_at = context.clock.now()
+        in_body = context.settings.report_source is not ReportSource.NONE
+        target = b"/_load" if in_body else b"/ping"
+        message = Request(b"GET", target, [(b"host", action.endpoint.encode())])
+
+        def ended(outcome: Outcome, response: Response | None) -> None:
+            report = load_report(response, context.settings.report_columns, in_body=in_body)
+            elapsed_us = context.clock.now() - started_at
+            self._events.post(HealthCheckEnded(action.endpoint, outcome, elapsed_us, report))
+
+        deadline = started_at + _HEALTH_CHECK_TIMEOUT_US
+        context.upstream.start(
+            UpstreamRequest(action.endpoint, deadline, lambda _: message, _HealthCheckObserver(ended))
+        )
+
+    def _send_peer_message(self, action: SendPeerMessage) -> None:
+        if not self._peers.send(action.receiver, action.payload):
+            self._context.log("message_unsent")
+
+    def _log_event(self, action: LogEvent) -> None:
+        self._context.log(action.event, **action.fields)
+
+
+class _HealthCheckObserver(IndependentRequestObserver):
+    """Observes one health check; only its end matters."""
+
+    def __init__(self, on_end: Callable[[Outcome, Response | None], None]) -> None:
+        self._on_end = on_end
+
+    def ended(self, outcome: Outcome, response: Response | None) -> None:
+        self._on_end(outcome, response)
--- a/tulipnotch/sidecar/program.py
+++ b/tulipnotch/sidecar/program.py
@@ -21,10 +21,12 @@
 from tulipnotch.sidecar import BEGAN
 from tulipnotch.sidecar.configuration.configuration import Config, ConfigError, load
 from tulipnotch.sidecar.control.endpoint import ControlEndpoint, ControlLimits
+from tulipnotch.sidecar.descriptor_budget import client_limits
 from tulipnotch.sidecar.downstream.listener import adopt, listen, reserve_soon
 from tulipnotch.sidecar.logs import Format, LineLog, Log, LogLimits
 from tulipnotch.sidecar.requests.trace import Trace
-from tulipnotch.sidecar.sidecar import ServiceLevels, Sidecar, client_limits
+from tulipnotch.sidecar.service_level_monitor import ServiceLevels
+from tulipnotch.sidecar.sidecar import Sidecar
 
 if TYPE_CHECKING:
     from tulipnotch.settings.operator import OverloadTable  # msgspec is imported only for an operator file
--- /dev/null
+++ b/tulipnotch/sidecar/requests/attempts.py
@@ -0,0 +1,192 @@
+"""The attempts of requests: one exchange with one server each, from its start to its outcome."""
+
+from __future__ import annotations
+
+from tulipnotch.load_balancing import Balancer
+from tulipnotch.load_balancing.actions import CancelAttempt, StartAttempt
+from tulipnotch.load_balancing.events import AttemptEnded
+from tulipnotch.load_balancing.outcomes import Outcome
+from tulipnotch.sidecar.event_queue import EventQueue
+from tulipnotch.sidecar.http1.messages import Response
+from tulipnotch.sidecar.requests.context import SidecarContext
+from tulipnotch.sidecar.requests.invariants import WrittenAttempt
+from tulipnotch.sidecar.requests.open_request import ClientLeft, OpenRequest, WaitingForResponse
+from tulipnotch.sidecar.requests.request_registry import RequestRegistry
+from tulipnotch.sidecar.requests.responses import ResponseSender
+from tulipnotch.sidecar.upstream.connection import ResponseConsumer, UpstreamConnection
+from tulipnotch.sidecar.upstream.pool import load_report
+from tulipnotch.sidecar.upstream.request import UpstreamRequest
+
+
+class AttemptStarter:
+    """Starts and cancels attempts; each attempt reports its end to the balancer by itself."""
+
+    def __init__(
+        self,
+        context: SidecarContext,
+        registry: RequestRegistry,
+        responses: ResponseSender,
+        balancer: Balancer,
+        events: EventQueue,
+    ) -> None:
+        """Starts attempts for the requests of this registry."""
+        self.context = context
+        self.registry = registry
+        self.responses = responses
+        self.balancer = balancer
+        self.events = events
+
+    def start(self, action: StartAttempt) -> None:
+        """Starts the next attempt of an open request."""
+        request = self.registry.require(action.request)
+        context = self.context
+        number = len(request.upstream_requests)
+        attempt = Attempt(self, request, number, action.endpoint, context.clock.now())
+        # A body that is streamed goes to one server at a time, and to none once a part of it is lost.
+        body = request.incoming.body
+        is_sendable = body.is_replayable and (not request.attempts_in_flight or not body.is_streamed)
+        deadline = action.deadline if is_sendable else 0
+
+        # None: an earlier attempt is in flight, or has no outcome.
+        previous_outcome = None if request.attempts_in_flight else request.last_outcome
+        if number:
+            context.telemetry.request_retried(previous_outcome)
+        if context.trace is not None:
+            cause = "" if not number else "overdue" if previous_outcome is None else previous_outcome.value
+            context.trace.attempt_begun(request.name, number, action.endpoint, cause)
+
+        upstream_request = UpstreamRequest(
+            action.endpoint, deadline, request.incoming.upstream_message, attempt
+        )
+        request.upstream_requests.append(upstream_request)
+        request.attempts_in_flight += 1
+        context.upstream.start(upstream_request)
+
+    def cancel(self, action: CancelAttempt) -> None:
+        """Cancels an attempt, unless it or its request has ended."""
+        request = self.registry.get(action.request)
+        if request is not None and action.attempt < len(request.upstream_requests):
+            self.context.upstream.cancel(request.upstream_requests[action.attempt])
+
+
+class Attempt:
+    """One attempt of an open request; observes its upstream request (`RequestObserver`)."""
+
+    streams_responses = True
+
+    def __init__(
+        self, starter: AttemptStarter, request: OpenRequest, number: int, endpoint: str, started_at: int
+    ) -> None:
+        """Attempts are numbered from 0; `started_at` is a clock time (us)."""
+        self._starter = starter
+        self._request = request
+        self._number = number
+        self._endpoint = endpoint
+        self._started_at = started_at
+        self._written: WrittenAttempt | None = None
+        self._is_reported = (
+            False  # whether the balancer was notified of its outcome, since its response streams
+        )
+
+    def is_client_waiting(self) -> bool:
+        """Looks at the client's socket too; where the client has left, the attempt is cancelled within."""
+        request = self._request
+        waiting = request.response
+        if type(waiting) is not WaitingForResponse:
+            return False
+        waiting.client.check_disconnected()
+        return type(request.response) is WaitingForResponse
+
+    def latest_start(self) -> int:
+        """Clock time (us) from which on its last byte may not be written, by its class's deduplication."""
+        return self._starter.balancer.latest_start(self._request.number, self._number)
+
+    def request_written(self, request: UpstreamRequest) -> None:
+        """Its last byte is written in this instant: checks whether the rules allow it."""
+        starter = self._starter
+        starter.context.telemetry.attempt_written()
+        self._check_written(request)
+        starter.balancer.attempt_written(self._request.number, self._number, request.last_allowed_at)
+        for other in self._request.upstream_requests:
+            if other is not request:
+                starter.context.upstream.latest_start_changed(other)
+
+    def _check_written(self, upstream_request: UpstreamRequest) -> None:
+        request = self._request
+        context = self._starter.context
+        zone, cell = context.upstream.locality(self._endpoint)
+        written = WrittenAttempt(zone, cell, upstream_request.last_allowed_at)
+        request_id = request.incoming.request_id
+        context.invariants.check_attempt(
+            request_id,
+            is_client_waiting=request.is_waiting,
+            now=written.written_at,
+            deadline=upstream_request.deadline,
+        )
+        if request.written_attempts:
+            context.invariants.check_retry(
+                request_id,
+                request.incoming.service_class,
+                written,
+                request.written_attempts,
+                allows_hedging=context.settings.limits.hedged_requests,
+            )
+        self._written = written
+        request.written_attempts.append(written)
+        if context.trace is not None:
+            context.trace.attempt_written(request.name, self._number)
+
+    def response_started(self, head: Response, connection: UpstreamConnection) -> ResponseConsumer | None:
+        """Streams its response to the client; returns None where no client waits.
+
+        For the balancer the response is delivered now: how fast the client reads tells nothing of the server.
+        """
+        client = self._starter.responses.start_stream(self._request, self._number, head, connection)
+        if client is not None:
+            self._is_reported = True
+            self._report(Outcome.DELIVERED, head)
+        return client
+
+    def ended(self, outcome: Outcome, response: Response | None) -> None:
+        """Responds to the client where the attempt was delivered, and reports its outcome to the balancer."""
+        request = self._request
+        starter = self._starter
+        context = starter.context
+        request.attempts_in_flight -= 1
+        if context.trace is not None:
+            context.trace.attempt_ended(request.name, self._number, outcome)
+        if self._is_reported:
+            starter.responses.end_stream(request, outcome)
+            starter.registry.remove_if_ended(request)
+            return
+        request.last_outcome = outcome
+        if outcome is Outcome.NOT_SENT and isinstance(request.response, ClientLeft):
+            context.telemetry.attempt_withheld()
+        if outcome is Outcome.DELIVERED and response is not None:
+            starter.responses.respond_from(request.number, response)
+        self._report(outcome, response)
+
+    def _report(self, outcome: Outcome, response: Response | None) -> None:
+        request = self._request
+        starter = self._starter
+        settings = starter.context.settings
+        report = load_report(response, settings.report_columns)
+        elapsed_us = starter.context.clock.now() - max(self._started_at, request.body_completed_at)
+        is_response_certain = request.upstream_requests[self._number].is_response_certain
+        written = self._written
+        if written is not None:
+            written.is_in_flight = False
+            written.may_have_run = not settings.rules.proves_not_executed(outcome, is_response_certain)
+        starter.events.post(
+            AttemptEnded(
+                request=request.number,
+                attempt=self._number,
+                endpoint=self._endpoint,
+                outcome=outcome,
+                elapsed_us=elapsed_us,
+                is_responded=False,  # the event queue sets it when the event's turn comes
+                report=report,
+                is_retryable=request.incoming.body.is_replayable,
+                is_response_certain=is_response_certain,
+            )
+        )
--- a/tulipnotch/sidecar/requests/invariants.py
+++ b/tulipnotch/sidecar/requests/invariants.py
@@ -1,13 +1,12 @@
 """The rules as invariants of a running process: checked where each could be broken, and counted.
 
-`Guard` decides nothing.  It looks at what is done from what was recorded on sockets, not from what the
-decisions believe, so that a gate that was gone round, or a belief that is wrong, shows as a count and a line
-of the log.
+`InvariantChecker` decides nothing.  It checks what is done against what was recorded on sockets, not against
+the state of the balancer, so that a bypassed check or a wrong state there shows as a count and a log line.
 """
 
 from __future__ import annotations
 
-from collections.abc import Callable, Iterable
+from collections.abc import Callable, Iterable, Sequence
 from dataclasses import dataclass
 from enum import Enum, unique
 
@@ -17,59 +16,61 @@
 
 @unique
 class Invariant(Enum):
-    """What always holds."""
-
-    CLIENT_WAITS_FOR_ATTEMPT = "sent_for_a_client"  # a last byte leaves only while its client waits
-    ATTEMPT_BEFORE_DEADLINE = "sent_in_time"  # and before the request's time is up
-    ATTEMPT_TO_READY_ENDPOINT = (
-        "sent_to_ready"  # a first byte goes only to a server that the list calls ready
-    )
-    RETRY_WITHOUT_HEDGING = "repeated_alone"  # no second copy is out where the settings forbid it
-    RETRY_WITHIN_DEDUPLICATION = (
-        "repeated_in_bounds"  # what may have run runs again only where repeats are dropped
-    )
-    REJECTION_WITHOUT_EFFECT = "refused_unrun"  # a refusal promises that trying again has no double effect
-    CLOSE_WITHOUT_PENDING_RESPONSE = (
-        "closed_unowed"  # no connection is ended from this side while an answer is owed on it
-    )
-    READY_AFTER_DISCOVERY = "served_listed"  # a process is ready only once it has looked for a list
-    STOP_WITHOUT_PENDING_RESPONSE = "stopped_unowed"  # and ends only with every answer given
+    """What always holds; the values are those of the log."""
+
+    # The last byte of an attempt is written only while its client waits, and before the request's deadline.
+    CLIENT_WAITS_FOR_ATTEMPT = "sent_for_a_client"
+    ATTEMPT_BEFORE_DEADLINE = "sent_in_time"
+    # The first byte of an attempt is written only to an endpoint that is ready by the endpoint list.
+    ATTEMPT_TO_READY_ENDPOINT = "sent_to_ready"
+    # No two attempts of a request are in flight where the settings forbid hedged requests.
+    RETRY_WITHOUT_HEDGING = "repeated_alone"
+    # What may have been executed is executed once more only where servers deduplicate it.
+    RETRY_WITHIN_DEDUPLICATION = "repeated_in_bounds"
+    # A rejection says that a retry has no double effect.
+    REJECTION_WITHOUT_EFFECT = "refused_unrun"
+    # This side ends no connection with a pending response.
+    CLOSE_WITHOUT_PENDING_RESPONSE = "closed_unowed"
+    # A process is ready only after it has called discovery, and ends only without pending responses.
+    READY_AFTER_DISCOVERY = "served_listed"
+    STOP_WITHOUT_PENDING_RESPONSE = "stopped_unowed"
 
 
 @unique
 class CloseReason(Enum):
-    """Why a client's connection ended."""
+    """Why a client's connection ended; the values are those of the figures and of the log."""
 
     CLIENT_LEFT = "client_left"
-    ANSWERED = "answered"  # the answer said that the connection closes
-    IDLE = "idle"  # at rest for too long, or the process is being emptied
+    ANSWERED = "answered"  # the response announced `connection: close`
+    IDLE = "idle"  # for too long, or while clients are to leave
     SILENT = "silent"  # no request came on it
     REJECTED = "rejected"  # what came can't be served, or stopped coming
-    UNREAD = "unread"  # the client takes no more of its answer
-    ANSWER_BROKEN = "answer_broken"  # an answer that passed through broke off
-    LINGERED = "lingered"  # the client went on after our end
-    NO_ROOM = "no_room"
+    UNREAD = "unread"  # the client reads no more of its response
+    ANSWER_BROKEN = "answer_broken"  # a streamed response broke off
+    LINGERED = "lingered"  # the client did not close after this side had
+    NO_ROOM = "no_room"  # the limit on connections is reached
 
 
-# Ends with an answer still owed: its client has gone, takes none of it, or can tell that it is not whole.
-_OWES_NOTHING_MORE = (CloseReason.CLIENT_LEFT, CloseReason.UNREAD, CloseReason.ANSWER_BROKEN)
+# Allowed with a pending response: its client has left, reads none of it, or sees that it is incomplete.
+_WITH_PENDING_RESPONSE = (CloseReason.CLIENT_LEFT, CloseReason.UNREAD, CloseReason.ANSWER_BROKEN)
 
 
 @dataclass(slots=True)
 class WrittenAttempt:
-    """An attempt whose last byte has left, as sockets show it; times are clock times in microseconds."""
+    """An attempt whose last byte was written, as recorded on sockets."""
 
     zone: str
     cell: int
-    written_at: int
+    written_at: int  # clock time (us)
     is_in_flight: bool = True  # whether its outcome is not known yet
     may_have_run: bool = True
 
 
 class InvariantChecker:
-    """The invariants of one process, and how often each was broken."""
+    """Counts and reports how often each invariant of one process was broken."""
 
     def __init__(self, on_broken: Callable[[Invariant, str], None] | None = None) -> None:
+        """`on_broken` is called with what the broken invariant is about."""
         self.broken = dict.fromkeys(Invariant, 0)
         self._on_broken = on_broken
 
@@ -79,53 +80,61 @@
         return sum(self.broken.values())
 
     def check(self, holds: bool, invariant: Invariant, about: str | bytes) -> None:
-        """Count and report this one unless it holds; `about` names the request, server or connection."""
+        """Counts and reports an invariant unless it holds; `about` names what it was broken for."""
         if holds:
             return
         self.broken[invariant] += 1
         if self._on_broken is not None:
             self._on_broken(invariant, about if isinstance(about, str) else about.decode("latin-1"))
 
-    def check_attempt(self, request: bytes, *, is_waited_for: bool, now: int, until: int) -> None:
-        """A request's last byte leaves for a server."""
-        self.check(is_waited_for, Invariant.CLIENT_WAITS_FOR_ATTEMPT, request)
-        self.check(now < until, Invariant.ATTEMPT_BEFORE_DEADLINE, request)
+    def check_attempt(self, request_id: bytes, *, is_client_waiting: bool, now: int, deadline: int) -> None:
+        """The last byte of an attempt is written; times are clock times (us)."""
+        self.check(is_client_waiting, Invariant.CLIENT_WAITS_FOR_ATTEMPT, request_id)
+        self.check(now < deadline, Invariant.ATTEMPT_BEFORE_DEADLINE, request_id)
 
     def check_retry(
         self,
-        request: bytes,
-        kind: ServiceClass,
-        new: WrittenAttempt,
-        before: Iterable[WrittenAttempt],
+        request_id: bytes,
+        service_class: ServiceClass,
+        written: WrittenAttempt,
+        earlier: Sequence[WrittenAttempt],
         *,
-        second_copies: bool,
+        allows_hedging: bool,
     ) -> None:
-        """A request's last byte leaves for a further server."""
-        before = list(before)
-        is_alone = second_copies or not any(each.is_in_flight for each in before)
-        self.check(is_alone, Invariant.RETRY_WITHOUT_HEDGING, request)
-        ran = [each for each in before if each.may_have_run]
-        self.check(_may_run_beside(kind, new, ran), Invariant.RETRY_WITHIN_DEDUPLICATION, request)
-
-    def check_rejection(self, request: bytes, kind: ServiceClass, attempts: Iterable[WrittenAttempt]) -> None:
-        """A client is told that trying again does no harm."""
-        is_harmless = may_run_anywhere_again(kind) or not any(each.may_have_run for each in attempts)
-        self.check(is_harmless, Invariant.REJECTION_WITHOUT_EFFECT, request)
+        """The last byte of a further attempt is written; `earlier` are the written ones before it."""
+        is_alone = allows_hedging or not any(attempt.is_in_flight for attempt in earlier)
+        self.check(is_alone, Invariant.RETRY_WITHOUT_HEDGING, request_id)
+        executed = [attempt for attempt in earlier if attempt.may_have_run]
+        is_deduplicated = _may_execute_beside(service_class, written, executed)
+        self.check(is_deduplicated, Invariant.RETRY_WITHIN_DEDUPLICATION, request_id)
+
+    def check_rejection(
+        self, request_id: bytes, service_class: ServiceClass, attempts: Iterable[WrittenAttempt]
+    ) -> None:
+        """A request is rejected, so that its client may retry it."""
+        has_no_effect = may_run_anywhere_again(service_class) or not any(
+            attempt.may_have_run for attempt in attempts
+        )
+        self.check(has_no_effect, Invariant.REJECTION_WITHOUT_EFFECT, request_id)
 
     def check_close(self, reason: CloseReason, *, is_owed: bool) -> None:
-        """A client's connection is ended from this side."""
-        holds = not is_owed or reason in _OWES_NOTHING_MORE
+        """This side ends a client's connection; `is_owed`: with a pending response."""
+        holds = not is_owed or reason in _WITH_PENDING_RESPONSE
         self.check(holds, Invariant.CLOSE_WITHOUT_PENDING_RESPONSE, reason.value)
 
 
-def _may_run_beside(kind: ServiceClass, new: WrittenAttempt, ran: list[WrittenAttempt]) -> bool:
-    """Whether running once more has no further effect, by the class's own words."""
-    if not ran or kind.idempotency is Idempotency.IDEMPOTENT:
+def _may_execute_beside(
+    service_class: ServiceClass, written: WrittenAttempt, executed: list[WrittenAttempt]
+) -> bool:
+    """Whether one more execution has no further effect, by the class's idempotency and deduplication."""
+    if not executed or service_class.idempotency is Idempotency.IDEMPOTENT:
         return True
-    if kind.idempotency is Idempotency.NON_IDEMPOTENT:
+    if service_class.idempotency is Idempotency.NON_IDEMPOTENT:
         return False
-    if new.written_at >= min(each.written_at for each in ran) + kind.deduplication_window_us:
+    first_written_at = min(attempt.written_at for attempt in executed)
+    if written.written_at >= first_written_at + service_class.deduplication_window_us:
         return False
-    if kind.deduplication_scope is DeduplicationScope.ZONE:
-        return all(each.zone == new.zone for each in ran)
-    return kind.deduplication_scope is DeduplicationScope.ALL or all(each.cell == new.cell for each in ran)
+    scope = service_class.deduplication_scope
+    if scope is DeduplicationScope.ZONE:
+        return all(attempt.zone == written.zone for attempt in executed)
+    return scope is DeduplicationScope.ALL or all(attempt.cell == written.cell for attempt in executed)
--- a/tulipnotch/sidecar/requests/open_request.py
+++ b/tulipnotch/sidecar/requests/open_request.py
@@ -1,4 +1,4 @@
-"""What the sidecar keeps of a request that was taken, until it is answered and its attempts have ended."""
+"""A request from its arrival until its response and all of its attempts have ended."""
 
 from __future__ import annotations
 
@@ -11,52 +11,81 @@
 from tulipnotch.sidecar.upstream.request import UpstreamRequest
 
 
+@dataclass(frozen=True, slots=True)
+class WaitingForResponse:
+    """The client waits, and no part of a response was written to it."""
+
+    client: DownstreamConnection
+
+
+@dataclass(frozen=True, slots=True)
+class StreamingResponse:
+    """The response of one attempt is passed on to the client piece by piece."""
+
+    client: DownstreamConnection
+    attempt: int  # by number
+
+
+@dataclass(frozen=True, slots=True)
+class ResponseEnded:
+    """The client has its response, or a response that was streamed broke off."""
+
+
+@dataclass(frozen=True, slots=True)
+class ClientLeft:
+    """The client disconnected before its response had ended, or its body was abandoned."""
+
+
+RESPONSE_ENDED = ResponseEnded()
+CLIENT_LEFT = ClientLeft()
+
+# WaitingForResponse -> StreamingResponse -> ResponseEnded; a buffered response leaves the second one out.
+# ClientLeft may follow WaitingForResponse, and ResponseEnded where a streamed response broke off.
+ResponseState = WaitingForResponse | StreamingResponse | ResponseEnded | ClientLeft
+
+
 class OpenRequest:
-    """A request with its client, its calls and what became of them."""
+    """A request, the state of its response, and its attempts."""
 
     __slots__ = (
-        "calls",
-        "client",
-        "has_left",
+        "attempts_in_flight",
+        "body_completed_at",
         "incoming",
         "last_outcome",
-        "out",
-        "reading",
-        "streamed",
-        "whole_at",
-        "written",
+        "number",
+        "response",
+        "upstream_requests",
+        "written_attempts",
     )
 
-    def __init__(self, client: DownstreamConnection, incoming: IncomingRequest) -> None:
-        self.client: DownstreamConnection | None = (
-            client  # None: it has its answer, or the first part of it, or left
-        )
-        self.has_left = False  # whether the client went before it had an answer, or its body was given up
-        self.reading: DownstreamConnection | None = None  # who an answer is being passed on to
-        self.streamed: int | None = None  # by which attempt
-        self.whole_at = 0  # when the last byte of a request came that had to pass through
+    def __init__(self, number: int, client: DownstreamConnection, incoming: IncomingRequest) -> None:
+        """The request has no attempts yet; `number` tells it from all others of this process."""
+        self.number = number
         self.incoming = incoming
-        self.calls: list[UpstreamRequest] = []
-        self.written: dict[int, WrittenAttempt] = {}  # by number: those whose last byte has left
-        self.out = 0
-        self.last_outcome: Outcome | None = None
+        self.response: ResponseState = WaitingForResponse(client)
+        # Clock time (us) of the last byte of a body that is streamed; 0: not yet, or it was there at arrival.
+        self.body_completed_at = 0
+        self.upstream_requests: list[UpstreamRequest] = []  # one for each attempt, by number
+        self.written_attempts: list[WrittenAttempt] = []  # those whose last byte was written
+        self.attempts_in_flight = 0
+        self.last_outcome: Outcome | None = None  # of the attempt that ended last
 
     @property
     def name(self) -> str:
-        """The id that its client gave it, for records."""
+        """The id that its client gave it, for logs."""
         return self.incoming.request_id.decode("latin-1")
 
     @property
-    def is_over(self) -> bool:
-        """Whether nothing is owed for it any more, and nothing is out."""
-        return self.client is None and self.reading is None and self.out == 0
-
+    def is_waiting(self) -> bool:
+        """Whether the client waits for a response of which no part was written."""
+        return type(self.response) is WaitingForResponse
 
-@dataclass(frozen=True, slots=True)
-class AttemptId:
-    """Which attempt something is about; `sent_at` is a clock time in microseconds."""
+    @property
+    def has_pending_response(self) -> bool:
+        """Whether a response, or the rest of one, is still to be written to the client."""
+        return type(self.response) in (WaitingForResponse, StreamingResponse)
 
-    request: int
-    number: int
-    server: str
-    sent_at: int
+    @property
+    def has_ended(self) -> bool:
+        """Whether no response is pending and no attempt is in flight."""
+        return self.attempts_in_flight == 0 and not self.has_pending_response
--- /dev/null
+++ b/tulipnotch/sidecar/requests/request_receiver.py
@@ -0,0 +1,107 @@
+"""What client connections report: arrivals, completed bodies and disconnects, brought to the balancer."""
+
+from __future__ import annotations
+
+from tulipnotch.load_balancing.events import ClientDisconnected, RequestArrived, RequestBodyCompleted
+from tulipnotch.sidecar.control.telemetry import Result
+from tulipnotch.sidecar.downstream.incoming_request import BadRequestError, IncomingRequest
+from tulipnotch.sidecar.downstream.server import DownstreamConnection
+from tulipnotch.sidecar.event_queue import EventQueue
+from tulipnotch.sidecar.requests.context import SidecarContext
+from tulipnotch.sidecar.requests.invariants import CloseReason
+from tulipnotch.sidecar.requests.open_request import OpenRequest, StreamingResponse
+from tulipnotch.sidecar.requests.request_registry import RequestRegistry
+from tulipnotch.sidecar.requests.responses import ResponseSender
+
+
+class RequestReceiver:
+    """Handles the requests of client connections."""
+
+    def __init__(
+        self,
+        context: SidecarContext,
+        registry: RequestRegistry,
+        responses: ResponseSender,
+        events: EventQueue,
+    ) -> None:
+        """Records requests in the registry, and posts what happens to them."""
+        self._context = context
+        self._registry = registry
+        self._responses = responses
+        self._events = events
+
+    def request_received(self, connection: DownstreamConnection, incoming: IncomingRequest) -> int | None:
+        """Accepts a request whose head has come, and the start of its body or all of it.
+
+        Returns:
+            Its number while its response is pending; None where it was responded within this call.
+
+        Raises:
+            BadRequestError: Its id is that of an open request, or of one that may have been executed.
+        """
+        context = self._context
+        registry = self._registry
+        if registry.is_pending(incoming.request_id):
+            # Rejects an id that is already in use, since servers deduplicate by it.
+            raise BadRequestError("request-id is that of an open request", 409)
+        max_open_requests = context.settings.limits.max_open_requests
+        if max_open_requests is not None and registry.pending_responses >= max_open_requests:
+            context.telemetry.request_ended(incoming.class_name, Result.REJECTED)
+            context.telemetry.request_rejected(None)
+            connection.send_response(503, [], b"")
+            return None
+        now = context.clock.now()
+        if registry.may_have_executed(incoming.request_id, now):
+            raise BadRequestError("request-id is that of a request that may have run", 409)
+        incoming.remaining_us = registry.limit_remaining(incoming.remaining_us, now)
+        request = registry.add(connection, incoming)
+        is_body_incomplete = not incoming.body.is_complete
+        if is_body_incomplete:
+            incoming.body.on_complete = lambda: self._body_completed(request)
+        if context.trace is not None:
+            context.trace.request_taken(request.name, incoming.class_name, incoming.remaining_us)
+        self._events.post(
+            RequestArrived(
+                request=request.number,
+                service_class=incoming.class_name,
+                tenant=incoming.tenant,
+                key=incoming.key,
+                remaining_us=incoming.remaining_us,
+                cost_us=incoming.cost_us,
+                client_retry=incoming.client_retry,
+                is_write=incoming.method == b"POST",
+                body_incomplete=is_body_incomplete,
+            )
+        )
+        return request.number if request.is_waiting else None
+
+    def _body_completed(self, request: OpenRequest) -> None:
+        """The last byte of a streamed body has come: the request's time begins."""
+        if not request.is_waiting:
+            return
+        now = request.body_completed_at = self._context.clock.now()
+        remaining_us = self._registry.limit_remaining(request.incoming.remaining_us, now)
+        for upstream_request in request.upstream_requests:
+            self._context.upstream.set_deadline(upstream_request, now + remaining_us)
+        self._events.post(RequestBodyCompleted(request.number, remaining_us))
+
+    def client_disconnected(self, number: int) -> None:
+        """The client left before its response had ended, or its body was abandoned."""
+        request = self._registry.get(number)
+        if request is not None:
+            if isinstance(request.response, StreamingResponse):
+                self._responses.cancel_stream(request, request.response)
+                return
+            self._registry.client_left(request, self._context.clock.now())
+            if self._context.trace is not None:
+                self._context.trace.request_ended(request.name, 0)
+            self._responses.client_left(request)
+        self._events.post(ClientDisconnected(number))
+        if request is not None:
+            self._registry.remove_if_ended(request)
+
+    def connection_closed(self, reason: CloseReason) -> None:
+        """A client's connection has ended."""
+        self._context.telemetry.connection_closed(reason)
+        if self._context.trace is not None:
+            self._context.trace.connection_closed(reason)
--- /dev/null
+++ b/tulipnotch/sidecar/requests/request_registry.py
@@ -0,0 +1,104 @@
+"""The open requests of this process, and the ids that a further request may not use."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+
+from tulipnotch.load_balancing.retries.idempotency_rule import may_run_anywhere_again
+from tulipnotch.sidecar.downstream.incoming_request import IncomingRequest
+from tulipnotch.sidecar.downstream.server import DownstreamConnection
+from tulipnotch.sidecar.requests.open_request import OpenRequest
+from tulipnotch.sidecar.requests.possibly_executed import PossiblyExecutedRequests
+
+
+class RequestRegistry:
+    """Owns the open requests, the ids of those with a pending response, and the possibly executed ids."""
+
+    def __init__(self) -> None:
+        """No request is open yet."""
+        self._open: dict[int, OpenRequest] = {}
+        self._pending_ids: set[bytes] = set()  # of the requests whose response has not ended
+        self._possibly_executed = PossiblyExecutedRequests()
+        self._next_number = 1
+        self.respond_by: int | None = None  # clock time (us) by which all are responded; None: no limit
+
+    def __len__(self) -> int:
+        """How many requests are open: with a pending response, or with an attempt in flight."""
+        return len(self._open)
+
+    def __iter__(self) -> Iterator[OpenRequest]:
+        """The open requests as they are now, the oldest first."""
+        return iter(list(self._open.values()))
+
+    def add(self, client: DownstreamConnection, incoming: IncomingRequest) -> OpenRequest:
+        """Records a request that has arrived; its response is pending from now on."""
+        request = OpenRequest(self._next_number, client, incoming)
+        self._next_number += 1
+        self._open[request.number] = request
+        self._pending_ids.add(incoming.request_id)
+        return request
+
+    def get(self, number: int) -> OpenRequest | None:
+        """Returns the open request with this number, or None where it has ended."""
+        return self._open.get(number)
+
+    def require(self, number: int) -> OpenRequest:
+        """Returns the open request with this number; raises KeyError where it has ended."""
+        return self._open[number]
+
+    def is_responded(self, number: int) -> bool:
+        """Whether nobody waits for the start of this request's response any more."""
+        request = self._open.get(number)
+        return request is None or not request.is_waiting
+
+    def remove_if_ended(self, request: OpenRequest) -> None:
+        """Removes a request without a pending response whose attempts have all ended."""
+        if request.has_ended:
+            self._open.pop(request.number, None)
+
+    def limit_remaining(self, remaining_us: int, now: int) -> int:
+        """Returns the time (us) that a request has: what its client gave it, but not beyond `respond_by`."""
+        if self.respond_by is None:
+            return remaining_us
+        return max(min(remaining_us, self.respond_by - now), 1)
+
+    @property
+    def pending_complete_requests(self) -> int:
+        """How many requests have come completely and have a pending response."""
+        return sum(
+            request.incoming.body.is_complete and request.has_pending_response
+            for request in self._open.values()
+        )
+
+    # Ids
+
+    @property
+    def pending_responses(self) -> int:
+        """How many requests have a pending response."""
+        return len(self._pending_ids)
+
+    def is_pending(self, request_id: bytes) -> bool:
+        """Whether the response to a request with this id is pending."""
+        return request_id in self._pending_ids
+
+    def response_ended(self, request: OpenRequest) -> None:
+        """Records that nothing more is written to the client of this request."""
+        self._pending_ids.discard(request.incoming.request_id)
+
+    def may_have_executed(self, request_id: bytes, now: int) -> bool:
+        """Whether a request with this id may have been executed, and must not be executed once more."""
+        return self._possibly_executed.contains(request_id, now)
+
+    def client_left(self, request: OpenRequest, now: int) -> None:
+        """Rejects the id of a request from now on that may have been executed and must not be twice.
+
+        Args:
+            request: A request whose client has disconnected.
+            now: Clock time (us).
+        """
+        service_class = request.incoming.service_class
+        if may_run_anywhere_again(service_class) or all(
+            each.is_unwritten for each in request.upstream_requests
+        ):
+            return
+        self._possibly_executed.add(request.incoming.request_id, now, now + service_class.deadline_us)
--- /dev/null
+++ b/tulipnotch/sidecar/service_level_monitor.py
@@ -0,0 +1,65 @@
+"""Periodic observation of the load, which moves the sidecar between its service levels."""
+
+from __future__ import annotations
+
+import asyncio
+from dataclasses import dataclass
+
+from tulipnotch.load_balancing import Balancer
+from tulipnotch.load_balancing.admission.service_levels import (
+    READ_EVERY_US,
+    ServiceLevel,
+    ServiceLevelController,
+)
+from tulipnotch.sidecar.clock import Clock
+from tulipnotch.sidecar.control.lifecycle import Lifecycle, Phase
+from tulipnotch.sidecar.event_queue import EventQueue
+from tulipnotch.sidecar.logs import Log
+
+
+@dataclass(frozen=True, slots=True)
+class ServiceLevels:
+    """The levels of reduced service that the operator file sets, and the least time (us) between changes."""
+
+    levels: tuple[ServiceLevel, ...]
+    hold_us: int
+
+
+class ServiceLevelMonitor:
+    """Owns the controller: gives it an observation each interval, and the balancer its changes of level."""
+
+    def __init__(
+        self, levels: ServiceLevels, clock: Clock, balancer: Balancer, events: EventQueue, log: Log
+    ) -> None:
+        """Starts at full service; nothing is observed before `start`."""
+        self._clock = clock
+        self._balancer = balancer
+        self._events = events
+        self._log = log
+        self._controller = ServiceLevelController(levels.levels, levels.hold_us, clock.now())
+
+    @property
+    def index(self) -> int:
+        """The level in force; 0: full service."""
+        return self._controller.index
+
+    @property
+    def changes(self) -> int:
+        """How often the level has changed since the start."""
+        return self._controller.changes
+
+    def describe(self) -> str:
+        """Returns the level in force and its reasons, for operators."""
+        return self._controller.describe(self._clock.now())
+
+    def start(self, lifecycle: Lifecycle) -> None:
+        """Observes now and each interval from now on, until the process stops."""
+        change = self._controller.observe(self._clock.now(), self._balancer.pressure())
+        if change is not None:
+            held_s = round(change.previous_duration_us / 1e6, 1)
+            self._log(
+                "level", now=change.current, before=change.previous, held_s=held_s, reason=change.reason
+            )
+            self._events.post(change.effect)
+        if lifecycle.phase is not Phase.STOPPING:
+            asyncio.get_running_loop().call_later(READ_EVERY_US / 1e6, self.start, lifecycle)
--- /dev/null
+++ b/tulipnotch/sidecar/startup.py
@@ -0,0 +1,96 @@
+"""The way into service: the listener, and the wait for an endpoint list that is fresh enough."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+
+from tulipnotch.load_balancing.settings import DiscoveryMode
+from tulipnotch.sidecar.configuration.configuration import Config
+from tulipnotch.sidecar.control.lifecycle import Phase
+from tulipnotch.sidecar.descriptor_budget import DescriptorBudget
+from tulipnotch.sidecar.downstream.listener import left_waiting, listen
+from tulipnotch.sidecar.downstream.server import DownstreamServer
+from tulipnotch.sidecar.logs import Log
+
+_LIST_TIMEOUT_S = 1.0  # how long a start without a cached endpoint list waits for one
+_TAKEOVER_LIST_TIMEOUT_S = 3.0  # the same where the previous process serves meanwhile
+# Connections that have waited for so long show that the previous process does not accept them any more.
+_UNSERVED_AFTER_S = 0.25
+_TAKEOVER_OVERLAP_S = 5.0  # from being ready after a takeover: the previous process has ended by then
+
+
+class Startup:
+    """Listens for clients as soon as they can be served."""
+
+    def __init__(
+        self,
+        config: Config,
+        log: Log,
+        downstream: DownstreamServer,
+        budget: DescriptorBudget,
+        list_received: asyncio.Event,
+    ) -> None:
+        """`list_received` is set when discovery has sent an endpoint list."""
+        self._config = config
+        self._log = log
+        self._downstream = downstream
+        self._budget = budget
+        self._list_received = list_received
+        self.has_timed_out = False  # whether a wait for discovery did
+
+    async def listen(self, reserved: socket.socket, first_call_ended: asyncio.Event) -> None:
+        """Listens on an address that no other process serves; returns once requests can be served.
+
+        The cached endpoint list is sufficient here: clients would wait with nobody to serve them, and a
+        release that kills most sidecars at once leaves discovery with a long queue.  It is not sufficient
+        where lists are pushed: all that the agent has counts as announced from the first moment on.
+
+        Args:
+            reserved: A bound socket that does not listen yet.
+            first_call_ended: Set when the first call to discovery has ended in any way.
+        """
+        if self._config.settings.discovery_mode is DiscoveryMode.PUSHED:
+            # Nothing listens meanwhile: what the kernel accepts is lost if the start is cancelled.
+            await self._wait(first_call_ended, _LIST_TIMEOUT_S)
+        listen(reserved, self._downstream.max_connections)
+        self._downstream.listen(reserved)
+        if not self._config.known.endpoints:
+            await self._wait(self._list_received, _LIST_TIMEOUT_S)
+
+    async def take_over(self, inherited: socket.socket) -> None:
+        """Accepts from an inherited listener once there is a fresh endpoint list.
+
+        The previous process serves while this one waits.  Where that was killed, requests wait on the socket,
+        and the cached endpoint list is sufficient for them.
+        """
+        self._budget.set_shared(is_shared=True)
+        loop = asyncio.get_running_loop()
+        began = loop.time()
+        fresh = loop.create_task(self._list_received.wait())
+        unserved = loop.create_task(left_waiting(inherited, _UNSERVED_AFTER_S))
+        try:
+            await asyncio.wait(
+                (fresh, unserved), timeout=_TAKEOVER_LIST_TIMEOUT_S, return_when=asyncio.FIRST_COMPLETED
+            )
+        finally:
+            fresh.cancel()
+            unserved.cancel()
+        if not self._list_received.is_set():
+            self.has_timed_out = True
+            self._log("no_fresh_list", waited_s=round(loop.time() - began, 1))
+        self._downstream.listen(inherited)
+        loop.call_later(_TAKEOVER_OVERLAP_S, self._end_takeover)
+
+    def _end_takeover(self) -> None:
+        """The previous process has ended by now: all descriptors are for this one."""
+        if self._downstream.lifecycle.phase is not Phase.STOPPING:
+            self._budget.set_shared(is_shared=False)
+
+    async def _wait(self, received: asyncio.Event, timeout_s: float) -> None:
+        try:
+            async with asyncio.timeout(timeout_s):
+                await received.wait()
+        except TimeoutError:
+            self.has_timed_out = True
+            self._log("no_fresh_list", waited_s=timeout_s)
