--- a/tests/orders.py
+++ b/tests/orders.py
@@ -36,7 +36,7 @@
 from tulipnotch.sidecar import clock
 from tulipnotch.sidecar.configuration.configuration import Config, parse
 from tulipnotch.sidecar.downstream.server import DownstreamConnection
-from tulipnotch.sidecar.http1 import messages as http1
+from tulipnotch.sidecar.http1 import body
 from tulipnotch.sidecar.sidecar import Sidecar
 from tulipnotch.sidecar.upstream import connection as client
 from tulipnotch.sidecar.upstream import pool as upstream
@@ -649,7 +649,7 @@
     with ExitStack() as stack:
         stack.enter_context(mock.patch.object(clock.Clock, "now", _virtual_now))
         stack.enter_context(mock.patch.object(client, "os", Kernel(lambda: _loop().network), create=True))
-        stack.enter_context(mock.patch.object(http1, "KEPT", KEPT))
+        stack.enter_context(mock.patch.object(body, "MAX_BUFFERED_BODY_BYTES", KEPT))
         stack.enter_context(mock.patch.object(upstream, "_REST_US", rest_us))
         # No other traffic is played: an attempt is overdue by its own time alone, also on several servers.
         stack.enter_context(mock.patch.object(overdue, "OTHER_ANSWERS", 0))
--- a/tests/test_connection_accounting.py
+++ b/tests/test_connection_accounting.py
@@ -10,10 +10,12 @@
 import uvloop
 from loopback import HOST, OK, Heard, ScriptedServer, play, reply, soon, stage, until
 
-from tulipnotch.sidecar.http1.messages import KEPT, MOST_BODY, Request, Response, ResponseReader
+from tulipnotch.sidecar.http1.body import MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES
+from tulipnotch.sidecar.http1.messages import Request, Response
+from tulipnotch.sidecar.http1.response_reader import ResponseReader
 from tulipnotch.sidecar.upstream.connection import ExchangeFailure, UpstreamConnection
 
-_LARGE = b"x" * (2 * KEPT)
+_LARGE = b"x" * (2 * MAX_BUFFERED_BODY_BYTES)
 
 
 def _resume_dials_after_the_end(patch: pytest.MonkeyPatch, ports: set[int]) -> None:
@@ -86,7 +88,9 @@
         freed: list[UpstreamConnection] = []
         host, _, port = server.address.rpartition(":")
         _, connection = await asyncio.get_running_loop().create_connection(
-            lambda: UpstreamConnection(ResponseReader(KEPT, MOST_BODY), freed.append, lambda _: None, 5.0),
+            lambda: UpstreamConnection(
+                ResponseReader(MAX_BUFFERED_BODY_BYTES, MAX_BODY_BYTES), freed.append, lambda _: None, 5.0
+            ),
             host,
             int(port),
         )
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -191,7 +191,7 @@
 
 
 async def health(client: Client) -> tuple[int, str | None]:
-    client.send(Request(b"GET", b"/_health", [(b"host", b"x")]).start())
+    client.send(Request(b"GET", b"/_health", [(b"host", b"x")]).encode_start())
     answer = await client.answer()
     return answer.status, answer.headers.get("connection")
 
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -19,7 +19,7 @@
 from tulipnotch.load_balancing.events import AttemptEnded, Event, RequestArrived, TimerFired
 from tulipnotch.load_balancing.outcomes import Outcome
 from tulipnotch.sidecar.downstream.server import ClientLimits, ConnectionState, DownstreamConnection
-from tulipnotch.sidecar.http1.messages import KEPT
+from tulipnotch.sidecar.http1.body import MAX_BUFFERED_BODY_BYTES
 from tulipnotch.sidecar.upstream import pool as upstream
 from tulipnotch.sidecar.upstream.connection import UpstreamConnection
 
@@ -397,7 +397,7 @@
             scene.discovery.tell(line("s", address))
             await until(lambda: len(scene.discovery.heard) >= 3)
             with _application(scene) as application:
-                body = b"x" * (KEPT + 20_000)
+                body = b"x" * (MAX_BUFFERED_BODY_BYTES + 20_000)
                 application.sendall(request("lodge", timeout="15", body=body) + _AHEAD)
                 accepted, _ = await loop.sock_accept(server)
                 await _paused(scene, _AHEAD)
--- a/tests/test_never_ran.py
+++ b/tests/test_never_ran.py
@@ -14,7 +14,7 @@
 from loopback import ERROR, FULL, HOST, OK, Client, Heard, Stage, play, reply, request, stage, until
 
 from tulipnotch.sidecar.downstream.server import ClientLimits
-from tulipnotch.sidecar.http1.messages import KEPT
+from tulipnotch.sidecar.http1.body import MAX_BUFFERED_BODY_BYTES
 from tulipnotch.sidecar.upstream import pool as upstream
 from tulipnotch.sidecar.upstream.connection import UpstreamConnection
 
@@ -377,14 +377,14 @@
             await let_go.wait()
             return OK
 
-        limits = ClientLimits(most_bytes=KEPT + 12_000) if limit else None
+        limits = ClientLimits(most_bytes=MAX_BUFFERED_BODY_BYTES + 12_000) if limit else None
         async with stage(holds, client_limits=limits) as scene:
             client = await scene.client()
-            whole = request("lodge", timeout="4.0", body=b"x" * (KEPT + 20_000))
+            whole = request("lodge", timeout="4.0", body=b"x" * (MAX_BUFFERED_BODY_BYTES + 20_000))
             client.send(whole[:-16_000])
             await until(lambda: scene.servers[0].connections == 1)
             (held,) = scene.sidecar._open.values()
-            await until(lambda: held.incoming.body.size == KEPT + 4_000)
+            await until(lambda: held.incoming.body.size == MAX_BUFFERED_BODY_BYTES + 4_000)
             await until(lambda: held.calls[0].connection is not None)
             client.send(whole[-16_000:] + behind)
             await until(lambda: not held.calls[0].is_unwritten)
--- a/tests/test_partial_writes.py
+++ b/tests/test_partial_writes.py
@@ -10,7 +10,7 @@
 from loopback import play, request, stage
 from test_streaming import Sucking, chunked, pattern
 
-from tulipnotch.sidecar.http1.messages import KEPT
+from tulipnotch.sidecar.http1.body import MAX_BUFFERED_BODY_BYTES
 
 
 def _takes(most: int) -> Fate:
@@ -25,7 +25,9 @@
 
 
 @pytest.mark.parametrize("form", ["length", "chunked"])
-@pytest.mark.parametrize("size", [12, 2 * KEPT])  # what outgrows that is passed on as it was framed
+@pytest.mark.parametrize(
+    "size", [12, 2 * MAX_BUFFERED_BODY_BYTES]
+)  # what outgrows that is passed on as it was framed
 @pytest.mark.parametrize("takes", [(0,), (1,), (3,), (40,), (0, 0), (0, 0, 0, 0)], ids=str)
 def test_a_request_is_written_once_and_in_order(
     monkeypatch: pytest.MonkeyPatch, form: str, size: int, takes: tuple[int, ...]
--- a/tests/test_repeat_bounds.py
+++ b/tests/test_repeat_bounds.py
@@ -21,7 +21,7 @@
 
 from tulipnotch.load_balancing.events import TimerFired
 from tulipnotch.sidecar.configuration.configuration import parse
-from tulipnotch.sidecar.http1.messages import KEPT
+from tulipnotch.sidecar.http1.body import MAX_BUFFERED_BODY_BYTES
 from tulipnotch.sidecar.upstream import connection as client
 from tulipnotch.sidecar.upstream import pool as upstream
 from tulipnotch.sidecar.upstream.request import UpstreamRequest
@@ -461,7 +461,9 @@
     # What is more than is kept passes through to one server, and its last byte follows once it has come.
     clock, held = ManualClock(monkeypatch), HeldDials(monkeypatch)
     bounds = {"dialTimeoutUs": DIAL_US, "secondCopies": True}
-    body = b"x" * (KEPT + 2)  # no more waits here than is read on for, while its connection comes up
+    body = b"x" * (
+        MAX_BUFFERED_BODY_BYTES + 2
+    )  # no more waits here than is read on for, while its connection comes up
 
     async def work() -> None:
         async with stage(OK, OK, OK, listed=False, bounds=bounds, lanes=_classes()) as scene:
--- a/tests/test_streaming.py
+++ b/tests/test_streaming.py
@@ -27,7 +27,7 @@
 from tulipnotch.load_balancing.events import AttemptEnded, RequestArrived, RequestBodyCompleted
 from tulipnotch.load_balancing.outcomes import Outcome
 from tulipnotch.sidecar.downstream.server import ClientLimits
-from tulipnotch.sidecar.http1.messages import KEPT, MOST_BODY, Body
+from tulipnotch.sidecar.http1.body import MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES, Body
 from tulipnotch.sidecar.sidecar import Sidecar
 
 HEAD = b"HTTP/1.1 200 OK\r\n"
@@ -92,7 +92,9 @@
 
 
 @pytest.mark.parametrize("form", ["length", "chunked"])
-@pytest.mark.parametrize("size", [KEPT - 1, KEPT, KEPT + 1, 3_000_000])
+@pytest.mark.parametrize(
+    "size", [MAX_BUFFERED_BODY_BYTES - 1, MAX_BUFFERED_BODY_BYTES, MAX_BUFFERED_BODY_BYTES + 1, 3_000_000]
+)
 def test_a_large_body_reaches_its_server_unchanged(form: str, size: int) -> None:
     async def work() -> None:
         server = Sucking()
@@ -122,7 +124,7 @@
         server = Sucking()
         async with stage(server) as scene:
             server.go_on.clear()
-            size = MOST_BODY
+            size = MAX_BODY_BYTES
             client = await scene.client()
             before = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
             piece = bytes(1 << 20)
@@ -154,7 +156,7 @@
 
 
 @pytest.mark.parametrize("form", ["length", "chunked", "close"])
-@pytest.mark.parametrize("size", [100, KEPT + 1, 3_000_000])
+@pytest.mark.parametrize("size", [100, MAX_BUFFERED_BODY_BYTES + 1, 3_000_000])
 def test_a_large_answer_reaches_its_client_unchanged(form: str, size: int) -> None:
     async def work() -> None:
         body = pattern(size)
@@ -200,8 +202,8 @@
 
         async def script(heard: Heard) -> None:
             nonlocal written
-            heard.writer.write(HEAD + b"Content-Length: %d\r\n\r\n" % MOST_BODY)
-            for _ in range(MOST_BODY >> 20):
+            heard.writer.write(HEAD + b"Content-Length: %d\r\n\r\n" % MAX_BODY_BYTES)
+            for _ in range(MAX_BODY_BYTES >> 20):
                 heard.writer.write(bytes(1 << 20))
                 await heard.writer.drain()
                 written += 1 << 20
@@ -212,9 +214,9 @@
             client.send(request(timeout="0.5"))
             await until(lambda: written > 0)
             await asyncio.sleep(1.0)  # its time is up; an answer under way is not cut off for that
-            assert written < MOST_BODY
+            assert written < MAX_BODY_BYTES
             got = await soon(client.reader.readuntil(b"\r\n\r\n"))
-            left = MOST_BODY
+            left = MAX_BODY_BYTES
             while left:
                 got = await soon(client.reader.read(1 << 20))
                 assert got
@@ -267,7 +269,7 @@
     play(work)
 
 
-@pytest.mark.parametrize(("size", "status"), [(KEPT, 200), (20_000_000, 503)])
+@pytest.mark.parametrize(("size", "status"), [(MAX_BUFFERED_BODY_BYTES, 200), (20_000_000, 503)])
 def test_a_body_is_written_again_only_while_all_of_it_is_kept(size: int, status: int) -> None:
     async def work() -> None:
         servers = [Sucking(), Sucking()]
@@ -289,7 +291,7 @@
         server = Sucking()
         async with stage(server) as scene:
             client = await scene.client()
-            body = bytes(MOST_BODY + 1)
+            body = bytes(MAX_BODY_BYTES + 1)
             if form == "length":
                 client.send(request("lodge", body=body))
             else:
@@ -472,10 +474,14 @@
 
 
 def test_a_body_keeps_its_first_part_and_gives_the_rest_once() -> None:
-    body = Body(is_whole=False)
-    body.feed(bytes(KEPT - 10))
+    body = Body(is_complete=False)
+    body.feed(bytes(MAX_BUFFERED_BODY_BYTES - 10))
     body.feed(b"x" * 20)
     body.feed(b"y" * 5)
-    assert (len(body.buffered), body.pending_bytes, body.is_replayable) == (KEPT - 10, 25, True)
+    assert (len(body.buffered), body.pending_bytes, body.is_replayable) == (
+        MAX_BUFFERED_BODY_BYTES - 10,
+        25,
+        True,
+    )
     assert body.take() == b"x" * 20 + b"y" * 5
-    assert (body.take(), body.is_replayable, body.size) == (b"", False, KEPT + 15)
+    assert (body.take(), body.is_replayable, body.size) == (b"", False, MAX_BUFFERED_BODY_BYTES + 15)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -128,7 +128,7 @@
 
 async def health(port: int) -> int:
     client = Client(*await asyncio.open_connection(HOST, port))
-    client.send(Request(b"GET", b"/_health", [(b"host", b"x")]).start())
+    client.send(Request(b"GET", b"/_health", [(b"host", b"x")]).encode_start())
     answer = await client.answer()
     client.close()
     return answer.status
--- a/tulipnotch/sidecar/discovery/client.py
+++ b/tulipnotch/sidecar/discovery/client.py
@@ -17,7 +17,8 @@
 )
 from tulipnotch.sidecar.clock import Clock
 from tulipnotch.sidecar.discovery.poll_schedule import PollSchedule
-from tulipnotch.sidecar.http1.messages import Request, Response, ResponseReader
+from tulipnotch.sidecar.http1.messages import Request, Response
+from tulipnotch.sidecar.http1.response_reader import ResponseReader
 from tulipnotch.sidecar.upstream.connection import Address, ExchangeFailure, UpstreamConnection, parse_address
 
 _STATES = {"active": EndpointState.READY, "leaving": EndpointState.DRAINING, "left": EndpointState.REMOVED}
--- a/tulipnotch/sidecar/downstream/incoming_request.py
+++ b/tulipnotch/sidecar/downstream/incoming_request.py
@@ -8,7 +8,8 @@
 from dataclasses import dataclass
 
 from tulipnotch.load_balancing.settings import Idempotency, ServiceClass, Settings
-from tulipnotch.sidecar.http1.messages import Body, Headers, Request
+from tulipnotch.sidecar.http1.body import Body
+from tulipnotch.sidecar.http1.messages import Headers, Request
 
 _REQUEST_ID = re.compile(rb"[!-~]{1,128}")
 _TIMEOUT = re.compile(rb"[0-9]{1,5}(\.[0-9]{0,9})?")
--- a/tulipnotch/sidecar/downstream/server.py
+++ b/tulipnotch/sidecar/downstream/server.py
@@ -16,16 +16,9 @@
 from tulipnotch.sidecar.control.lifecycle import Lifecycle
 from tulipnotch.sidecar.downstream.incoming_request import BadRequestError, IncomingRequest, read_request
 from tulipnotch.sidecar.downstream.listener import Acceptor
-from tulipnotch.sidecar.http1.messages import (
-    CONTINUE,
-    KEPT,
-    LAST_CHUNK,
-    Headers,
-    Request,
-    RequestReader,
-    Response,
-    chunk,
-)
+from tulipnotch.sidecar.http1.body import MAX_BUFFERED_BODY_BYTES
+from tulipnotch.sidecar.http1.messages import CONTINUE, LAST_CHUNK, Headers, Request, Response, chunk
+from tulipnotch.sidecar.http1.request_reader import RequestReader
 from tulipnotch.sidecar.requests.invariants import CloseReason, InvariantChecker
 from tulipnotch.sidecar.upstream.connection import own_socket
 
@@ -311,7 +304,7 @@
             # Before what is held is counted: a request whose last byte has been passed on is not given up.
             self._pass_through()
         # What passes through is never held for long: it counts up to what is kept of it.
-        self._frontend.holds(self, min(nbytes, KEPT + _WAITING - self.held))
+        self._frontend.holds(self, min(nbytes, MAX_BUFFERED_BODY_BYTES + _WAITING - self.held))
         self._advance()
         if self._owed is None or self.state is ConnectionState.PASSING:
             return
--- a/tulipnotch/sidecar/upstream/connection.py
+++ b/tulipnotch/sidecar/upstream/connection.py
@@ -15,7 +15,8 @@
 from enum import Enum, unique
 from typing import Protocol, cast
 
-from tulipnotch.sidecar.http1.messages import Request, Response, ResponseReader
+from tulipnotch.sidecar.http1.messages import Request, Response
+from tulipnotch.sidecar.http1.response_reader import ResponseReader
 
 _PASSING_TIMEOUT_S = 20.0  # without a byte of one that is being passed on: its client has nobody else to ask
 
@@ -150,12 +151,12 @@
         """
         assert self._transport is not None and self._ended is None
         self._ended, self._written, self._began, self._may_write = ended, written, began, None
-        self._reader.expect(is_head=request.method == b"HEAD")
+        self._reader.expect_response(to_head_request=request.method == b"HEAD")
         self._requests += 1
         self._is_written = self._has_end = False
         self._request = request
-        self._unsent = request.start()
-        request.body.on_more = self._write_on
+        self._unsent = request.encode_start()
+        request.body.on_data = self._write_on
         self._write_on()
         self._may_write = may_write  # what goes in this instant, its caller has looked at
 
@@ -238,11 +239,11 @@
             return
         if request.body.is_complete:
             if not self._has_end:
-                self._unsent += request.framed(request.body.take()) + request.end
+                self._unsent += request.frame(request.body.take()) + request.terminator
                 self._has_end = True
             self._write_end()
         else:
-            self._write(self._unsent + request.framed(request.body.take(but=1)))
+            self._write(self._unsent + request.frame(request.body.take(except_last=1)))
             self._unsent = b""
 
     def _write(self, piece: bytes) -> None:
@@ -280,8 +281,8 @@
         if self._room_timer is not None:
             self._room_timer.cancel()
             self._room_timer = None
-        if request is not None and request.body.on_more == self._write_on:
-            request.body.on_more = None
+        if request is not None and request.body.on_data == self._write_on:
+            request.body.on_data = None
 
     def _all_written(self) -> None:
         self._let_go_of_body()
@@ -313,7 +314,12 @@
         if reader.is_malformed:
             self._fail(ExchangeFailure.MALFORMED_RESPONSE)
             return
-        if self._sink is None and self._began is not None and reader.is_due_on and not self.is_unwritten:
+        if (
+            self._sink is None
+            and self._began is not None
+            and reader.is_streaming_due
+            and not self.is_unwritten
+        ):
             assert reader.head is not None
             self._sink = self._began(reader.head, self)
             if self._sink is None:
@@ -358,7 +364,7 @@
             return
         # Guards against an answer that belongs to another request: nothing in it names its own, so a
         # connection that brought more than was due, or before all was asked, is never used again.
-        is_clean = not self.is_unwritten and not self._has_backlog and not self._reader.has_more
+        is_clean = not self.is_unwritten and not self._has_backlog and not self._reader.has_excess_data
         # Nor may its request go elsewhere while it may be at this server still: an answer that ends nothing
         # for the client, on a connection that had others, may be a copy of an earlier one.
         is_over = response.status == 200 or self.is_response_certain
--- a/tulipnotch/sidecar/upstream/pool.py
+++ b/tulipnotch/sidecar/upstream/pool.py
@@ -12,7 +12,9 @@
 from tulipnotch.load_balancing.settings import Settings
 from tulipnotch.sidecar.clock import Clock
 from tulipnotch.sidecar.discovery.client import DiscoveryResponse
-from tulipnotch.sidecar.http1.messages import KEPT, MOST_BODY, Response, ResponseReader
+from tulipnotch.sidecar.http1.body import MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES
+from tulipnotch.sidecar.http1.messages import Response
+from tulipnotch.sidecar.http1.response_reader import ResponseReader
 from tulipnotch.sidecar.requests.invariants import Invariant, InvariantChecker
 from tulipnotch.sidecar.upstream.connection import (
     Address,
@@ -322,7 +324,10 @@
             async with asyncio.timeout(self._dial_within_s):
                 _, connection = await asyncio.get_running_loop().create_connection(
                     lambda: UpstreamConnection(
-                        ResponseReader(KEPT, MOST_BODY), self._freed, self._closed, self._answer_within_s
+                        ResponseReader(MAX_BUFFERED_BODY_BYTES, MAX_BODY_BYTES),
+                        self._freed,
+                        self._closed,
+                        self._answer_within_s,
                     ),
                     *server.address,
                 )
