--- a/tests/lab/broken_sidecar.py
+++ b/tests/lab/broken_sidecar.py
@@ -40,11 +40,13 @@
     """Every attempt goes out twice."""
     start = UpstreamPool.start
 
-    def broken(self: UpstreamPool, call: UpstreamRequest) -> None:
-        start(self, call)
+    def broken(self: UpstreamPool, request: UpstreamRequest) -> None:
+        start(self, request)
         start(
             self,
-            UpstreamRequest(call.endpoint, call.deadline, call.build_message, IndependentRequestObserver()),
+            UpstreamRequest(
+                request.endpoint, request.deadline, request.build_message, IndependentRequestObserver()
+            ),
         )
 
     UpstreamPool.start = broken  # type: ignore[method-assign]
--- a/tests/orders.py
+++ b/tests/orders.py
@@ -650,7 +650,7 @@
         stack.enter_context(mock.patch.object(clock.Clock, "now", _virtual_now))
         stack.enter_context(mock.patch.object(client, "os", Kernel(lambda: _loop().network), create=True))
         stack.enter_context(mock.patch.object(body, "MAX_BUFFERED_BODY_BYTES", KEPT))
-        stack.enter_context(mock.patch.object(upstream, "_REST_US", rest_us))
+        stack.enter_context(mock.patch.object(upstream, "_REUSE_DELAY_US", rest_us))
         # No other traffic is played: an attempt is overdue by its own time alone, also on several servers.
         stack.enter_context(mock.patch.object(overdue, "OTHER_ANSWERS", 0))
         stack.enter_context(mock.patch.object(outlier_detection, "SILENT_MOST", 1.0))
--- a/tests/test_connection_accounting.py
+++ b/tests/test_connection_accounting.py
@@ -13,7 +13,8 @@
 from tulipnotch.sidecar.http1.body import MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES
 from tulipnotch.sidecar.http1.messages import Request, Response
 from tulipnotch.sidecar.http1.response_reader import ResponseReader
-from tulipnotch.sidecar.upstream.connection import ExchangeFailure, UpstreamConnection
+from tulipnotch.sidecar.upstream.buffered_exchange import BufferedExchange
+from tulipnotch.sidecar.upstream.connection import UpstreamConnection
 
 _LARGE = b"x" * (2 * MAX_BUFFERED_BODY_BYTES)
 
@@ -79,23 +80,47 @@
             asyncio.get_running_loop().call_soon(self._source.resume)
 
 
+class _StreamedExchange(BufferedExchange):
+    """Passes a large response on."""
+
+    streams_responses = True
+
+    def __init__(self, connection: UpstreamConnection) -> None:
+        super().__init__()
+        self._connection = connection
+
+    def response_started(self, _head: Response) -> _PausingSink:
+        return _PausingSink(self._connection)
+
+
+class _Owner:
+    """Records the connections that were idle again."""
+
+    def __init__(self) -> None:
+        self.idle: list[UpstreamConnection] = []
+
+    def connection_idle(self, connection: UpstreamConnection) -> None:
+        self.idle.append(connection)
+
+    def connection_closed(self, connection: UpstreamConnection) -> None:
+        """Not recorded."""
+
+
 def test_a_connection_paused_by_the_last_piece_of_an_answer_can_be_used_again() -> None:
     async def work() -> None:
         async def script(heard: Heard) -> bytes:
             return reply(_LARGE) if heard.target == "/large" else OK
 
         server = await ScriptedServer(script).start()
-        freed: list[UpstreamConnection] = []
+        owner = _Owner()
         host, _, port = server.address.rpartition(":")
         _, connection = await asyncio.get_running_loop().create_connection(
-            lambda: UpstreamConnection(
-                ResponseReader(MAX_BUFFERED_BODY_BYTES, MAX_BODY_BYTES), freed.append, lambda _: None, 5.0
-            ),
+            lambda: UpstreamConnection(ResponseReader(MAX_BUFFERED_BODY_BYTES, MAX_BODY_BYTES), owner, 5.0),
             host,
             int(port),
         )
         assert (await _exchanged(connection, "/large")).status == 200
-        assert freed == [connection]
+        assert owner.idle == [connection]
         assert (await _exchanged(connection, "/small")).status == 200
         connection.close()
         server.stop()
@@ -104,9 +129,8 @@
 
 
 async def _exchanged(connection: UpstreamConnection, target: str) -> Response:
-    ended: asyncio.Future[Response | ExchangeFailure] = asyncio.get_running_loop().create_future()
-    request = Request(b"GET", target.encode(), [(b"host", HOST.encode())])
-    connection.exchange(request, ended.set_result, began=lambda _, source: _PausingSink(source))
-    answer = await soon(ended)
+    exchange = _StreamedExchange(connection)
+    connection.exchange(Request(b"GET", target.encode(), [(b"host", HOST.encode())]), exchange)
+    answer = await soon(exchange.result)
     assert isinstance(answer, Response)
     return answer
--- a/tests/test_instants.py
+++ b/tests/test_instants.py
@@ -248,7 +248,7 @@
     waits_for: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # The repeat is drawn within the window, which is shorter than the deadline, and its connection is late.
-    monkeypatch.setattr(upstream, "_REST_US", 0)
+    monkeypatch.setattr(upstream, "_REUSE_DELAY_US", 0)
     window_s, late_s = 0.4, 1.0
     classes = [{**each, "giveUpUs": 4_000_000, "memorySpanUs": int(window_s * 1e6)} for each in CLASSES]
 
@@ -278,20 +278,22 @@
                 leaving = [line(f"s-{n}", each.address, state="left") for n, each in enumerate(scene.servers)]
                 scene.discovery.tell(*leaving, line("s-slow", slow.address))
                 await until(lambda: len(scene.discovery.heard) >= 3)
-            monkeypatch.setattr(upstream, "_REST_US", int(late_s * 1e6))
+            monkeypatch.setattr(upstream, "_REUSE_DELAY_US", int(late_s * 1e6))
             release.set()
             pool = scene.sidecar._upstream
-            await until(lambda: pool._dialling == 1 if waits_for == "a dial" else len(pool._resting) == 1)
+            await until(
+                lambda: pool._dials_in_flight == 1 if waits_for == "a dial" else len(pool._reuse_timers) == 1
+            )
             assert loop.time() - began < window_s  # else this machine was too slow to show anything
             await asyncio.sleep(late_s)
             if waits_for == "a dial":
                 accepted = await slow.let_go()
-                await until(lambda: pool._dialling == 0)
+                await until(lambda: pool._dials_in_flight == 0)
                 accepted.settimeout(0.2)
                 with pytest.raises(TimeoutError):
                     accepted.recv(1_000)  # the connection itself is kept
                 accepted.close()
-            assert not pool._resting
+            assert not pool._reuse_timers
             assert (await client.answer()).status == 502
             assert len(scene.heard) == before + 1
             assert scene.sidecar.open_requests == 0
@@ -343,7 +345,7 @@
     version: bytes, end: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # For HTTP/1.0 nothing but the connection's end frames it: an orderly one would say that it is whole.
-    monkeypatch.setattr(client_module, "_PASSING_TIMEOUT_S", 0.2)
+    monkeypatch.setattr(client_module, "_STREAM_STALL_TIMEOUT_S", 0.2)
 
     async def work() -> None:
         go_on = asyncio.Event()
@@ -453,7 +455,7 @@
     half: bytes, when: str, monkeypatch: pytest.MonkeyPatch, nothing_breaks: None
 ) -> None:
     # An unsafe request must not be lost to it: the connection goes, or what came means nothing.
-    monkeypatch.setattr(upstream, "_REST_US", 0)
+    monkeypatch.setattr(upstream, "_REUSE_DELAY_US", 0)
 
     async def work() -> None:
         async def script(heard: Heard) -> bytes:
@@ -467,8 +469,10 @@
                 if when != "in one piece":
                     _send_now(scene.heard[-1].writer, half)
                 if when == "just before use":
-                    (server,) = scene.sidecar._upstream._servers.values()
-                    assert scene.sidecar._upstream._take(server) is None  # the event loop has not run
+                    (server,) = scene.sidecar._upstream._endpoints.values()
+                    assert (
+                        scene.sidecar._upstream._take_reusable(server) is None
+                    )  # the event loop has not run
                 if when != "in one piece":
                     await until(lambda seen=number - 9: len(scene.servers[0].closed) == seen)  # type: ignore[misc]
 
@@ -571,13 +575,13 @@
             hasty.send(request("lodge", timeout="0.3", target="/api/hasty"))
             assert (await hasty.answer()).status in (503, 504)
             assert 0.2 < asyncio.get_running_loop().time() - began < 0.8
-            assert (pool._dialling, len(pool._owners), scene.sidecar.open_requests) == (1, 0, 0)
+            assert (pool._dials_in_flight, len(pool._endpoint_of), scene.sidecar.open_requests) == (1, 0, 0)
             # What came up for nothing is kept, and the next request, which dials as well, loses nothing.
             patient.send(request("lodge", timeout="15", target="/api/patient"))
-            await until(lambda: pool._dialling == 2)
+            await until(lambda: pool._dials_in_flight == 2)
             accepted = [await slow.let_go(), await slow.let_go()]
-            await until(lambda: pool._dialling == 0)
-            assert len(pool._owners) == 2
+            await until(lambda: pool._dials_in_flight == 0)
+            assert len(pool._endpoint_of) == 2
             asked = [asyncio.ensure_future(_asked(each)) for each in accepted]
             (used,), _ = await asyncio.wait(asked, return_when=asyncio.FIRST_COMPLETED)
             assert used.result() == b"/api/patient"
@@ -592,7 +596,7 @@
             assert used.result() == b"/api/next"
             accepted[asked.index(waiting) if used is waiting else 1 - asked.index(waiting)].send(OK)
             assert (await patient.answer()).status == 200
-            assert (pool._dialling, len(pool._owners), scene.sidecar.open_requests) == (0, 2, 0)
+            assert (pool._dials_in_flight, len(pool._endpoint_of), scene.sidecar.open_requests) == (0, 2, 0)
             scene.sidecar.close()
             for each in accepted:
                 each.close()
@@ -613,12 +617,12 @@
             await until(lambda: len(scene.discovery.heard) >= 3)
             client = await scene.client()
             client.send(request("lodge", timeout="4"))
-            await until(lambda: pool._dialling == 1)
+            await until(lambda: pool._dials_in_flight == 1)
             scene.discovery.tell(line("s-other", other.address))
             assert (await client.answer()).status == 200
             assert len(other.heard) == 1
             assert float(other.heard[0].headers["request-timeout"]) < 3.7  # what was left of its time
-            assert (pool._dialling, len(pool._owners), scene.sidecar.open_requests) == (0, 1, 0)
+            assert (pool._dials_in_flight, len(pool._endpoint_of), scene.sidecar.open_requests) == (0, 1, 0)
         slow.close()
         other.stop()
 
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -20,6 +20,7 @@
 from tulipnotch.sidecar.sidecar import Sidecar
 from tulipnotch.sidecar.upstream.pool import UpstreamPool
 from tulipnotch.sidecar.upstream.request import IndependentRequestObserver, UpstreamRequest
+from tulipnotch.sidecar.upstream.write_gate import WriteGate
 
 _KEYED = ServiceClass(
     "amend",
@@ -133,7 +134,7 @@
 
 def test_a_write_for_a_client_that_has_left_shows(monkeypatch: pytest.MonkeyPatch) -> None:
     # The gate before each write is taken out, and so is what withdraws an attempt.
-    monkeypatch.setattr(UpstreamPool, "_may_write", lambda upstream, call: True)
+    monkeypatch.setattr(WriteGate, "may_write", lambda upstream, call: True)
     monkeypatch.setattr(UpstreamPool, "cancel_unwritten", lambda upstream, call: None)
 
     async def work() -> None:
@@ -163,13 +164,13 @@
     async def work() -> None:
         async with stage(OK, OK) as scene:
             held: list[Any] = []
-            put_to_use = scene.sidecar._upstream._put_to_use
+            put_to_use = scene.sidecar._upstream._use_connection
 
             def late(call: Any, server: Any, connection: Any) -> bool:
                 held.append((call, server, connection))
                 return True
 
-            monkeypatch.setattr(scene.sidecar._upstream, "_put_to_use", late)
+            monkeypatch.setattr(scene.sidecar._upstream, "_use_connection", late)
             client = await scene.client()
             client.send(request("check", timeout="1.0"))
             await until(lambda: bool(held))
@@ -250,9 +251,9 @@
         async with stage(OK) as scene:
             assert (await scene.ask("check")).status == 200
             upstream = scene.sidecar._upstream
-            (server,) = upstream._servers.values()
+            (server,) = upstream._endpoints.values()
             connection = server.idle.pop().connection
-            server.is_leaving = True
+            server.is_draining = True
             call = UpstreamRequest("s-0", 2**61, lambda left_us: _PING, IndependentRequestObserver())
             upstream._write(call, connection)
             assert scene.sidecar._guard.broken[Invariant.ATTEMPT_TO_READY_ENDPOINT] == 1
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -91,7 +91,7 @@
 
 
 def test_what_a_client_sent_ahead_is_not_taken_once_it_has_left(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(upstream, "_REST_US", 0)  # it would be written at once
+    monkeypatch.setattr(upstream, "_REUSE_DELAY_US", 0)  # it would be written at once
 
     async def work() -> None:
         release, hold = holding()
@@ -200,7 +200,7 @@
 
 async def _is_over(scene: Stage) -> None:
     await until(lambda: scene.sidecar.open_requests == 0)
-    await until(lambda: not scene.sidecar._upstream._dialling)
+    await until(lambda: not scene.sidecar._upstream._dials_in_flight)
 
 
 async def _paused(scene: Stage, ahead: bytes) -> None:
@@ -303,7 +303,7 @@
 def test_a_connection_has_rested_in_the_instant_of_the_leaving(
     how: str, ahead: bytes, is_trial: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(upstream, "_REST_US", 600_000_000)  # its end is brought on here
+    monkeypatch.setattr(upstream, "_REUSE_DELAY_US", 600_000_000)  # its end is brought on here
 
     async def work() -> None:
         async with stage(OK, client_limits=_NEVER_SWEPT, bounds={"mayCancel": False}) as scene:
@@ -317,7 +317,7 @@
                 listed.ejected_until = 0  # its time to come back
             with _application(scene) as application:
                 application.send(request("check", timeout="15") + ahead)
-                rests = scene.sidecar._upstream._resting
+                rests = scene.sidecar._upstream._reuse_timers
                 await until(lambda: len(rests) == 1)
                 await _paused(scene, ahead)
                 assert (listed.probation_attempt is not None) == is_trial
@@ -325,8 +325,8 @@
                 ((connection, timer),) = rests.items()
                 timer.cancel()
                 (held,) = scene.sidecar._open.values()
-                server = scene.sidecar._upstream._servers["s-0"]
-                scene.sidecar._upstream._rested(held.calls[0], server, connection)
+                server = scene.sidecar._upstream._endpoints["s-0"]
+                scene.sidecar._upstream._reuse_delay_ended(held.calls[0], server, connection)
                 if how == "stays":
                     await until(lambda: len(scene.heard) == 2)
                     return
@@ -436,7 +436,7 @@
             await until(lambda: scene.sidecar.open_requests == 3)
             await until(lambda: len(list(scene.sidecar.frontend.connections())) == 3)
             await _paused(scene, _AHEAD)
-            assert scene.sidecar._upstream._dialling == 3
+            assert scene.sidecar._upstream._dials_in_flight == 3
             for how, each in zip(_LEAVING, applications, strict=True):
                 name = each.getsockname()
                 (at_sidecar,) = (
--- a/tests/test_never_ran.py
+++ b/tests/test_never_ran.py
@@ -47,7 +47,7 @@
 ) -> None:
     # It goes elsewhere, and its first server never gets the last byte.
     narrow_connections(monkeypatch)
-    monkeypatch.setattr(upstream, "_REST_US", 0)
+    monkeypatch.setattr(upstream, "_REUSE_DELAY_US", 0)
 
     async def work() -> None:
         server = NarrowServer()
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -192,8 +192,8 @@
             assert (await client.answer()).status == 200
             assert (await scene.ask("new", timeout="9")).status == 200
             assert float(scene.heard[-1].headers["request-timeout"]) <= 1.0
-            assert sidecar._upstream._dial_within_s == 0.123
-            assert sidecar._upstream._answer_within_s == 0.4 * 0.75  # of the aim of the only class
+            assert sidecar._upstream._timeouts.connect_s == 0.123
+            assert sidecar._upstream._timeouts.response_stall_s == 0.4 * 0.75  # of the aim of the only class
             await asyncio.sleep(0.1)
             assert (await scene.ask("check")).status == 400  # it vanished, and has faded
             assert "app.downstream_requests.check.completed=1" in sidecar.calls()["telemetry"]()
--- a/tests/test_repeat_bounds.py
+++ b/tests/test_repeat_bounds.py
@@ -24,6 +24,7 @@
 from tulipnotch.sidecar.http1.body import MAX_BUFFERED_BODY_BYTES
 from tulipnotch.sidecar.upstream import connection as client
 from tulipnotch.sidecar.upstream import pool as upstream
+from tulipnotch.sidecar.upstream import write_gate
 from tulipnotch.sidecar.upstream.request import UpstreamRequest
 
 MS = 1_000
@@ -177,7 +178,7 @@
                 pool = seen.scene.sidecar._upstream
                 clock.advance(WINDOW_US)
                 held.release(late.address)
-                await until(lambda: pool._dialling == 0)
+                await until(lambda: pool._dials_in_flight == 0)
                 await _is_over(seen, group, *ends)
                 assert len(seen.ran) == len(ends)
                 seen.scene.sidecar.close()
@@ -202,7 +203,7 @@
             async with _overtaken(clock, late.address, "reset", begun=_dials(held), **options) as seen:
                 clock.advance(window_us + OVERDUE_US)
                 held.release(late.address)
-                await until(lambda: seen.scene.sidecar._upstream._dialling == 0)
+                await until(lambda: seen.scene.sidecar._upstream._dials_in_flight == 0)
                 await _is_over(seen, "cell", "reset")
                 await _heard_nothing(seen, late)
 
@@ -261,7 +262,7 @@
                 clock.advance(WINDOW_US)
                 for each in seen.scene.servers:
                     held.release(each.address)
-                await until(lambda: pool._dialling == 0)
+                await until(lambda: pool._dials_in_flight == 0)
                 release.set()
                 assert (await seen.client.answer()).status == (200 if end == "runs on" else 502)
                 seen.scene.sidecar.close()
@@ -293,7 +294,7 @@
             async with _overtaken(clock, late.address, "reset", begun=_dials(held)) as seen:
                 clock.advance(WINDOW_US - held_up_us)
                 held.release(late.address)
-                await until(lambda: seen.scene.sidecar._upstream._dialling == 0)
+                await until(lambda: seen.scene.sidecar._upstream._dials_in_flight == 0)
                 await _is_over(seen, "cell", "reset")
                 await _heard_nothing(seen, late)
 
@@ -310,7 +311,7 @@
         await slow.fill()
 
         async def begun(scene: Stage) -> None:
-            await until(lambda: scene.sidecar._upstream._dialling == 1)
+            await until(lambda: scene.sidecar._upstream._dials_in_flight == 1)
 
         class RealClock:
             def advance(self, span_us: int) -> None:
@@ -323,7 +324,7 @@
             pool = seen.scene.sidecar._upstream
             accepted = await slow.let_go()
             assert loop.time() - ran_at > WINDOW_US / 1e6, "the connection came up too early to show anything"
-            await until(lambda: pool._dialling == 0)
+            await until(lambda: pool._dials_in_flight == 0)
             await _is_over(seen, "cell", end)
             seen.scene.sidecar.close()
             assert await loop.sock_recv(accepted, 1_000) == b""
@@ -405,7 +406,7 @@
 ) -> None:
     narrow_connections(monkeypatch)
     # The time that its head told is another bound, and a closer one (`test_told_deadline.py`).
-    monkeypatch.setattr(upstream, "_TOLD_LATE_US", 10 * WINDOW_US)
+    monkeypatch.setattr(write_gate, "_TIMEOUT_HEADER_STALE_AFTER_US", 10 * WINDOW_US)
     clock = ManualClock(monkeypatch)
 
     async def work() -> None:
@@ -428,17 +429,17 @@
     when: str, end: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     clock = ManualClock(monkeypatch)
-    monkeypatch.setattr(upstream, "_REST_US", 400 * MS)
+    monkeypatch.setattr(upstream, "_REUSE_DELAY_US", 400 * MS)
 
     async def begun(scene: Stage) -> None:
-        await until(lambda: len(scene.sidecar._upstream._resting) == 1)
+        await until(lambda: len(scene.sidecar._upstream._reuse_timers) == 1)
 
     async def work() -> None:
         async with stage(OK, listed=False) as aside:
             first = aside.servers[0]
             async with _overtaken(clock, first.address, end, begun=begun, warm=True) as seen:
                 clock.advance(WINDOW_US if when == "after it" else WINDOW_US - 50 * MS)
-                await until(lambda: not seen.scene.sidecar._upstream._resting)
+                await until(lambda: not seen.scene.sidecar._upstream._reuse_timers)
                 if when == "after it":
                     await _is_over(seen, "cell", end)
                     seen.scene.sidecar.close()
@@ -674,7 +675,7 @@
                 _reload(seen.scene, **changes)
                 clock.advance(WINDOW_US)
                 held.release(late.address)
-                await until(lambda: seen.scene.sidecar._upstream._dialling == 0)
+                await until(lambda: seen.scene.sidecar._upstream._dials_in_flight == 0)
                 await _is_over(seen, "cell", "reset")
                 await _heard_nothing(seen, late)
 
@@ -694,7 +695,7 @@
                 bounds = seen.scene.sidecar.config.file["settings"]["bounds"]
                 _reload(seen.scene, bounds={**bounds, "secondCopies": False})
                 held.release(late.address)
-                await until(lambda: seen.scene.sidecar._upstream._dialling == 0)
+                await until(lambda: seen.scene.sidecar._upstream._dials_in_flight == 0)
                 await _is_over(seen, "cell", "runs on")
                 await _heard_nothing(seen, late)
 
@@ -758,7 +759,7 @@
             async with _overtaken(clock, late.address, "runs on", group=group, begun=_dials(held)) as seen:
                 await tell(seen.scene, server_line(0, late.address, **place))
                 held.release(late.address)
-                await until(lambda: seen.scene.sidecar._upstream._dialling == 0)
+                await until(lambda: seen.scene.sidecar._upstream._dials_in_flight == 0)
                 await _is_over(seen, group, "runs on")
                 await _heard_nothing(seen, late)
 
--- a/tests/test_repeat_orders.py
+++ b/tests/test_repeat_orders.py
@@ -41,6 +41,7 @@
 from tulipnotch.sidecar.upstream.connection import UpstreamConnection
 from tulipnotch.sidecar.upstream.pool import UpstreamPool
 from tulipnotch.sidecar.upstream.request import UpstreamRequest
+from tulipnotch.sidecar.upstream.request_exchange import RequestExchange
 
 DEPTH = 4
 
@@ -83,9 +84,9 @@
 def _no_bound_on_a_connection(is_new: bool) -> Iterator[None]:
     """A connection that was waited for is put to use with no look at the bound.
 
-    The gate that is passed by: `Upstream._may_write`, asked in `Upstream._put_to_use`.
+    The gate that is passed by: `WriteGate.may_write`, asked in `UpstreamPool._use_connection`.
     """
-    put_to_use = UpstreamPool._put_to_use
+    put_to_use = UpstreamPool._use_connection
 
     def without_bound(
         self: UpstreamPool, call: UpstreamRequest, server: Any, connection: UpstreamConnection
@@ -99,7 +100,7 @@
         finally:
             call.observer.latest_start = bound  # type: ignore[method-assign]
 
-    with mock.patch.object(UpstreamPool, "_put_to_use", without_bound):
+    with mock.patch.object(UpstreamPool, "_use_connection", without_bound):
         yield
 
 
@@ -107,14 +108,9 @@
 def _no_bound_on_a_held_back_last_byte() -> Iterator[None]:
     """What is left of a request is written with no look at the bound once the network has room.
 
-    The gate that is passed by: `may_write`, which `ClientConnection` asks before each further write.
+    The gate that is passed by: `may_write`, which `UpstreamConnection` asks before each further write.
     """
-    exchange = UpstreamConnection.exchange
-
-    def without_bound(self: UpstreamConnection, *given: Any) -> None:
-        exchange(self, *given[:4])
-
-    with mock.patch.object(UpstreamConnection, "exchange", without_bound):
+    with mock.patch.object(RequestExchange, "may_write", lambda exchange: True):
         yield
 
 
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -11,6 +11,7 @@
 from tulipnotch.load_balancing.admission import concurrency_limit
 from tulipnotch.sidecar.clock import Clock
 from tulipnotch.sidecar.upstream import pool as upstream
+from tulipnotch.sidecar.upstream import timeouts
 from tulipnotch.simulator_wire.adapter import settings_from_wire
 
 
@@ -110,7 +111,7 @@
         for index, (aim, deadline) in enumerate(zip(aims_ms, deadlines_ms, strict=True))
     ]
     pool = upstream.UpstreamPool(Clock(), settings_from_wire({"lanes": classes}))
-    assert pool._answer_within_s == pytest.approx(within_s)
+    assert pool._timeouts.response_stall_s == pytest.approx(within_s)
 
 
 def test_an_answer_that_stalls_is_left_while_its_request_can_still_be_served_elsewhere(
@@ -118,7 +119,7 @@
 ) -> None:
     # Guards customers with short deadlines: a fixed least would end only when nothing is left to try.
     # All times are ten to twenty times as long as theirs, so that a busy machine changes nothing.
-    monkeypatch.setattr(upstream, "_STALL_LEAST_S", 2.0)
+    monkeypatch.setattr(timeouts, "_MIN_STALL_TIMEOUT_S", 2.0)
 
     async def work() -> None:
         async def once(heard: Heard) -> bytes:
@@ -201,7 +202,7 @@
 
 def test_a_second_answer_that_comes_late_is_not_the_next_requests(monkeypatch: pytest.MonkeyPatch) -> None:
     # Nothing in an answer names its request, so one that comes when the next is written can't be told apart.
-    monkeypatch.setattr(upstream, "_REST_US", 2_000_000)
+    monkeypatch.setattr(upstream, "_REUSE_DELAY_US", 2_000_000)
 
     async def work() -> None:
         once_more = asyncio.Event()
@@ -230,7 +231,7 @@
 def test_what_waits_for_a_connection_to_rest_is_looked_at_once_more(
     why: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(upstream, "_REST_US", 2_000_000)
+    monkeypatch.setattr(upstream, "_REUSE_DELAY_US", 2_000_000)
 
     async def work() -> None:
         async with stage(OK, bounds={"mayCancel": False}) as scene:
@@ -238,7 +239,7 @@
             client = await scene.client()
             assert (await client.ask("lodge")).status == 200
             client.send(request("lodge", timeout="15"))
-            await until(lambda: len(scene.sidecar._upstream._resting) == 1)
+            await until(lambda: len(scene.sidecar._upstream._reuse_timers) == 1)
             if why == "drains":
                 scene.discovery.tell(line("s-0", scene.servers[0].address, state="leaving"))
                 await until(lambda: len(scene.discovery.heard) >= 3)
@@ -248,7 +249,7 @@
                 await until(lambda: at_the_sidecar(scene) == 0)
             else:
                 assert (await client.answer()).status == 200
-            await until(lambda: not scene.sidecar._upstream._resting)
+            await until(lambda: not scene.sidecar._upstream._reuse_timers)
             assert len(scene.heard) == (2 if why == "served" else 1)
             assert scene.servers[0].connections == 1
 
@@ -257,7 +258,7 @@
 
 def test_a_connection_is_used_again_and_one_that_ended_is_not(monkeypatch: pytest.MonkeyPatch) -> None:
     # Guards against writing to a connection whose end lies unread in the socket: that may have run.
-    monkeypatch.setattr(upstream, "_REST_US", 0)
+    monkeypatch.setattr(upstream, "_REUSE_DELAY_US", 0)
 
     async def work() -> None:
         async with stage(OK) as scene:
@@ -375,7 +376,7 @@
 
 def test_load_reports_reach_the_decisions_and_nonsense_does_not() -> None:
     from tulipnotch.sidecar.http1.messages import Response
-    from tulipnotch.sidecar.upstream.pool import load_report
+    from tulipnotch.sidecar.upstream.load_report import load_report
 
     def read(text: bytes) -> dict[str, float] | None:
         return load_report(Response(200, [(b"server-load", text)], b""), ("qps", "util"))
--- a/tulipnotch/sidecar/discovery/client.py
+++ b/tulipnotch/sidecar/discovery/client.py
@@ -19,7 +19,9 @@
 from tulipnotch.sidecar.discovery.poll_schedule import PollSchedule
 from tulipnotch.sidecar.http1.messages import Request, Response
 from tulipnotch.sidecar.http1.response_reader import ResponseReader
-from tulipnotch.sidecar.upstream.connection import Address, ExchangeFailure, UpstreamConnection, parse_address
+from tulipnotch.sidecar.upstream.buffered_exchange import BufferedExchange
+from tulipnotch.sidecar.upstream.connection import Address, UpstreamConnection, parse_address
+from tulipnotch.sidecar.upstream.exchange import ExchangeFailure
 
 _STATES = {"active": EndpointState.READY, "leaving": EndpointState.DRAINING, "left": EndpointState.REMOVED}
 _PATH = "/catalog/members"
@@ -415,15 +417,10 @@
             self._connection = await self._dial()
             if not self._connection.is_usable():
                 return ExchangeFailure.UNWRITTEN  # it ended as it came up: nothing would tell of a call's end
-        answer: asyncio.Future[Response | ExchangeFailure] = asyncio.get_running_loop().create_future()
-
-        def ended(how: Response | ExchangeFailure) -> None:
-            if not answer.done():
-                answer.set_result(how)
-
+        exchange = BufferedExchange()
         host = f"{self._address[0]}:{self._address[1]}".encode()
-        self._connection.exchange(Request(b"GET", target, [(b"host", host)]), ended)
-        return await answer
+        self._connection.exchange(Request(b"GET", target, [(b"host", host)]), exchange)
+        return await exchange.result
 
     async def _dial(self) -> UpstreamConnection:
         """Dial, and dial again beside that where it doesn't come up soon; the first to come up serves.
@@ -433,7 +430,7 @@
         loop = asyncio.get_running_loop()
 
         def made() -> UpstreamConnection:
-            return UpstreamConnection(ResponseReader(_MOST_BYTES), _ignore, _ignore, self._plan.stalled_s)
+            return UpstreamConnection(ResponseReader(_MOST_BYTES), None, self._plan.stalled_s)
 
         async def dial() -> UpstreamConnection:
             _, connection = await loop.create_connection(made, *self._address)
@@ -469,7 +466,3 @@
     ExchangeFailure.CONNECTION_LOST: "the connection broke before the answer's end",
     ExchangeFailure.MALFORMED_RESPONSE: "the answer is no HTTP, too large or has no end",
 }
-
-
-def _ignore(_: UpstreamConnection) -> None:
-    """Nothing is kept of it."""
--- a/tulipnotch/sidecar/http1/response_reader.py
+++ b/tulipnotch/sidecar/http1/response_reader.py
@@ -76,13 +76,17 @@
         return Response(self.head.status, self.head.headers, bytes(self._buffered), self.head.length)
 
     @property
-    def is_streaming_due(self) -> bool:
-        """Whether to stream the body from now on, since it is longer than what is buffered, or may be."""
-        if self.head is None or self.head.status != 200 or not self._buffered:
-            return False
-        if self.head.length is not None:
-            return self.head.length > self._max_buffered_bytes
-        return len(self._buffered) > _STREAM_START_BYTES
+    def head_to_stream(self) -> Response | None:
+        """The head of a response whose body is to be streamed from now on; None: buffer what is received.
+
+        A body is streamed if it is longer than the limit on buffered bytes, or may be.
+        """
+        head = self.head
+        if head is None or head.status != 200 or not self._buffered:
+            return None
+        if head.length is not None:
+            return head if head.length > self._max_buffered_bytes else None
+        return head if len(self._buffered) > _STREAM_START_BYTES else None
 
     def take(self) -> bytes:
         """Remove and return the buffered part of the body."""
--- a/tulipnotch/sidecar/sidecar.py
+++ b/tulipnotch/sidecar/sidecar.py
@@ -65,8 +65,10 @@
 from tulipnotch.sidecar.requests.open_request import AttemptId, OpenRequest
 from tulipnotch.sidecar.requests.possibly_executed import PossiblyExecutedRequests
 from tulipnotch.sidecar.requests.trace import Trace
-from tulipnotch.sidecar.upstream.connection import ResponseConsumer, UpstreamConnection
-from tulipnotch.sidecar.upstream.pool import UpstreamPool, load_report
+from tulipnotch.sidecar.upstream.connection import UpstreamConnection
+from tulipnotch.sidecar.upstream.exchange import ResponseConsumer
+from tulipnotch.sidecar.upstream.load_report import load_report
+from tulipnotch.sidecar.upstream.pool import UpstreamPool
 from tulipnotch.sidecar.upstream.request import IndependentRequestObserver, UpstreamRequest
 
 RESERVED = 32  # descriptors for everything but clients, servers and operators
--- a/tulipnotch/sidecar/upstream/connection.py
+++ b/tulipnotch/sidecar/upstream/connection.py
@@ -1,6 +1,11 @@
 """The client's side of one HTTP/1.1 connection: one exchange at a time, and how it ended.
 
-It sends nothing by itself and nothing twice: whoever calls `exchange` decides what is written, and when.
+A connection sends nothing by itself and nothing twice: the caller of `exchange` decides what is written, and
+its observer is asked before each later write.  A connection is in one of these states:
+
+    connecting -> idle -> writing -> awaiting the response -> (streaming the response) -> idle
+
+and closed, which follows any of them.
 """
 
 from __future__ import annotations
@@ -10,17 +15,33 @@
 import os
 import select
 import socket
-from collections.abc import Callable, Iterator
+from collections.abc import Iterator
 from contextlib import contextmanager
-from enum import Enum, unique
+from enum import Enum, auto, unique
 from typing import Protocol, cast
 
 from tulipnotch.sidecar.http1.messages import Request, Response
 from tulipnotch.sidecar.http1.response_reader import ResponseReader
-
-_PASSING_TIMEOUT_S = 20.0  # without a byte of one that is being passed on: its client has nobody else to ask
-
-_LOOK_FOR_ROOM_S = 0.002  # between two offers of a request's last byte to a kernel that had no room for it
+from tulipnotch.sidecar.upstream.errors import ConnectionNotIdleError
+from tulipnotch.sidecar.upstream.exchange import (
+    AwaitingResponse,
+    Closed,
+    Exchange,
+    ExchangeFailure,
+    ExchangeObserver,
+    Streaming,
+    Writing,
+)
+from tulipnotch.sidecar.upstream.unwritten_request import UnwrittenRequest
+
+_STREAM_STALL_TIMEOUT_S = 20.0  # without progress of a streamed response, which can't be retried
+
+_LAST_BYTE_RETRY_S = 0.002  # until the last byte is offered again to a kernel without buffer space for it
+
+# Every connection reads into this one buffer; each read is used up before the next.  An event loop's own
+# buffer takes 256 KiB for each read, and several reads may come before a connection that receives too much is
+# closed.
+_READ_BUFFER = memoryview(bytearray(32 << 10))
 
 Address = tuple[str, int]
 
@@ -55,340 +76,321 @@
         plain.detach()
 
 
-@unique
-class ExchangeFailure(Enum):
-    """Why an exchange has no answer."""
-
-    UNWRITTEN = "unwritten"  # the connection broke before the request's last byte was written
-    CONNECTION_LOST = "broken"  # it broke or ended after that
-    MALFORMED_RESPONSE = (
-        "spoilt"  # what came is not HTTP, can be read in two ways, is too large or has no end
-    )
-
-
-# What every connection reads into; each read is used up before the next.  Guards against answers that keep
-# coming: an event loop's own buffer is 256 KiB for each read, and several may come before one can close.
-_BUFFER = memoryview(bytearray(32 << 10))
+class ConnectionOwner(Protocol):
+    """Whoever decides on the further use of a connection."""
 
-Ended = Callable[[Response | ExchangeFailure], None]
+    def connection_idle(self, connection: UpstreamConnection) -> None:
+        """An exchange has ended, and the connection can carry another; called before its observer is."""
+        ...
 
+    def connection_closed(self, connection: UpstreamConnection) -> None:
+        """The connection can never be used again; called once."""
+        ...
 
-class ResponseConsumer(Protocol):
-    """Who an answer is passed on to, piece by piece."""
-
-    def write_body(self, piece: bytes) -> None: ...
 
+@unique
+class _Unused(Enum):
+    """The states of an open connection without an exchange."""
 
-# Given the head of an answer too large to be kept, and its connection: who takes it, or None for nobody.
-Began = Callable[[Response, "UpstreamConnection"], ResponseConsumer | None]
+    CONNECTING = auto()
+    IDLE = auto()
 
 
 class UpstreamConnection(asyncio.BufferedProtocol):
-    """One connection.  `on_free` is called when it can be used again, `on_closed` once when it never can."""
+    """One connection to a server; owns its socket and the exchange under way."""
 
     def __init__(
-        self,
-        reader: ResponseReader,
-        on_free: Callable[[UpstreamConnection], None],
-        on_closed: Callable[[UpstreamConnection], None],
-        answer_timeout_s: float,  # without a byte of an answer that has begun and is not passed on yet
+        self, reader: ResponseReader, owner: ConnectionOwner | None, response_stall_timeout_s: float
     ) -> None:
+        """Begin unconnected.
+
+        Args:
+            reader: Reads this connection's responses, and no other's.
+            owner: Notified when the connection is idle or closed, if there is one.
+            response_stall_timeout_s: The longest time without progress of a response that has started and is
+                not streamed.
+        """
         self._reader = reader
-        self._on_free = on_free
-        self._on_closed = on_closed
-        self._answer_timeout_s = answer_timeout_s
-        self._stall_timer: asyncio.TimerHandle | None = None  # runs while a part of an answer is there
-        self._progress_at = 0.0
-        self._transport: asyncio.Transport | None = None
+        self._owner = owner
+        self._response_stall_timeout_s = response_stall_timeout_s
+        self._state: _Unused | Exchange | Closed = _Unused.CONNECTING
+        self._transport: asyncio.Transport | None = None  # once it is connected
         self._descriptor = -1  # of the socket, once it is connected
         self._poll = select.poll()
-        self._ended: Ended | None = None
-        self._written: Callable[[], None] | None = None  # until the request's last byte is written
-        self._began: Began | None = None
-        self._may_write: Callable[[], bool] | None = None  # asked before more of a request is written
-        self._sink: ResponseConsumer | None = None
-        self._request: Request | None = None  # while a part of it is still to be written
-        self._unsent = b""  # what was cut off the request's end, since the kernel had no room for all of it
-        self._has_end = False  # whether that is all that is left of it
-        self._room_timer: asyncio.TimerHandle | None = None  # until the last byte is offered again
-        self._is_written = True  # whether the last request's last byte has left, also after a close
-        self._requests = 0  # written to it so far, with the one under way
-        self._has_backlog = False  # whether the transport holds what the kernel did not take yet
-        self._is_paused = False
-        self._closed = False
-
-    # What the owner calls
+        self._stall_timer: asyncio.TimerHandle | None = None  # while a response is received in part
+        self._progress_at = 0.0  # when a part of the response was received last, in the loop's time (s)
+        self._exchange_count = 0  # with the one under way
+        self._has_backlog = False  # whether the transport buffers what the kernel did not accept yet
+        self._is_reading_paused = False
 
     @property
     def is_closed(self) -> bool:
-        """Whether it can never be used again, and its owner has been told so."""
-        return self._closed
+        """Whether it can never be used again, and its owner has been notified."""
+        return isinstance(self._state, Closed)
+
+    @property
+    def is_unwritten(self) -> bool:
+        """Whether the last request was not written completely, so that no server can have begun it."""
+        if isinstance(self._state, Closed):
+            return self._state.is_unwritten
+        return isinstance(self._state, Writing)
+
+    @property
+    def is_response_certain(self) -> bool:
+        """Whether a response can belong to the last request only, since there was no other before it."""
+        return self._exchange_count <= 1
 
     def is_usable(self) -> bool:
-        """Whether a request may be written now: open, at rest, and nothing came that was not asked for.
+        """Whether a request may be written now: the connection is open and idle, and nothing is unread.
 
-        Guards against the race with a peer that closes an idle connection: its end may lie in the socket
-        before the event loop has seen it, and a request written then may have run, for all one can tell.
+        A server may close an idle connection at any time, and its end may be in the socket before the event
+        loop has read it.  A request that is written then may have been executed, as far as can be known.
         """
-        if self._closed or self._transport is None or self._transport.is_closing() or self._ended is not None:
+        if self._state is not _Unused.IDLE or self._transport is None or self._transport.is_closing():
             return False
         return not self._poll.poll(0)
 
-    def exchange(
-        self,
-        request: Request,
-        ended: Ended,
-        written: Callable[[], None] | None = None,
-        began: Began | None = None,
-        may_write: Callable[[], bool] | None = None,
-    ) -> None:
-        """Write a request; `ended` is called exactly once, but never from within this call.
+    def exchange(self, request: Request, observer: ExchangeObserver) -> None:
+        """Write a request, as far as the network accepts it; the observer is notified of the rest.
+
+        `ExchangeObserver.exchange_ended` is not called within this call.
 
-        `written` is called in the instant in which its last byte leaves, if that comes about.  `began` is
-        asked who takes an answer that is too large to be kept; without it, such an answer is spoilt.
-        `may_write` is asked in the instant of each write that comes after this call, the last byte's among
-        them: whoever says no has closed this connection, and nothing more is written.
+        Raises:
+            ConnectionNotIdleError: The connection is not connected, in use or closed.
         """
-        assert self._transport is not None and self._ended is None
-        self._ended, self._written, self._began, self._may_write = ended, written, began, None
+        if self._state is not _Unused.IDLE:
+            raise ConnectionNotIdleError(f"{self._state}")
         self._reader.expect_response(to_head_request=request.method == b"HEAD")
-        self._requests += 1
-        self._is_written = self._has_end = False
-        self._request = request
-        self._unsent = request.encode_start()
-        request.body.on_data = self._write_on
-        self._write_on()
-        self._may_write = may_write  # what goes in this instant, its caller has looked at
+        self._exchange_count += 1
+        self._state = writing = Writing(observer, UnwrittenRequest(request, self._write_more))
+        self._write_available(writing)
 
     def pause(self) -> None:
-        """Read no more of the answer until its taker has room."""
-        self._is_paused = True
-        if self._transport is not None and not self._closed:
+        """Stop reading the response until its consumer has capacity."""
+        self._is_reading_paused = True
+        if self._transport is not None and not self.is_closed:
             self._transport.pause_reading()
 
     def resume(self) -> None:
-        self._is_paused = False
+        """Go on reading the response."""
+        self._is_reading_paused = False
         self._progress_at = asyncio.get_running_loop().time()
-        if self._transport is not None and not self._closed:
+        if self._transport is not None and not self.is_closed:
             self._transport.resume_reading()
 
     def close(self) -> None:
-        """Give the connection up.  An exchange under way is dropped without a word.
+        """Close the connection; the observer of an exchange under way is not notified.
 
-        Its sending ends within this call, before anything that the caller may write elsewhere next: the
-        transport itself closes its socket only in a later round of the event loop, and until then a further
-        attempt would be a second copy beside this one.
+        Its sending ends within this call, before anything that the caller writes elsewhere next: the
+        transport closes its socket only in a later round of the event loop, and until then a further attempt
+        would be executed beside this one.
         """
-        self._ended = self._written = self._began = self._may_write = self._sink = None
-        self._let_go_of_body()
-        self._stop_timer()
-        if self._transport is not None and not self._closed:
+        state = self._state
+        if isinstance(state, Closed):
+            return
+        if isinstance(state, Writing):
+            self._stop_writing(state)
+        self._stop_stall_timer()
+        self._state = Closed(is_unwritten=isinstance(state, Writing))
+        if self._transport is not None:
             with own_socket(self._transport) as own:
                 own.shutdown(socket.SHUT_RDWR)
             self._transport.abort()
-        self._report_closed()
+        self._reader.release()
+        if self._owner is not None:
+            self._owner.connection_closed(self)
 
-    # What the event loop calls
+    # Called by the event loop
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        # uvloop's class is none of asyncio's, so there is nothing to check.
+        """Begin the idle state."""
+        # uvloop's class is not derived from asyncio's, so that there is nothing to check at run time.
         self._transport = cast(asyncio.Transport, transport)
-        self._transport.set_write_buffer_limits(high=0)  # pause_writing then means: something is unwritten
+        self._transport.set_write_buffer_limits(high=0)  # so that pause_writing means: something is unwritten
         self._descriptor = transport.get_extra_info("socket").fileno()
         self._poll.register(self._descriptor, select.POLLIN)
+        if self._state is _Unused.CONNECTING:
+            self._state = _Unused.IDLE
 
     def pause_writing(self) -> None:
+        """Write nothing more until the kernel has accepted what the transport buffers."""
         self._has_backlog = True
 
     def resume_writing(self) -> None:
+        """Go on writing, as the kernel has accepted all that was given to the transport."""
         self._has_backlog = False
-        self._write_on()
+        self._write_more()
 
-    def get_buffer(self, sizehint: int) -> memoryview:
-        return _BUFFER
+    def get_buffer(self, _sizehint: int) -> memoryview:
+        """Return where to read into."""
+        return _READ_BUFFER
 
     def buffer_updated(self, nbytes: int) -> None:
-        if self._ended is None:
-            self.close()  # nothing was asked
+        """Read a part of a response; close the connection where none is due."""
+        if self._current_exchange() is None:
+            self.close()
             return
-        self._read(bytes(_BUFFER[:nbytes]))
+        self._read(bytes(_READ_BUFFER[:nbytes]))
 
     def eof_received(self) -> None:
+        """End the response where only the connection's end delimits it; else the exchange fails."""
         self._reader.feed_end()
-        if self._ended is not None and self._reader.response is not None:
-            self._go_on()
+        if self._current_exchange() is not None and self._reader.response is not None:
+            self._process_response()
         else:
-            self._break()
+            self._connection_broken()
 
-    def connection_lost(self, exc: Exception | None) -> None:
-        self._break()
+    def connection_lost(self, _error: Exception | None) -> None:
+        """End the exchange under way."""
+        self._connection_broken()
 
     # The request
 
-    def _write_on(self) -> None:
-        """Write what has come of the request, as far as the network takes it.
+    def _write_more(self) -> None:
+        """Write what the network accepts of the request, if its observer allows it now."""
+        state = self._state
+        if isinstance(state, Writing) and not self._has_backlog and state.observer.may_write():
+            self._write_available(state)
 
-        A server may begin with the last byte.  So that one is never left to the transport, which would write
-        it whenever the network has room: it goes to the kernel here, once all before it has gone, and
-        `may_write` is asked in that instant.
+    def _write_available(self, writing: Writing) -> None:
+        """Write what was received of the request, as far as the network accepts it.
+
+        A server may begin with the last byte.  That one is never given to the transport, which would write it
+        at any later time: it is written to the kernel here, in this instant, once all before it is written.
         """
-        request = self._request
-        if request is None or self._closed or self._has_backlog:
-            return
-        if self._may_write is not None and not self._may_write():
-            return
-        if request.body.is_complete:
-            if not self._has_end:
-                self._unsent += request.frame(request.body.take()) + request.terminator
-                self._has_end = True
-            self._write_end()
+        if writing.request.is_body_complete:
+            self._write_end(writing)
         else:
-            self._write(self._unsent + request.frame(request.body.take(except_last=1)))
-            self._unsent = b""
-
-    def _write(self, piece: bytes) -> None:
-        """Hand over what no server can begin with: the transport keeps what the kernel does not take."""
-        assert self._transport is not None
-        if piece:
-            self._transport.write(piece)
+            self._write(writing.request.take_available())
+
+    def _write(self, data: bytes) -> None:
+        """Write what is not the end of a request; the transport buffers what the kernel does not accept."""
+        if data and self._transport is not None:
+            self._transport.write(data)
             if self._transport.is_closing():
                 self._has_backlog = True  # the write failed at once; connection_lost follows
 
-    def _write_end(self) -> None:
-        """Write the end of a request, which has come whole; what the kernel does not take waits for room."""
-        assert self._transport is not None
+    def _write_end(self, writing: Writing) -> None:
+        """Write the end of a request that was received completely, or as much of it as the kernel accepts."""
         try:
-            taken = os.write(self._descriptor, self._unsent)
+            count = os.write(self._descriptor, writing.request.remainder())
         except BlockingIOError:
-            taken = 0
+            count = 0
         except OSError:
             self._has_backlog = True  # the write failed at once
-            self._transport.abort()  # and connection_lost follows
+            if self._transport is not None:
+                self._transport.abort()  # and connection_lost follows
             return
-        self._unsent = self._unsent[taken:]
-        if not self._unsent:
-            self._all_written()
+        writing.request.written(count)
+        if not writing.request.remainder():
+            self._stop_writing(writing)
+            self._state = AwaitingResponse(writing.observer)
+            writing.observer.request_written()
             return
-        before_last, self._unsent = self._unsent[:-1], self._unsent[-1:]
-        self._write(before_last)
+        self._write(writing.request.take_all_but_last_byte())
         if not self._has_backlog:
-            # Room for all but one byte, or for none: there is nothing left whose leaving would tell of room.
-            self._room_timer = asyncio.get_running_loop().call_later(_LOOK_FOR_ROOM_S, self._write_on)
-
-    def _let_go_of_body(self) -> None:
-        request, self._request = self._request, None
-        self._unsent = b""
-        if self._room_timer is not None:
-            self._room_timer.cancel()
-            self._room_timer = None
-        if request is not None and request.body.on_data == self._write_on:
-            request.body.on_data = None
-
-    def _all_written(self) -> None:
-        self._let_go_of_body()
-        self._is_written = True
-        written, self._written = self._written, None
-        if written is not None:
-            written()
+            # The kernel accepted all but one byte, or has no space for the one that is left: the transport
+            # buffers nothing, and so resume_writing will not be called.
+            writing.retry_timer = asyncio.get_running_loop().call_later(_LAST_BYTE_RETRY_S, self._write_more)
 
-    @property
-    def is_unwritten(self) -> bool:
-        """Whether the last request's last byte never left, so that no server can have begun it."""
-        return not self._is_written
+    def _stop_writing(self, writing: Writing) -> None:
+        if writing.retry_timer is not None:
+            writing.retry_timer.cancel()
+        writing.request.detach(self._write_more)
 
-    @property
-    def is_response_certain(self) -> bool:
-        """Whether an answer can belong to the request under way only: no other was written here before."""
-        return self._requests <= 1
+    # The response
 
-    # The answer
+    def _current_exchange(self) -> Exchange | None:
+        state = self._state
+        return state if isinstance(state, (AwaitingResponse, Streaming, Writing)) else None
 
     def _read(self, data: bytes) -> None:
         self._progress_at = asyncio.get_running_loop().time()
         self._reader.feed(data)
-        self._go_on()
+        self._process_response()
 
-    def _go_on(self) -> None:
-        """Carry on as far as what has come of the answer allows."""
+    def _process_response(self) -> None:
+        """Pass on or complete the response, as far as it was received."""
         reader = self._reader
         if reader.is_malformed:
             self._fail(ExchangeFailure.MALFORMED_RESPONSE)
             return
-        if (
-            self._sink is None
-            and self._began is not None
-            and reader.is_streaming_due
-            and not self.is_unwritten
-        ):
-            assert reader.head is not None
-            self._sink = self._began(reader.head, self)
-            if self._sink is None:
-                self._fail(ExchangeFailure.MALFORMED_RESPONSE)  # nobody waits for it any more
-                return
-        if self._sink is not None:
-            piece = reader.take()
-            if piece:
-                self._sink.write_body(piece)
-        if self._ended is None:
-            return  # whoever takes it has given it up meanwhile
-        if reader.response is not None:
-            self._answered(reader.response)
+        if isinstance(self._state, AwaitingResponse) and self._state.observer.streams_responses:
+            self._start_streaming(self._state)
+        state = self._state
+        if isinstance(state, Streaming):
+            data = reader.take()
+            if data:
+                state.consumer.write_body(data)
+        if isinstance(self._state, (Closed, _Unused)):
+            return  # the observer or the consumer has closed it meanwhile
+        response = reader.response
+        if response is not None:
+            self._response_received(self._state, response)
         elif reader.is_mid_message and self._stall_timer is None:
-            # Guards against an answer that was begun and never ends: it would hold its request until the
-            # deadline, too late to try another server.  A 1xx ahead begins nothing.
-            self._watch_for_stall()
-
-    def _watch_for_stall(self) -> None:
+            # A response that has started and never ends would occupy its request until the deadline, when it
+            # is too late to try another server.  Interim responses do not count as a start.
+            self._check_progress()
+
+    def _start_streaming(self, awaiting: AwaitingResponse) -> None:
+        """Find a consumer for the response, if it is to be streamed by now."""
+        head = self._reader.head_to_stream
+        if head is None:
+            return
+        consumer = awaiting.observer.response_started(head)
+        if consumer is None:
+            self._fail(ExchangeFailure.MALFORMED_RESPONSE)  # nobody waits for it any more
+        elif self._state is awaiting:
+            self._state = Streaming(awaiting.observer, consumer)
+
+    def _check_progress(self) -> None:
+        """Fail the exchange if its response makes no progress, or look again when that could be."""
         loop = asyncio.get_running_loop()
-        if self._is_paused:
+        if self._is_reading_paused:
             self._progress_at = loop.time()
-        allowed = self._answer_timeout_s if self._sink is None else _PASSING_TIMEOUT_S
-        left = self._progress_at + allowed - loop.time()
-        if left <= 0.0:
+        is_streaming = isinstance(self._state, Streaming)
+        timeout_s = _STREAM_STALL_TIMEOUT_S if is_streaming else self._response_stall_timeout_s
+        remaining_s = self._progress_at + timeout_s - loop.time()
+        if remaining_s <= 0.0:
             self._fail(ExchangeFailure.MALFORMED_RESPONSE)
         else:
-            self._stall_timer = loop.call_later(left, self._watch_for_stall)
+            self._stall_timer = loop.call_later(remaining_s, self._check_progress)
 
-    def _stop_timer(self) -> None:
+    def _stop_stall_timer(self) -> None:
         if self._stall_timer is not None:
             self._stall_timer.cancel()
             self._stall_timer = None
 
-    def _answered(self, response: Response) -> None:
-        self._stop_timer()
-        ended, self._ended = self._ended, None
-        if self.is_unwritten and response.status == 200:
-            # An answer to what was not asked yet belongs to something else.
-            self._ended = ended
+    def _response_received(self, exchange: Exchange, response: Response) -> None:
+        """End the exchange, and decide whether the connection can carry another."""
+        self._stop_stall_timer()
+        is_written = not isinstance(exchange, Writing)
+        if response.status == 200 and not is_written:
+            # A successful response to an incomplete request belongs to another request.
             self._fail(ExchangeFailure.MALFORMED_RESPONSE)
             return
-        # Guards against an answer that belongs to another request: nothing in it names its own, so a
-        # connection that brought more than was due, or before all was asked, is never used again.
-        is_clean = not self.is_unwritten and not self._has_backlog and not self._reader.has_excess_data
-        # Nor may its request go elsewhere while it may be at this server still: an answer that ends nothing
-        # for the client, on a connection that had others, may be a copy of an earlier one.
-        is_over = response.status == 200 or self.is_response_certain
-        if self._reader.keep_alive and is_clean and is_over:
-            self._began = self._may_write = self._sink = None
-            if self._is_paused:
-                self.resume()  # whoever took this answer asks for no more, and the next one is to be read
-            self._on_free(self)
+        # Nothing in a response names its request.  So that no response is taken for another request's, a
+        # connection that received more than was due, or before the request was written, is never used again.
+        is_clean = is_written and not self._has_backlog and not self._reader.has_excess_data
+        # A response that does not end the client's request, on a connection that carried others, may be a
+        # duplicate of an earlier one.  The request may be at this server still, and is not sent elsewhere
+        # unless this connection is closed.
+        is_final = response.status == 200 or self.is_response_certain
+        if self._reader.keep_alive and is_clean and is_final:
+            self._state = _Unused.IDLE
+            if self._is_reading_paused:
+                self.resume()  # the consumer has no more to take, and the next response is to be read
+            if self._owner is not None:
+                self._owner.connection_idle(self)
         else:
             self.close()
-        if ended is not None:
-            ended(response)
+        exchange.observer.exchange_ended(response)
 
-    def _break(self) -> None:
+    def _connection_broken(self) -> None:
         self._fail(ExchangeFailure.UNWRITTEN if self.is_unwritten else ExchangeFailure.CONNECTION_LOST)
 
     def _fail(self, failure: ExchangeFailure) -> None:
-        ended = self._ended
+        exchange = self._current_exchange()
         self.close()
-        if ended is not None:
-            ended(failure)
-
-    def _report_closed(self) -> None:
-        if not self._closed:
-            self._closed = True
-            self._reader.release()
-            self._on_closed(self)
+        if exchange is not None:
+            exchange.observer.exchange_ended(failure)
--- a/tulipnotch/sidecar/upstream/request.py
+++ b/tulipnotch/sidecar/upstream/request.py
@@ -9,7 +9,8 @@
 from tulipnotch.load_balancing.clock_time import NEVER
 from tulipnotch.load_balancing.outcomes import Outcome
 from tulipnotch.sidecar.http1.messages import Request, Response
-from tulipnotch.sidecar.upstream.connection import ResponseConsumer, UpstreamConnection
+from tulipnotch.sidecar.upstream.connection import UpstreamConnection
+from tulipnotch.sidecar.upstream.exchange import ResponseConsumer
 
 
 class RequestObserver(Protocol):
@@ -57,7 +58,7 @@
     def request_written(self, request: UpstreamRequest) -> None:
         """Ignored."""
 
-    def response_started(self, head: Response, connection: UpstreamConnection) -> ResponseConsumer | None:
+    def response_started(self, _head: Response, _connection: UpstreamConnection) -> ResponseConsumer | None:
         """Ignored: the response is short."""
         return None
 
--- /dev/null
+++ b/tulipnotch/sidecar/upstream/request_exchange.py
@@ -0,0 +1,66 @@
+"""One request on one connection: what becomes of the exchange decides the request's outcome."""
+
+from __future__ import annotations
+
+from tulipnotch.load_balancing.outcomes import Outcome
+from tulipnotch.sidecar.http1.messages import Response
+from tulipnotch.sidecar.upstream.connection import UpstreamConnection
+from tulipnotch.sidecar.upstream.exchange import ExchangeFailure, ResponseConsumer
+from tulipnotch.sidecar.upstream.request import UpstreamRequest
+from tulipnotch.sidecar.upstream.write_gate import WriteGate
+
+_FAILURE_OUTCOMES = {
+    ExchangeFailure.UNWRITTEN: Outcome.CONNECT_FAILED,
+    ExchangeFailure.CONNECTION_LOST: Outcome.CONNECTION_LOST,
+    ExchangeFailure.MALFORMED_RESPONSE: Outcome.MALFORMED_RESPONSE,
+}
+
+
+class RequestExchange:
+    """Observes the exchange of an `UpstreamRequest`."""
+
+    __slots__ = ("_connection", "_gate", "_request")
+
+    def __init__(self, gate: WriteGate, request: UpstreamRequest, connection: UpstreamConnection) -> None:
+        """Observe `request` on `connection`; each write passes `gate`."""
+        self._gate = gate
+        self._request = request
+        self._connection = connection
+
+    @property
+    def streams_responses(self) -> bool:
+        """Whether a response too large to be buffered is passed on."""
+        return self._request.observer.streams_responses
+
+    def may_write(self) -> bool:
+        """Whether a further part of the request may be written now."""
+        return self._gate.may_write(self._request)
+
+    def request_written(self) -> None:
+        """Notify the request's observer."""
+        self._request.observer.request_written(self._request)
+
+    def response_started(self, head: Response) -> ResponseConsumer | None:
+        """Return who consumes the response; from here on its progress is limited, not its total time."""
+        if self._request.timer is not None:
+            self._request.timer.cancel()
+        return self._request.observer.response_started(head, self._connection)
+
+    def exchange_ended(self, result: Response | ExchangeFailure) -> None:
+        """End the request."""
+        request = self._request
+        request.is_response_certain = self._connection.is_response_certain or request.is_unwritten
+        self._gate.end(request, outcome_of(result), result if isinstance(result, Response) else None)
+
+
+def outcome_of(result: Response | ExchangeFailure) -> Outcome:
+    """Return the outcome that the end of an exchange means."""
+    if isinstance(result, ExchangeFailure):
+        return _FAILURE_OUTCOMES[result]
+    if result.status == 200:
+        return Outcome.DELIVERED
+    if result.status in (503, 504) and result.all_headers(b"not-started") == {b"1"}:
+        return Outcome.OVERLOADED
+    if 400 <= result.status < 500:
+        return Outcome.CLIENT_ERROR
+    return Outcome.SERVER_ERROR
