--- a/tests/test_instants.py
+++ b/tests/test_instants.py
@@ -470,9 +470,7 @@
                     _send_now(scene.heard[-1].writer, half)
                 if when == "just before use":
                     (server,) = scene.sidecar._upstream._endpoints.values()
-                    assert (
-                        scene.sidecar._upstream._take_reusable(server) is None
-                    )  # the event loop has not run
+                    assert scene.sidecar._upstream._pop_reusable(server) is None  # the event loop has not run
                 if when != "in one piece":
                     await until(lambda seen=number - 9: len(scene.servers[0].closed) == seen)  # type: ignore[misc]
 
--- a/tests/test_streaming.py
+++ b/tests/test_streaming.py
@@ -483,5 +483,5 @@
         25,
         True,
     )
-    assert body.take() == b"x" * 20 + b"y" * 5
-    assert (body.take(), body.is_replayable, body.size) == (b"", False, MAX_BUFFERED_BODY_BYTES + 15)
+    assert body.pop_pending() == b"x" * 20 + b"y" * 5
+    assert (body.pop_pending(), body.is_replayable, body.size) == (b"", False, MAX_BUFFERED_BODY_BYTES + 15)
--- a/tulipnotch/sidecar/http1/body.py
+++ b/tulipnotch/sidecar/http1/body.py
@@ -12,7 +12,7 @@
     """A request's body, while it is received and afterwards.
 
     The first part is buffered, so that an attempt can be repeated.  Anything beyond it is streamed: it is
-    pending until it is taken, once, and from then on the body cannot be written again.
+    pending until it is removed, once, and from then on the body cannot be written again.
 
     Each of the three hooks has one owner, which sets it and resets it to None:
 
@@ -20,9 +20,9 @@
         buffered: The part that every attempt begins with.
         size: Bytes received so far, buffered or not.
         is_complete: Whether the last byte was received.
-        is_replayable: Whether nothing was taken yet, so that a further attempt can write all of the body.
+        is_replayable: Whether nothing was removed yet, so that a further attempt can write all of the body.
         on_data: Called by `feed` and `complete`, for the connection that writes the body to a server.
-        on_taken: Called by `take`, for the client's connection, which may read on.
+        on_taken: Called by `pop_pending`, for the client's connection, which may read on.
         on_complete: Called by `complete`, before `on_data`, for the owner of the open request.
     """
 
@@ -50,7 +50,7 @@
 
     @property
     def pending_bytes(self) -> int:
-        """Bytes beyond the buffered part that were received and not taken yet."""
+        """Bytes beyond the buffered part that were received and not removed yet."""
         return len(self._pending)
 
     @property
@@ -73,16 +73,16 @@
             if hook is not None:
                 hook()
 
-    def take(self, *, except_last: int = 0) -> bytes:
+    def pop_pending(self, *, except_last: int = 0) -> bytes:
         """Remove and return the pending bytes, but for the last `except_last` of them."""
         if len(self._pending) <= except_last:
             return b""
-        taken = bytes(self._pending[: len(self._pending) - except_last])
-        del self._pending[: len(taken)]
+        removed = bytes(self._pending[: len(self._pending) - except_last])
+        del self._pending[: len(removed)]
         self.is_replayable = False
         if self.on_taken is not None:
             self.on_taken()
-        return taken
+        return removed
 
     def detach(self) -> None:
         """Reset all hooks."""
--- a/tulipnotch/sidecar/http1/response_reader.py
+++ b/tulipnotch/sidecar/http1/response_reader.py
@@ -53,7 +53,7 @@
         self._progress = _Progress.INCOMPLETE
         self._is_to_head_request = to_head_request
         self._ends_at_close = False  # whether only the connection's end delimits the body
-        self._buffered = bytearray()  # of the body, until it is taken
+        self._buffered = bytearray()  # of the body, until it is removed
         self._body_bytes = 0  # received of the body
         self._part: PartialMessage | None = None
         self._interim_responses = 0
@@ -70,7 +70,7 @@
 
     @property
     def response(self) -> Response | None:
-        """The response, once it is complete; its body is what was not taken of it."""
+        """The response, once it is complete; its body is what was not removed of it."""
         if self._progress is not _Progress.COMPLETE or self.head is None:
             return None
         return Response(self.head.status, self.head.headers, bytes(self._buffered), self.head.length)
@@ -88,11 +88,11 @@
             return head if head.length > self._max_buffered_bytes else None
         return head if len(self._buffered) > _STREAM_START_BYTES else None
 
-    def take(self) -> bytes:
+    def pop_buffered(self) -> bytes:
         """Remove and return the buffered part of the body."""
-        taken = bytes(self._buffered)
+        removed = bytes(self._buffered)
         self._buffered.clear()
-        return taken
+        return removed
 
     def feed(self, data: bytes) -> None:
         """Read bytes that were received."""
--- a/tulipnotch/sidecar/upstream/connection.py
+++ b/tulipnotch/sidecar/upstream/connection.py
@@ -261,7 +261,7 @@
         if writing.request.is_body_complete:
             self._write_end(writing)
         else:
-            self._write(writing.request.take_available())
+            self._write(writing.request.pop_available())
 
     def _write(self, data: bytes) -> None:
         """Write what is not the end of a request; the transport buffers what the kernel does not accept."""
@@ -287,7 +287,7 @@
             self._state = AwaitingResponse(writing.observer)
             writing.observer.request_written()
             return
-        self._write(writing.request.take_all_but_last_byte())
+        self._write(writing.request.pop_all_but_last_byte())
         if not self._has_backlog:
             # The kernel accepted all but one byte, or has no space for the one that is left: the transport
             # buffers nothing, and so resume_writing will not be called.
@@ -319,7 +319,7 @@
             self._start_streaming(self._state)
         state = self._state
         if isinstance(state, Streaming):
-            data = reader.take()
+            data = reader.pop_buffered()
             if data:
                 state.consumer.write_body(data)
         if isinstance(self._state, (Closed, _Unused)):
--- a/tulipnotch/sidecar/upstream/pool.py
+++ b/tulipnotch/sidecar/upstream/pool.py
@@ -59,8 +59,8 @@
     def endpoints_updated(self, response: DiscoveryResponse) -> None:
         """Apply an endpoint list or its changes, before any action that follows from it."""
         if response.is_complete:
-            listed = {each.description.name for each in response.endpoints}
-            for name in self._endpoints.keys() - listed:
+            names = {each.description.name for each in response.endpoints}
+            for name in self._endpoints.keys() - names:
                 self._remove_endpoint(name)
         for each in response.endpoints:
             name, started_at = each.description.name, each.description.started_at
@@ -124,7 +124,7 @@
     def _assign_connection(self, request: UpstreamRequest, endpoint: EndpointConnections) -> None:
         """Use an idle connection, wait for one to be reusable, or establish a new one."""
         loop = asyncio.get_running_loop()
-        connection = self._take_reusable(endpoint)
+        connection = self._pop_reusable(endpoint)
         if connection is not None:
             self._write(request, connection)
         elif endpoint.idle:
@@ -258,7 +258,7 @@
         longest_idle.idle.pop(0).connection.close()
         return True
 
-    def _take_reusable(self, endpoint: EndpointConnections) -> UpstreamConnection | None:
+    def _pop_reusable(self, endpoint: EndpointConnections) -> UpstreamConnection | None:
         """Remove and return the most recently used connection that can be used now, if there is one."""
         now = self._clock.now()
         delayed: list[IdleConnection] = []
--- a/tulipnotch/sidecar/upstream/unwritten_request.py
+++ b/tulipnotch/sidecar/upstream/unwritten_request.py
@@ -10,7 +10,7 @@
 class UnwrittenRequest:
     """The part of a request that was not written yet, in the order in which it is to be written.
 
-    A server may begin to execute a request with its last byte.  So what is taken while the body is incomplete
+    A server may begin to execute a request with its last byte.  So what is removed while the body is incomplete
     never contains the last byte that was received of it: that byte may turn out to be the request's last.
     """
 
@@ -28,10 +28,10 @@
         """Whether the last byte of the body was received."""
         return self._request.body.is_complete
 
-    def take_available(self) -> bytes:
+    def pop_available(self) -> bytes:
         """Remove and return what may be written of an incomplete request."""
         request = self._request
-        available = self._remainder + request.frame(request.body.take(except_last=1))
+        available = self._remainder + request.frame(request.body.pop_pending(except_last=1))
         self._remainder = b""
         return available
 
@@ -39,7 +39,7 @@
         """Return all that is left of a complete request."""
         if not self._has_end:
             request = self._request
-            self._remainder += request.frame(request.body.take()) + request.terminator
+            self._remainder += request.frame(request.body.pop_pending()) + request.terminator
             self._has_end = True
         return self._remainder
 
@@ -47,10 +47,10 @@
         """Remove the first `count` bytes of the remainder, which were written."""
         self._remainder = self._remainder[count:]
 
-    def take_all_but_last_byte(self) -> bytes:
+    def pop_all_but_last_byte(self) -> bytes:
         """Remove and return the remainder without its last byte."""
-        taken, self._remainder = self._remainder[:-1], self._remainder[-1:]
-        return taken
+        removed, self._remainder = self._remainder[:-1], self._remainder[-1:]
+        return removed
 
     def detach(self, on_data: Callable[[], None]) -> None:
         """Call `on_data` no more, unless the body has another hook by now."""
--- a/tulipnotch/sidecar/upstream/write_gate.py
+++ b/tulipnotch/sidecar/upstream/write_gate.py
@@ -82,8 +82,8 @@
         outcome = Outcome.TIMED_OUT
         if request.is_unwritten:
             # A latest start that is over says nothing about the server.
-            is_start_over = now >= request.observer.latest_start()
-            outcome = Outcome.NOT_SENT if is_start_over else Outcome.CONNECT_FAILED
+            is_past_latest_start = now >= request.observer.latest_start()
+            outcome = Outcome.NOT_SENT if is_past_latest_start else Outcome.CONNECT_FAILED
         if outcome is not Outcome.NOT_SENT and now < request.deadline:
             self.start_timer(request)  # it was written in time, or its latest start was moved
             return
