--- /dev/null
+++ b/tests/sidecar/upstream/overtaken.py
@@ -0,0 +1,141 @@
+"""A keyed request whose first attempt is late, so that further ones are sent elsewhere."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import AsyncIterator, Awaitable, Callable
+from contextlib import asynccontextmanager
+from dataclasses import dataclass
+from typing import Any
+
+from barriers import HeldDials, ManualClock, reset, server_line, tell
+from loopback import CLASSES, FULL, OK, Client, Heard, ScriptedServer, Stage, request, stage, until
+
+from tulipnotch.sidecar.upstream.request import UpstreamRequest
+
+MS = 1_000
+WINDOW_US = 300 * MS
+CONNECT_TIMEOUT_US = 1_600 * MS
+OBJECTIVE_US = 100 * MS
+OVERDUE_US = 150 * MS  # from here on an attempt at an unresponsive server is hedged
+OTHER_GROUPS = [("cell", {"cell": 2}), ("zone", {"zone": "b"})]
+OTHER_RESPONSES = 4  # by other servers meanwhile, so that only this one counts as unresponsive
+
+_SERVED_AND_CLOSED = b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 6\r\n\r\nserved"
+
+
+def service_classes(group: str = "cell", window_us: int = WINDOW_US) -> list[dict[str, Any]]:
+    """The classes of the other tests, with this objective and deduplication."""
+    kinds = [{**each, "promiseUs": OBJECTIVE_US, "giveUpUs": 4_000_000} for each in CLASSES]
+    kinds[1] |= {"group": group, "memorySpanUs": window_us}
+    return kinds
+
+
+@dataclass
+class Overtaken:
+    """A keyed request whose first attempt is not written, and whose further ones went elsewhere."""
+
+    scene: Stage
+    client: Client
+    received: list[Heard]  # attempts that the other servers have read completely
+    let_finish: asyncio.Event  # ends the attempts that run on
+
+    def attempts(self) -> list[UpstreamRequest]:
+        """All attempts of the only open request."""
+        (open_request,) = self.scene.sidecar._open.values()
+        return open_request.calls
+
+
+@asynccontextmanager
+async def overtaken(
+    clock: ManualClock,
+    first: str,
+    *ends: str,
+    group: str = "cell",
+    window_us: int = WINDOW_US,
+    may_cancel: bool = True,
+    body: bytes = b"",
+    attempts: int = 3,
+    first_is_late: Callable[[Stage], Awaitable[None]],
+    has_connection: bool = False,
+    hold_others: HeldDials | None = None,
+) -> AsyncIterator[Overtaken]:
+    """Send a request whose first attempt goes to the address `first` and is overtaken there.
+
+    The attempts that follow go to two other servers and end as `ends` says: "full" (a rejection), "reset", or
+    "runs on" until `let_finish` is set.  `first_is_late` returns once the first attempt waits where it is to
+    be late.  With `hold_others`, the connections of those that follow are held back as well.
+    """
+    received: list[Heard] = []
+    let_finish = asyncio.Event()
+
+    async def other(heard: Heard) -> bytes | None:
+        if heard.method == "GET":
+            return _SERVED_AND_CLOSED  # so that each attempt opens a connection: a rejection is proof there
+        if len(received) == len(ends):
+            return FULL
+        how = ends[len(received)]
+        received.append(heard)
+        if how == "full":
+            return FULL
+        if how == "reset":
+            reset(heard)
+            return None
+        await let_finish.wait()
+        return OK
+
+    bounds = {
+        "dialTimeoutUs": CONNECT_TIMEOUT_US,
+        "secondCopies": True,
+        "mayCancel": may_cancel,
+        "sendCap": attempts,
+    }
+    lanes = service_classes(group, window_us)
+    async with stage(other, other, listed=False, bounds=bounds, lanes=lanes) as scene:
+        await tell(scene, server_line(0, first))
+        if has_connection:
+            assert (await scene.ask("check")).status == 200
+        client = await scene.client()
+        client.send(request("amend", timeout="4.0", body=body))
+        await until(lambda: len(scene.sidecar._open) == 1)
+        await first_is_late(scene)
+        await tell(scene, *(server_line(n + 1, each.address) for n, each in enumerate(scene.servers)))
+        for _ in range(OTHER_RESPONSES):
+            assert (await scene.ask("check")).status == 200
+        if hold_others is not None:
+            for each in scene.servers:
+                hold_others.hold(each.address)
+        clock.advance(OVERDUE_US)
+        seen = Overtaken(scene, client, received, let_finish)
+        await until(lambda: len(received) == len(ends))
+        done = len(ends) if "runs on" not in ends else ends.index("runs on")
+        await until(lambda: all(each.has_ended for each in seen.attempts()[1 : 1 + done]))
+        yield seen
+
+
+async def assert_is_over(seen: Overtaken, group: str, *ends: str) -> None:
+    """The client has a response that the rules permit."""
+    seen.let_finish.set()
+    answer = await seen.client.answer()
+    if "runs on" in ends:
+        assert answer.status == 200
+    else:
+        # It may have executed; where every server discards the retry, a rejection is harmless.
+        assert answer.status in ((502, 503, 504) if group == "all" else (502, 504))
+    await until(lambda: seen.scene.sidecar.open_requests == 0)
+
+
+async def assert_received_nothing(seen: Overtaken, late_server: ScriptedServer) -> None:
+    """Close all connections; the late server has read no request on any."""
+    seen.scene.sidecar.close()
+    await until(lambda: len(late_server.closed) == late_server.connections)
+    assert late_server.heard == []
+
+
+def until_dial_is_held(held_dials: HeldDials) -> Callable[[Stage], Awaitable[None]]:
+    """For `first_is_late`: the first attempt waits for its connection."""
+
+    async def first_is_late(scene: Stage) -> None:
+        await until(lambda: held_dials.waiting == 1)
+
+    return first_is_late
--- a/tests/test_connection_accounting.py
+++ b/tests/sidecar/upstream/test_connection_accounting.py
@@ -1,4 +1,4 @@
-"""Connections to servers that end, or are paused, in the instant in which they change hands."""
+"""Connections to servers that end, or are paused, as they are established or become idle."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 _LARGE = b"x" * (2 * MAX_BUFFERED_BODY_BYTES)
 
 
-def _resume_dials_after_the_end(patch: pytest.MonkeyPatch, ports: set[int]) -> None:
-    """Let whoever dials one of these ports go on only once the server has ended the connection."""
+def _return_after_end(patch: pytest.MonkeyPatch, ports: set[int]) -> None:
+    """Connecting to one of these ports returns only once the server has ended the connection."""
     create = uvloop.Loop.create_connection
 
     async def create_connection(
@@ -35,53 +35,53 @@
     patch.setattr(uvloop.Loop, "create_connection", create_connection)
 
 
-class _HangsUp(ScriptedServer):
-    """Ends each connection as soon as it has accepted it, until it is told to serve."""
+class _ClosingServer(ScriptedServer):
+    """Ends each connection as soon as it has accepted it, while `closes` is set."""
 
-    hangs_up = True
+    closes = True
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if self.hangs_up:
+        if self.closes:
             self.connections += 1
             writer.close()
             return
         await super()._serve(reader, writer)
 
 
-def test_a_connection_that_ends_as_it_comes_up_takes_no_room(monkeypatch: pytest.MonkeyPatch) -> None:
-    # With more of these than there is room for, the sidecar must still reach the server once that is well.
+def test_pool_does_not_count_connection_that_ends_when_established(monkeypatch: pytest.MonkeyPatch) -> None:
+    # With more of these than `max_connections`, the sidecar must still reach the server once it serves.
     async def work() -> None:
-        server = _HangsUp(OK)
+        server = _ClosingServer(OK)
         async with stage(server, given={"limits": {"sockets": 64}}) as scene:
             ports = {int(server.address.rpartition(":")[2])}
-            _resume_dials_after_the_end(monkeypatch, ports)
+            _return_after_end(monkeypatch, ports)
             upstream = scene.sidecar._upstream
             client = await scene.client()
             for _ in range(4 * upstream.max_connections):
                 await client.ask("check")
-            server.hangs_up = False
+            server.closes = False
             ports.clear()
             assert (await client.ask("check")).status == 200
 
     play(work)
 
 
-class _PausingSink:
-    """Has no room after each piece, and asks for more only while the answer is under way."""
+class _PausingConsumer:
+    """Has no capacity after each part, and resumes only while the response is incomplete."""
 
-    def __init__(self, source: UpstreamConnection) -> None:
-        self._source = source
-        self.came = 0
+    def __init__(self, connection: UpstreamConnection) -> None:
+        self._connection = connection
+        self.received_bytes = 0
 
     def write_body(self, piece: bytes) -> None:
-        self.came += len(piece)
-        self._source.pause()
-        if self.came < len(_LARGE):
-            asyncio.get_running_loop().call_soon(self._source.resume)
+        self.received_bytes += len(piece)
+        self._connection.pause()
+        if self.received_bytes < len(_LARGE):
+            asyncio.get_running_loop().call_soon(self._connection.resume)
 
 
 class _StreamedExchange(BufferedExchange):
-    """Passes a large response on."""
+    """Streams a large response."""
 
     streams_responses = True
 
@@ -89,8 +89,8 @@
         super().__init__()
         self._connection = connection
 
-    def response_started(self, _head: Response) -> _PausingSink:
-        return _PausingSink(self._connection)
+    def response_started(self, _head: Response) -> _PausingConsumer:
+        return _PausingConsumer(self._connection)
 
 
 class _Owner:
@@ -106,7 +106,7 @@
         """Not recorded."""
 
 
-def test_a_connection_paused_by_the_last_piece_of_an_answer_can_be_used_again() -> None:
+def test_connection_is_reusable_when_last_part_of_response_paused_reading() -> None:
     async def work() -> None:
         async def script(heard: Heard) -> bytes:
             return reply(_LARGE) if heard.target == "/large" else OK
@@ -131,6 +131,6 @@
 async def _exchanged(connection: UpstreamConnection, target: str) -> Response:
     exchange = _StreamedExchange(connection)
     connection.exchange(Request(b"GET", target.encode(), [(b"host", HOST.encode())]), exchange)
-    answer = await soon(exchange.result)
-    assert isinstance(answer, Response)
-    return answer
+    response = await soon(exchange.result)
+    assert isinstance(response, Response)
+    return response
--- /dev/null
+++ b/tests/sidecar/upstream/test_duplicate_responses.py
@@ -0,0 +1,145 @@
+"""A response on a connection that carried an earlier request may belong to that one, and proves nothing."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import AsyncIterator
+from contextlib import asynccontextmanager
+from dataclasses import dataclass
+from typing import Any
+
+import pytest
+from barriers import ManualClock, server_line, tell
+from loopback import FULL, OK, Client, Heard, Stage, play, request, stage, until
+from overtaken import MS, OTHER_GROUPS, WINDOW_US, service_classes
+
+
+@dataclass
+class DuplicateResponse:
+    """A request whose server has read all of it, and then sent a duplicate of the response before."""
+
+    scene: Stage
+    client: Client
+    is_shared: bool  # whether it was on the connection of the request before
+
+
+@asynccontextmanager
+async def _duplicate_response(
+    kind: str, clock: ManualClock | None = None, after_us: int = 0, group: str = "cell", **other: Any
+) -> AsyncIterator[DuplicateResponse]:
+    """Send a request to a server that rejected one before; repeat that rejection once this one is read.
+
+    Meanwhile another server is listed, as `other` says: a retry could go there.
+    """
+    read = asyncio.Event()
+    send_duplicate = asyncio.Event()
+
+    async def twice(heard: Heard) -> bytes:
+        if len(scene.servers[0].heard) == 1:
+            return FULL
+        read.set()
+        await send_duplicate.wait()
+        before = scene.servers[0].heard[0]
+        if heard.connection == before.connection:
+            return FULL  # the same response again
+        before.writer.write(FULL)
+        return OK
+
+    async with stage(twice, OK, listed=False, lanes=service_classes(group)) as scene:
+        await tell(scene, server_line(0, scene.servers[0].address))
+        assert (await scene.ask(kind)).status == 503
+        client = await scene.client()
+        client.send(request(kind, timeout="4.0"))
+        await until(read.is_set)
+        await tell(scene, server_line(1, scene.servers[1].address, **other))
+        if clock is not None:
+            clock.advance(after_us)
+        send_duplicate.set()
+        first, second = scene.servers[0].heard
+        yield DuplicateResponse(scene, client, first.connection == second.connection)
+
+
+def test_duplicate_response_does_not_retry_non_idempotent_request() -> None:
+    async def work() -> None:
+        loop = asyncio.get_running_loop()
+        async with _duplicate_response("lodge") as seen:
+            began = loop.time()
+            answer = await seen.client.answer()
+            assert answer.status == (502 if seen.is_shared else 200)
+            assert loop.time() - began < 1.0  # at once, not at its deadline
+            assert seen.scene.servers[1].heard == []
+            await until(lambda: seen.scene.sidecar.open_requests == 0)
+
+    play(work)
+
+
+def test_rejection_retries_non_idempotent_request_when_first_response_on_connection() -> None:
+    async def work() -> None:
+        release = asyncio.Event()
+
+        async def full(heard: Heard) -> bytes:
+            await release.wait()
+            return FULL
+
+        async with stage(full, OK, listed=False, lanes=service_classes()) as scene:
+            await tell(scene, server_line(0, scene.servers[0].address))
+            client = await scene.client()
+            client.send(request("lodge", timeout="4.0"))
+            await until(lambda: len(scene.heard) == 1)
+            await tell(scene, server_line(1, scene.servers[1].address))
+            release.set()
+            assert (await client.answer()).status == 200
+            assert [len(each.heard) for each in scene.servers] == [1, 1]
+
+    play(work)
+
+
+def test_rejection_is_passed_on_when_there_is_no_other_server() -> None:
+    async def work() -> None:
+        async with stage(FULL, lanes=service_classes()) as scene:
+            assert (await scene.ask("lodge")).status == 503
+
+    play(work)
+
+
+@pytest.mark.parametrize(("group", "other"), OTHER_GROUPS, ids=["cell", "zone"])
+def test_duplicate_response_does_not_retry_keyed_request_in_another_group(
+    group: str, other: dict[str, Any]
+) -> None:
+    async def work() -> None:
+        async with _duplicate_response("amend", group=group, **other) as seen:
+            answer = await seen.client.answer()
+            assert answer.status == (502 if seen.is_shared else 200)
+            assert seen.scene.servers[1].heard == []
+
+    play(work)
+
+
+@pytest.mark.parametrize("group", ["cell", "zone", "all"])
+def test_duplicate_response_does_not_retry_keyed_request_after_window(
+    group: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    clock = ManualClock(monkeypatch)
+
+    async def work() -> None:
+        async with _duplicate_response("amend", clock, WINDOW_US, group) as seen:
+            answer = await seen.client.answer()
+            refused = (503,) if group == "all" else ()
+            assert answer.status in ((502, *refused) if seen.is_shared else (200,))
+            assert seen.scene.servers[1].heard == []
+
+    play(work)
+
+
+@pytest.mark.parametrize("group", ["cell", "zone", "all"])
+def test_duplicate_response_permits_retry_of_keyed_request_within_group_and_window(
+    group: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    clock = ManualClock(monkeypatch)
+
+    async def work() -> None:
+        async with _duplicate_response("amend", clock, WINDOW_US - 50 * MS, group) as seen:
+            assert (await seen.client.answer()).status == 200
+            assert len(seen.scene.servers[1].heard) == (1 if seen.is_shared else 0)
+
+    play(work)
--- a/tests/test_partial_writes.py
+++ b/tests/sidecar/upstream/test_partial_writes.py
@@ -1,4 +1,4 @@
-"""A request reaches its server byte for byte, however little of its end the kernel takes at a time."""
+"""A request reaches its server byte for byte, however little of its end the kernel accepts at a time."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 from tulipnotch.sidecar.http1.body import MAX_BUFFERED_BODY_BYTES
 
 
-def _takes(most: int) -> Fate:
-    """The kernel takes so many bytes, or has no room."""
+def _accepts(max_bytes: int) -> Fate:
+    """The kernel accepts so many bytes, or has no buffer space."""
 
     def fate(descriptor: int, piece: bytes) -> int:
-        if most == 0:
+        if max_bytes == 0:
             raise BlockingIOError
-        return os.write(descriptor, piece[:most])
+        return os.write(descriptor, piece[:max_bytes])
 
     return fate
 
@@ -27,17 +27,17 @@
 @pytest.mark.parametrize("form", ["length", "chunked"])
 @pytest.mark.parametrize(
     "size", [12, 2 * MAX_BUFFERED_BODY_BYTES]
-)  # what outgrows that is passed on as it was framed
-@pytest.mark.parametrize("takes", [(0,), (1,), (3,), (40,), (0, 0), (0, 0, 0, 0)], ids=str)
-def test_a_request_is_written_once_and_in_order(
-    monkeypatch: pytest.MonkeyPatch, form: str, size: int, takes: tuple[int, ...]
+)  # what is longer is streamed with its own framing
+@pytest.mark.parametrize("accepts", [(0,), (1,), (3,), (40,), (0, 0), (0, 0, 0, 0)], ids=str)
+def test_connection_writes_request_once_and_in_order_when_kernel_accepts_parts(
+    monkeypatch: pytest.MonkeyPatch, form: str, size: int, accepts: tuple[int, ...]
 ) -> None:
     body = pattern(size)
 
     async def work() -> None:
         server = Sucking()
         async with stage(server) as scene:
-            kernel = Kernel(monkeypatch, server.address, tuple(_takes(each) for each in takes))
+            kernel = Kernel(monkeypatch, server.address, tuple(_accepts(each) for each in accepts))
             application = await scene.client()
             if form == "length":
                 application.send(request("lodge", body=body))
@@ -46,7 +46,9 @@
                 application.send(head + chunked(body, size))
             assert (await application.answer()).status == 200
             assert not kernel.left
-            assert (await application.ask("lodge", body=b"next")).status == 200  # nothing is left behind
+            assert (
+                await application.ask("lodge", body=b"next")
+            ).status == 200  # nothing was left in the connection
             assert server.digests == [hashlib.sha1(each).digest() for each in (body, b"next")]
 
     play(work)
--- a/tests/test_upstream.py
+++ b/tests/sidecar/upstream/test_pool.py
@@ -1,4 +1,4 @@
-"""Attempts and the pool, over loopback sockets."""
+"""The pool of connections to servers and the requests on them, over loopback sockets."""
 
 from __future__ import annotations
 
@@ -9,21 +9,19 @@
 from slow_to_accept import SlowToAccept
 
 from tulipnotch.load_balancing.admission import concurrency_limit
-from tulipnotch.sidecar.clock import Clock
 from tulipnotch.sidecar.upstream import pool as upstream
 from tulipnotch.sidecar.upstream import timeouts
-from tulipnotch.simulator_wire.adapter import settings_from_wire
 
 
-def at_the_sidecar(scene: Stage) -> int:
+def open_requests(scene: Stage) -> int:
     return scene.sidecar.open_requests
 
 
 @pytest.mark.parametrize(
-    ("answer", "status"),
+    ("response", "status"),
     [
         (ERROR, 502),
-        (FULL, 503),  # it never ran, and nobody else is there
+        (FULL, 503),  # it was not executed, and there is no other server
         (b"HTTP/1.1 503 Odd\r\nContent-Length: 0\r\n\r\n", 502),
         (b"HTTP/1.1 404 Odd\r\nContent-Length: 0\r\n\r\n", 502),
         (b"HTTP/1.1 504 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n", 503),
@@ -33,24 +31,26 @@
         (b"HTTP/1.1 100 Continue\r\n\r\n" + OK, 200),
     ],
 )
-def test_what_an_unsafe_request_comes_to(answer: bytes, status: int) -> None:
+def test_pool_ends_non_idempotent_request_after_one_attempt_for_each_response(
+    response: bytes, status: int
+) -> None:
     async def work() -> None:
-        async with stage(answer) as scene:
+        async with stage(response) as scene:
             assert (await scene.ask("lodge")).status == status
             assert len(scene.heard) == 1
-            assert at_the_sidecar(scene) == 0
+            assert open_requests(scene) == 0
 
     play(work)
 
 
 @pytest.mark.parametrize("part", [b"", b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"])
-def test_an_unsafe_request_whose_connection_breaks_is_never_sent_again(part: bytes) -> None:
+def test_pool_sends_non_idempotent_request_once_when_its_connection_breaks(part: bytes) -> None:
     async def work() -> None:
-        async def hang_up(heard: Heard) -> None:
+        async def close_connection(heard: Heard) -> None:
             heard.writer.write(part)
             heard.writer.close()
 
-        async with stage(hang_up, hang_up) as scene:
+        async with stage(close_connection, close_connection) as scene:
             assert (await scene.ask("lodge")).status == 502
             assert len(scene.heard) == 1
 
@@ -61,9 +61,9 @@
 
 
 @pytest.mark.parametrize(
-    "spoilt",
+    "malformed",
     [
-        HEAD + b"\r\nserved",  # no end but the connection's: it may have broken off
+        HEAD + b"\r\nserved",  # delimited by the connection's end only: it may be truncated
         HEAD + b"Content-Length: 3000000000\r\n\r\n" + b"x" * 1_000,
         HEAD + b"Content-Length: 6\r\nTransfer-Encoding: chunked\r\n\r\nserved",
         HEAD + b"Content-Length: 6\r\nContent-Length: 6\r\n\r\nserved",
@@ -77,56 +77,39 @@
         b"HTT",
     ],
 )
-def test_a_spoilt_answer_fails_soon_and_a_repeatable_request_is_sent_elsewhere(spoilt: bytes) -> None:
-    # Guards against waiting for the deadline on a connection that stays open, and against serving a guess.
+def test_pool_retries_idempotent_request_soon_after_malformed_response(malformed: bytes) -> None:
+    # Not at the deadline of a connection that stays open, and without a guess at the response.
     async def work() -> None:
         async def once(heard: Heard) -> bytes:
-            return spoilt if len(scene.heard) == 1 else OK
+            return malformed if len(scene.heard) == 1 else OK
 
         async with stage(once, once) as scene:
-            answer = await scene.ask("check", timeout="3.0")
-            assert (answer.status, answer.body) == (200, b"served")
+            response = await scene.ask("check", timeout="3.0")
+            assert (response.status, response.body) == (200, b"served")
             first, second = scene.heard
             assert float(second.headers["request-timeout"]) > 1.5
             assert (await scene.ask("lodge")).status == 200
-            await until(lambda: sum(len(each.closed) for each in scene.servers) == 1)  # of no further use
+            await until(
+                lambda: sum(len(each.closed) for each in scene.servers) == 1
+            )  # it can carry no further exchange
             assert first.target == second.target
 
     play(work)
 
 
-@pytest.mark.parametrize(
-    ("aims_ms", "deadlines_ms", "within_s"),
-    [
-        ((600, 1_200), (2_000, 4_000), 0.24),  # a part of the shortest aim
-        ((200, 500), (400, 1_500), 0.1),  # but not less than what a busy machine does to any answer
-        ((20, 500), (100, 60_000), 0.05),  # unless nothing would be left then of the shortest deadline
-    ],
-)
-def test_how_long_an_answer_may_stand_still_follows_from_aims_and_deadlines(
-    aims_ms: tuple[int, int], deadlines_ms: tuple[int, int], within_s: float
-) -> None:
-    classes = [
-        {**CLASSES[0], "name": f"kind-{index}", "promiseUs": aim * 1_000, "giveUpUs": deadline * 1_000}
-        for index, (aim, deadline) in enumerate(zip(aims_ms, deadlines_ms, strict=True))
-    ]
-    pool = upstream.UpstreamPool(Clock(), settings_from_wire({"lanes": classes}))
-    assert pool._timeouts.response_stall_s == pytest.approx(within_s)
-
-
-def test_an_answer_that_stalls_is_left_while_its_request_can_still_be_served_elsewhere(
+def test_pool_retries_after_stalled_response_while_another_server_can_respond(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Guards customers with short deadlines: a fixed least would end only when nothing is left to try.
-    # All times are ten to twenty times as long as theirs, so that a busy machine changes nothing.
+    # With a short deadline, a fixed minimum would end when there is no time left for another server.
+    # All times are ten to twenty times as long as real ones, so that a busy machine changes nothing.
     monkeypatch.setattr(timeouts, "_MIN_STALL_TIMEOUT_S", 2.0)
 
     async def work() -> None:
         async def once(heard: Heard) -> bytes:
             return HEAD + b"Content-Length: 9\r\n\r\nhalf" if len(scene.heard) == 1 else OK
 
-        kind = {**CLASSES[0], "promiseUs": 200_000, "giveUpUs": 2_000_000}
-        async with stage(once, once, lanes=[kind]) as scene:
+        service_class = {**CLASSES[0], "promiseUs": 200_000, "giveUpUs": 2_000_000}
+        async with stage(once, once, lanes=[service_class]) as scene:
             assert (await scene.ask("check", timeout="2.0")).status == 200
             assert len(scene.heard) == 2
 
@@ -134,18 +117,18 @@
 
 
 @pytest.mark.parametrize("late", [False, True])
-def test_a_connection_that_brought_more_than_its_answer_is_not_used_again(late: bool) -> None:
-    # Guards against a second copy of an answer that the next request would be served with.
+def test_connection_is_not_reused_after_excess_data(late: bool) -> None:
+    # The next request must not get a duplicate of this response.
     async def work() -> None:
         async def twice(heard: Heard) -> bytes:
             body = heard.target.rpartition("/")[2].encode()
-            answer = HEAD + b"Content-Length: %d\r\n\r\n%s" % (len(body), body)
+            response = HEAD + b"Content-Length: %d\r\n\r\n%s" % (len(body), body)
             if late:
-                heard.writer.write(answer)
+                heard.writer.write(response)
                 await heard.writer.drain()
                 await asyncio.sleep(0.02)
-                return answer
-            return answer + answer
+                return response
+            return response + response
 
         async with stage(twice) as scene:
             client = await scene.client()
@@ -157,21 +140,21 @@
     play(work)
 
 
-def test_an_unsafe_request_reset_before_its_last_byte_never_ran_and_one_reset_after_it_may_have() -> None:
+def test_pool_counts_request_as_unexecuted_only_when_reset_before_its_last_byte() -> None:
     async def work() -> None:
         async def reset(heard: Heard) -> None:
             heard.writer.transport.abort()
 
         async with stage(reset, reset) as scene:
             client = await scene.client()
-            whole = request("lodge", timeout="15", body=b"x" * 200_000)
-            client.send(whole[:150_000])
+            raw = request("lodge", timeout="15", body=b"x" * 200_000)
+            client.send(raw[:150_000])
             await until(lambda: sum(each.connections for each in scene.servers) == 1)
             for server in scene.servers:
                 server.hang_up()
             assert (
                 await client.answer()
-            ).status == 503  # never ran; a part has gone, so it is not sent again
+            ).status == 503  # not executed; a part was streamed, so there is no retry
             assert scene.heard == []
             assert (await scene.ask("lodge")).status == 502
             assert len(scene.heard) == 1
@@ -179,37 +162,37 @@
     play(work)
 
 
-def test_a_refused_dial_never_ran_and_is_drawn_again() -> None:
+def test_pool_uses_another_server_when_connection_is_refused() -> None:
     async def work() -> None:
         async with stage(OK, OK, OK) as scene:
             scene.servers[0].stop()
             scene.servers[1].stop()
-            answers = [await scene.ask("lodge") for _ in range(4)]
-            assert [each.status for each in answers] == [200] * 4
+            responses = [await scene.ask("lodge") for _ in range(4)]
+            assert [each.status for each in responses] == [200] * 4
 
     play(work)
 
 
-def test_silence_ends_at_the_deadline_and_closes_the_connection() -> None:
+def test_pool_closes_connection_at_deadline_without_response() -> None:
     async def work() -> None:
         async with stage(None) as scene:
             assert (await scene.ask("lodge", timeout="0.3")).status == 504
             await until(lambda: scene.servers[0].closed == [0])
-            assert at_the_sidecar(scene) == 0
+            assert open_requests(scene) == 0
 
     play(work)
 
 
-def test_a_second_answer_that_comes_late_is_not_the_next_requests(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Nothing in an answer names its request, so one that comes when the next is written can't be told apart.
+def test_pool_discards_duplicate_response_within_reuse_delay(monkeypatch: pytest.MonkeyPatch) -> None:
+    # Nothing in a response names its request.
     monkeypatch.setattr(upstream, "_REUSE_DELAY_US", 2_000_000)
 
     async def work() -> None:
-        once_more = asyncio.Event()
+        send_duplicate = asyncio.Event()
 
         async def echo(heard: Heard) -> bytes:
             if len(scene.heard) > 1:
-                await once_more.wait()
+                await send_duplicate.wait()
             body = heard.target.rpartition("/")[2].encode()
             return HEAD + b"Content-Length: %d\r\n\r\n%s" % (len(body), body)
 
@@ -217,20 +200,18 @@
             client = await scene.client()
             assert (await client.ask("lodge", target="/api/10")).body == b"10"
             client.send(request("lodge", timeout="15", target="/api/11"))
-            await until(lambda: at_the_sidecar(scene) == 1)
+            await until(lambda: open_requests(scene) == 1)
             scene.heard[0].writer.write(HEAD + b"Content-Length: 2\r\n\r\n10")
             await scene.heard[0].writer.drain()
-            once_more.set()
+            send_duplicate.set()
             assert (await client.answer()).body == b"11"
             assert scene.servers[0].connections == 2
 
     play(work)
 
 
-@pytest.mark.parametrize("why", ["drains", "client gone", "served"])
-def test_what_waits_for_a_connection_to_rest_is_looked_at_once_more(
-    why: str, monkeypatch: pytest.MonkeyPatch
-) -> None:
+@pytest.mark.parametrize("cause", ["drains", "client disconnected", "served"])
+def test_pool_checks_request_again_after_reuse_delay(cause: str, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(upstream, "_REUSE_DELAY_US", 2_000_000)
 
     async def work() -> None:
@@ -240,24 +221,24 @@
             assert (await client.ask("lodge")).status == 200
             client.send(request("lodge", timeout="15"))
             await until(lambda: len(scene.sidecar._upstream._reuse_timers) == 1)
-            if why == "drains":
+            if cause == "drains":
                 scene.discovery.tell(line("s-0", scene.servers[0].address, state="leaving"))
                 await until(lambda: len(scene.discovery.heard) >= 3)
                 assert (await client.answer()).status == 503
-            elif why == "client gone":
+            elif cause == "client disconnected":
                 client.close()
-                await until(lambda: at_the_sidecar(scene) == 0)
+                await until(lambda: open_requests(scene) == 0)
             else:
                 assert (await client.answer()).status == 200
             await until(lambda: not scene.sidecar._upstream._reuse_timers)
-            assert len(scene.heard) == (2 if why == "served" else 1)
+            assert len(scene.heard) == (2 if cause == "served" else 1)
             assert scene.servers[0].connections == 1
 
     play(work)
 
 
-def test_a_connection_is_used_again_and_one_that_ended_is_not(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Guards against writing to a connection whose end lies unread in the socket: that may have run.
+def test_pool_reuses_open_connection_but_not_ended_one(monkeypatch: pytest.MonkeyPatch) -> None:
+    # A request written to a connection whose end is unread in the socket would count as possibly executed.
     monkeypatch.setattr(upstream, "_REUSE_DELAY_US", 0)
 
     async def work() -> None:
@@ -273,7 +254,7 @@
     play(work)
 
 
-def test_a_connection_near_its_idle_limit_is_not_used() -> None:
+def test_pool_does_not_reuse_connection_near_idle_timeout() -> None:
     async def work() -> None:
         async with stage(OK, bounds={"idleCloseUs": 50_000}) as scene:
             client = await scene.client()
@@ -286,7 +267,7 @@
 
 
 @pytest.mark.parametrize("change", ["addr", "started_ms"])
-def test_connections_to_what_was_there_before_go(change: str) -> None:
+def test_pool_closes_connections_when_server_restarts_or_moves(change: str) -> None:
     async def work() -> None:
         async with stage(OK, OK, listed=False) as scene:
             first, second = (each.address for each in scene.servers)
@@ -305,8 +286,8 @@
     play(work)
 
 
-def test_idle_connections_to_a_server_that_drains_are_closed() -> None:
-    # Guards against holding places, of which a server has few, where nothing new may go.
+def test_pool_closes_idle_connections_when_server_drains() -> None:
+    # A draining server gets no new requests, and its capacity for connections is small.
     async def work() -> None:
         async with stage(OK, bounds={"idleCloseUs": 600_000_000}) as scene:
             await until(lambda: len(scene.discovery.heard) >= 2)
@@ -318,9 +299,9 @@
 
 
 @pytest.mark.parametrize("may_cancel", [True, False])
-@pytest.mark.parametrize("why", ["drains", "leaves", "client gone"])
-def test_nothing_is_written_when_a_dial_comes_up_too_late(why: str, may_cancel: bool) -> None:
-    # Guards rule 3 (a drain that is told while the dial is under way) and an attempt that was called off.
+@pytest.mark.parametrize("cause", ["drains", "removed", "client disconnected"])
+def test_pool_writes_nothing_when_connection_is_established_too_late(cause: str, may_cancel: bool) -> None:
+    # A drain is announced, or the attempt cancelled, while its connection is being established.
     async def work() -> None:
         slow = SlowToAccept()
         await slow.fill()
@@ -330,16 +311,18 @@
             await until(lambda: len(scene.discovery.heard) >= 3)
             client = await scene.client()
             client.send(request("lodge", timeout="15"))
-            await until(lambda: at_the_sidecar(scene) == 1)
-            if why == "client gone":
+            await until(lambda: open_requests(scene) == 1)
+            if cause == "client disconnected":
                 client.close()
-                await until(lambda: at_the_sidecar(scene) == 0)
+                await until(lambda: open_requests(scene) == 0)
             else:
-                scene.discovery.tell(line("s", slow.address, state="leaving" if why == "drains" else "left"))
+                scene.discovery.tell(
+                    line("s", slow.address, state="leaving" if cause == "drains" else "left")
+                )
                 await until(lambda: len(scene.discovery.heard) >= 4)
             accepted = await slow.let_go()
-            if why == "client gone":
-                scene.sidecar.close()  # the connection itself is good and was kept
+            if cause == "client disconnected":
+                scene.sidecar.close()  # the connection is usable and was retained
             else:
                 assert (await client.answer()).status == 503
             assert await asyncio.get_running_loop().sock_recv(accepted, 1_000) == b""
@@ -349,11 +332,11 @@
     play(work)
 
 
-def test_no_more_connections_than_there_is_room_for(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Guards against running out of descriptors; what finds no room was not sent, so it is refused.
+def test_pool_rejects_requests_beyond_max_connections(monkeypatch: pytest.MonkeyPatch) -> None:
+    # Descriptors are limited; a request without a connection was not sent, so it is rejected.
     monkeypatch.setattr(
         concurrency_limit, "START_LIMIT", 1e9
-    )  # else the decisions refuse some of these first
+    )  # else admission control rejects some of these first
 
     async def work() -> None:
         release, hold = holding()
@@ -366,23 +349,9 @@
                 await soon(clients[-1].writer.drain())
                 if number < 16:
                     await until(lambda sent=number + 1: len(scene.heard) == sent)  # type: ignore[misc]
-            await until(lambda: at_the_sidecar(scene) == 16)
+            await until(lambda: open_requests(scene) == 16)
             release.set()
             statuses = sorted([(await client.answer()).status for client in clients])
             assert statuses == [200] * 16 + [503] * 4
 
     play(work)
-
-
-def test_load_reports_reach_the_decisions_and_nonsense_does_not() -> None:
-    from tulipnotch.sidecar.http1.messages import Response
-    from tulipnotch.sidecar.upstream.load_report import load_report
-
-    def read(text: bytes) -> dict[str, float] | None:
-        return load_report(Response(200, [(b"server-load", text)], b""), ("qps", "util"))
-
-    assert read(b"TEXT qps=7, util=0.61, queue=2") == {"qps": 7.0, "util": 0.61}
-    assert read(b"TEXT util=nan, qps=inf") is None
-    assert read(b"TEXT util=-0.5, qps=1e300") is None
-    assert read(b"\xff=,,=;util") is None
-    assert load_report(Response(200, [], b""), ("qps",)) is None
--- /dev/null
+++ b/tests/sidecar/upstream/test_rejection_proofs.py
@@ -0,0 +1,181 @@
+"""Which responses prove that a request was not executed, and the response that its client gets then."""
+
+from __future__ import annotations
+
+import asyncio
+from contextlib import asynccontextmanager
+from typing import Any
+
+import pytest
+from barriers import reset, server_line, tell
+from loopback import ERROR, FULL, OK, Heard, play, reply, request, stage, until
+
+from tulipnotch.sidecar.downstream.server import ClientLimits
+from tulipnotch.sidecar.http1.body import MAX_BUFFERED_BODY_BYTES
+
+_REJECTED = (429, 503)
+
+
+# Responses
+
+
+@asynccontextmanager
+async def _two_servers(first: Any) -> Any:
+    """A stage whose first server has read a non-idempotent request; the second is listed only then."""
+    release = asyncio.Event()
+
+    async def script(heard: Heard) -> bytes | None:
+        await release.wait()
+        answer: bytes | None = await first(heard)
+        return answer
+
+    async with stage(script, OK, listed=False) as scene:
+        await tell(scene, server_line(0, scene.servers[0].address))
+        client = await scene.client()
+        client.send(request("lodge", timeout="4.0"))
+        await until(lambda: len(scene.heard) == 1)
+        await tell(scene, server_line(1, scene.servers[1].address))
+        release.set()
+        yield scene, client
+
+
+_WITH_BODY = b"HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 10\r\n\r\nqueue full"
+_CUTS = [1, 12, 20, 30, 35, len(FULL) - 2, len(FULL) - 1]
+
+
+@pytest.mark.parametrize("end", ["fin", "reset", "silence"])
+@pytest.mark.parametrize("cut", [FULL[:at] for at in _CUTS] + [_WITH_BODY[:-10], _WITH_BODY[:-1]], ids=repr)
+def test_rejection_proves_nothing_when_truncated(cut: bytes, end: str) -> None:
+    async def work() -> None:
+        async def first(heard: Heard) -> bytes | None:
+            if end == "silence":
+                return cut
+            heard.writer.write(cut)
+            await heard.writer.drain()
+            if end == "fin":
+                heard.writer.close()
+            else:
+                reset(heard)
+            return None
+
+        async with _two_servers(first) as (scene, client):
+            assert (await client.answer()).status == 502
+            assert scene.servers[1].heard == []
+
+    play(work)
+
+
+@pytest.mark.parametrize(
+    "answer",
+    [
+        b"HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n",
+        b"HTTP/1.1 503 Full\r\nNot-Started: 0\r\nContent-Length: 0\r\n\r\n",
+        b"HTTP/1.1 503 Full\r\nNot-Started:\r\nContent-Length: 0\r\n\r\n",
+        b"HTTP/1.1 503 Full\r\nNot-Started: 10\r\nContent-Length: 0\r\n\r\n",
+        b"HTTP/1.1 503 Full\r\nNot-Started: 1\r\nNot-Started: 0\r\nContent-Length: 0\r\n\r\n",
+        b"HTTP/1.1 503 Full\r\nNot-Started: 0\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n",
+        b"HTTP/1.1 503 Full\r\nX-Not-Started: 1\r\nContent-Length: 0\r\n\r\n",
+        b"HTTP/1.1 500 Broken\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n",
+        b"HTTP/1.1 429 Slow\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n",
+        b"HTTP/1.1 502 Odd\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n",
+        b"HTTP/1.1 103 Early\r\nNot-Started: 1\r\n\r\n" + ERROR,
+        b"HTTP/1.1 503 Full\r\nTransfer-Encoding: chunked\r\n\r\n0\r\nNot-Started: 1\r\n\r\n",
+    ],
+    ids=repr,
+)
+def test_response_proves_nothing_when_it_is_no_rejection_by_protocol(answer: bytes) -> None:
+    async def work() -> None:
+        async def first(heard: Heard) -> bytes:
+            return answer
+
+        async with _two_servers(first) as (scene, client):
+            assert (await client.answer()).status not in (200, *_REJECTED)
+            assert scene.servers[1].heard == []
+
+    play(work)
+
+
+@pytest.mark.parametrize("status", [b"503 Full", b"504 Over"])
+@pytest.mark.parametrize("name", [b"Not-Started", b"not-started", b"NOT-STARTED"])
+def test_rejection_is_proof_once_when_received_twice_on_new_connection(name: bytes, status: bytes) -> None:
+    async def work() -> None:
+        async def first(heard: Heard) -> bytes:
+            return 2 * (b"HTTP/1.1 %s\r\n%s: 1\r\nContent-Length: 0\r\n\r\n" % (status, name))
+
+        async with _two_servers(first) as (scene, client):
+            assert (await client.answer()).status == 200
+            assert [len(each.heard) for each in scene.servers] == [1, 1]
+            await until(lambda: scene.servers[0].closed == [0])  # of no further use
+
+    play(work)
+
+
+@pytest.mark.parametrize("kind", ["check", "lodge"])
+def test_connection_is_not_reused_when_response_may_belong_to_another_request(
+    kind: str,
+) -> None:
+    # The first request is rejected twice.  The second rejection is taken for the response to the second
+    # request, whose own comes when the third request is written: it must not be the third one's.
+    async def work() -> None:
+        async def script(heard: Heard) -> bytes:
+            before = scene.heard[:-1]
+            if len(before) < 2:
+                return FULL
+            is_shared = before[0].connection == before[1].connection == heard.connection
+            return reply(b"second" if is_shared else b"third")
+
+        async with stage(script) as scene:
+            client = await scene.client()
+            assert (await client.ask(kind)).status == 503
+            assert (await client.ask(kind)).status != 200
+            answer = await client.ask(kind)
+            assert (answer.status, answer.body) == (200, b"third")
+
+    play(work)
+
+
+# The response to the client
+
+
+@pytest.mark.parametrize("kind", ["lodge", "amend"])
+@pytest.mark.parametrize("may_cancel", [True, False], ids=["may cancel", ""])
+def test_request_is_failed_and_not_rejected_at_deadline_when_possibly_executed(
+    kind: str, may_cancel: bool
+) -> None:
+    async def work() -> None:
+        async with stage(None, bounds={"mayCancel": may_cancel}) as scene:
+            assert (await scene.ask(kind, timeout="0.2")).status == 504
+            assert len(scene.heard) == 1
+
+    play(work)
+
+
+@pytest.mark.parametrize(
+    "behind", [b"", b"nonsense\r\n\r\n", request("lodge")], ids=["", "malformed", "next"]
+)
+@pytest.mark.parametrize("limit", ["memory", ""])
+def test_request_is_not_rejected_when_its_last_byte_was_just_streamed(limit: str, behind: bytes) -> None:
+    # The read of its last byte also brings bytes that exceed the memory limit, or that are malformed.
+    async def work() -> None:
+        release = asyncio.Event()
+
+        async def holds(heard: Heard) -> bytes:
+            await release.wait()
+            return OK
+
+        limits = ClientLimits(most_bytes=MAX_BUFFERED_BODY_BYTES + 12_000) if limit else None
+        async with stage(holds, client_limits=limits) as scene:
+            client = await scene.client()
+            raw = request("lodge", timeout="4.0", body=b"x" * (MAX_BUFFERED_BODY_BYTES + 20_000))
+            client.send(raw[:-16_000])
+            await until(lambda: scene.servers[0].connections == 1)
+            (open_request,) = scene.sidecar._open.values()
+            await until(lambda: open_request.incoming.body.size == MAX_BUFFERED_BODY_BYTES + 4_000)
+            await until(lambda: open_request.calls[0].connection is not None)
+            client.send(raw[-16_000:] + behind)
+            await until(lambda: not open_request.calls[0].is_unwritten)
+            release.set()
+            answer = await client.answer()
+            assert answer.status not in _REJECTED
+
+    play(work)
--- /dev/null
+++ b/tests/sidecar/upstream/test_upstream_timeouts.py
@@ -0,0 +1,28 @@
+"""Time limits of connections to servers, as they follow from the settings."""
+
+from __future__ import annotations
+
+import pytest
+from loopback import CLASSES
+
+from tulipnotch.sidecar.upstream.timeouts import UpstreamTimeouts
+from tulipnotch.simulator_wire.adapter import settings_from_wire
+
+
+@pytest.mark.parametrize(
+    ("objectives_ms", "deadlines_ms", "timeout_s"),
+    [
+        ((600, 1_200), (2_000, 4_000), 0.24),  # a part of the shortest objective
+        ((200, 500), (400, 1_500), 0.1),  # but not less than what a busy machine does to any answer
+        ((20, 500), (100, 60_000), 0.05),  # unless nothing would be left then of the shortest deadline
+    ],
+)
+def test_stall_timeout_follows_from_objectives_and_deadlines(
+    objectives_ms: tuple[int, int], deadlines_ms: tuple[int, int], timeout_s: float
+) -> None:
+    classes = [
+        {**CLASSES[0], "name": f"kind-{index}", "promiseUs": objective * 1_000, "giveUpUs": deadline * 1_000}
+        for index, (objective, deadline) in enumerate(zip(objectives_ms, deadlines_ms, strict=True))
+    ]
+    timeouts = UpstreamTimeouts.from_settings(settings_from_wire({"lanes": classes}))
+    assert timeouts.response_stall_s == pytest.approx(timeout_s)
--- a/tests/virtual_network.py
+++ b/tests/sidecar/upstream/virtual_network.py
@@ -1,6 +1,6 @@
-"""A stand-in for the event loop, the network and the servers: virtual time, and every event by a script.
+"""A simulated event loop, network and servers: virtual time, and every event is triggered by a script.
 
-Nothing here waits, and nothing here knows a rule.  Connections are objects that keep what was handed to them;
+Nothing waits here, and nothing checks a rule.  Connections are objects that record what was written to them;
 each has a real socket pair, because the program polls its sockets and shuts them down.
 """
 
@@ -18,7 +18,7 @@
 OPENED_AT = 50_000_000  # the virtual clock at the start, in microseconds
 
 SERVED = b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nserved"
-TURNED_AWAY = b"HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"
+REJECTED = b"HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"
 
 
 class VirtualLoop(asyncio.BaseEventLoop):
@@ -29,7 +29,7 @@
         self._now = 0.0
         self.network = network
         self.faults: list[str] = []
-        self.set_exception_handler(self._note_fault)
+        self.set_exception_handler(self._record_fault)
 
     def time(self) -> float:
         return self._now
@@ -47,7 +47,7 @@
         events._set_running_loop(None)
         self.close()
 
-    def settle(self) -> None:
+    def run_ready(self) -> None:
         """Run callbacks in the order in which they became due, until none is due at this time."""
         ready = self._ready  # type: ignore[attr-defined]
         while ready:
@@ -59,34 +59,34 @@
         """Let time pass; timers fire on the way, each at its own time."""
         until = self._now + span_us / 1e6
         timers = self._scheduled  # type: ignore[attr-defined]
-        self.settle()
+        self.run_ready()
         while timers and timers[0].when() <= until:
             timer = heapq.heappop(timers)
             timer._scheduled = False
             if not timer._cancelled:
                 self._now = max(self._now, timer.when())
                 timer._run()
-                self.settle()
+                self.run_ready()
         self._now = until
-        self.settle()
+        self.run_ready()
 
-    def stand_still(self, span_us: int) -> None:
+    def delay(self, span_us: int) -> None:
         """Let time pass in which no callback runs: timers that fall due fire at the next `advance`."""
-        self.settle()
+        self.run_ready()
         self._now += span_us / 1e6
 
-    def _note_fault(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
+    def _record_fault(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
         self.faults.append(f"{context.get('message')}: {context.get('exception')!r}")
 
     async def create_connection(  # type: ignore[override]
         self, protocol_factory: Callable[[], Any], host: str, port: int
     ) -> tuple[Any, Any]:
-        """A dial: it comes up, or fails, when the script says so."""
+        """Connect; the script decides when that succeeds or fails."""
         dial = Dial(host, self.create_future(), self.now_us)
         self.network.dials.append(dial)
-        dial.is_held = await dial.end
+        dial.is_blocked = await dial.end
         protocol = protocol_factory()
-        connection = Connection(self, self.network, dial.host, protocol, is_held=dial.is_held)
+        connection = Connection(self, self.network, dial.host, protocol, is_blocked=dial.is_blocked)
         self.network.connections.append(connection)
         protocol.connection_made(connection)
         return connection, protocol
@@ -97,9 +97,9 @@
     """One attempt to open a connection."""
 
     host: str
-    end: asyncio.Future[bool]  # whether the network holds back what is written first
+    end: asyncio.Future[bool]  # whether the network blocks what is written first
     began_at: int
-    is_held: bool = False
+    is_blocked: bool = False
 
     @property
     def is_pending(self) -> bool:
@@ -112,23 +112,23 @@
 
     connection: Connection
     index: int  # on its connection, from 0
-    taken: bytearray = field(default_factory=bytearray)  # what the network took of the request
-    ident: str | None = None  # once its head was taken
-    whole_at: int | None = None  # when the network took its last byte
-    was_held: bool = False  # whether the network held a part of it back
-    was_handed_over: bool = False  # whether the loop held its last byte before the network took it
-    first_answer: bytes | None = None  # the first that came on the connection since its first byte
-    is_first_answer_own: bool = False
-    own_answer: bytes | None = None  # the one that its server gave to it
-
-    def take(self, piece: bytes) -> bool:
+    accepted: bytearray = field(default_factory=bytearray)  # what the network took of the request
+    request_id: str | None = None  # once its head was taken
+    completed_at: int | None = None  # when the network accepted its last byte
+    was_blocked: bool = False  # whether the network blocked a part of it
+    was_buffered: bool = False  # whether the loop buffered its last byte before the network accepted it
+    first_response: bytes | None = None  # the first that came on the connection since its first byte
+    is_first_response_own: bool = False
+    own_response: bytes | None = None  # the one that its server gave to it
+
+    def accept(self, piece: bytes) -> bool:
         """Count a piece in; say whether the last byte is among it."""
-        self.taken += piece
-        head, end, body = bytes(self.taken).partition(b"\r\n\r\n")
+        self.accepted += piece
+        head, end, body = bytes(self.accepted).partition(b"\r\n\r\n")
         if not end:
             return False
         fields = dict(line.split(b": ", 1) for line in head.split(b"\r\n")[1:])
-        self.ident = fields[b"request-id"].decode()
+        self.request_id = fields[b"request-id"].decode()
         length = int(fields.get(b"content-length", b"0"))
         assert len(body) <= length, "more was written than the request has"
         return len(body) == length
@@ -183,21 +183,21 @@
 
 
 class Connection(Transport):
-    """A connection to a server.  While it is held, the network takes half of the first piece and no more."""
+    """A connection to a server.  While it is blocked, the network accepts half of the first write only."""
 
     def __init__(
-        self, loop: VirtualLoop, network: Network, host: str, protocol: Any, *, is_held: bool
+        self, loop: VirtualLoop, network: Network, host: str, protocol: Any, *, is_blocked: bool
     ) -> None:
         super().__init__(loop, protocol)
         self.network = network
         self.host = host
-        self.is_held = is_held
-        self.has_room = is_held  # for half of the next piece
-        self.held_back = b""  # what the loop holds
+        self.is_blocked = is_blocked
+        self.has_space = is_blocked  # for half of the next piece
+        self.transport_buffer = b""  # what the loop buffers
         self.opened_at = loop.now_us
         self.exchanges: list[Exchange] = []
         self.was_reset = False
-        self.was_held_again = False
+        self.was_blocked_again = False
 
     @property
     def exchange(self) -> Exchange | None:
@@ -210,7 +210,7 @@
         return not (self.is_closed or self.was_reset)
 
     @property
-    def has_ended_sending(self) -> bool:
+    def has_shut_down_sending(self) -> bool:
         """Whether the other end can see by now that no more will come."""
         if self.was_reset:
             return True
@@ -220,86 +220,86 @@
             return False
 
     def write(self, data: bytes) -> None:
-        """The program gives the loop bytes to write; what the network does not take, the loop holds."""
+        """The program gives the loop bytes to write; it buffers what the network does not accept."""
         if not data or not self.is_open:
             return
-        taken = 0 if self.held_back else self._room_for(data)
-        self._take(data[:taken])
-        if taken < len(data):
-            is_first = not self.held_back
-            self.held_back += bytes(data[taken:])
+        accepted = 0 if self.transport_buffer else self._space_for(data)
+        self._accept(data[:accepted])
+        if accepted < len(data):
+            is_first = not self.transport_buffer
+            self.transport_buffer += bytes(data[accepted:])
             if is_first:
                 self.protocol.pause_writing()
 
-    def write_at_once(self, data: bytes) -> int:
-        """The program writes to the socket itself; how much of it the network takes."""
+    def write_to_kernel(self, data: bytes) -> int:
+        """The program writes to the socket itself; returns how much the network accepts."""
         if not self.is_open:
             raise BrokenPipeError
-        assert not self.held_back, "bytes overtake those that the loop holds"
-        taken = self._room_for(data)
-        if data and not taken:
+        assert not self.transport_buffer, "bytes overtake those that the loop buffers"
+        accepted = self._space_for(data)
+        if data and not accepted:
             raise BlockingIOError
-        self._take(data[:taken])
-        return taken
+        self._accept(data[:accepted])
+        return accepted
 
-    def _room_for(self, data: bytes) -> int:
-        if not self.is_held:
+    def _space_for(self, data: bytes) -> int:
+        if not self.is_blocked:
             return len(data)
-        has_room, self.has_room = self.has_room, False
-        return len(data) // 2 if has_room else 0
+        has_space, self.has_space = self.has_space, False
+        return len(data) // 2 if has_space else 0
 
     def get_write_buffer_size(self) -> int:
-        return len(self.held_back)
+        return len(self.transport_buffer)
 
     def abort(self) -> None:
-        self.held_back = b""
+        self.transport_buffer = b""
         super().abort()
 
     @property
-    def is_stuck(self) -> bool:
-        """Whether a request has begun to leave, and the network takes no more of it."""
+    def is_partly_written(self) -> bool:
+        """Whether a request is written in part, and the network accepts no more of it."""
         last = self.exchange
-        return self.is_open and self.is_held and last is not None and last.whole_at is None
+        return self.is_open and self.is_blocked and last is not None and last.completed_at is None
 
-    def _take(self, data: bytes) -> None:
+    def _accept(self, data: bytes) -> None:
         if not data:
             return
         last = self.exchange
-        if last is None or last.whole_at is not None:
-            last = Exchange(self, len(self.exchanges), was_held=self.is_held)
+        if last is None or last.completed_at is not None:
+            last = Exchange(self, len(self.exchanges), was_blocked=self.is_blocked)
             self.exchanges.append(last)
-        if last.take(data):
-            last.whole_at = self.loop.now_us
-            self.network.on_whole(last)
+        if last.accept(data):
+            last.completed_at = self.loop.now_us
+            self.network.on_completed(last)
 
     # What the script does
 
-    def let_through(self, *, holds_again: bool) -> None:
-        """The network takes what it held back, and all that follows, unless it holds that back again."""
-        self.is_held = self.was_held_again = holds_again
-        data, self.held_back = self.held_back, b""
+    def unblock(self, *, blocks_again: bool) -> None:
+        """The network accepts what it blocked, and all that follows, unless it blocks that again."""
+        self.is_blocked = self.was_blocked_again = blocks_again
+        data, self.transport_buffer = self.transport_buffer, b""
         if data:
             last = self.exchange
             assert last is not None
-            last.was_handed_over = True
-            self._take(data)
-            last.was_handed_over = last.whole_at is not None
+            last.was_buffered = True
+            self._accept(data)
+            last.was_buffered = last.completed_at is not None
             self.protocol.resume_writing()
 
-    def answer(self, data: bytes, *, is_own: bool) -> None:
-        """An answer comes: the server's to this exchange, or a late copy of an earlier one's."""
+    def respond(self, data: bytes, *, is_own: bool) -> None:
+        """A response is received: the server's to this exchange, or a late duplicate of an earlier one."""
         last = self.exchange
         assert last is not None
-        if last.first_answer is None:
-            last.first_answer, last.is_first_answer_own = data, is_own
+        if last.first_response is None:
+            last.first_response, last.is_first_response_own = data, is_own
         if is_own:
-            last.own_answer = data
+            last.own_response = data
         self.deliver(data)
 
     def reset(self) -> None:
-        """The connection breaks, and the loop hears of it."""
+        """The connection is reset, and the loop is notified."""
         self.was_reset = self.is_closed = True
-        self.held_back = b""
+        self.transport_buffer = b""
         self.far.close()
         self.protocol.connection_lost(ConnectionResetError())
 
@@ -312,35 +312,35 @@
 
     def write(self, descriptor: int, data: bytes) -> int:
         """As `os.write` does on a socket that does not block."""
-        return self._find().by_descriptor(descriptor).write_at_once(data)
+        return self._find().by_descriptor(descriptor).write_to_kernel(data)
 
 
 class ClientEnd(Transport):
     """The application's connection to the sidecar."""
 
-    def __init__(self, loop: VirtualLoop, protocol: Any, on_answer: Callable[[int], None]) -> None:
+    def __init__(self, loop: VirtualLoop, protocol: Any, on_response: Callable[[int], None]) -> None:
         super().__init__(loop, protocol)
-        self.on_answer = on_answer  # told the status of each answer, as it is written
-        self.has_left = False  # the other end has closed
-        self.is_leaving_unread = False  # and the loop has not read that yet
+        self.on_response = on_response  # called with the status of each response, as it is written
+        self.has_disconnected = False  # the other end has closed
+        self.is_disconnect_unread = False  # and the loop has not read that yet
         protocol.connection_made(self)
 
     def write(self, data: bytes) -> None:
         if data.startswith(b"HTTP/1.1 "):
-            self.on_answer(int(data[9:12]))
+            self.on_response(int(data[9:12]))
 
     def get_write_buffer_size(self) -> int:
         return 0
 
     def leave(self) -> None:
         """The application closes its connection; the loop reads that in `notice`."""
-        self.has_left = self.is_leaving_unread = True
+        self.has_disconnected = self.is_disconnect_unread = True
         self.far.close()
 
-    def notice(self) -> None:
+    def read_disconnect(self) -> None:
         """The loop reads the connection's end."""
-        if self.is_leaving_unread:
-            self.is_leaving_unread = False
+        if self.is_disconnect_unread:
+            self.is_disconnect_unread = False
             if not self.is_closed:
                 self.is_closed = True
                 self.protocol.eof_received()
@@ -348,10 +348,10 @@
 
 
 class Network:
-    """All dials and connections to servers, in the order in which they began."""
+    """All dials and connections to servers, in the order of their start."""
 
-    def __init__(self, on_whole: Callable[[Exchange], None]) -> None:
-        self.on_whole = on_whole  # told in the instant in which a request's last byte is taken
+    def __init__(self, on_completed: Callable[[Exchange], None]) -> None:
+        self.on_completed = on_completed  # called when a request's last byte is accepted
         self.dials: list[Dial] = []
         self.connections: list[Connection] = []
 
--- a/tulipnotch/sidecar/upstream/unwritten_request.py
+++ b/tulipnotch/sidecar/upstream/unwritten_request.py
@@ -10,8 +10,9 @@
 class UnwrittenRequest:
     """The part of a request that was not written yet, in the order in which it is to be written.
 
-    A server may begin to execute a request with its last byte.  So what is removed while the body is incomplete
-    never contains the last byte that was received of it: that byte may turn out to be the request's last.
+    A server may begin to execute a request with its last byte.  So what is removed while the body is
+    incomplete never contains the last byte that was received of it: that byte may turn out to be the
+    request's last.
     """
 
     __slots__ = ("_has_end", "_remainder", "_request")
