--- /dev/null
+++ b/tests/sidecar/upstream/test_connection_accounting.py
@@ -0,0 +1,136 @@
+"""Connections to servers that end, or are paused, as they are established or become idle."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+from typing import Any
+
+import pytest
+import uvloop
+from loopback import HOST, OK, Heard, ScriptedServer, play, reply, soon, stage, until
+
+from tulipnotch.sidecar.http1.body import MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES
+from tulipnotch.sidecar.http1.messages import Request, Response
+from tulipnotch.sidecar.http1.response_reader import ResponseReader
+from tulipnotch.sidecar.upstream.buffered_exchange import BufferedExchange
+from tulipnotch.sidecar.upstream.connection import UpstreamConnection
+
+_LARGE = b"x" * (2 * MAX_BUFFERED_BODY_BYTES)
+
+
+def _return_after_end(patch: pytest.MonkeyPatch, ports: set[int]) -> None:
+    """Connecting to one of these ports returns only once the server has ended the connection."""
+    create = uvloop.Loop.create_connection
+
+    async def create_connection(
+        loop: uvloop.Loop, factory: Callable[[], asyncio.BaseProtocol], host: str, port: int, **how: Any
+    ) -> Any:
+        transport: asyncio.Transport
+        transport, protocol = await create(loop, factory, host, port, **how)  # type: ignore[assignment]
+        if port in ports:
+            await until(transport.is_closing)
+        return transport, protocol
+
+    patch.setattr(uvloop.Loop, "create_connection", create_connection)
+
+
+class _ClosingServer(ScriptedServer):
+    """Ends each connection as soon as it has accepted it, while `closes` is set."""
+
+    closes = True
+
+    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        if self.closes:
+            self.connections += 1
+            writer.close()
+            return
+        await super()._serve(reader, writer)
+
+
+def test_pool_does_not_count_connection_that_ends_when_established(monkeypatch: pytest.MonkeyPatch) -> None:
+    # With more of these than `max_connections`, the sidecar must still reach the server once it serves.
+    async def work() -> None:
+        server = _ClosingServer(OK)
+        async with stage(server, given={"limits": {"sockets": 64}}) as scene:
+            ports = {int(server.address.rpartition(":")[2])}
+            _return_after_end(monkeypatch, ports)
+            upstream = scene.sidecar._upstream
+            client = await scene.client()
+            for _ in range(4 * upstream.max_connections):
+                await client.ask("check")
+            server.closes = False
+            ports.clear()
+            assert (await client.ask("check")).status == 200
+
+    play(work)
+
+
+class _PausingConsumer:
+    """Has no capacity after each part, and resumes only while the response is incomplete."""
+
+    def __init__(self, connection: UpstreamConnection) -> None:
+        self._connection = connection
+        self.received_bytes = 0
+
+    def write_body(self, piece: bytes) -> None:
+        self.received_bytes += len(piece)
+        self._connection.pause()
+        if self.received_bytes < len(_LARGE):
+            asyncio.get_running_loop().call_soon(self._connection.resume)
+
+
+class _StreamedExchange(BufferedExchange):
+    """Streams a large response."""
+
+    streams_responses = True
+
+    def __init__(self, connection: UpstreamConnection) -> None:
+        super().__init__()
+        self._connection = connection
+
+    def response_started(self, _head: Response) -> _PausingConsumer:
+        return _PausingConsumer(self._connection)
+
+
+class _Owner:
+    """Records the connections that were idle again."""
+
+    def __init__(self) -> None:
+        self.idle: list[UpstreamConnection] = []
+
+    def connection_idle(self, connection: UpstreamConnection) -> None:
+        self.idle.append(connection)
+
+    def connection_closed(self, connection: UpstreamConnection) -> None:
+        """Not recorded."""
+
+
+def test_connection_is_reusable_when_last_part_of_response_paused_reading() -> None:
+    async def work() -> None:
+        async def script(heard: Heard) -> bytes:
+            return reply(_LARGE) if heard.target == "/large" else OK
+
+        server = await ScriptedServer(script).start()
+        owner = _Owner()
+        host, _, port = server.address.rpartition(":")
+        _, connection = await asyncio.get_running_loop().create_connection(
+            lambda: UpstreamConnection(ResponseReader(MAX_BUFFERED_BODY_BYTES, MAX_BODY_BYTES), owner, 5.0),
+            host,
+            int(port),
+        )
+        assert (await _exchanged(connection, "/large")).status == 200
+        assert owner.idle == [connection]
+        assert (await _exchanged(connection, "/small")).status == 200
+        connection.close()
+        server.stop()
+
+    play(work)
+
+
+async def _exchanged(connection: UpstreamConnection, target: str) -> Response:
+    exchange = _StreamedExchange(connection)
+    connection.exchange(Request(b"GET", target.encode(), [(b"host", HOST.encode())]), exchange)
+    response = await soon(exchange.result)
+    assert isinstance(response, Response)
+    return response
--- a/tulipnotch/sidecar/action_executor.py
+++ b/tulipnotch/sidecar/action_executor.py
@@ -31,7 +31,7 @@
 from tulipnotch.sidecar.requests.attempts import AttemptStarter
 from tulipnotch.sidecar.requests.context import SidecarContext
 from tulipnotch.sidecar.requests.responses import ResponseSender
-from tulipnotch.sidecar.upstream.pool import load_report
+from tulipnotch.sidecar.upstream.load_report import load_report
 from tulipnotch.sidecar.upstream.request import IndependentRequestObserver, UpstreamRequest
 
 _HEALTH_CHECK_TIMEOUT_US = 1_000_000
--- a/tulipnotch/sidecar/requests/attempts.py
+++ b/tulipnotch/sidecar/requests/attempts.py
@@ -13,8 +13,9 @@
 from tulipnotch.sidecar.requests.open_request import ClientLeft, OpenRequest, WaitingForResponse
 from tulipnotch.sidecar.requests.request_registry import RequestRegistry
 from tulipnotch.sidecar.requests.responses import ResponseSender
-from tulipnotch.sidecar.upstream.connection import ResponseConsumer, UpstreamConnection
-from tulipnotch.sidecar.upstream.pool import load_report
+from tulipnotch.sidecar.upstream.connection import UpstreamConnection
+from tulipnotch.sidecar.upstream.exchange import ResponseConsumer
+from tulipnotch.sidecar.upstream.load_report import load_report
 from tulipnotch.sidecar.upstream.request import UpstreamRequest
 
 
