--- a/tests/test_announced.py
+++ b/tests/test_announced.py
@@ -31,10 +31,10 @@
 from tulipnotch.load_balancing.events import EndpointState
 from tulipnotch.load_balancing.settings import DiscoveryMode as Mode
 from tulipnotch.sidecar import sidecar
+from tulipnotch.sidecar.addresses import parse_address
 from tulipnotch.sidecar.configuration.configuration import parse
 from tulipnotch.sidecar.discovery import client as discovery
 from tulipnotch.sidecar.discovery.poll_schedule import PollSchedule
-from tulipnotch.sidecar.upstream.connection import parse_address
 
 PLAN = PollSchedule(1.2)  # the users' 6 s at a fifth
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -22,10 +22,10 @@
 )
 from slow_to_accept import SlowToAccept
 
+from tulipnotch.sidecar.addresses import parse_address
 from tulipnotch.sidecar.discovery import client as discovery
 from tulipnotch.sidecar.discovery.client import DiscoveryClient, DiscoveryResponse, Waits, parse_listing
 from tulipnotch.sidecar.discovery.poll_schedule import PollSchedule
-from tulipnotch.sidecar.upstream.connection import parse_address
 
 SOON = PollSchedule(1.2)  # a watch that fell silent is overdue within the test
 NEVER = PollSchedule(8 * PATIENCE_S)  # nothing is given up within the test
--- a/tests/test_instants.py
+++ b/tests/test_instants.py
@@ -38,6 +38,7 @@
 from tulipnotch.sidecar.control import endpoint as control
 from tulipnotch.sidecar.downstream import listener
 from tulipnotch.sidecar.downstream.server import ClientLimits, ConnectionState, DownstreamConnection
+from tulipnotch.sidecar.sockets import own_socket
 from tulipnotch.sidecar.upstream import connection as client_module
 from tulipnotch.sidecar.upstream import pool as upstream
 
@@ -418,7 +419,7 @@
 
 def _send_now(writer: asyncio.StreamWriter, raw: bytes) -> None:
     """Send at once; on loopback it lies in the other side's socket when this is done, if that is open."""
-    with client_module.own_socket(writer.transport) as own:
+    with own_socket(writer.transport) as own:
         own.send(raw)
 
 
--- a/tests/test_large_lists.py
+++ b/tests/test_large_lists.py
@@ -13,8 +13,8 @@
 from loopback import HOST, OK, ScriptedDiscovery, ScriptedServer, line, play, soon
 from running import GOOD, Program, resident_bytes, running_on
 
+from tulipnotch.sidecar.addresses import Address
 from tulipnotch.sidecar.discovery.peers import PeerMessenger
-from tulipnotch.sidecar.upstream.connection import Address
 
 MANY = 1_024
 FEW = 10
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -7,8 +7,8 @@
 
 from loopback import HOST, play, soon
 
+from tulipnotch.sidecar.addresses import Address
 from tulipnotch.sidecar.discovery.peers import PeerMessenger
-from tulipnotch.sidecar.upstream.connection import Address
 
 
 def test_peers_hear_one_another_and_nobody_else() -> None:
--- a/tulipnotch/cli/ctl.py
+++ b/tulipnotch/cli/ctl.py
@@ -9,8 +9,8 @@
 import click
 
 from tulipnotch.cli.root import examples
+from tulipnotch.sidecar.addresses import Address, parse_address
 from tulipnotch.sidecar.control.client import ask, figures
-from tulipnotch.sidecar.upstream.connection import Address, parse_address
 
 CALLS = ("readyz", "telemetry", "level", "evacuate", "activate")
 
--- a/tulipnotch/sidecar/configuration/configuration.py
+++ b/tulipnotch/sidecar/configuration/configuration.py
@@ -9,8 +9,8 @@
 from typing import Any
 
 from tulipnotch.load_balancing import Settings
+from tulipnotch.sidecar.addresses import Address, parse_address
 from tulipnotch.sidecar.discovery.client import DiscoveryResponse, parse_listing
-from tulipnotch.sidecar.upstream.connection import Address, parse_address
 from tulipnotch.simulator_wire.adapter import settings_from_wire, wire_path
 
 _DEFAULT_SOCKETS = 1_024
--- a/tulipnotch/sidecar/control/client.py
+++ b/tulipnotch/sidecar/control/client.py
@@ -5,7 +5,7 @@
 import socket
 import time
 
-from tulipnotch.sidecar.upstream.connection import Address
+from tulipnotch.sidecar.addresses import Address
 
 _MOST_BYTES = 1 << 20  # of an answer
 
--- a/tulipnotch/sidecar/control/endpoint.py
+++ b/tulipnotch/sidecar/control/endpoint.py
@@ -12,8 +12,8 @@
 from dataclasses import dataclass
 from typing import cast
 
+from tulipnotch.sidecar.addresses import Address
 from tulipnotch.sidecar.downstream.listener import Acceptor, bind
-from tulipnotch.sidecar.upstream.connection import Address
 
 
 @dataclass(frozen=True, slots=True)
--- a/tulipnotch/sidecar/discovery/client.py
+++ b/tulipnotch/sidecar/discovery/client.py
@@ -15,10 +15,11 @@
     EndpointsUpdated,
     EndpointUpdateKind,
 )
+from tulipnotch.sidecar.addresses import Address, parse_address
 from tulipnotch.sidecar.clock import Clock
 from tulipnotch.sidecar.discovery.poll_schedule import PollSchedule
 from tulipnotch.sidecar.http1.messages import Request, Response, ResponseReader
-from tulipnotch.sidecar.upstream.connection import Address, ExchangeFailure, UpstreamConnection, parse_address
+from tulipnotch.sidecar.upstream.connection import ExchangeFailure, UpstreamConnection
 
 _STATES = {"active": EndpointState.READY, "leaving": EndpointState.DRAINING, "left": EndpointState.REMOVED}
 _PATH = "/catalog/members"
--- a/tulipnotch/sidecar/discovery/peers.py
+++ b/tulipnotch/sidecar/discovery/peers.py
@@ -7,7 +7,7 @@
 from contextlib import suppress
 from typing import cast
 
-from tulipnotch.sidecar.upstream.connection import Address
+from tulipnotch.sidecar.addresses import Address
 
 _BIND_AGAIN_S = 0.5  # between two tries to get the own address
 MOST_BYTES = 256  # of a datagram; a longer one is never sent
--- a/tulipnotch/sidecar/downstream/listener.py
+++ b/tulipnotch/sidecar/downstream/listener.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from enum import Enum, unique
 
-from tulipnotch.sidecar.upstream.connection import Address
+from tulipnotch.sidecar.addresses import Address
 
 _WAITING = 1_024  # connections that the kernel holds until they are accepted, at least; 65,535 at most
 _LONGEST_QUEUE = 65_535  # connections that the kernel may hold
--- a/tulipnotch/sidecar/downstream/server.py
+++ b/tulipnotch/sidecar/downstream/server.py
@@ -27,7 +27,7 @@
     chunk,
 )
 from tulipnotch.sidecar.requests.invariants import CloseReason, InvariantChecker
-from tulipnotch.sidecar.upstream.connection import own_socket
+from tulipnotch.sidecar.sockets import own_socket
 
 _READ_AT_ONCE = 32 << 10
 _WAITING = 32 << 10  # of a body that passes through, before its client has to wait for the server
--- a/tulipnotch/sidecar/upstream/connection.py
+++ b/tulipnotch/sidecar/upstream/connection.py
@@ -6,53 +6,20 @@
 from __future__ import annotations
 
 import asyncio
-import ipaddress
 import os
 import select
 import socket
-from collections.abc import Callable, Iterator
-from contextlib import contextmanager
+from collections.abc import Callable
 from enum import Enum, unique
 from typing import Protocol, cast
 
 from tulipnotch.sidecar.http1.messages import Request, Response, ResponseReader
+from tulipnotch.sidecar.sockets import own_socket
 
 _PASSING_TIMEOUT_S = 20.0  # without a byte of one that is being passed on: its client has nobody else to ask
 
 _LOOK_FOR_ROOM_S = 0.002  # between two offers of a request's last byte to a kernel that had no room for it
 
-Address = tuple[str, int]
-
-
-def parse_address(value: object) -> Address:
-    """Split `address:port`; there is no DNS, so the address must be a numeric one."""
-    if not isinstance(value, str):
-        raise ValueError(f"address:port is needed, not {value!r:.60}")
-    host, _, port = value.rpartition(":")
-    try:
-        ipaddress.ip_address(host.strip("[]"))
-        number = int(port)
-    except ValueError:
-        raise ValueError(f"address:port is needed, not {value!r:.60}") from None
-    if not 0 <= number <= 65_535:
-        raise ValueError(f"a port from 0 to 65535 is needed, not {number}")
-    return host.strip("[]"), number
-
-
-@contextmanager
-def own_socket(transport: asyncio.BaseTransport) -> Iterator[socket.socket]:
-    """The socket of an open transport, to act on at once; what fails because the peer was quicker is let be.
-
-    Event loops lend theirs only to look at.  No descriptor more is needed: there may be none.
-    """
-    plain = socket.socket(fileno=transport.get_extra_info("socket").fileno())
-    try:
-        yield plain
-    except OSError:
-        pass
-    finally:
-        plain.detach()
-
 
 @unique
 class ExchangeFailure(Enum):
--- a/tulipnotch/sidecar/upstream/pool.py
+++ b/tulipnotch/sidecar/upstream/pool.py
@@ -10,16 +10,12 @@
 from tulipnotch.load_balancing.events import EndpointState
 from tulipnotch.load_balancing.outcomes import Outcome
 from tulipnotch.load_balancing.settings import Settings
+from tulipnotch.sidecar.addresses import Address
 from tulipnotch.sidecar.clock import Clock
 from tulipnotch.sidecar.discovery.client import DiscoveryResponse
 from tulipnotch.sidecar.http1.messages import KEPT, MOST_BODY, Response, ResponseReader
 from tulipnotch.sidecar.requests.invariants import Invariant, InvariantChecker
-from tulipnotch.sidecar.upstream.connection import (
-    Address,
-    ExchangeFailure,
-    ResponseConsumer,
-    UpstreamConnection,
-)
+from tulipnotch.sidecar.upstream.connection import ExchangeFailure, ResponseConsumer, UpstreamConnection
 from tulipnotch.sidecar.upstream.request import UpstreamRequest
 
 _IDLE_MARGIN = 0.1  # of the idle limit: a connection this near to it may be closed at the far end by now
