--- a/tests/lab/broken_sidecar.py
+++ b/tests/lab/broken_sidecar.py
@@ -9,7 +9,7 @@
 from tulipnotch.load_balancing.selection.best_of_k import Selection
 from tulipnotch.load_balancing.slow_start.warm_up_budget import SlowStart
 from tulipnotch.sidecar.__main__ import main
-from tulipnotch.sidecar.discovery import client as discovery
+from tulipnotch.sidecar.discovery import endpoint_list_codec
 from tulipnotch.sidecar.sidecar import Sidecar
 from tulipnotch.sidecar.upstream.pool import UpstreamPool
 from tulipnotch.sidecar.upstream.request import IndependentRequestObserver, UpstreamRequest
@@ -52,7 +52,7 @@
 
 def deaf() -> None:
     """Word of a drain is taken for word of health."""
-    discovery._STATES["leaving"] = EndpointState.READY
+    endpoint_list_codec._STATES["leaving"] = EndpointState.READY
 
 
 def rushes() -> None:
--- a/tests/test_announced.py
+++ b/tests/test_announced.py
@@ -59,7 +59,7 @@
 ) -> None:
     # The call that waited is lost with its news; it counts as announced all the same.
     if how == "silent":
-        monkeypatch.setattr(discovery, "_PLAN", PLAN)
+        monkeypatch.setattr(discovery, "_SCHEDULE", PLAN)
 
     async def work() -> None:
         async with stage(OK, OK, discovery=mode) as scene:
@@ -159,9 +159,10 @@
 ) -> None:
     # It counts so long after discovery had it and could be reached.  Every call that began before then is
     # lost, the last of them just before, and calls have failed so often that the rest is at its longest.
-    monkeypatch.setattr(discovery, "_PLAN", PLAN)
-    monkeypatch.setattr(PollSchedule, "wait_ms", lambda plan, *_: int(1_000 * plan.watch_s))  # the longest
-    asking = {"askWithinUs": int(10e6 * PLAN.announced_s / PollSchedule().announced_s)}
+    monkeypatch.setattr(discovery, "_SCHEDULE", PLAN)
+    longest_ms = int(1_000 * PLAN.max_watch_s)
+    monkeypatch.setattr(PollSchedule, "wait_ms", lambda *_, **__: longest_ms)
+    asking = {"askWithinUs": int(10e6 * PLAN.max_propagation_s / PollSchedule().max_propagation_s)}
 
     async def known_after(order: str) -> float:
         slow = SlowToAccept()
@@ -209,7 +210,7 @@
                     await begun(1)
                 dials.lose = 1 if "lost" in order else 0
             if order == "silent in the middle":
-                await asyncio.sleep(PLAN.watch_s / 2)
+                await asyncio.sleep(PLAN.max_watch_s / 2)
             agent.turn(drained)
             reached = loop.time()
             await until(lambda: scene.sidecar._balancer.members() == (2, 1))
@@ -223,8 +224,9 @@
         return await asyncio.gather(*map(known_after, ORDERS))  # side by side: each has its own ends
 
     took = dict(zip(ORDERS, play(work), strict=True))
-    print(*(f"{order}, {mode}: {each:.3f} of {PLAN.announced_s}" for order, each in took.items()), sep="\n")
-    most_s = PLAN.announced_s - PLAN.answer_s  # the stand-in has no line, so its part is left over
+    bound_s = PLAN.max_propagation_s
+    print(*(f"{order}, {mode}: {each:.3f} of {bound_s}" for order, each in took.items()), sep="\n")
+    most_s = bound_s - PLAN.response_timeout_s  # the stand-in has no queue, so its part is left over
     assert {order: each for order, each in took.items() if each >= most_s} == {}
 
 
@@ -232,8 +234,8 @@
     # Guards against a fleet in step: its number is what tells its turns from the others'.
     asked: list[tuple[int, int, bool]] = []
 
-    def wait_ms(plan: PollSchedule, now_us: int, instance: int, after_news: bool) -> int:
-        asked.append((now_us, instance, after_news))
+    def wait_ms(plan: PollSchedule, now_us: int, instance: int, *, after_event: bool) -> int:
+        asked.append((now_us, instance, after_event))
         return 2_000
 
     monkeypatch.setattr(PollSchedule, "wait_ms", wait_ms)
--- a/tests/test_unlisted.py
+++ b/tests/test_unlisted.py
@@ -9,46 +9,62 @@
 from away import AWAY, Returning
 from loopback import HOST, line, play, soon, until
 
-from tulipnotch.sidecar.discovery.client import DiscoveryClient, DiscoveryResponse
+from tulipnotch.load_balancing.settings import DiscoveryMode, Rules, Settings
+from tulipnotch.sidecar.discovery.client import DiscoveryClient
+from tulipnotch.sidecar.discovery.endpoint_list_codec import DiscoveryResponse
 from tulipnotch.sidecar.discovery.poll_schedule import PollSchedule
 
 WITHIN_S = 1.0
 PLAN = PollSchedule()
 
 
-async def _listed_after_s(away: str, *, pushed: bool = False, has_list: bool = False) -> float:
+class _Observer:
+    """Queues responses and counts failures."""
+
+    def __init__(self) -> None:
+        self.responses: asyncio.Queue[DiscoveryResponse] = asyncio.Queue()
+        self.failures = 0
+
+    def endpoints_received(self, response: DiscoveryResponse) -> None:
+        self.responses.put_nowait(response)
+
+    def call_failed(self) -> None:
+        self.failures += 1
+
+    def fault_changed(self, fault: str) -> None:
+        pass
+
+
+async def _listed_after_s(away: str, *, pushed: bool = False) -> float:
     """From a return just after a call began to the list."""
     agent = Returning(away)
     agent.servers = [line("s-1", f"{HOST}:9")]
     await agent.go()
-    listed: asyncio.Queue[DiscoveryResponse] = asyncio.Queue()
-    failures: list[float] = []
+    settings = Settings(
+        (),
+        instance_index=7,
+        discovery_mode=DiscoveryMode.PUSHED if pushed else DiscoveryMode.POLLED,
+        rules=Rules(drain_grace_us=250_000),
+    )
+    observer = _Observer()
     discovery = DiscoveryClient(
-        (HOST, agent.port),
-        None,
-        pushed,
-        listed.put_nowait,
-        lambda: failures.append(time.monotonic()),
-        lambda fault: None,
-        grace_us=250_000,
-        instance=7,
-        has_list=has_list,
+        (HOST, agent.port), settings, DiscoveryResponse(0, is_complete=True, endpoints=()), observer
     )
 
     def calls() -> int:
-        return len(failures) if away == "refused" else len(agent.heard)
+        return observer.failures if away == "refused" else len(agent.heard)
 
     try:
         discovery.start()
-        discovery.subscribe(True)
+        discovery.subscribe()
         began = time.monotonic()
         # Where lists are pushed, the third is the last that goes out quickly beside a first call.
         await until(lambda: calls() >= (3 if pushed else 4))
         back_at = time.monotonic()
         # Guards against hammering: from the first call on, one in each turn.
-        assert pushed or calls() <= 2 + (back_at - began) / PLAN.unlisted_s
+        assert pushed or calls() <= 2 + (back_at - began) / PLAN.initial_call_interval_s
         await agent.come_back()
-        assert (await soon(listed.get())).version == 1
+        assert (await soon(observer.responses.get())).version == 1
         return time.monotonic() - back_at
     finally:
         discovery.close()
@@ -75,8 +91,8 @@
     for instance in range(200):
         now = begun
         while now < begun + 6_000_000:
-            wait_s = PLAN.until_turn_s(now, instance)
-            assert 0.0 < wait_s <= PLAN.unlisted_s + PLAN.announced_s / 600
+            wait_s = PLAN.until_initial_slot_s(now, instance)
+            assert 0.0 < wait_s <= PLAN.initial_call_interval_s + PLAN.max_propagation_s / 600
             now += int(wait_s * 1e6)
             calls.append(now)
     per_s = [sum(second <= (at - begun) / 1e6 < second + 1 for at in calls) for second in range(6)]
@@ -86,7 +102,7 @@
 
 
 def test_a_turn_that_a_timer_met_early_is_over() -> None:
-    own = PLAN.until_turn_s(1_800_000_000_000_000, 3)
+    own = PLAN.until_initial_slot_s(1_800_000_000_000_000, 3)
     at = 1_800_000_000_000_000 + int(own * 1e6)
-    assert PLAN.until_turn_s(at - 2_000, 3) > 0.9 * PLAN.unlisted_s
-    assert PLAN.until_turn_s(at + 2_000, 3) > 0.9 * PLAN.unlisted_s
+    assert PLAN.until_initial_slot_s(at - 2_000, 3) > 0.9 * PLAN.initial_call_interval_s
+    assert PLAN.until_initial_slot_s(at + 2_000, 3) > 0.9 * PLAN.initial_call_interval_s
--- a/tulipnotch/sidecar/configuration/configuration.py
+++ b/tulipnotch/sidecar/configuration/configuration.py
@@ -10,7 +10,7 @@
 
 from tulipnotch.load_balancing import Settings
 from tulipnotch.sidecar.addresses import Address, parse_address
-from tulipnotch.sidecar.discovery.client import DiscoveryResponse, parse_listing
+from tulipnotch.sidecar.discovery.endpoint_list_codec import DiscoveryResponse, parse_endpoint_list
 from tulipnotch.simulator_wire.adapter import settings_from_wire, wire_path
 
 _DEFAULT_SOCKETS = 1_024
@@ -169,7 +169,7 @@
 
 def _known(given: object) -> DiscoveryResponse:
     try:
-        return parse_listing(given) if given is not None else DiscoveryResponse(0, True, ())
+        return parse_endpoint_list(given) if given is not None else DiscoveryResponse(0, True, ())
     except ValueError as nonsense:
         raise ConfigError(f"known: {nonsense}") from None
 
--- /dev/null
+++ b/tulipnotch/sidecar/discovery/discovery_connection.py
@@ -0,0 +1,131 @@
+"""One connection to discovery, which carries one call at a time."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+
+from tulipnotch.sidecar.addresses import Address
+from tulipnotch.sidecar.discovery.endpoint_list_codec import (
+    DiscoveryError,
+    DiscoveryResponse,
+    parse_endpoint_list,
+)
+from tulipnotch.sidecar.discovery.poll_schedule import PollSchedule
+from tulipnotch.sidecar.http1.messages import Request, Response, ResponseReader
+from tulipnotch.sidecar.upstream.connection import ExchangeFailure, UpstreamConnection
+
+_PATH = "/catalog/members"
+_MAX_LIST_BYTES = 4 << 20
+_FAILURES = {
+    ExchangeFailure.UNWRITTEN: "the connection broke before the request was written",
+    ExchangeFailure.CONNECTION_LOST: "the connection broke before the response's end",
+    ExchangeFailure.MALFORMED_RESPONSE: "the response is not HTTP, too large or has no end",
+}
+
+
+class DiscoveryCallError(DiscoveryError):
+    """A call to discovery has no response, or none that can be used; the text names the cause."""
+
+
+class DiscoveryConnection:
+    """Carries calls to discovery one after another, and reconnects for the next call when it has ended."""
+
+    def __init__(self, address: Address, connect_timeout_s: float, schedule: PollSchedule) -> None:
+        """Connect to `address` with the first call, within `connect_timeout_s`."""
+        self._address = address
+        self._connect_timeout_s = connect_timeout_s
+        self._schedule = schedule
+        self._connection: UpstreamConnection | None = None
+
+    def close(self) -> None:
+        """Close the connection; a call in flight has to be cancelled by whoever made it."""
+        if self._connection is not None:
+            self._connection.close()
+
+    async def call(self, after: int | None, wait_ms: int) -> DiscoveryResponse:
+        """Call discovery once.
+
+        Args:
+            after: The version whose changes are asked for; None: the complete list.
+            wait_ms: How long discovery may wait for a change before it responds; 0: not at all.
+
+        Raises:
+            DiscoveryCallError: If there is no response in time, or none that can be used.
+        """
+        target = _PATH if after is None else f"{_PATH}?after={after}&wait_ms={wait_ms}"
+        schedule = self._schedule
+        timeout_s = wait_ms / 1_000 + schedule.response_timeout_s if wait_ms else schedule.call_timeout_s
+        try:
+            async with asyncio.timeout(timeout_s):
+                response = await self._get(target.encode())
+        except TimeoutError:
+            raise DiscoveryCallError("no response in time") from None
+        except OSError as error:
+            raise DiscoveryCallError(f"no connection: {error}") from None
+        if isinstance(response, ExchangeFailure):
+            raise DiscoveryCallError(_FAILURES[response])
+        if response.status != 200:
+            raise DiscoveryCallError(f"status {response.status}")
+        try:
+            return parse_endpoint_list(json.loads(response.body))
+        except (ValueError, RecursionError) as error:
+            raise DiscoveryCallError(f"the list can't be read: {error}") from None
+
+    async def _get(self, target: bytes) -> Response | ExchangeFailure:
+        if self._connection is None or not self._connection.is_usable():
+            self.close()
+            self._connection = await self._connect()
+            if not self._connection.is_usable():
+                # It ended as it came up, so the end of an exchange would never be reported.
+                return ExchangeFailure.UNWRITTEN
+        response: asyncio.Future[Response | ExchangeFailure] = asyncio.get_running_loop().create_future()
+
+        def exchange_ended(result: Response | ExchangeFailure) -> None:
+            if not response.done():
+                response.set_result(result)
+
+        host = f"{self._address[0]}:{self._address[1]}".encode()
+        self._connection.exchange(Request(b"GET", target, [(b"host", host)]), exchange_ended)
+        return await response
+
+    async def _connect(self) -> UpstreamConnection:
+        """Connect, with a second concurrent attempt if the first takes long; the first to succeed is used.
+
+        An attempt whose packets are lost is otherwise noticed only at its timeout.
+        """
+        attempts = {asyncio.create_task(self._attempt())}
+        try:
+            async with asyncio.timeout(self._connect_timeout_s):
+                done, _ = await asyncio.wait(attempts, timeout=self._schedule.connection_attempt_delay_s)
+                if not done:
+                    attempts.add(asyncio.create_task(self._attempt()))
+                while True:
+                    done, pending = await asyncio.wait(attempts, return_when=asyncio.FIRST_COMPLETED)
+                    connected = [attempt for attempt in done if attempt.exception() is None]
+                    if connected or not pending:
+                        attempts.discard(first := (connected or list(done))[0])
+                        return first.result()
+                    attempts = pending
+        finally:
+            for attempt in attempts:
+                attempt.cancel()
+                attempt.add_done_callback(_close_unused)
+
+    async def _attempt(self) -> UpstreamConnection:
+        def create() -> UpstreamConnection:
+            reader = ResponseReader(_MAX_LIST_BYTES)
+            return UpstreamConnection(reader, _ignore, _ignore, self._schedule.read_timeout_s)
+
+        _, connection = await asyncio.get_running_loop().create_connection(create, *self._address)
+        return connection
+
+
+def _close_unused(attempt: asyncio.Task[UpstreamConnection]) -> None:
+    """Close the connection of an attempt that succeeded although it was cancelled or came second."""
+    if not attempt.cancelled() and attempt.exception() is None:
+        attempt.result().close()
+
+
+def _ignore(_: UpstreamConnection) -> None:
+    """Nothing has to be done: `is_usable` is asked before each call."""
--- a/tulipnotch/sidecar/sidecar.py
+++ b/tulipnotch/sidecar/sidecar.py
@@ -54,7 +54,8 @@
 from tulipnotch.sidecar.control.endpoint import CommandHandler, CommandRejectedError, ControlLimits
 from tulipnotch.sidecar.control.lifecycle import Lifecycle, Phase
 from tulipnotch.sidecar.control.telemetry import Result, Telemetry
-from tulipnotch.sidecar.discovery import client as discovery
+from tulipnotch.sidecar.discovery.client import DiscoveryClient
+from tulipnotch.sidecar.discovery.endpoint_list_codec import DiscoveryResponse
 from tulipnotch.sidecar.discovery.peers import PeerMessenger
 from tulipnotch.sidecar.downstream.incoming_request import BadRequestError, IncomingRequest
 from tulipnotch.sidecar.downstream.listener import left_waiting, listen, reserve_soon
@@ -151,18 +152,7 @@
         )
         self._upstream = UpstreamPool(self._clock, config.settings, self._guard)
         self._divide_descriptors(config.sockets)
-        self._discovery = discovery.DiscoveryClient(
-            config.discovery,
-            config.known.version,
-            config.settings.discovery_mode is DiscoveryMode.PUSHED,
-            self._listed,
-            lambda: self._post(EndpointsUpdated(EndpointUpdateKind.FAILED)),
-            lambda fault: self._log("no_list", fault=fault),
-            config.settings.rules.drain_grace_us,
-            config.settings.instance_index,
-            has_list=bool(config.known.endpoints),
-            max_poll_interval_us=config.settings.rules.max_poll_interval_us,
-        )
+        self._discovery = DiscoveryClient(config.discovery, config.settings, config.known, observer=self)
         self._ladder = (
             ServiceLevelController(levels.levels, levels.hold_us, self._clock.now()) if levels else None
         )
@@ -352,7 +342,7 @@
         self._settings = settings
         self.telemetry.add_classes(each.name for each in settings.classes)
         self._upstream.apply_settings(settings)
-        self._discovery.apply_settings(settings.rules.drain_grace_us, settings.rules.max_poll_interval_us)
+        self._discovery.apply_settings(settings)
         self.frontend.apply_settings(settings)
         self._post(SettingsChanged(settings))
 
@@ -456,10 +446,19 @@
         if isinstance(where, (RequestArrived, AttemptEnded, StartAttempt, RejectRequest, FailRequest)):
             self._answer(where.request, 500, [])
 
-    def _listed(self, listing: discovery.DiscoveryResponse) -> None:
+    def endpoints_received(self, response: DiscoveryResponse) -> None:
+        """Apply the endpoint list or its changes."""
         self._has_fresh_list.set()
-        self._upstream.endpoints_updated(listing)
-        self._post(listing.event())
+        self._upstream.endpoints_updated(response)
+        self._post(response.event())
+
+    def call_failed(self) -> None:
+        """Notify the balancer that discovery has not responded."""
+        self._post(EndpointsUpdated(EndpointUpdateKind.FAILED))
+
+    def fault_changed(self, fault: str) -> None:
+        """Log why there is no endpoint list."""
+        self._log("no_list", fault=fault)
 
     def _arrived(self, client: DownstreamConnection, incoming: IncomingRequest) -> int | None:
         most = self._settings.limits.max_open_requests
@@ -626,7 +625,10 @@
             case CloseIdleConnections():
                 self._upstream.close_idle(action.endpoint)
             case Subscribe():
-                self._discovery.subscribe(action.is_subscribed)
+                if action.is_subscribed:
+                    self._discovery.subscribe()
+                else:
+                    self._discovery.unsubscribe()
             case FetchEndpoints():
                 self._discovery.fetch()
             case StartHealthCheck():
--- a/tulipnotch/sidecar/upstream/pool.py
+++ b/tulipnotch/sidecar/upstream/pool.py
@@ -12,7 +12,7 @@
 from tulipnotch.load_balancing.settings import Settings
 from tulipnotch.sidecar.addresses import Address
 from tulipnotch.sidecar.clock import Clock
-from tulipnotch.sidecar.discovery.client import DiscoveryResponse
+from tulipnotch.sidecar.discovery.endpoint_list_codec import DiscoveryResponse
 from tulipnotch.sidecar.http1.messages import KEPT, MOST_BODY, Response, ResponseReader
 from tulipnotch.sidecar.requests.invariants import Invariant, InvariantChecker
 from tulipnotch.sidecar.upstream.connection import ExchangeFailure, ResponseConsumer, UpstreamConnection
