--- a/tests/test_announced.py
+++ b/tests/sidecar/discovery/test_change_propagation.py
@@ -1,4 +1,4 @@
-"""A drain that is announced while no watch is open: the sidecar receives it, and sends nothing there."""
+"""Changes that are announced while no watch is open: the sidecar receives them all the same."""
 
 from __future__ import annotations
 
@@ -36,15 +36,15 @@
 from tulipnotch.sidecar.discovery import client as discovery
 from tulipnotch.sidecar.discovery.poll_schedule import PollSchedule
 
-PLAN = PollSchedule(1.2)  # the users' 6 s at a fifth
+SCHEDULE = PollSchedule(1.2)  # a fifth of the specified 6 s
 
 
-def _leaving(scene: Stage) -> dict[str, Any]:
+def _draining(scene: Stage) -> dict[str, Any]:
     return line("s-0", scene.servers[0].address, state="leaving")
 
 
-async def _goes_elsewhere(scene: Stage) -> None:
-    """Once the decisions know of the drain, every request goes to the other server."""
+async def _assert_drained(scene: Stage) -> None:
+    """Once the balancer knows of the drain, every request goes to the other server."""
     await until(lambda: scene.sidecar._balancer.members() == (2, 1))
     before = len(scene.servers[0].heard)
     for _ in range(12):
@@ -54,188 +54,190 @@
 
 @pytest.mark.parametrize("mode", ["pushed", "on_request"])
 @pytest.mark.parametrize("how", ["silent", "reset", "503", "nonsense", "half", "away"])
-def test_a_drain_is_received_however_the_watch_before_it_ended(
+def test_drain_is_received_when_the_watch_before_it_was_lost(
     how: str, mode: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # The call that waited is lost with its news; it counts as announced all the same.
+    # The watch is lost with its event; the change counts as announced all the same.
     if how == "silent":
-        monkeypatch.setattr(discovery, "_SCHEDULE", PLAN)
+        monkeypatch.setattr(discovery, "_SCHEDULE", SCHEDULE)
 
     async def work() -> None:
         async with stage(OK, OK, discovery=mode) as scene:
-            agent = scene.discovery
-            await until(lambda: len(agent.heard) >= 2)  # the watch waits
-            agent.servers[0] = _leaving(scene)
-            agent.version = 2
+            server = scene.discovery
+            await until(lambda: len(server.heard) >= 2)  # the watch is open
+            server.servers[0] = _draining(scene)
+            server.version = 2
             if how == "reset":
-                agent.hang_up()
+                server.hang_up()
             elif how == "503":
-                agent.news.put_nowait(reply(b"", "503 Busy"))
+                server.news.put_nowait(reply(b"", "503 Busy"))
             elif how == "nonsense":
-                agent.news.put_nowait(reply(b'{"version": 2, "full": false, "servers": [{"id": 7}]}'))
+                server.news.put_nowait(reply(b'{"version": 2, "full": false, "servers": [{"id": 7}]}'))
             elif how == "half":
-                whole = reply(json.dumps({"version": 2, "full": True, "servers": agent.servers}).encode())
-                agent.heard[-1].writer.write(whole[:-20])
-                await agent.heard[-1].writer.drain()
+                complete = reply(json.dumps({"version": 2, "full": True, "servers": server.servers}).encode())
+                server.heard[-1].writer.write(complete[:-20])
+                await server.heard[-1].writer.drain()
             elif how == "away":
-                port = int(agent.address.rpartition(":")[2])
-                agent.stop()
-                again = ScriptedDiscovery()
-                again.version, again.servers = 2, agent.servers
+                port = int(server.address.rpartition(":")[2])
+                server.stop()
+                restarted = ScriptedDiscovery()
+                restarted.version, restarted.servers = 2, server.servers
                 await until(lambda: any("no list" in each for each in scene.log))
-                await again.start(port)
-            await _goes_elsewhere(scene)
+                await restarted.start(port)
+            await _assert_drained(scene)
             if how == "away":
-                again.stop()
+                restarted.stop()
 
     play(work)
 
 
-class Turning(ScriptedDiscovery):
-    """Discovery that has the drain from `turn` on; what becomes of calls before then is chosen."""
+class DrainingDiscovery(ScriptedDiscovery):
+    """Discovery that has a drain from `drain` on; `fault` decides what becomes of calls before then."""
 
-    def __init__(self, how: str) -> None:
+    def __init__(self, fault: str) -> None:
         super().__init__()
-        self.how = how  # what becomes of calls until then: "fine", "503" or "hung"
-        self.script = self._until_it_turns
-        self.halves = False  # whether a watch's answer breaks off
+        self.fault = fault  # "none", "503" or "hung"
+        self.script = self._respond_before_drain
+        self.truncates = False  # whether the response to a watch breaks off
 
-    async def _until_it_turns(self, heard: Heard) -> bytes | None:
-        if self.how == "503":
+    async def _respond_before_drain(self, heard: Heard) -> bytes | None:
+        if self.fault == "503":
             return reply(b"", "503 Busy")
-        if self.how == "hung":
+        if self.fault == "hung":
             return None
         if "wait_ms" in heard.target and not heard.target.endswith("wait_ms=0"):
-            if self.halves:
-                heard.writer.write(reply(self.whole())[:-20])
+            if self.truncates:
+                heard.writer.write(reply(self.complete_list())[:-20])
             return None
-        return reply(self.whole())
+        return reply(self.complete_list())
 
-    def whole(self) -> bytes:
+    def complete_list(self) -> bytes:
         return json.dumps({"version": self.version, "full": True, "servers": self.servers}).encode()
 
-    def turn(self, drained: dict[str, Any]) -> None:
-        self.how, self.version, self.servers = "fine", 2, [drained, *self.servers[1:]]
+    def drain(self, drained: dict[str, Any]) -> None:
+        self.fault, self.version, self.servers = "none", 2, [drained, *self.servers[1:]]
 
 
-class Dials:
-    """Of the dials to one address, those that never come up."""
+class ConnectionAttempts:
+    """Counts connection attempts to one address, and makes some of them hang."""
 
-    def __init__(self, monkeypatch: pytest.MonkeyPatch, address: str, lost: str) -> None:
-        self.lose = 0  # how many of the next
+    def __init__(self, monkeypatch: pytest.MonkeyPatch, address: str, hanging: str) -> None:
+        self.to_hang = 0  # how many of the next
         self.made = 0
         loop = asyncio.get_running_loop()
-        real = loop.create_connection
+        create_connection = loop.create_connection
 
-        async def dial(made: Callable[[], asyncio.Protocol], host: str, port: int) -> object:
+        async def connect(factory: Callable[[], asyncio.Protocol], host: str, port: int) -> object:
             if f"{host}:{port}" == address:
                 self.made += 1
-                if self.lose > 0:
-                    self.lose -= 1
-                    host, port = parse_address(lost)
-            return await real(made, host, port)
+                if self.to_hang > 0:
+                    self.to_hang -= 1
+                    host, port = parse_address(hanging)
+            return await create_connection(factory, host, port)
 
-        monkeypatch.setattr(loop, "create_connection", dial, raising=False)
+        monkeypatch.setattr(loop, "create_connection", connect, raising=False)
 
 
-ORDERS = [
-    "silent from its first moment",
+FAULT_CASES = [
+    "watch hangs from its first moment",
     "silent in the middle",
-    "half an answer, then nothing",
+    "half a response, then nothing",
     "refused",
     "503",
     "hung",
-    "hung, and the next dial lost",
-    "503, and the next dial lost",
-    "dials hang",
-    "moved, and the first call hung",
+    "hung, and the next connection attempt lost",
+    "503, and the next connection attempt lost",
+    "attempts hang",
+    "another address, and the first call hung",
 ]
 
 
 @pytest.mark.alone
 @pytest.mark.parametrize("mode", ["pushed", "on_request"])
-def test_a_drain_is_known_before_it_counts_as_announced_in_the_worst_order(
+def test_drain_is_known_within_the_propagation_bound_in_the_worst_case(
     mode: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # It counts so long after discovery had it and could be reached.  Every call that began before then is
-    # lost, the last of them just before, and calls have failed so often that the rest is at its longest.
-    monkeypatch.setattr(discovery, "_SCHEDULE", PLAN)
-    longest_ms = int(1_000 * PLAN.max_watch_s)
+    # The bound runs from when discovery had the change and could be reached.  Every call that began before is
+    # lost, the last of them just before, and calls have failed so often that the delay is at its longest.
+    monkeypatch.setattr(discovery, "_SCHEDULE", SCHEDULE)
+    longest_ms = int(1_000 * SCHEDULE.max_watch_s)
     monkeypatch.setattr(PollSchedule, "wait_ms", lambda *_, **__: longest_ms)
-    asking = {"askWithinUs": int(10e6 * PLAN.max_propagation_s / PollSchedule().max_propagation_s)}
+    guarantees = {"askWithinUs": int(10e6 * SCHEDULE.max_propagation_s / PollSchedule().max_propagation_s)}
 
-    async def known_after(order: str) -> float:
+    async def known_after(case: str) -> float:
         slow = SlowToAccept()
         await slow.fill()
         loop = asyncio.get_running_loop()
-        async with stage(OK, OK, discovery=mode, guarantees=asking) as scene:
-            drained, first = _leaving(scene), scene.discovery
-            await until(lambda: len(first.heard) >= 2)  # its watch waits
-            agent = Turning("fine" if "silent" in order or "half" in order else order[:4].strip(","))
-            agent.how = "503" if "503" in order else "hung" if "hung" in order else agent.how
-            agent.servers, agent.halves = first.servers, "half" in order
-            port = 0 if "moved" in order else int(first.address.rpartition(":")[2])
-            dials = Dials(monkeypatch, first.address, slow.address)
-            if order != "moved, and the first call hung":
+        async with stage(OK, OK, discovery=mode, guarantees=guarantees) as scene:
+            drained, first = _draining(scene), scene.discovery
+            await until(lambda: len(first.heard) >= 2)  # its watch is open
+            server = DrainingDiscovery("503" if "503" in case else "hung" if "hung" in case else "none")
+            server.servers, server.truncates = first.servers, "half" in case
+            port = 0 if "another address" in case else int(first.address.rpartition(":")[2])
+            attempts = ConnectionAttempts(monkeypatch, first.address, slow.address)
+            if case != "another address, and the first call hung":
                 first.stop()
 
             async def failed_often() -> None:
-                await until(lambda: _failures(scene, dials) >= 4)
+                await until(lambda: _failures(scene, attempts) >= 4)
 
-            async def begun(count: int) -> None:
-                before = len(agent.heard)
-                await until(lambda: len(agent.heard) >= before + count)
+            async def next_calls(count: int) -> None:
+                before = len(server.heard)
+                await until(lambda: len(server.heard) >= before + count)
 
-            if order == "refused":
+            if case == "refused":
                 await failed_often()
-                await agent.start(port)
-            elif order == "dials hang":
-                dials.lose = 1_000
-                await agent.start(port)
+                await server.start(port)
+            elif case == "attempts hang":
+                attempts.to_hang = 1_000
+                await server.start(port)
                 await failed_often()
-                before = dials.made
-                await until(lambda: dials.made > before)
-                dials.lose = 0
-            elif order == "moved, and the first call hung":
-                await agent.start()
-                raw = {**dict(scene.sidecar.config.file), "discovery": agent.address}
+                before = attempts.made
+                await until(lambda: attempts.made > before)
+                attempts.to_hang = 0
+            elif case == "another address, and the first call hung":
+                await server.start()
+                raw = {**dict(scene.sidecar.config.file), "discovery": server.address}
                 scene.sidecar.reload(parse(raw, raw))
-                await until(lambda: len(agent.heard) >= 1)
+                await until(lambda: len(server.heard) >= 1)
             else:
-                await agent.start(port)
-                if agent.how == "fine":
-                    await until(lambda: any("wait_ms=0" not in each.target for each in agent.heard))
+                await server.start(port)
+                if server.fault == "none":
+                    await until(lambda: any("wait_ms=0" not in each.target for each in server.heard))
                 else:
                     await failed_often()
-                    await begun(1)
-                dials.lose = 1 if "lost" in order else 0
-            if order == "silent in the middle":
-                await asyncio.sleep(PLAN.max_watch_s / 2)
-            agent.turn(drained)
-            reached = loop.time()
+                    await next_calls(1)
+                attempts.to_hang = 1 if "lost" in case else 0
+            if case == "silent in the middle":
+                await asyncio.sleep(SCHEDULE.max_watch_s / 2)
+            server.drain(drained)
+            reachable_at = loop.time()
             await until(lambda: scene.sidecar._balancer.members() == (2, 1))
-            took = loop.time() - reached
-            await _goes_elsewhere(scene)
-            agent.stop()
+            elapsed_s = loop.time() - reachable_at
+            await _assert_drained(scene)
+            server.stop()
         slow.close()
-        return took
+        return elapsed_s
 
     async def work() -> list[float]:
-        return await asyncio.gather(*map(known_after, ORDERS))  # side by side: each has its own ends
+        return await asyncio.gather(*map(known_after, FAULT_CASES))  # each has its own servers
 
-    took = dict(zip(ORDERS, play(work), strict=True))
-    bound_s = PLAN.max_propagation_s
-    print(*(f"{order}, {mode}: {each:.3f} of {bound_s}" for order, each in took.items()), sep="\n")
-    most_s = bound_s - PLAN.response_timeout_s  # the stand-in has no queue, so its part is left over
-    assert {order: each for order, each in took.items() if each >= most_s} == {}
+    elapsed_s = dict(zip(FAULT_CASES, play(work), strict=True))
+    bound_s = SCHEDULE.max_propagation_s
+    print(
+        *(f"{case}, {mode}: {each:.3f} of {bound_s}" for case, each in elapsed_s.items()),
+        sep="\n",
+    )
+    max_s = bound_s - SCHEDULE.response_timeout_s  # the stand-in has no queue, so its part is left over
+    assert {case: each for case, each in elapsed_s.items() if each >= max_s} == {}
 
 
-def test_an_instance_waits_to_its_own_turn(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Guards against a fleet in step: its number is what tells its turns from the others'.
-    asked: list[tuple[int, int, bool]] = []
+def test_watch_waits_to_the_slot_of_its_instance(monkeypatch: pytest.MonkeyPatch) -> None:
+    # The number of the instance keeps the fleet from calling in step.
+    received: list[tuple[int, int, bool]] = []
 
-    def wait_ms(plan: PollSchedule, now_us: int, instance: int, *, after_event: bool) -> int:
-        asked.append((now_us, instance, after_event))
+    def wait_ms(schedule: PollSchedule, now_us: int, instance: int, *, after_event: bool) -> int:
+        received.append((now_us, instance, after_event))
         return 2_000
 
     monkeypatch.setattr(PollSchedule, "wait_ms", wait_ms)
@@ -244,42 +246,42 @@
         async with stage(OK, OK, me=7) as scene:
             await until(lambda: len(scene.discovery.heard) >= 2)
             assert scene.discovery.heard[1].target.endswith("wait_ms=2000")
-            scene.discovery.tell(_leaving(scene))
+            scene.discovery.tell(_draining(scene))
             await until(lambda: len(scene.discovery.heard) >= 3)
-        assert [each[1:] for each in asked] == [(7, False), (7, True)]
-        assert all(abs(now_us / 1e6 - time.time()) < PATIENCE_S for now_us, *_ in asked)  # of one clock
+        assert [each[1:] for each in received] == [(7, False), (7, True)]
+        assert all(abs(now_us / 1e6 - time.time()) < PATIENCE_S for now_us, *_ in received)  # of one clock
 
     play(work)
 
 
-def _failures(scene: Stage, dials: Dials) -> int:
-    """Calls that failed in a row where lists are asked for; where they are pushed, dials are as many."""
-    asked = scene.sidecar.config.settings.discovery_mode is Mode.POLLED
-    return scene.sidecar._balancer._parts.discovery_polling.failed_calls if asked else dials.made
+def _failures(scene: Stage, attempts: ConnectionAttempts) -> int:
+    """Count calls that failed in a row where lists are polled, else connection attempts."""
+    is_polled = scene.sidecar.config.settings.discovery_mode is Mode.POLLED
+    return scene.sidecar._balancer._parts.discovery_polling.failed_calls if is_polled else attempts.made
 
 
-def test_where_lists_are_pushed_a_start_receives_the_list_before_it_listens(
+def test_start_receives_the_list_before_listening_when_lists_are_pushed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # What the agent has counts as announced from the first moment on; the remembered list may be older.
+    # What discovery has counts as announced from the start; the list from before may be older.
     monkeypatch.setattr(sidecar, "_FRESH_WITHIN_S", PATIENCE_S)
 
     async def work() -> None:
         async with stage(OK, OK, discovery="pushed", started=False, silent_discovery=True) as scene:
-            scene.discovery.servers[0] = _leaving(scene)
+            scene.discovery.servers[0] = _draining(scene)
             scene.discovery.version = 2
             starting = asyncio.ensure_future(scene.sidecar.start())
             await until(lambda: len(scene.discovery.heard) == 1)
             assert scene.sidecar.frontend._acceptor is None
             scene.discovery.speak()
             await starting
-            await _goes_elsewhere(scene)
+            await _assert_drained(scene)
             assert scene.servers[0].heard == []
 
     play(work)
 
 
-def test_where_lists_are_pushed_an_agent_that_is_away_holds_no_start_up(
+def test_start_does_not_wait_when_pushed_discovery_is_down(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(sidecar, "_FRESH_WITHIN_S", 4 * PATIENCE_S)
@@ -293,9 +295,9 @@
     play(work)
 
 
-@pytest.mark.parametrize("back", ["active", "leaving"])
-def test_a_server_that_left_and_came_back_gets_nothing_on_a_dial_from_before(back: str) -> None:
-    # Under the same id, at the same address: what is there now is not what the dial was made for.
+@pytest.mark.parametrize("state", ["active", "leaving"])
+def test_server_gets_no_request_on_an_earlier_connection_attempt_when_it_returns(state: str) -> None:
+    # Same id and address, but a new process: the attempt was made for the one before.
     async def work() -> None:
         slow = SlowToAccept()
         await slow.fill()
@@ -308,7 +310,7 @@
             await until(lambda: scene.sidecar.open_requests == 1)
             scene.discovery.tell({"id": "s", "state": "left"})
             await until(lambda: len(scene.discovery.heard) >= 4)
-            scene.discovery.tell(line("s", slow.address, state=back, started_ms=5))
+            scene.discovery.tell(line("s", slow.address, state=state, started_ms=5))
             await until(lambda: len(scene.discovery.heard) >= 5)
             accepted = await slow.let_go()
             assert (await client.answer()).status == 503
@@ -319,7 +321,7 @@
     play(work)
 
 
-def test_a_reload_with_requests_open_changes_classes_limits_and_discovery_for_what_comes() -> None:
+def test_reload_applies_to_new_requests_only_when_requests_are_open() -> None:
     async def work() -> None:
         release, hold = holding()
         async with stage(hold, OK, listed=False) as scene:
@@ -337,7 +339,7 @@
             raw = _raw(before.name, other.address)
             scene.sidecar.reload(parse(raw, raw))
             await until(lambda: "s-1" in scene.sidecar._balancer._context.endpoints)
-            assert (await scene.ask("check")).status == 503  # one open request is all that is taken now
+            assert (await scene.ask("check")).status == 503  # the new limit is one open request
             release.set()
             assert (await client.answer()).status == 200  # it keeps its class, its limits and its server
             assert (await scene.ask("check")).status == 200
@@ -366,22 +368,22 @@
     }
 
 
-def test_the_last_to_listen_takes_what_the_kernel_has_accepted_for_it() -> None:
-    # Its close would reset these connections, with the requests that were written to them.
+def test_accept_pending_serves_connections_in_the_accept_queue() -> None:
+    # Closing the listener would reset these connections, with the requests written to them.
     async def work() -> None:
         async with stage(OK) as scene:
-            with socket.create_connection((HOST, scene.sidecar.frontend.port)) as caller:
-                caller.sendall(request("lodge"))  # the event loop has had no turn since
+            with socket.create_connection((HOST, scene.sidecar.frontend.port)) as client:
+                client.sendall(request("lodge"))  # the event loop has not run since
                 assert scene.sidecar.frontend.accept_pending()
                 scene.sidecar.frontend.stop_listening()
-                caller.setblocking(False)
-                came = await asyncio.get_running_loop().sock_recv(caller, 1_000)
-            assert came.startswith(b"HTTP/1.1 200 ")
+                client.setblocking(False)
+                received = await asyncio.get_running_loop().sock_recv(client, 1_000)
+            assert received.startswith(b"HTTP/1.1 200 ")
 
     play(work)
 
 
-def test_cores_that_nobody_reports_any_more_count_for_nothing() -> None:
+def test_reported_cores_are_forgotten_when_a_reload_drops_the_report() -> None:
     async def work() -> None:
         async def reports(heard: Heard) -> bytes:
             return OK.replace(b"\r\n\r\n", b"\r\nServer-Load: TEXT util=0.2\r\n\r\n")
--- a/tests/test_discovery.py
+++ b/tests/sidecar/discovery/test_discovery_client.py
@@ -1,4 +1,4 @@
-"""Watching and fetching the list, over loopback sockets."""
+"""The discovery client, its watch and its connections, over loopback sockets."""
 
 from __future__ import annotations
 
@@ -30,10 +30,10 @@
     DiscoveryResponse,
     parse_endpoint_list,
 )
-from tulipnotch.sidecar.discovery.poll_schedule import PollIntervals, PollSchedule
+from tulipnotch.sidecar.discovery.poll_schedule import PollSchedule
 
-SOON = PollSchedule(1.2)  # a watch that fell silent is overdue within the test
-NEVER = PollSchedule(8 * PATIENCE_S)  # nothing is given up within the test
+SOON = PollSchedule(1.2)  # a watch that hangs is overdue within the test
+NEVER = PollSchedule(8 * PATIENCE_S)  # nothing times out within the test
 
 
 class Recorder:
@@ -71,7 +71,7 @@
         return await soon(self.events.get())
 
 
-def test_a_watch_is_answered_at_once_then_waits_for_news() -> None:
+def test_subscribe_responds_at_once_then_waits_for_events() -> None:
     async def work() -> None:
         server = ScriptedDiscovery()
         server.servers = [line("s-1", "127.0.0.2:80")]
@@ -86,8 +86,8 @@
         assert path == "/catalog/members?after=1&wait_ms"
         assert 0 < int(wait_ms) <= 1_000 * PollSchedule().max_watch_s
         server.tell(line("s-1", "127.0.0.2:80", state="leaving"))
-        news = await recorder.next()
-        assert news is not None and not news.is_complete and news.version == 2
+        event = await recorder.next()
+        assert event is not None and not event.is_complete and event.version == 2
         await until(lambda: len(server.heard) == 3)
         recorder.client.unsubscribe()
         await until(lambda: len(server.closed) == 0 or server.closed == [0])
@@ -115,8 +115,8 @@
     ],
     ids=str,
 )
-@pytest.mark.parametrize("how", ["follow", "fetch"])
-def test_a_call_that_fails_is_one_failure_and_the_next_is_received(answer: bytes | None, how: str) -> None:
+@pytest.mark.parametrize("method", ["subscribe", "fetch"])
+def test_client_reports_one_failure_when_a_call_fails(answer: bytes | None, method: str) -> None:
     async def work() -> None:
         async def once(heard: Heard) -> bytes:
             server.script = reply(json.dumps(GOOD).encode())
@@ -129,7 +129,7 @@
         recorder = Recorder(server)
 
         def call() -> None:
-            if how == "follow":
+            if method == "subscribe":
                 recorder.client.subscribe()
             else:
                 recorder.client.fetch()
@@ -146,7 +146,7 @@
     play(work)
 
 
-def test_a_move_asks_the_new_address_for_everything_and_reports_no_failure_of_the_old_one() -> None:
+def test_change_address_polls_the_new_server_and_reports_no_failure_of_the_old() -> None:
     async def work() -> None:
         old, new = ScriptedDiscovery(), ScriptedDiscovery()
         new.version = 5
@@ -157,7 +157,7 @@
         assert await recorder.next() is not None
         await until(lambda: len(old.heard) == 2)
         recorder.client.change_address(parse_address(new.address))
-        old.tell(line("s-9", "127.0.0.2:80"))  # nobody receives it any more
+        old.tell(line("s-9", "127.0.0.2:80"))  # dropped: nobody is connected
         received = await recorder.next()
         assert received is not None and received.version == 5
         await until(lambda: old.closed == [0])
@@ -171,8 +171,8 @@
     play(work)
 
 
-def test_a_fetch_that_was_overtaken_by_news_changes_nothing() -> None:
-    # Guards against an old list that ends after newer changes: a server that drains would be ready again.
+def test_fetch_changes_nothing_when_a_newer_version_came_first() -> None:
+    # A stale list that arrives after a newer one must not make a draining server ready.
     async def work() -> None:
         release = asyncio.Event()
 
@@ -189,8 +189,8 @@
         recorder.client.fetch()
         await until(lambda: len(server.heard) == 1)
         recorder.client.subscribe()
-        news = await recorder.next()
-        assert news is not None and news.version == 42
+        event = await recorder.next()
+        assert event is not None and event.version == 42
         release.set()
         late = await recorder.next()
         assert late == DiscoveryResponse(42, False, ())
@@ -200,7 +200,7 @@
     play(work)
 
 
-def test_discovery_that_is_down_fails_a_call() -> None:
+def test_client_reports_failures_when_discovery_is_down() -> None:
     async def work() -> None:
         server = await ScriptedServer(None).start()
         recorder = Recorder(server)
@@ -213,8 +213,8 @@
     play(work)
 
 
-def test_a_watch_asked_for_again_before_its_answer_keeps_its_place() -> None:
-    # Guards against calls that are begun over and over while discovery is slow, and never answered.
+def test_subscribe_keeps_the_pending_call_when_repeated() -> None:
+    # Calls that were replaced while discovery is slow would never have a response.
     async def work() -> None:
         release = asyncio.Event()
 
@@ -237,7 +237,7 @@
     play(work)
 
 
-def test_pushed_lists_are_received_unasked_also_after_the_agent_was_away() -> None:
+def test_client_receives_pushed_lists_after_discovery_restarted() -> None:
     async def work() -> None:
         server = ScriptedDiscovery()
         await server.start()
@@ -246,22 +246,22 @@
         recorder.client.start()
         assert await recorder.next() is not None
         server.stop()
-        again = ScriptedDiscovery()
-        again.version = 9
-        again.servers = [line("s-1", f"{HOST}:80")]
-        await again.start(port)
-        again.tell(line("s-2", f"{HOST}:80"))
+        restarted = ScriptedDiscovery()
+        restarted.version = 9
+        restarted.servers = [line("s-1", f"{HOST}:80")]
+        await restarted.start(port)
+        restarted.tell(line("s-2", f"{HOST}:80"))
         received = await recorder.next()
         assert received is not None and received.version == 10
         assert recorder.events.empty()
         recorder.client.close()
-        again.stop()
+        restarted.stop()
 
     play(work)
 
 
-async def _is_received_unasked(server: ScriptedServer) -> None:
-    """Where lists are pushed, the good one arrives whatever hangs."""
+async def _assert_pushed_list_received(server: ScriptedServer) -> None:
+    """Where lists are pushed, the list arrives whatever hangs."""
     recorder = Recorder(server, pushed=True, schedule=NEVER)
     recorder.client.start()
     received = await recorder.next()
@@ -270,10 +270,10 @@
     server.stop()
 
 
-def test_a_watch_that_fell_silent_is_asked_anew_before_it_is_given_up() -> None:
-    # Guards against learning of a drain only once the silent watch's limit is over.
+def test_watch_is_hedged_before_its_timeout_when_it_hangs() -> None:
+    # Without it a drain is known only at the timeout of the watch that hangs.
     async def work() -> None:
-        server = ScriptedDiscovery()  # its watches are silent until it tells
+        server = ScriptedDiscovery()  # its watches hang: it sends no event
         server.servers = [line("s-1", f"{HOST}:80")]
         await server.start()
         recorder = Recorder(server, schedule=SOON)
@@ -290,50 +290,49 @@
 
 
 @pytest.mark.alone
-def test_a_watch_that_fell_silent_costs_one_call_beside_it_however_late_the_answer() -> None:
-    # Guards against a fleet that asks a directory with a long line ever harder.
+def test_watch_has_one_early_hedge_when_every_call_hangs() -> None:
+    # A fleet must not add load to a discovery server with a long queue.
     schedule = PollSchedule(1.2)
 
     async def work() -> None:
         async def answer(heard: Heard) -> bytes | None:
-            began.append(asyncio.get_running_loop().time())
-            return reply(json.dumps(GOOD).encode()) if len(began) == 1 else None
+            started.append(asyncio.get_running_loop().time())
+            return reply(json.dumps(GOOD).encode()) if len(started) == 1 else None
 
-        began: list[float] = []
+        started: list[float] = []
         server = await ScriptedServer(answer).start()
         recorder = Recorder(server, schedule=schedule)
         recorder.client.subscribe()
-        await until(lambda: len(began) == 4)
-        waits = [later - earlier for earlier, later in itertools.pairwise(began)]
-        # Each of them hangs; the first wait is that between the answer and the watch after it.
-        assert waits[0] < 0.1 * schedule.call_interval_s
+        await until(lambda: len(started) == 4)
+        intervals_s = [later - earlier for earlier, later in itertools.pairwise(started)]
+        # All but the first call hang; the first interval is that from its response to the watch.
+        assert intervals_s[0] < 0.1 * schedule.call_interval_s
         longest_s = schedule.call_interval_s + schedule.scheduling_margin_s
-        assert schedule.hedge_delay_s < waits[1] < longest_s
-        assert 0.95 * schedule.call_interval_s < waits[2] < longest_s
+        assert schedule.hedge_delay_s < intervals_s[1] < longest_s
+        assert 0.95 * schedule.call_interval_s < intervals_s[2] < longest_s
         recorder.client.close()
         server.stop()
 
     play(work)
 
 
-def test_a_dial_that_does_not_come_up_is_made_again_beside_it(
+def test_connection_makes_a_second_attempt_when_the_first_hangs(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Guards against a dial whose packets are lost: it is silent up to its limit.
+    # An attempt whose packets are lost is noticed only at its timeout.
     async def work() -> None:
         slow = SlowToAccept()
         await slow.fill()
         server = await ScriptedServer(reply(json.dumps(GOOD).encode())).start()
-        where = iter([slow.address])
-        real = asyncio.get_running_loop().create_connection
+        addresses = iter([slow.address])
+        create_connection = asyncio.get_running_loop().create_connection
 
-        async def dial(made: Callable[[], asyncio.Protocol], *_: object) -> object:
-            return await real(made, *parse_address(next(where, server.address)))
+        async def connect(factory: Callable[[], asyncio.Protocol], *_: object) -> object:
+            return await create_connection(factory, *parse_address(next(addresses, server.address)))
 
-        monkeypatch.setattr(asyncio.get_running_loop(), "create_connection", dial, raising=False)
-        recorder = Recorder(
-            server, schedule=PollSchedule(4.8)
-        )  # 0.2 s to the second dial, 0.8 s to the limit of the first
+        monkeypatch.setattr(asyncio.get_running_loop(), "create_connection", connect, raising=False)
+        # 0.2 s to the second attempt, 0.8 s to the timeout of the first
+        recorder = Recorder(server, schedule=PollSchedule(4.8))
         recorder.client.subscribe()
         received = await recorder.next()
         assert received is not None and received.version == 7 and recorder.faults == []
@@ -344,26 +343,26 @@
     play(work)
 
 
-@pytest.mark.parametrize("hangs_at", [0, 1], ids=["the first call", "the second call too"])
-def test_where_lists_are_pushed_a_call_without_an_answer_is_made_again_beside_it(hangs_at: int) -> None:
-    # Guards against a hung connection to the agent: all that it has counts as announced meanwhile.
+@pytest.mark.parametrize("hangs_at", [0, 1], ids=["first call", "first two calls"])
+def test_first_calls_are_hedged_when_lists_are_pushed_and_calls_hang(hangs_at: int) -> None:
+    # All that discovery has counts as announced, also while a connection to it hangs.
     async def work() -> None:
         async def answer(heard: Heard) -> bytes | None:
             return None if heard.connection <= hangs_at else reply(json.dumps(GOOD).encode())
 
         server = await ScriptedServer(answer).start()
-        await _is_received_unasked(server)
+        await _assert_pushed_list_received(server)
 
     play(work)
 
 
-def test_a_directory_that_answers_late_is_not_asked_without_end() -> None:
+def test_hedged_calls_are_limited_when_discovery_is_slow() -> None:
     async def work() -> None:
         server = await ScriptedServer(None).start()
         recorder = Recorder(server, pushed=True, schedule=NEVER)
         recorder.client.start()
         await until(lambda: server.connections == 3)
-        await asyncio.sleep(0.3)  # several times what a call may take before another is made
+        await asyncio.sleep(0.3)  # several times the delay of a hedged call
         assert server.connections == 3
         recorder.client.close()
         server.stop()
@@ -371,57 +370,33 @@
     play(work)
 
 
-def test_waits_follow_the_grace_where_lists_are_pushed() -> None:
-    pushed = PollIntervals.when_pushed(250_000)
-    assert pushed.max_retry_delay_s + pushed.hedge_delay_s < 0.25  # both fit into the grace
-    assert PollIntervals.when_pushed(0).max_retry_delay_s > 0.0  # no tight loop while discovery is down
-    polled = PollIntervals.when_polled(PollSchedule(), 3_600_000_000)
-    assert polled.hedge_delay_s > PollSchedule().call_timeout_s  # so there are never two hedged calls
-
-
-def test_waits_follow_the_time_that_settings_allow_without_asking() -> None:
-    schedule = PollSchedule()
-    unbounded = PollIntervals.when_polled(schedule, 3_600_000_000)
-    assert unbounded.hedge_delay_s == schedule.call_interval_s
-    for max_poll_interval_us in (4_000_000, 4_900_000, 10_000_000, 60_000_000):
-        assert PollIntervals.when_polled(schedule, max_poll_interval_us) == unbounded
-    for allowed_s in (0.75, 1.0, 2.0, 3.5):
-        intervals = PollIntervals.when_polled(schedule, int(allowed_s * 1e6))
-        assert intervals.max_retry_delay_s <= allowed_s and intervals.hedge_delay_s <= allowed_s
-        if allowed_s >= 1.1:  # else the half of it: a longer part would leave nothing to wait for
-            margins_s = schedule.scheduling_margin_s + schedule.connection_attempt_delay_s
-            assert intervals.hedge_delay_s + margins_s == pytest.approx(allowed_s)
-        # Each call ends before there are too many.
-        assert (1 + intervals.max_early_hedges) * intervals.hedge_delay_s >= schedule.call_timeout_s
-
-
-def test_hung_calls_are_followed_by_others_within_the_time_allowed_without_asking() -> None:
-    # Guards customers whose settings allow less time than the calls' own schedule leaves between two.
+def test_calls_begin_within_the_max_poll_interval_when_all_hang() -> None:
+    # Settings may allow less time than the schedule leaves between two calls.
     allowed_s = 1.6
 
     async def work() -> None:
-        begun: list[float] = []
+        started: list[float] = []
 
         async def hang(heard: Heard) -> None:
-            begun.append(asyncio.get_running_loop().time())
+            started.append(asyncio.get_running_loop().time())
 
         server = await ScriptedServer(hang).start()
         recorder = Recorder(server, max_poll_interval_us=int(allowed_s * 1e6))
         recorder.client.subscribe()
-        await until(lambda: len(begun) == 5)  # beyond the end of the first
-        apart = [later - earlier for earlier, later in itertools.pairwise(begun)]
-        assert max(apart) < allowed_s, apart
+        await until(lambda: len(started) == 5)  # beyond the timeout of the first
+        intervals_s = [later - earlier for earlier, later in itertools.pairwise(started)]
+        assert max(intervals_s) < allowed_s, intervals_s
         recorder.client.close()
         server.stop()
 
     play(work)
 
 
-def test_where_lists_are_pushed_a_hung_dial_does_not_keep_the_list_from_being_received(
+def test_pushed_list_is_received_when_a_connection_attempt_hangs(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # An agent that is away may let dials hang; what it has at its return counts as announced at once.
-    for name in ("_PUSHED_CONNECT", "_PUSHED_MAX_S"):  # the hung one is never given up
+    # Attempts may hang while discovery is unavailable; what it has on its return counts as announced.
+    for name in ("_PUSHED_CONNECT", "_PUSHED_MAX_S"):  # the attempt that hangs has no timeout
         monkeypatch.setattr(poll_schedule, name, 1_000.0)
     monkeypatch.setattr(poll_schedule, "_PUSHED_HEDGE", 0.02)
 
@@ -429,40 +404,38 @@
         slow = SlowToAccept()
         await slow.fill()
         server = await ScriptedServer(reply(json.dumps(GOOD).encode())).start()
-        where = iter([slow.address, *[f"{HOST}:9"] * 4])  # nobody listens there
-        real = asyncio.get_running_loop().create_connection
+        addresses = iter([slow.address, *[f"{HOST}:9"] * 4])  # nobody listens there
+        create_connection = asyncio.get_running_loop().create_connection
 
-        async def dial(made: Callable[[], asyncio.Protocol], *_: object) -> object:
-            return await real(made, *parse_address(next(where, server.address)))
+        async def connect(factory: Callable[[], asyncio.Protocol], *_: object) -> object:
+            return await create_connection(factory, *parse_address(next(addresses, server.address)))
 
-        monkeypatch.setattr(asyncio.get_running_loop(), "create_connection", dial, raising=False)
-        await _is_received_unasked(server)
+        monkeypatch.setattr(asyncio.get_running_loop(), "create_connection", connect, raising=False)
+        await _assert_pushed_list_received(server)
         slow.close()
 
     play(work)
 
 
-_WHOLE = json.dumps({**GOOD, "servers": [line("s-1", "127.0.0.2:80")]}).encode()
+_LIST = json.dumps({**GOOD, "servers": [line("s-1", "127.0.0.2:80")]}).encode()
 
 
 @pytest.mark.parametrize(
     ("answer", "cause"),
     [
-        (reply(_WHOLE[:-9]), "the list can't be read"),
-        (reply(_WHOLE)[:-9], "broke"),
+        (reply(_LIST[:-9]), "the list can't be read"),
+        (reply(_LIST)[:-9], "broke"),
         (reply(b"", "503 Busy"), "status 503"),
-        (reply(_WHOLE.replace(b"active", b"sleepy")), "unknown state 'sleepy' of s-1"),
+        (reply(_LIST.replace(b"active", b"sleepy")), "unknown state 'sleepy' of s-1"),
     ],
-    ids=["cut short", "broken off", "turned away", "strange"],
+    ids=["truncated", "connection lost", "rejected", "unknown state"],
 )
 @pytest.mark.parametrize("pushed", [True, False])
-def test_a_list_that_cant_be_used_is_reported_once_and_asked_for_again(
-    answer: bytes, cause: str, pushed: bool
-) -> None:
+def test_unusable_list_is_reported_once_and_retried(answer: bytes, cause: str, pushed: bool) -> None:
     async def work() -> None:
         async def script(heard: Heard) -> bytes:
             if len(server.heard) > 3:
-                return reply(json.dumps(json.loads(_WHOLE), indent=2).encode())
+                return reply(json.dumps(json.loads(_LIST), indent=2).encode())
             heard.writer.write(answer)
             heard.writer.close()
             return b""
@@ -472,7 +445,7 @@
         recorder.client.start()
         received: DiscoveryResponse | None = None
         while received is None:
-            recorder.client.subscribe()  # where lists are pushed it asks by itself
+            recorder.client.subscribe()  # without effect where lists are pushed
             received = await recorder.next()
         assert received.version == 7 and [each.description.name for each in received.endpoints] == ["s-1"]
         assert len(recorder.faults) == 1 and cause in recorder.faults[0]
@@ -480,13 +453,3 @@
         server.stop()
 
     play(work)
-
-
-def test_a_listing_is_read_as_the_decisions_need_it() -> None:
-    listing = parse_endpoint_list(
-        {"version": 3, "full": False, "servers": [line("a", "127.0.0.1:80", started_ms=1_700_000_000_123)]}
-    )
-    listed = listing.endpoints[0].description
-    assert listed.started_at == 1_700_000_000_123_000
-    gone = parse_endpoint_list({"version": 3, "full": False, "servers": [{"id": "a", "state": "left"}]})
-    assert gone.endpoints[0].address is None
--- /dev/null
+++ b/tests/sidecar/discovery/test_endpoint_list_codec.py
@@ -0,0 +1,54 @@
+"""The codec of the endpoint list."""
+
+from __future__ import annotations
+
+from typing import Any
+
+import pytest
+from loopback import line
+
+from tulipnotch.sidecar.discovery.endpoint_list_codec import DiscoveryFormatError, parse_endpoint_list
+
+
+def _document(**changes: Any) -> dict[str, Any]:
+    return {"version": 3, "full": False, "servers": [], **changes}
+
+
+def test_parse_endpoint_list_converts_the_start_time_to_microseconds() -> None:
+    response = parse_endpoint_list(
+        _document(servers=[line("a", "127.0.0.1:80", started_ms=1_700_000_000_123)])
+    )
+    assert response.endpoints[0].description.started_at == 1_700_000_000_123_000
+
+
+def test_parse_endpoint_list_gives_no_address_when_the_endpoint_was_removed() -> None:
+    response = parse_endpoint_list(_document(servers=[{"id": "a", "state": "left"}]))
+    assert response.endpoints[0].address is None
+
+
+@pytest.mark.parametrize(
+    ("document", "field", "problem"),
+    [
+        ([], "", "an object is needed"),
+        (_document(version=True), "version", "a whole number is needed, not True"),
+        (_document(full=1), "full", "true or false is needed, not 1"),
+        (_document(servers={}), "servers", "a list is needed, not {}"),
+        (_document(servers=[7]), "servers", "an object is needed for each"),
+        (_document(servers=[{"id": ""}]), "servers", "an id is needed, not ''"),
+        (_document(servers=[{"id": "a", "state": "odd"}]), "servers", "unknown state 'odd' of a"),
+        (
+            _document(servers=[line("a", "127.0.0.1:80", weight=-1)]),
+            "servers",
+            "weight: a number is needed, not -1",
+        ),
+        (_document(servers=[line("a", "127.0.0.1:80", kind=5)]), "servers", "kind: a text is needed, not 5"),
+    ],
+    ids=lambda value: value if isinstance(value, str) else "",
+)
+def test_parse_endpoint_list_names_the_field_when_it_is_malformed(
+    document: object, field: str, problem: str
+) -> None:
+    with pytest.raises(DiscoveryFormatError) as caught:
+        parse_endpoint_list(document)
+    assert (caught.value.field, caught.value.problem) == (field, problem)
+    assert str(caught.value) == (f"{field}: {problem}" if field else problem)
--- a/tests/test_large_lists.py
+++ b/tests/sidecar/discovery/test_large_endpoint_lists.py
@@ -1,4 +1,4 @@
-"""One process with lists far longer than any fleet in use: 1,024 order servers and 1,024 peers."""
+"""One process with lists longer than those of any fleet in use: 1,024 order servers and 1,024 peers."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
 MANY = 1_024
 FEW = 10
-LISTENERS = 4  # that all servers' addresses lead to
-ARENA = 1 << 20  # what the interpreter takes from the system at once: figures are that coarse
-# What a server may take: its line in the configuration (kept, to check the next one against), the one in
-# `known`, what the decisions learnt of it, and the pool's part.  2,300 servers then take 7 of the 64 MB that
-# a process may have where its configuration tells no limit.
-MOST_BYTES_A_SERVER = 3_000
-# What a peer may take: its address as text, as a pair, and its number by the pair.
-MOST_BYTES_A_PEER = 600
+LISTENERS = 4  # for the addresses of all servers
+ARENA_BYTES = 1 << 20  # the interpreter allocates so much at once, so figures are no more exact
+# The memory of one server: its line in the configuration (retained for the comparison at a reload), the one
+# in `known`, the record of the balancer and that of the pool.  2,300 servers then take 7 of the 64 MB that a
+# process may have by default.
+MAX_BYTES_PER_SERVER = 3_000
+# The memory of one peer: its address as text, as a pair, and its number by the pair.
+MAX_BYTES_PER_PEER = 600
 
 
 def _lines(count: int, servers: list[ScriptedServer], **changes: Any) -> list[dict[str, Any]]:
@@ -45,7 +45,7 @@
 
 
 async def _until_shown(running: Program, **gauges: int) -> None:
-    """Wait until the operators' door shows these figures."""
+    """Wait until the control endpoint shows these figures."""
 
     async def work() -> None:
         while True:
@@ -61,14 +61,14 @@
 async def _fleet(
     folder: Path, servers: int, peers: int
 ) -> AsyncIterator[tuple[Program, ScriptedDiscovery, list[ScriptedServer]]]:
-    """A started process that knows so many servers and peers, its discovery and the servers' listeners."""
+    """Run a process that knows so many servers and peers; yields it, its discovery and the listeners."""
     listeners = [await ScriptedServer(OK).start() for _ in range(2 * LISTENERS)]
     discovery = ScriptedDiscovery()
     discovery.servers = _lines(servers, listeners[:LISTENERS])
     await discovery.start()
-    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as probe:
-        probe.bind((HOST, 0))
-        port = probe.getsockname()[1]
+    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as free:
+        free.bind((HOST, 0))
+        port = free.getsockname()[1]
     folder.mkdir()
     config = folder / "config.json"
     given = {
@@ -88,11 +88,11 @@
             each.stop()
 
 
-async def _serves(running: Program) -> None:
+async def _assert_serving(running: Program) -> None:
     client = await running.client()
-    answers = [(await client.ask()).status for _ in range(20)]
+    statuses = [(await client.ask()).status for _ in range(20)]
     client.close()
-    assert answers == [200] * 20
+    assert statuses == [200] * 20
 
 
 def _connections(servers: Iterable[ScriptedServer]) -> int:
@@ -100,65 +100,65 @@
 
 
 async def _resident_after_changes(folder: Path, count: int, peers: int) -> int:
-    """Play changes of the whole list to one process; give the memory that it holds afterwards."""
+    """Apply changes of the complete list to one process; returns its resident memory afterwards (bytes)."""
     async with _fleet(folder, count, peers) as (running, discovery, listeners):
         before, after = listeners[:LISTENERS], listeners[LISTENERS:]
         await _until_shown(running, members=count, members_unavailable=0)
-        await _serves(running)
+        await _assert_serving(running)
         assert _connections(before) > 0
         discovery.tell(*_lines(count, before, state="leaving"))
         await _until_shown(running, members=count, members_unavailable=count)
         discovery.tell(*_lines(count, after, weight=2.0))
         await _until_shown(running, members=count, members_unavailable=0)
-        seen = _connections(before)
-        await _serves(running)
-        assert _connections(after) > 0 and _connections(before) == seen
-        resident = resident_bytes(running)
+        connections_before = _connections(before)
+        await _assert_serving(running)
+        assert _connections(after) > 0 and _connections(before) == connections_before
+        memory = resident_bytes(running)
         discovery.tell(*_lines(count, after, state="left"))
         await _until_shown(running, members=0)
         running.process.terminate()
         assert await soon(running.process.wait()) == 0
         assert running.process.stderr is not None
-        told = (await soon(running.process.stderr.read())).decode()
-        assert "internal error" not in told, told
-        return resident
+        log = (await soon(running.process.stderr.read())).decode()
+        assert "internal error" not in log, log
+        return memory
 
 
-def test_one_process_holds_1024_servers_and_1024_peers(tmp_path: Path) -> None:
+def test_sidecar_memory_stays_in_bounds_with_1024_servers_and_1024_peers(tmp_path: Path) -> None:
     async def work() -> None:
         few = await _resident_after_changes(tmp_path / "few", FEW, FEW)
         peers = await _resident_after_changes(tmp_path / "peers", FEW, MANY)
         many = await _resident_after_changes(tmp_path / "many", MANY, MANY)
         more = MANY - FEW
-        a_peer, a_server = (peers - few) / more, (many - peers) / more
+        per_peer, per_server = (peers - few) / more, (many - peers) / more
         print(f"resident: {few} with 10 and 10, {peers} with 1,024 peers, {many} with 1,024 servers as well")
-        print(f"a peer {a_peer:.0f} bytes, a server {a_server:.0f} bytes")
-        assert peers - few < MOST_BYTES_A_PEER * more + ARENA
-        assert many - peers < MOST_BYTES_A_SERVER * more + ARENA
+        print(f"a peer {per_peer:.0f} bytes, a server {per_server:.0f} bytes")
+        assert peers - few < MAX_BYTES_PER_PEER * more + ARENA_BYTES
+        assert many - peers < MAX_BYTES_PER_SERVER * more + ARENA_BYTES
 
     play(work)
 
 
-def test_1024_peers_are_told_and_heard() -> None:
+def test_peer_messenger_sends_to_and_receives_from_1024_peers() -> None:
     async def work() -> None:
-        ears = []
-        for _ in range(16):  # each holds its part until it is read
-            ear = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-            ear.bind(("0.0.0.0", 0))
-            ear.setblocking(False)
-            ears.append(ear)
-        ports = [each.getsockname()[1] for each in ears]
+        sockets = []
+        for _ in range(16):  # so that no receive buffer overflows
+            receiver = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+            receiver.bind(("0.0.0.0", 0))
+            receiver.setblocking(False)
+            sockets.append(receiver)
+        ports = [each.getsockname()[1] for each in sockets]
         addresses: tuple[Address, ...] = tuple(
             (f"127.1.{number >> 8}.{number & 255}", ports[number % len(ports)]) for number in range(MANY)
         )
-        heard: asyncio.Queue[int] = asyncio.Queue()
-        peers = PeerMessenger(addresses, None, 0, lambda by, what: heard.put_nowait(by))
+        senders: asyncio.Queue[int] = asyncio.Queue()
+        peers = PeerMessenger(addresses, None, 0, lambda sender, payload: senders.put_nowait(sender))
         try:
             await peers.listen((HOST, 0))
-            assert peers.send(None, b"news")
+            assert peers.send(None, b"to all")
             loop = asyncio.get_running_loop()
             for number in range(1, MANY):
-                assert await soon(loop.sock_recv(ears[number % len(ears)], 256)) == b"news"
+                assert await soon(loop.sock_recv(sockets[number % len(sockets)], 256)) == b"to all"
             with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as last:
                 last.bind((addresses[-1][0], 0))
                 peers.set_addresses((*addresses[:-1], last.getsockname()), None)
@@ -166,10 +166,10 @@
                 data, sidecar = last.recvfrom(256)
                 assert data == b"to the last"
                 last.sendto(b"from the last", sidecar)
-                assert await soon(heard.get()) == MANY - 1
+                assert await soon(senders.get()) == MANY - 1
         finally:
             peers.close()
-            for each in ears:
+            for each in sockets:
                 each.close()
 
     play(work)
--- a/tests/slow_to_accept.py
+++ b/tests/slow_to_accept.py
@@ -1,4 +1,4 @@
-"""A server whose line for new connections is full until a test lets it go."""
+"""A server whose accept queue is full until a test drains it."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class SlowToAccept:
-    """A server whose connections come up late: its line for new ones is full until it is let go."""
+    """A server whose connections come up late: its accept queue is full until `let_go`."""
 
     def __init__(self) -> None:
         self.listener = socket.socket()
@@ -30,13 +30,13 @@
         await asyncio.sleep(0.05)
 
     async def let_go(self) -> socket.socket:
-        """Accept until the sidecar's own connection comes up; give it."""
-        ours = {each.getsockname() for each in self.fillers}
+        """Accept until the connection of the sidecar comes up; return it."""
+        fillers = {each.getsockname() for each in self.fillers}
         self.listener.setblocking(False)
         loop = asyncio.get_running_loop()
         while True:
             accepted, address = await loop.sock_accept(self.listener)
-            if address not in ours:
+            if address not in fillers:
                 return accepted
             self.fillers.append(accepted)
 
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -14,7 +14,6 @@
 from pathlib import Path
 
 import pytest
-from away import AWAY, Returning
 from loopback import (
     HOST,
     OK,
@@ -28,6 +27,7 @@
     soon,
 )
 from running import GOOD, Program, program, resident_bytes, running_on
+from unavailable_discovery import FAULTS, UnavailableDiscovery
 
 from tulipnotch.sidecar.configuration.configuration import parse
 from tulipnotch.sidecar.sidecar import RESERVED, Sidecar
@@ -131,15 +131,15 @@
 
 
 @pytest.mark.parametrize("mode", ["on_request", "pushed"])
-@pytest.mark.parametrize("away", AWAY)
+@pytest.mark.parametrize("away", FAULTS)
 def test_idle_clients_take_no_descriptor_that_others_need(away: str, mode: str, tmp_path: Path) -> None:
     # Idle clients take all that clients may while discovery is away and no list was ever held.  At its return
     # that is dialled, a first list is taken, servers are dialled, operators and working clients get through.
     async def work() -> None:
         server = await ScriptedServer(OK).start()
-        agent = Returning(away)
+        agent = UnavailableDiscovery(away)
         agent.servers = [line("s-1", server.address)]
-        await agent.go()
+        await agent.start_unavailable()
         config = tmp_path / "config.json"
         given = {
             **GOOD,
@@ -161,7 +161,7 @@
                     assert await running.call("readyz") == ["+OK ready"]
                     assert [await _health(running) for _ in range(5)] == [200] * 5
                     assert "app.members=0" in await running.call("telemetry")
-                    await agent.come_back()
+                    await agent.return_to_service()
                     back_at = time.monotonic()
                     await _until_listed(running)
                     listed_s = time.monotonic() - back_at
--- a/tests/test_ready.py
+++ b/tests/test_ready.py
@@ -11,9 +11,9 @@
 from pathlib import Path
 
 import pytest
-from away import AWAY, Returning
 from loopback import HOST, line, play, soon
 from running import GOOD, started
+from unavailable_discovery import FAULTS, UnavailableDiscovery
 
 from benchmarks import ready
 from tulipnotch.sidecar import logs
@@ -71,8 +71,8 @@
     mode: str, knows_servers: bool, takes_over: bool, waits_s: dict[str, list[float]], tmp_path: Path
 ) -> None:
     async def once(away: str) -> None:
-        agent = Returning(away)
-        await agent.go()
+        agent = UnavailableDiscovery(away)
+        await agent.start_unavailable()
         servers = [line("s-1", f"{HOST}:9")] if knows_servers else []
         config = tmp_path / f"{away}.json"
         given = {
@@ -92,7 +92,7 @@
         assert told.after_ms >= 1_000 * sum(waits_s[away])
 
     async def work() -> None:
-        await asyncio.gather(*(once(each) for each in AWAY))
+        await asyncio.gather(*(once(each) for each in FAULTS))
 
     play(work)
 
--- a/tests/away.py
+++ b/tests/unavailable_discovery.py
@@ -1,4 +1,4 @@
-"""Discovery that is away, and comes back."""
+"""A discovery server that is unavailable, and returns."""
 
 from __future__ import annotations
 
@@ -6,28 +6,28 @@
 
 from loopback import HOST, Heard, ScriptedDiscovery, reply
 
-AWAY = ["refused", "503", "hung"]
+FAULTS = ["refused", "503", "hung"]
 
 
-class Returning(ScriptedDiscovery):
-    """Discovery that is away, in one of three ways, until it is back; what hung before is never answered."""
+class UnavailableDiscovery(ScriptedDiscovery):
+    """Discovery that is unavailable in one of three ways until it returns; calls that hang never end."""
 
-    def __init__(self, away: str) -> None:
+    def __init__(self, fault: str) -> None:
         super().__init__()
-        self.away: str | None = away
-        # Bound and not listening: the address stays ours, and who connects is refused.
+        self.fault: str | None = fault
+        # Bound and not listening: the address stays reserved, and connections are refused.
         self._holder = socket.socket()
         self._holder.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self._holder.bind((HOST, 0))
         self.port = int(self._holder.getsockname()[1])
 
-    async def go(self) -> None:
-        if self.away != "refused":
+    async def start_unavailable(self) -> None:
+        if self.fault != "refused":
             await self.start(self.port)
 
-    async def come_back(self) -> None:
-        was, self.away = self.away, None
-        if was == "refused":
+    async def return_to_service(self) -> None:
+        fault, self.fault = self.fault, None
+        if fault == "refused":
             await self.start(self.port)
 
     def stop(self) -> None:
@@ -36,8 +36,8 @@
             super().stop()
 
     async def _answer(self, heard: Heard) -> bytes:
-        if self.away == "503":
+        if self.fault == "503":
             return reply(b"", "503 Busy")
-        if self.away == "hung":
+        if self.fault == "hung":
             return b""  # and nothing after it
         return await super()._answer(heard)
