--- a/tulipnotch/sidecar/downstream/server.py
+++ b/tulipnotch/sidecar/downstream/server.py
@@ -489,7 +489,7 @@
     @property
     def has_no_connections(self) -> bool:
         """Whether no client is connected, nor accepted and about to be."""
-        return not self.open_connections and (self._acceptor is None or not self._acceptor.coming)
+        return not self.open_connections and (self._acceptor is None or not self._acceptor.connecting)
 
     def close_idle(self) -> None:
         for each in [each for each in self.connections() if each.is_idle]:
