--- a/tulipnotch/sidecar/action_executor.py
+++ b/tulipnotch/sidecar/action_executor.py
@@ -55,7 +55,7 @@
         self._context = context
         self._events = events
         self._peers = targets.peers
-        discovery = targets.discovery
+        self._discovery = targets.discovery
         upstream = context.upstream
         # Looked up by class for each action; a handler takes actions of its own class only.
         self._handlers: dict[type[Action], Callable[[Any], None]] = {
@@ -66,8 +66,8 @@
             SetTimer: self._set_timer,
             StartHealthCheck: self._start_health_check,
             CloseIdleConnections: lambda action: upstream.close_idle(action.endpoint),
-            Subscribe: lambda action: discovery.subscribe(action.is_subscribed),
-            FetchEndpoints: lambda _: discovery.fetch(),
+            Subscribe: self._subscribe,
+            FetchEndpoints: lambda _: self._discovery.fetch(),
             SendPeerMessage: self._send_peer_message,
             LogEvent: self._log_event,
         }
@@ -108,6 +108,12 @@
             UpstreamRequest(action.endpoint, deadline, lambda _: message, _HealthCheckObserver(ended))
         )
 
+    def _subscribe(self, action: Subscribe) -> None:
+        if action.is_subscribed:
+            self._discovery.subscribe()
+        else:
+            self._discovery.unsubscribe()
+
     def _send_peer_message(self, action: SendPeerMessage) -> None:
         if not self._peers.send(action.receiver, action.payload):
             self._context.log("message_unsent")
--- a/tulipnotch/sidecar/downstream/server.py
+++ b/tulipnotch/sidecar/downstream/server.py
@@ -20,7 +20,7 @@
 from tulipnotch.sidecar.http1.messages import CONTINUE, LAST_CHUNK, Headers, Request, Response, chunk
 from tulipnotch.sidecar.http1.request_reader import RequestReader
 from tulipnotch.sidecar.requests.invariants import CloseReason, InvariantChecker
-from tulipnotch.sidecar.upstream.connection import own_socket
+from tulipnotch.sidecar.sockets import own_socket
 
 _READ_AT_ONCE = 32 << 10
 _WAITING = 32 << 10  # of a body that passes through, before its client has to wait for the server
@@ -482,7 +482,7 @@
     @property
     def has_no_connections(self) -> bool:
         """Whether no client is connected, nor accepted and about to be."""
-        return not self.open_connections and (self._acceptor is None or not self._acceptor.coming)
+        return not self.open_connections and (self._acceptor is None or not self._acceptor.connecting)
 
     def close_idle(self) -> None:
         for each in [each for each in self.connections() if each.is_idle]:
--- a/tulipnotch/sidecar/sidecar.py
+++ b/tulipnotch/sidecar/sidecar.py
@@ -23,7 +23,8 @@
 from tulipnotch.sidecar.control.telemetry import Telemetry
 from tulipnotch.sidecar.control_commands import ControlCommands
 from tulipnotch.sidecar.descriptor_budget import DescriptorBudget, client_limits, max_control_connections
-from tulipnotch.sidecar.discovery.client import DiscoveryClient, DiscoveryResponse
+from tulipnotch.sidecar.discovery.client import DiscoveryClient
+from tulipnotch.sidecar.discovery.endpoint_list_codec import DiscoveryResponse
 from tulipnotch.sidecar.discovery.peers import PeerMessenger
 from tulipnotch.sidecar.downstream.listener import reserve_soon
 from tulipnotch.sidecar.downstream.server import ClientLimits, DownstreamServer
@@ -102,16 +103,7 @@
         self._budget = DescriptorBudget(config, self.operators, self.frontend, self._upstream)
         self._endpoints = _EndpointUpdates(self._context, self._events)
         self._discovery = DiscoveryClient(
-            config.discovery,
-            config.known.version,
-            config.settings.discovery_mode is DiscoveryMode.PUSHED,
-            self._endpoints.endpoints_received,
-            self._endpoints.call_failed,
-            self._endpoints.fault_changed,
-            config.settings.rules.drain_grace_us,
-            config.settings.instance_index,
-            has_list=bool(config.known.endpoints),
-            max_poll_interval_us=config.settings.rules.max_poll_interval_us,
+            config.discovery, config.settings, config.known, observer=self._endpoints
         )
         self._levels = (
             ServiceLevelMonitor(levels, clock, self._balancer, self._events, log) if levels else None
@@ -210,7 +202,7 @@
         self._context.settings = settings
         self.telemetry.add_classes(each.name for each in settings.classes)
         self._upstream.apply_settings(settings)
-        self._discovery.apply_settings(settings.rules.drain_grace_us, settings.rules.max_poll_interval_us)
+        self._discovery.apply_settings(settings)
         self.frontend.apply_settings(settings)
         self._events.post(SettingsChanged(settings))
 
--- a/tulipnotch/sidecar/upstream/connection.py
+++ b/tulipnotch/sidecar/upstream/connection.py
@@ -11,17 +11,15 @@
 from __future__ import annotations
 
 import asyncio
-import ipaddress
 import os
 import select
 import socket
-from collections.abc import Iterator
-from contextlib import contextmanager
 from enum import Enum, auto, unique
 from typing import Protocol, cast
 
 from tulipnotch.sidecar.http1.messages import Request, Response
 from tulipnotch.sidecar.http1.response_reader import ResponseReader
+from tulipnotch.sidecar.sockets import own_socket
 from tulipnotch.sidecar.upstream.errors import ConnectionNotIdleError
 from tulipnotch.sidecar.upstream.exchange import (
     AwaitingResponse,
@@ -43,38 +41,6 @@
 # closed.
 _READ_BUFFER = memoryview(bytearray(32 << 10))
 
-Address = tuple[str, int]
-
-
-def parse_address(value: object) -> Address:
-    """Split `address:port`; there is no DNS, so the address must be a numeric one."""
-    if not isinstance(value, str):
-        raise ValueError(f"address:port is needed, not {value!r:.60}")
-    host, _, port = value.rpartition(":")
-    try:
-        ipaddress.ip_address(host.strip("[]"))
-        number = int(port)
-    except ValueError:
-        raise ValueError(f"address:port is needed, not {value!r:.60}") from None
-    if not 0 <= number <= 65_535:
-        raise ValueError(f"a port from 0 to 65535 is needed, not {number}")
-    return host.strip("[]"), number
-
-
-@contextmanager
-def own_socket(transport: asyncio.BaseTransport) -> Iterator[socket.socket]:
-    """The socket of an open transport, to act on at once; what fails because the peer was quicker is let be.
-
-    Event loops lend theirs only to look at.  No descriptor more is needed: there may be none.
-    """
-    plain = socket.socket(fileno=transport.get_extra_info("socket").fileno())
-    try:
-        yield plain
-    except OSError:
-        pass
-    finally:
-        plain.detach()
-
 
 class ConnectionOwner(Protocol):
     """Whoever decides on the further use of a connection."""
--- a/tulipnotch/sidecar/upstream/dial.py
+++ b/tulipnotch/sidecar/upstream/dial.py
@@ -7,7 +7,8 @@
 from collections.abc import Callable
 
 from tulipnotch.load_balancing.outcomes import Outcome
-from tulipnotch.sidecar.upstream.connection import Address, UpstreamConnection
+from tulipnotch.sidecar.addresses import Address
+from tulipnotch.sidecar.upstream.connection import UpstreamConnection
 from tulipnotch.sidecar.upstream.errors import ConnectError
 
 # Errors by which this machine, not the server, lacks what a connection takes.
--- a/tulipnotch/sidecar/upstream/endpoint_connections.py
+++ b/tulipnotch/sidecar/upstream/endpoint_connections.py
@@ -4,7 +4,8 @@
 
 from dataclasses import dataclass, field
 
-from tulipnotch.sidecar.upstream.connection import Address, UpstreamConnection
+from tulipnotch.sidecar.addresses import Address
+from tulipnotch.sidecar.upstream.connection import UpstreamConnection
 
 
 @dataclass(slots=True)
--- a/tulipnotch/sidecar/upstream/pool.py
+++ b/tulipnotch/sidecar/upstream/pool.py
@@ -9,7 +9,7 @@
 from tulipnotch.load_balancing.outcomes import Outcome
 from tulipnotch.load_balancing.settings import Settings
 from tulipnotch.sidecar.clock import Clock
-from tulipnotch.sidecar.discovery.client import DiscoveryResponse
+from tulipnotch.sidecar.discovery.endpoint_list_codec import DiscoveryResponse
 from tulipnotch.sidecar.http1.body import MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES
 from tulipnotch.sidecar.http1.response_reader import ResponseReader
 from tulipnotch.sidecar.requests.invariants import Invariant, InvariantChecker
