--- a/tests/lab/test_overload.py
+++ b/tests/lab/test_overload.py
@@ -12,11 +12,11 @@
 
 DEFECTS: list[tuple[str, dict[str, float], float]] = [
     # Answers may take half of their aim: too late to react.
-    ("tipping", {"LEVEL": 0.5, "LEVEL_MOST": 0.5}, 5.0),
+    ("tipping", {"TARGET_PART": 0.5, "MAX_TARGET_PART": 0.5}, 5.0),
     # The limit never falls.
-    ("tipping", {"LEAST_LIMIT": 1e9}, 5.0),
+    ("tipping", {"MIN_LIMIT": 1e9}, 5.0),
     # The first limit is no limit: servers choke before any answer tells.
-    ("opening", {"START_LIMIT": 1e9}, 165.0),
+    ("opening", {"INITIAL_LIMIT_PER_ENDPOINT": 1e9}, 165.0),
 ]
 
 
--- a/tests/overload/test_levels_in_force.py
+++ b/tests/overload/test_levels_in_force.py
@@ -72,7 +72,7 @@
     """How full the window would be with all that is asked for, long after the cause of its shrinking went."""
     given.servers(names(6))
     served(given, "look", None, 100)
-    given.balancer._parts.concurrency_limit.limit = 0.2
+    given.balancer._components.concurrency_limit.limit = 0.2
     given.play(CLOSED)
     for _ in range(60):
         served(given, "look", None, 10)
@@ -86,7 +86,7 @@
 
 def test_without_that_the_level_would_never_be_left(monkeypatch: pytest.MonkeyPatch) -> None:
     never = property(lambda _: False, lambda *_: None)
-    monkeypatch.setattr(ConcurrencyLimit, "has_refused", never, raising=False)
+    monkeypatch.setattr(ConcurrencyLimit, "has_rejected", never, raising=False)
     assert shrunk_under_a_level(Stage()) > 0.6
 
 
--- a/tests/test_announced.py
+++ b/tests/test_announced.py
@@ -253,7 +253,7 @@
 def _failures(scene: Stage, dials: Dials) -> int:
     """Calls that failed in a row where lists are asked for; where they are pushed, dials are as many."""
     asked = scene.sidecar.config.settings.discovery_mode is Mode.POLLED
-    return scene.sidecar._balancer._parts.discovery_polling.failed_calls if asked else dials.made
+    return scene.sidecar._balancer._components.discovery_polling.failed_calls if asked else dials.made
 
 
 def test_where_lists_are_pushed_a_start_receives_the_list_before_it_listens(
@@ -386,9 +386,9 @@
 
         async with stage(await ScriptedServer(reports).start()) as scene:
             assert (await scene.ask()).status == 200
-            assert scene.sidecar._balancer._parts.response_times.cores is not None
+            assert scene.sidecar._balancer._components.response_times.cores is not None
             raw = _raw(scene.sidecar.config.name, scene.discovery.address)
             scene.sidecar.reload(parse(raw, raw))
-            assert scene.sidecar._balancer._parts.response_times.cores is None
+            assert scene.sidecar._balancer._components.response_times.cores is None
 
     play(work)
--- a/tests/test_draw.py
+++ b/tests/test_draw.py
@@ -13,11 +13,12 @@
 from tulipnotch.load_balancing.admission import concurrency_limit
 from tulipnotch.load_balancing.events import EndpointDescription, EndpointUpdateKind
 from tulipnotch.load_balancing.outcomes import Outcome
-from tulipnotch.load_balancing.selection import weighted_sampling as weighted_draw
+from tulipnotch.load_balancing.selection import best_of_k
+from tulipnotch.load_balancing.selection.weighted_sampling import weighted_sample
 
 
 def test_the_least_busy_of_the_drawn_wins(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(concurrency_limit, "START_LIMIT", 1e9)  # else some are refused
+    monkeypatch.setattr(concurrency_limit, "INITIAL_LIMIT_PER_ENDPOINT", 1e9)  # else some are refused
     stage = Stage()
     stage.servers(names(4))  # all are drawn
     for _ in range(40):
@@ -82,7 +83,7 @@
     again = stage.request("pay")
     assert stage.target(again) in names(2)
     stage.wait(S)
-    assert stage.balancer._parts.selection.busy(stage.balancer._context.endpoints[hung]) <= 1
+    assert stage.balancer._components.selection.busy(stage.balancer._context.endpoints[hung]) <= 1
 
 
 def _with_one_hung(stage: Stage, rounds: int) -> tuple[str, list[int]]:
@@ -136,7 +137,7 @@
     for _ in range(200):
         stage.request("pay")
         stage.wait(15 * MS)
-    ejected = [each for each in stage.balancer._context.endpoints.values() if each.ejected_until is not None]
+    ejected = [each for each in stage.balancer._context.endpoints.values() if each.ejection is not None]
     assert len(ejected) <= 2
 
 
@@ -270,7 +271,7 @@
     hung, _ = _with_one_hung(stage, 20)
     stage.servers([EndpointDescription(hung, "east", started_at=stage.now)], EndpointUpdateKind.DELTA)
     server = stage.balancer._context.endpoints[hung]
-    assert server.ejected_until is None and stage.balancer._parts.slow_start.is_cold(server)
+    assert server.ejection is None and stage.balancer._components.slow_start.is_warming_up(server)
 
 
 def test_heavy_requests_draw_slow_servers_less_than_light_ones_do(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -282,13 +283,12 @@
         ]
     )
     seen: list[float] = []
-    drawn = weighted_draw.drawn
 
     def watch(chance: random.Random, pool: list[Any], odds: list[float], count: int) -> list[Any]:
         seen.append(odds[0] / odds[1])
-        return drawn(chance, pool, odds, count)
+        return weighted_sample(chance, pool, odds, count)
 
-    monkeypatch.setattr(weighted_draw, "drawn", watch)
+    monkeypatch.setattr(best_of_k, "weighted_sample", watch)
     for cost in (20 * MS, 20 * MS, 100 * MS):
         stage.end(stage.request(cost_us=cost))
     assert seen[2] < 0.5 * seen[0]
@@ -369,8 +369,8 @@
 def test_two_at_once_are_no_overload_for_a_small_balancer() -> None:
     stage = Stage()
     stage.servers(names(8))
-    stage.balancer._parts.concurrency_limit.limit = 1.0
-    stage.balancer._parts.concurrency_limit._resized_at = stage.now
+    stage.balancer._components.concurrency_limit.limit = 1.0
+    stage.balancer._components.concurrency_limit._resized_at = stage.now
     for _ in range(10):
         pair = (stage.request(), stage.request())
         stage.wait(50 * MS)
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -96,7 +96,7 @@
 
 
 def _refuses_anything(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(RetryPolicy, "is_refusal_harmless", lambda *given: True)
+    patch.setattr(RetryPolicy, "is_rejection_harmless", lambda *given: True)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_least_limit.py
+++ b/tests/test_least_limit.py
@@ -62,7 +62,7 @@
 
 
 # An attempt that was given up on counts as in flight for a while more.
-LONGEST_REST_US = 1.3 * DEADLINE_US + concurrency_limit.REST_AIMS * AIM_US
+LONGEST_REST_US = 1.3 * DEADLINE_US + concurrency_limit.MAX_IDLE_OBJECTIVES * AIM_US
 
 
 @pytest.mark.parametrize("instance_count", [1, SERVERS])
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -16,6 +16,7 @@
 from tulipnotch.load_balancing import Settings
 from tulipnotch.load_balancing.actions import Action, StartAttempt
 from tulipnotch.load_balancing.clock_time import NEVER
+from tulipnotch.load_balancing.endpoints.endpoint import Ejection
 from tulipnotch.load_balancing.events import AttemptEnded, Event, RequestArrived, TimerFired
 from tulipnotch.load_balancing.outcomes import Outcome
 from tulipnotch.sidecar.downstream.server import ClientLimits, ConnectionState, DownstreamConnection
@@ -139,7 +140,7 @@
             await until(lambda: len(scene.discovery.heard) >= 3)
             # The decisions would send a second copy once others had answered meanwhile; it is sent here.
             balancer = scene.sidecar._balancer
-            assert balancer._send(balancer._requests[number], balancer._context.endpoints["s-slow"])
+            assert balancer._start_attempt(balancer._requests[number], balancer._context.endpoints["s-slow"])
             scene.sidecar._carry_out(balancer._context.actions[-1])
             release.set()
             assert (await client.answer()).status == 200
@@ -273,7 +274,7 @@
     async def work() -> None:
         _, hold = holding()
         async with stage(hold, hold, client_limits=_NEVER_SWEPT, bounds={"mayCancel": False}) as scene:
-            scene.sidecar._balancer._parts.retries.budget = 9.0  # it may repeat what failed
+            scene.sidecar._balancer._components.retries.budget = 9.0  # it may repeat what failed
             with _application(scene) as application:
                 application.send(request("check") + ahead)
                 await until(lambda: len(scene.heard) == 1)
@@ -313,14 +314,14 @@
             decisions = scene.sidecar._balancer
             listed = decisions._context.endpoints["s-0"]
             if is_trial:
-                decisions._parts.outlier_detection._ejected.append(listed)
-                listed.ejected_until = 0  # its time to come back
+                decisions._components.outlier_detection._ejected.append(listed)
+                listed.ejection = Ejection()  # its time to come back
             with _application(scene) as application:
                 application.send(request("check", timeout="15") + ahead)
                 rests = scene.sidecar._upstream._resting
                 await until(lambda: len(rests) == 1)
                 await _paused(scene, ahead)
-                assert (listed.probation_attempt is not None) == is_trial
+                assert (listed.health.probation_attempt is not None) == is_trial
                 _go(application, how, None if how == "stays" else _only(scene))
                 ((connection, timer),) = rests.items()
                 timer.cancel()
@@ -332,7 +333,7 @@
                     return
                 await _is_over(scene)
                 assert len(scene.heard) == 1 and scene.servers[0].connections == 1
-                assert _withheld(scene) == 1 and listed.probation_attempt is None
+                assert _withheld(scene) == 1 and listed.health.probation_attempt is None
 
     play(work)
 
--- a/tests/test_on_call.py
+++ b/tests/test_on_call.py
@@ -6,7 +6,7 @@
 import tomllib
 from pathlib import Path
 
-from tulipnotch.load_balancing.health.outlier_detection import FAILURES, SILENT
+from tulipnotch.load_balancing.health.outlier_detection import FAILURES, UNRESPONSIVE
 from tulipnotch.load_balancing.outcomes import Outcome
 from tulipnotch.sidecar.control.telemetry import Telemetry
 from tulipnotch.sidecar.logs import EVENTS
@@ -29,20 +29,20 @@
     assert source.count("LogEvent(") == len(written)
     for word in written:
         assert word in EVENTS and f"`{word} SERVER" in page
-    for reason in [SILENT, Outcome.MALFORMED_RESPONSE.value, *(each.value for each in FAILURES)]:
+    for reason in [UNRESPONSIVE, Outcome.MALFORMED_RESPONSE.value, *(each.value for each in FAILURES)]:
         assert f"`ejected S: {reason}`" in page
 
 
 def test_servers_are_ejected_for_the_reasons_of_the_on_call_page_only() -> None:
     # All ejections go through `_eject`; what is ejected for its outcome is spoilt or one of the failures.
-    given = set(re.findall(r"\._eject\(server, ([\w.]+)", "".join(SOURCES.values())))
-    assert given == {"SILENT", "Outcome.MALFORMED_RESPONSE.value", "outcome.value"}
+    given = set(re.findall(r"\._eject\(endpoint, ([\w.]+)", "".join(SOURCES.values())))
+    assert given == {"UNRESPONSIVE", "Outcome.MALFORMED_RESPONSE.value", "outcome.value"}
     detection = SOURCES["tulipnotch/load_balancing/health/outlier_detection.py"]
     (condition,) = re.findall(r"elif (.*):\n +self\._failed\(", detection)
     assert condition == "outcome in FAILURES"
-    failing = detection[detection.index("def _failed") : detection.index("def eject_silent")]
-    assert detection.count("self._eject(server, outcome.value)") == 1
-    assert failing.count("self._eject(server, outcome.value)") == 1
+    failing = detection[detection.index("def _failed") : detection.index("def eject_unresponsive")]
+    assert detection.count("self._eject(endpoint, outcome.value)") == 1
+    assert failing.count("self._eject(endpoint, outcome.value)") == 1
 
 
 def test_modules_stay_below_their_maximum_size() -> None:
--- a/tests/test_overdue.py
+++ b/tests/test_overdue.py
@@ -16,11 +16,11 @@
         stage.end(request)
     stage.request()
     events = iter(range(10_000))
-    schedule = stage.balancer._parts.timers.schedule
+    schedule = stage.balancer._components.timers.schedule
 
     def counted(due: int, request: int, attempt: int) -> None:
         assert next(events, None) is not None, "the agenda goes round and round"
         schedule(due, request, attempt)
 
-    stage.balancer._parts.timers.schedule = counted  # type: ignore[method-assign]
+    stage.balancer._components.timers.schedule = counted  # type: ignore[method-assign]
     stage.wait(2_000_000)
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -155,7 +155,7 @@
         if stage.sends(request):  # full answers make it refuse some, sooner or later
             stage.end(request, Outcome.OVERLOADED)
     balancer = stage.balancer
-    parts = balancer._parts
+    parts = balancer._components
     kept = [kind for kind, _ in parts.admission._demand._traffic]
     kept += [kind for kind, _ in parts.latency.usual_us]
     kept += list(parts.class_costs._means)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -286,12 +286,12 @@
         if each is not request.attempts[0].endpoint
     )
     stage.drain(server.name, EndpointState.DRAINING)
-    assert not stage.balancer._send(request, server)
+    assert not stage.balancer._start_attempt(request, server)
     stage.servers([server.name], EndpointUpdateKind.DELTA)
-    assert stage.balancer._send(request, server)
+    assert stage.balancer._start_attempt(request, server)
     stage.drain(server.name, EndpointState.REMOVED)
     other = stage.balancer._requests[stage.request()]
-    assert not stage.balancer._send(other, server)
+    assert not stage.balancer._start_attempt(other, server)
 
 
 def test_the_gate_lets_no_second_copy_out_where_only_one_is_allowed() -> None:
@@ -304,7 +304,7 @@
             for each in stage.balancer._context.endpoints.values()
             if each is not request.attempts[0].endpoint
         )
-        assert stage.balancer._send(request, server) is allowed
+        assert stage.balancer._start_attempt(request, server) is allowed
 
 
 # Further rule: full is no proof
@@ -408,11 +408,11 @@
     stage = Stage()
     stage.servers(names(4))
     stage.serve(200)
-    bore = stage.balancer._parts.warm_capacity.per_us()
+    bore = stage.balancer._components.warm_capacity.per_us()
     assert bore > 0.0
     stage.wait(5 * S)  # half of the time to warm up, and nothing is served in it
     stage.request()
-    assert bore / 4 < stage.balancer._parts.warm_capacity.per_us() < bore / 2
+    assert bore / 4 < stage.balancer._components.warm_capacity.per_us() < bore / 2
     stage.wait(60 * S)
     stage.request()
-    assert stage.balancer._parts.warm_capacity.per_us() < bore / 1_000
+    assert stage.balancer._components.warm_capacity.per_us() < bore / 1_000
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -27,9 +27,9 @@
     stage.wait(20 * S)
     balancer = stage.balancer
     assert len(balancer._context.endpoints) == 5
-    assert len(balancer._requests) == len(balancer._parts.load._abandoned) == 0
-    assert len(balancer._parts.timers) <= 2
-    assert all(each.state is EndpointState.READY for each in balancer._parts.outlier_detection._ejected)
+    assert len(balancer._requests) == len(balancer._components.load._abandoned) == 0
+    assert len(balancer._components.timers) <= 2
+    assert all(each.state is EndpointState.READY for each in balancer._components.outlier_detection._ejected)
 
 
 def test_a_server_that_left_is_kept_until_its_last_attempt_has_ended() -> None:
@@ -41,7 +41,7 @@
     assert server in stage.balancer._context.endpoints
     stage.end(request)
     assert stage.balancer._context.endpoints == {}
-    assert stage.balancer._parts.load.current() == 0
+    assert stage.balancer._components.load.current() == 0
 
 
 def test_spoilt_answers_eject_nobody_until_they_are_all_that_a_server_gives() -> None:
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -12,6 +12,7 @@
 from tulipnotch.load_balancing.settings import Rules
 from tulipnotch.load_balancing.settings_reader import settings_from_mapping
 from tulipnotch.load_balancing.slow_start import warm_up_budget as slow_start
+from tulipnotch.load_balancing.slow_start.token_bucket import LapsingBucket
 
 RULES = Rules(initial_capacity=0.2, warm_up_us=10 * S, overload_multiple=2.5, overload_window_us=1 * S)
 START = 1_700_000_000 * S
@@ -55,20 +56,22 @@
 
 
 def test_warmth_rises_evenly_and_a_clock_that_is_behind_counts_as_the_start() -> None:
-    assert slow_start.warmth(RULES, None, START) == 1.0
-    assert slow_start.warmth(RULES, START, START - 200 * MS) == 0.2  # 200 ms behind the server's clock
-    assert slow_start.warmth(RULES, START, START) == 0.2
-    assert math.isclose(slow_start.warmth(RULES, START, START + 5 * S), 0.6)
-    assert slow_start.warmth(RULES, START, START + 10 * S) == 1.0
+    assert slow_start.warm_up_factor(RULES, None, START) == 1.0
+    assert (
+        slow_start.warm_up_factor(RULES, START, START - 200 * MS) == 0.2
+    )  # 200 ms behind the server's clock
+    assert slow_start.warm_up_factor(RULES, START, START) == 0.2
+    assert math.isclose(slow_start.warm_up_factor(RULES, START, START + 5 * S), 0.6)
+    assert slow_start.warm_up_factor(RULES, START, START + 10 * S) == 1.0
 
 
 def turns(begins_with: float, limit: float, asked_at: list[int]) -> list[int]:
     """When requests of mean cost, asked for at these times, were let through."""
-    allowance = slow_start.WarmUpBudget(0, begins_with)
+    bucket = LapsingBucket(0, begins_with)
     through = []
     for at in asked_at:
-        if allowance.has_room(at, limit, 1 * S, 1.0):
-            allowance.spend(1.0)
+        if slow_start.has_room(bucket, at, limit, 1 * S, 1.0):
+            bucket.spend(1.0)
             through.append(at)
     return through
 
@@ -118,18 +121,18 @@
 
 
 def test_a_heavy_request_is_paid_back_before_the_next() -> None:
-    allowance = slow_start.WarmUpBudget(0, 1.0)
-    assert allowance.has_room(0, 1.0 / S, 1 * S, 1.5)
-    allowance.spend(1.5)
-    assert not allowance.has_room(5 * S, 1.0 / S, 1 * S, 1.0)
-    assert allowance.has_room(6 * S + 1, 1.0 / S, 1 * S, 1.0)
+    bucket = LapsingBucket(0, 1.0)
+    assert slow_start.has_room(bucket, 0, 1.0 / S, 1 * S, 1.5)
+    bucket.spend(1.5)
+    assert not slow_start.has_room(bucket, 5 * S, 1.0 / S, 1 * S, 1.0)
+    assert slow_start.has_room(bucket, 6 * S + 1, 1.0 / S, 1 * S, 1.0)
 
 
 def test_the_heaviest_request_grows_with_the_budget_far_slower_than_it() -> None:
-    assert slow_start.heaviest(0.0) == 1.0
+    assert slow_start.max_cost(0.0) == 1.0
     for budget in (1.0, 3.0, 12.0, 50.0):
         chance = 2.0 * math.sqrt(budget) + 2.0
-        assert 1.0 < slow_start.heaviest(budget) < chance / 2
+        assert 1.0 < slow_start.max_cost(budget) < chance / 2
 
 
 def test_work_is_relative_to_the_mean_of_all_before_it() -> None:
--- a/tests/test_streaming.py
+++ b/tests/test_streaming.py
@@ -453,9 +453,9 @@
     assert len(stage.sends(1)) == 1
     stage.wait(30 * SECOND)
     assert stage.said(FailRequest) == [] and stage.said(RejectRequest) == []
-    assert stage.balancer._parts.load.current() == 0  # what still comes is no work for a server
+    assert stage.balancer._components.load.current() == 0  # what still comes is no work for a server
     stage.play(RequestBodyCompleted(1, 500 * MS))
-    assert stage.balancer._parts.load.current() == 1
+    assert stage.balancer._components.load.current() == 1
     stage.wait(499 * MS)
     assert [each.request for each in stage.said(FailRequest)] == [1]
 
@@ -468,7 +468,7 @@
     stage.play(AttemptEnded(1, 0, send.endpoint, Outcome.CONNECT_FAILED, 0, False, None, is_retryable=False))
     assert len(stage.sends(1)) == 1
     assert [each.request for each in stage.said(RejectRequest)] == [1]
-    assert stage.balancer._parts.load.current() == 0
+    assert stage.balancer._components.load.current() == 0
 
 
 def test_a_body_keeps_its_first_part_and_gives_the_rest_once() -> None:
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -28,12 +28,12 @@
     scene.servers(
         [EndpointDescription(each, zone="east", started_at=START + ahead_s * S) for each in names(4)]
     )
-    slow_start = scene.balancer._parts.slow_start
+    slow_start = scene.balancer._components.slow_start
     servers = list(scene.balancer._context.endpoints.values())
-    assert all(slow_start.is_cold(each) for each in servers)
+    assert all(slow_start.is_warming_up(each) for each in servers)
     scene.wait(cold_us + 1 * MS)
     scene.request()
-    assert not any(slow_start.is_cold(each) for each in servers)
+    assert not any(slow_start.is_warming_up(each) for each in servers)
 
 
 def test_a_server_that_is_readmitted_is_no_colder_for_a_start_in_the_future() -> None:
@@ -44,11 +44,11 @@
     )
     scene.wait(given.rules.warm_up_us + 1 * MS)
     scene.request()
-    outliers = scene.balancer._parts.outlier_detection
+    outliers = scene.balancer._components.outlier_detection
     server = next(iter(scene.balancer._context.endpoints.values()))
     outliers._eject(server, "error")
     outliers.readmit(server)
-    assert not scene.balancer._parts.slow_start.is_cold(server)
+    assert not scene.balancer._components.slow_start.is_warming_up(server)
 
 
 def test_a_process_whose_clock_is_an_hour_behind_serves_as_one_whose_clock_is_true(tmp_path: Path) -> None:
--- a/tulipnotch/load_balancing/actions.py
+++ b/tulipnotch/load_balancing/actions.py
@@ -1,4 +1,4 @@
-"""Actions: what a balancer asks the program around it to do, in order.
+"""Actions: what a balancer asks its host to do, in order.
 
 Times are whole microseconds.  Actions are plain slotted dataclasses; treat them as values.
 """
@@ -12,7 +12,7 @@
 
 @dataclass(slots=True)
 class StartAttempt:
-    """Start an attempt; a request's attempts are numbered from 0 in the order they are sent."""
+    """Start an attempt; a request's attempts are numbered from 0 in the order they are started."""
 
     request: int
     endpoint: str
@@ -21,16 +21,16 @@
 
 @dataclass(slots=True)
 class RejectRequest:
-    """Final answer: refused; trying again is harmless.  `reason` is for records only."""
+    """Final response: rejected; a retry by the client is harmless.  `reason` is for records only."""
 
     request: int
-    retry_after_us: int = 0
+    retry_after_us: int = 0  # 0: no advice
     reason: TerminationReason = field(default=TerminationReason.NO_ENDPOINT, compare=False)
 
 
 @dataclass(slots=True)
 class FailRequest:
-    """Final answer: failed; nothing is promised.  `reason` is for records only."""
+    """Final response: failed; a server may have executed the request.  `reason` is for records only."""
 
     request: int
     reason: TerminationReason = field(default=TerminationReason.NO_RETRY, compare=False)
@@ -46,7 +46,7 @@
 
 @dataclass(slots=True)
 class SetTimer:
-    """Ask for a TimerFired."""
+    """Request a TimerFired."""
 
     delay_us: int
     token: str
@@ -54,14 +54,14 @@
 
 @dataclass(slots=True)
 class StartHealthCheck:
-    """Test a server."""
+    """Send a health check to an endpoint."""
 
     endpoint: str
 
 
 @dataclass(slots=True)
 class CloseIdleConnections:
-    """Close the idle connections to a server."""
+    """Close the idle connections to an endpoint."""
 
     endpoint: str
 
@@ -76,19 +76,19 @@
 
 @dataclass(slots=True)
 class Subscribe:
-    """Subscribe to changes of the server list, or end that."""
+    """Subscribe to changes of the endpoint list, or end the subscription."""
 
     is_subscribed: bool = True
 
 
 @dataclass(slots=True)
 class FetchEndpoints:
-    """Ask once for the complete server list."""
+    """Fetch the complete endpoint list once."""
 
 
 @dataclass(slots=True)
 class LogEvent:
-    """An event for the operators: its name and fields, of those that the sidecar's log knows."""
+    """An event for the operators: its name, and its fields among those that the sidecar's log defines."""
 
     event: str
     endpoint: str
@@ -96,11 +96,13 @@
 
     @property
     def fields(self) -> dict[str, str]:
+        """The fields of the log event that are not empty."""
         fields = {"server": self.endpoint, "reason": self.reason}
         return {name: value for name, value in fields.items() if value}
 
     @property
     def text(self) -> str:
+        """The event as one line of text."""
         return f"{self.event} {self.endpoint}" + (f": {self.reason}" if self.reason else "")
 
 
--- a/tulipnotch/load_balancing/admission/pressure.py
+++ b/tulipnotch/load_balancing/admission/pressure.py
@@ -1,4 +1,4 @@
-"""How much of the concurrency limit is in use: what a service level is decided by."""
+"""How much of the concurrency limit is in use: what service levels are decided by."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Pressure:
-    """How pressed the window is; counts are from the start of the process."""
+    """The pressure on the concurrency limit; counts are from the start of the process."""
 
-    offered: int  # requests that came to the window: those that no service level kept out
-    rejected: int  # of these, refused by it
-    utilization: float  # what is in flight, and what a level keeps out would add, as a part of the window
+    offered: int  # requests that reached the limit: those that no service level rejected
+    rejected: int  # of these, rejected by it
+    utilization: float  # what is in flight, and what a level rejects would add, as a part of the limit
--- a/tulipnotch/load_balancing/clock_time.py
+++ b/tulipnotch/load_balancing/clock_time.py
@@ -1,5 +1,5 @@
-"""Clock times: whole microseconds of a clock that only goes forward."""
+"""Clock times: whole microseconds of a monotonic clock."""
 
 from __future__ import annotations
 
-NEVER = 2**62  # a clock time that does not come
+NEVER = 2**62  # a clock time that is never reached
--- a/tulipnotch/load_balancing/components.py
+++ b/tulipnotch/load_balancing/components.py
@@ -1,4 +1,4 @@
-"""The parts of one balancer: made once, and updated together for new settings and lists."""
+"""The components of one balancer: built once, and updated together for new settings and endpoint lists."""
 
 from __future__ import annotations
 
@@ -27,35 +27,38 @@
 
 
 class Components:
-    """Everything that decides for one balancer, or keeps what the decisions need."""
+    """Everything that decides for one balancer, or retains what the decisions need."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
+        """Build all components; `seed` determines all random numbers."""
         context = self.context = Context(settings, seed)
-        agenda = self.timers = TimerQueue()
+        timers = self.timers = TimerQueue()
         load = self.load = Load(context)
         latency = self.latency = Latency(load)
-        answers = self.response_times = ResponseTimes(load, concurrency_limit.LEVEL)
-        limit = self.concurrency_limit = ConcurrencyLimit(context, load, answers)
-        idle = self.idle_connections = IdleConnections(context)
+        response_times = self.response_times = ResponseTimes(load, concurrency_limit.TARGET_PART)
+        limit = self.concurrency_limit = ConcurrencyLimit(context, load, response_times)
+        idle_connections = self.idle_connections = IdleConnections(context)
         capacity = self.warm_capacity = WarmCapacity(context, load)
         slow_start = self.slow_start = SlowStart(context, capacity)
-        outliers = self.outlier_detection = OutlierDetection(context, load, capacity, slow_start, idle)
-        zones = self.locality_weights = LocalityWeights(context, answers, limit)
-        selection = self.selection = Selection(context, load, zones, slow_start, outliers)
+        outliers = self.outlier_detection = OutlierDetection(
+            context, load, capacity, slow_start, idle_connections
+        )
+        localities = self.locality_weights = LocalityWeights(context, response_times, limit)
+        selection = self.selection = Selection(context, load, localities, slow_start, outliers)
         self.class_costs = ClassCosts()
         self.mean_work = MeanWork()
         self.admission = AdmissionControl(context, load, latency, limit)
         self.retries = RetryPolicy(context)
-        self.attempt_timeouts = AttemptTimeouts(context, agenda, latency, limit, idle, outliers)
-        self.feedback = AttemptFeedback(context, load, latency, answers, limit, outliers, selection)
-        self.discovery_polling = DiscoveryPolling(context, agenda)
-        self.endpoint_list = EndpointList(context, slow_start, idle, outliers)
+        self.attempt_timeouts = AttemptTimeouts(context, timers, latency, limit, idle_connections, outliers)
+        self.feedback = AttemptFeedback(context, load, latency, response_times, limit, outliers, selection)
+        self.discovery_polling = DiscoveryPolling(context, timers)
+        self.endpoint_list = EndpointList(context, slow_start, idle_connections, outliers)
 
     def settings_changed(self, settings: Settings) -> None:
-        """Go by new settings; what was learnt of servers stays, and of classes that are still there."""
+        """Apply new settings; what was learnt of endpoints is retained, and of classes that still exist."""
         self.context.apply(settings)
-        self.latency.keep_classes(self.context.classes)
-        self.class_costs.keep_classes(self.context.classes)
+        self.latency.retain_classes(self.context.classes)
+        self.class_costs.retain_classes(self.context.classes)
         if "util" not in settings.report_columns:
             self.response_times.forget_cores()
         self.admission.settings_changed()
@@ -63,13 +66,13 @@
         self.locality_weights.settings_changed()
         self.selection.settings_changed()
 
-    def servers_listed(self, event: EndpointsUpdated) -> None:
-        """Take over a list, a change of it, or the word that a call for it failed."""
+    def endpoints_updated(self, event: EndpointsUpdated) -> None:
+        """Apply an update of the endpoint list, or note that a poll for it failed."""
         if event.kind is EndpointUpdateKind.FAILED:
-            self.discovery_polling.call_failed()
+            self.discovery_polling.poll_failed()
             return
         if event.kind is not EndpointUpdateKind.CACHED:
-            self.discovery_polling.list_received()
+            self.discovery_polling.endpoints_received()
         self.endpoint_list.apply(event)
-        self.locality_weights.servers_listed()
+        self.locality_weights.endpoints_updated()
         self.concurrency_limit.start()
--- a/tulipnotch/load_balancing/context.py
+++ b/tulipnotch/load_balancing/context.py
@@ -1,7 +1,8 @@
-"""What the parts of one balancer share: the event's time, the settings in force, servers, chance, actions.
+"""What the components of one balancer share: the event's time, settings, endpoints, random numbers, actions.
 
-There is one `Context` for each balancer.  The balancer sets time and actions at each event; every part reads
-them and appends its actions in order.  All chance comes from the one generator, so that a seed repeats a run.
+There is one `Context` for each balancer.  The balancer sets time and actions at each event; every component
+reads them and appends its actions in order.  All random numbers come from one generator, so that a seed
+reproduces a run.
 """
 
 from __future__ import annotations
@@ -9,15 +10,15 @@
 import random
 
 from tulipnotch.load_balancing.actions import Action
-from tulipnotch.load_balancing.records import Endpoint
+from tulipnotch.load_balancing.endpoints.endpoint import Endpoint
 from tulipnotch.load_balancing.settings import Settings
 
-JITTER_LEAST = 0.75  # a wait with jitter lasts this part of the nominal one at least
+MIN_JITTER = 0.75  # a wait with jitter lasts at least this part of the nominal one
 JITTER_SPAN = 0.5  # and up to this part more, so that balancers spread out
 
 
 class Context:
-    """The state that is shared by all parts of one balancer."""
+    """The state that all components of one balancer share."""
 
     __slots__ = (
         "actions",
@@ -31,10 +32,11 @@
     )
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        self.now = 0
+        """Begin at clock time 0 with no endpoint; `seed` determines all random numbers."""
+        self.now = 0  # clock time of the event that is being handled, in microseconds
         self.actions: list[Action] = []  # of the event that is being handled
         self.random = random.Random(seed)
-        self.endpoints: dict[str, Endpoint] = {}  # those listed, and those left with an attempt still pending
+        self.endpoints: dict[str, Endpoint] = {}  # the listed ones, and removed ones with a pending attempt
         self.ready_endpoints: list[Endpoint] = []  # in this balancer's own order
         self.apply(settings)
 
@@ -44,7 +46,7 @@
         self.classes = {each.name: each for each in settings.classes}
         self.max_latency_objective_us = max(each.latency_objective_us for each in settings.classes)
 
-    def after_about(self, aims: float) -> int:
-        """The clock time after about so many of the longest aim, with jitter."""
-        wait = int(aims * self.max_latency_objective_us * (JITTER_LEAST + JITTER_SPAN * self.random.random()))
-        return self.now + wait
+    def time_after(self, latency_objectives: float) -> int:
+        """The clock time after so many of the longest latency objective, with jitter."""
+        jitter = MIN_JITTER + JITTER_SPAN * self.random.random()
+        return self.now + int(latency_objectives * self.max_latency_objective_us * jitter)
--- a/tulipnotch/load_balancing/events.py
+++ b/tulipnotch/load_balancing/events.py
@@ -15,7 +15,7 @@
 
 @unique
 class EndpointState(Enum):
-    """What the server list says of a server."""
+    """The state of an endpoint in the endpoint list."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -24,17 +24,17 @@
 
 @unique
 class EndpointUpdateKind(Enum):
-    """How a server list is to be read."""
+    """How an update of the endpoint list is applied."""
 
     DELTA = "changes"  # changed entries only
-    COMPLETE = "complete"  # who is missing is gone
-    CACHED = "remembered"  # complete, but as last held before a restart
+    COMPLETE = "complete"  # endpoints that are missing are removed
+    CACHED = "remembered"  # complete, as last stored before a restart
     FAILED = "failed"  # a call failed or the subscription broke; nothing changes
 
 
 @dataclass(slots=True)
 class EndpointDescription:
-    """A line of the server list."""
+    """One entry of the endpoint list."""
 
     name: str
     zone: str = ""
@@ -47,7 +47,7 @@
 
 @dataclass(slots=True)
 class EndpointsUpdated:
-    """The server list was heard, or a call for it failed."""
+    """An update of the endpoint list was received, or a poll for it failed."""
 
     kind: EndpointUpdateKind
     endpoints: Sequence[EndpointDescription] = ()
@@ -56,22 +56,22 @@
 
 @dataclass(slots=True)
 class RequestArrived:
-    """A client's request; one final answer is owed from here on."""
+    """A client's request; a final response to it is pending from here on."""
 
     request: int
     service_class: str
     tenant: str | None
     key: int | None
     remaining_us: int
-    cost_us: int | None = None  # a hint of the work, where the client gave one
+    cost_us: int | None = None  # the estimated work on a standard core, where the client sent one
     client_retry: bool = False
     is_write: bool = False
-    body_incomplete: bool = False  # its body still comes, so its time has not begun: RequestWhole follows
+    body_incomplete: bool = False  # its time has not begun; RequestBodyCompleted follows
 
 
 @dataclass(slots=True)
 class RequestBodyCompleted:
-    """The last byte of a request that was still coming is there: its time runs, and servers may begin it."""
+    """The last byte of a request has arrived: its time runs, and servers may begin it."""
 
     request: int
     remaining_us: int
@@ -79,7 +79,7 @@
 
 @dataclass(slots=True)
 class ResponseStarted:
-    """The streamed answer of an attempt has begun; the attempt now belongs to the client."""
+    """The streamed response of an attempt has begun; the attempt is committed to from here on."""
 
     request: int
     attempt: int
@@ -89,7 +89,7 @@
 
 @dataclass(slots=True)
 class AttemptEnded:
-    """An attempt ended.  `answered`: the client has its final answer, by this outcome or an earlier one."""
+    """An attempt ended.  `is_responded`: the client has its final response, by this or another attempt."""
 
     request: int
     attempt: int
@@ -98,13 +98,15 @@
     elapsed_us: int
     is_responded: bool
     report: Mapping[str, float] | None = None
-    is_retryable: bool = True  # whether the request can be written once more; what was not kept of it can't
-    is_response_certain: bool = True  # whether the answer can belong to no earlier request on its connection
+    is_retryable: bool = True  # whether the complete request is still there to be written again
+    is_response_certain: bool = (
+        True  # whether the response can belong to no earlier request of its connection
+    )
 
 
 @dataclass(slots=True)
 class ClientDisconnected:
-    """The client went away; nothing is owed any more."""
+    """The client disconnected; no response is pending any more."""
 
     request: int
 
@@ -118,7 +120,7 @@
 
 @dataclass(slots=True)
 class HealthCheckEnded:
-    """A probe came back."""
+    """A health check ended."""
 
     endpoint: str
     outcome: Outcome
@@ -136,14 +138,14 @@
 
 @dataclass(slots=True)
 class SettingsChanged:
-    """New settings are in force from now on; requests under way keep the class that they arrived with."""
+    """New settings are in force from now on; accepted requests retain the class that they arrived with."""
 
     settings: Settings
 
 
 @dataclass(frozen=True, slots=True)
 class ServiceLevelChanged:
-    """From now on these classes are kept out: of some what is over a tenant's share, of others all of it."""
+    """Reject these classes from now on: of some the part above a tenant's quota, of others all of it."""
 
     over_quota_classes: frozenset[str]
     rejected_classes: frozenset[str]
--- a/tulipnotch/load_balancing/health/attempt_feedback.py
+++ b/tulipnotch/load_balancing/health/attempt_feedback.py
@@ -1,4 +1,4 @@
-"""Feedback: what the end of an attempt says of its server and of the fleet."""
+"""Feedback: what the end of an attempt shows of its endpoint and of the fleet."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from tulipnotch.load_balancing.metrics.load import Load
 from tulipnotch.load_balancing.metrics.response_times import ResponseTimes
 from tulipnotch.load_balancing.outcomes import Outcome
-from tulipnotch.load_balancing.records import Attempt, Request
-from tulipnotch.load_balancing.retries.attempt_timeouts import HANDSHAKE_AIMS
+from tulipnotch.load_balancing.requests import Attempt, Request
+from tulipnotch.load_balancing.retries.attempt_timeouts import HANDSHAKE_OBJECTIVES
 from tulipnotch.load_balancing.selection.best_of_k import Selection
 
-ABANDONED_LIFE = 0.3  # an abandoned attempt counts as in flight for this part of its wait more
-ABANDONED = (Outcome.TIMED_OUT, Outcome.CANCELLED)  # outcomes after which the server may still be at it
+ABANDONED_PART = 0.3  # an abandoned attempt counts as in flight for this part of its duration more
+ABANDONED_OUTCOMES = (Outcome.TIMED_OUT, Outcome.CANCELLED)  # the server may still be executing it
 
 
 @dataclass(eq=False)
@@ -27,42 +27,44 @@
     _context: Context
     _load: Load
     _latency: Latency
-    _answers: ResponseTimes
-    _limit: ConcurrencyLimit
-    _outliers: OutlierDetection
+    _response_times: ResponseTimes
+    _concurrency_limit: ConcurrencyLimit
+    _outlier_detection: OutlierDetection
     _selection: Selection
 
-    def attempt_ended(self, request: Request, attempt: Attempt, event: AttemptEnded) -> None:
+    def attempt_ended(
+        self, request: Request, attempt: Attempt, event: AttemptEnded, *, was_in_flight: bool
+    ) -> None:
         """Learn from an attempt that ended."""
-        outcome = event.outcome
-        was_abandoned = attempt.is_in_flight and outcome in ABANDONED
+        endpoint, outcome = attempt.endpoint, event.outcome
+        was_abandoned = was_in_flight and outcome in ABANDONED_OUTCOMES
         is_late = was_abandoned and event.elapsed_us >= request.service_class.latency_objective_us
-        self._outliers.attempt_ended(attempt, Outcome.TIMED_OUT if is_late else outcome)
+        self._outlier_detection.attempt_ended(attempt, Outcome.TIMED_OUT if is_late else outcome)
         if event.report and "util" in event.report:
-            self._answers.cores_reported(min(max(event.report["util"], 0.0), 1.0))
+            self._response_times.cores_reported(min(max(event.report["util"], 0.0), 1.0))
         if was_abandoned:
-            until = self._context.now + int(ABANDONED_LIFE * event.elapsed_us)
-            self._load.attempt_abandoned(attempt.endpoint, until)
-            self._latency.abandoned(attempt.endpoint, request, event.elapsed_us)
+            until = self._context.now + int(ABANDONED_PART * event.elapsed_us)
+            self._load.attempt_abandoned(endpoint, until)
+            self._latency.attempt_abandoned(endpoint, request, event.elapsed_us)
         if outcome is Outcome.DELIVERED:
-            self._delivered(request, attempt, event.elapsed_us)
+            self._response_delivered(request, attempt, event.elapsed_us)
         elif outcome is Outcome.SERVER_ERROR:
-            self._latency.failed(attempt.endpoint, request)
+            self._latency.error_received(endpoint, request)
         elif outcome is Outcome.OVERLOADED:
-            self._selection.full_received(attempt.endpoint, request.service_class.name)
+            self._selection.overloaded_received(endpoint, request.service_class.name)
 
-    def _delivered(self, request: Request, attempt: Attempt, elapsed_us: int) -> None:
-        """Learn from an answer that served its client.
+    def _response_delivered(self, request: Request, attempt: Attempt, elapsed_us: int) -> None:
+        """Learn from a response that was delivered to its client.
 
         Prevents taking handshakes for load: after a start, or when servers are replaced, most connections
-        are new, and each first answer comes as late as an overloaded server's.  What is late even so counts.
+        are new, and each first response comes as late as an overloaded server's.  If it is later, it counts.
         """
-        kind = request.service_class
-        is_first = attempt.opens_connection
-        self._selection.answer_received(attempt.endpoint, kind.name)
-        self._limit.answer_delivered(kind.latency_objective_us)
-        part = elapsed_us / kind.latency_objective_us - HANDSHAKE_AIMS * is_first
-        if not is_first:
-            self._latency.answered(attempt.endpoint, request, elapsed_us)
-        if not attempt.counted_late and (not is_first or part > self._answers.typical):
-            self._limit.answer_took(part)
+        service_class = request.service_class
+        opens_connection = attempt.opens_connection
+        self._selection.response_received(attempt.endpoint, service_class.name)
+        self._concurrency_limit.response_delivered(service_class.latency_objective_us)
+        part = elapsed_us / service_class.latency_objective_us - HANDSHAKE_OBJECTIVES * opens_connection
+        if not opens_connection:
+            self._latency.response_received(attempt.endpoint, request, elapsed_us)
+        if not attempt.counted_late and (not opens_connection or part > self._response_times.typical):
+            self._concurrency_limit.response_took(part)
--- a/tulipnotch/load_balancing/health/idle_connections.py
+++ b/tulipnotch/load_balancing/health/idle_connections.py
@@ -1,7 +1,7 @@
-"""Idle connections: which are closed, and when the silence on one is the connection's fault.
+"""Idle connections: which are closed, and when a missing response is attributed to the connection.
 
-Something on the way may drop idle connections unseen: what is sent on one gets no answer, and neither the
-server nor the fleet is at fault.  The same covers servers that close idle connections early.
+Middleboxes may drop idle connections silently: what is sent on one gets no response, and neither the server
+nor the fleet is at fault.  The same covers servers that close idle connections early.
 """
 
 from __future__ import annotations
@@ -10,85 +10,106 @@
 
 from tulipnotch.load_balancing.actions import CloseIdleConnections
 from tulipnotch.load_balancing.context import Context
-from tulipnotch.load_balancing.events import EndpointState
-from tulipnotch.load_balancing.records import Attempt, Endpoint
+from tulipnotch.load_balancing.endpoints.endpoint import Endpoint
+from tulipnotch.load_balancing.events import AttemptEnded, EndpointState
+from tulipnotch.load_balancing.outcomes import Outcome
+from tulipnotch.load_balancing.requests import Attempt
 
-IDLE_LEAST = 0.25  # of the longest aim: a connection idle for less is taken to be alive
+MIN_IDLE_OBJECTIVES = 0.25  # of the longest objective: a connection idle for less is taken to be alive
 FAILURE_STEP = 0.5  # one failure on an idle connection makes stale ones as likely as not
-ANSWER_STEP = 0.3  # an answer on one speaks against it, but some servers may keep theirs
-FADE_AIMS = 16.0  # what was learnt of idle connections fades in this many of the longest aim
-DOUBTFUL_ODDS = 0.25  # from these odds on, idle connections are not relied on
-DOUBTFUL_TIME = 0.5  # nor after this part of the shortest idle time at which one was stale
+RESPONSE_STEP = 0.3  # a response on one speaks against it, but some servers may keep theirs
+FADE_OBJECTIVES = 16.0  # the odds of stale connections fade in this many of the longest objective
+SUSPECT_ODDS = 0.25  # from these odds on, idle connections are not reused
+SUSPECT_IDLE_PART = 0.5  # after this part of the shortest idle time at which one was stale
+
+# Responses that leave their connection open, if they are certain to belong to the request.
+KEEPING_OPEN = (Outcome.OVERLOADED, Outcome.CLIENT_ERROR)
 
 
 class IdleConnections:
-    """The odds that a connection which has been idle is stale."""
+    """The connections of each endpoint as attempts show them, and the odds that an idle one is stale."""
 
     def __init__(self, context: Context) -> None:
+        """Begin with no sign of stale connections."""
         self._context = context
-        self._odds = 0.0  # that an idle connection is stale, as of _odds_at
-        self._odds_at = 0
-        self._stale_after = 0  # the shortest idle time at which one was
+        self._stale_odds = 0.0  # as of _stale_odds_at
+        self._stale_odds_at = 0
+        self._stale_after_us = 0  # the shortest idle time at which one was stale
 
-    def take(self, server: Endpoint) -> int:
-        """How long the connection that a send would reuse has been idle; a doubtful one is closed first.
+    def reuse(self, endpoint: Endpoint) -> int:
+        """How long the connection that an attempt would reuse has been idle, in microseconds; 0: it is fresh.
 
-        It costs handshakes while a few silent servers are mistaken for stale connections.
+        A suspect one is closed first.  That costs handshakes while a few unresponsive servers are mistaken
+        for stale connections.
         """
         context = self._context
-        since, server.idle_since = server.idle_since, None
-        idle = 0 if since is None else context.now - since
+        since, endpoint.idle_since = endpoint.idle_since, None
+        idle_us = 0 if since is None else context.now - since
         if (
-            idle < IDLE_LEAST * context.max_latency_objective_us
-            or idle >= context.settings.limits.idle_timeout_us
+            idle_us < MIN_IDLE_OBJECTIVES * context.max_latency_objective_us
+            or idle_us >= context.settings.limits.idle_timeout_us
         ):
             return 0
-        if self._current_odds() >= DOUBTFUL_ODDS and idle >= DOUBTFUL_TIME * self._stale_after:
-            self.close(server)
+        if self._current_odds() >= SUSPECT_ODDS and idle_us >= SUSPECT_IDLE_PART * self._stale_after_us:
+            self.close(endpoint)
             return 0
-        return idle
+        return idle_us
+
+    def attempt_began(self, attempt: Attempt) -> None:
+        """Note the connection of an attempt that is in flight from now on."""
+        endpoint = attempt.endpoint
+        attempt.opens_connection = endpoint.in_flight > endpoint.connections
+        endpoint.connections = max(endpoint.connections, endpoint.in_flight)
+
+    def attempt_ended(self, endpoint: Endpoint, event: AttemptEnded) -> None:
+        """Note whether the connection of an attempt that ended is still open."""
+        is_kept_open = event.outcome in KEEPING_OPEN and event.is_response_certain
+        if event.outcome is not Outcome.DELIVERED and not is_kept_open:
+            endpoint.connections = max(endpoint.connections - 1, endpoint.in_flight)
+        self.close_unless_ready(endpoint)
 
     def is_blamed_for(self, attempt: Attempt) -> bool:
-        """Learn from an attempt that got no answer; say whether an idle connection may be to blame."""
+        """Learn from an attempt that got no response; return whether its idle connection may be the cause."""
         if attempt.silence_recorded:
             return attempt.is_connection_suspect
         attempt.silence_recorded = True
         odds = self._current_odds()
         if not attempt.connection_idle_us:
-            self._odds = odds * (1.0 - FAILURE_STEP)  # a live connection, and silent all the same
+            self._stale_odds = odds * (1.0 - FAILURE_STEP)  # a live connection, and no response all the same
             return False
-        if odds < DOUBTFUL_ODDS or attempt.connection_idle_us < self._stale_after:
-            self._stale_after = attempt.connection_idle_us
-        self._odds = odds + FAILURE_STEP * (1.0 - odds)
+        if odds < SUSPECT_ODDS or attempt.connection_idle_us < self._stale_after_us:
+            self._stale_after_us = attempt.connection_idle_us
+        self._stale_odds = odds + FAILURE_STEP * (1.0 - odds)
         self.close(attempt.endpoint)
         attempt.endpoint.idle_since = None
         return True
 
-    def answered(self, attempt: Attempt) -> None:
-        """Learn from an attempt that was answered; its connection is idle from now on."""
+    def response_received(self, attempt: Attempt) -> None:
+        """Learn from an attempt that got a response; its connection is idle from now on."""
         attempt.endpoint.idle_since = self._context.now
         if attempt.silence_recorded:
-            self._odds = 0.0  # it was slow, not stale
-        elif attempt.connection_idle_us and attempt.connection_idle_us >= self._stale_after:
-            self._odds = self._current_odds() * (1.0 - ANSWER_STEP)
+            self._stale_odds = 0.0  # it was slow, not stale
+        elif attempt.connection_idle_us and attempt.connection_idle_us >= self._stale_after_us:
+            self._stale_odds = self._current_odds() * (1.0 - RESPONSE_STEP)
 
-    def close_if_leaving(self, server: Endpoint) -> None:
-        """Close idle connections to a server that drains or is gone, where a rule asks for it.
+    def close_unless_ready(self, endpoint: Endpoint) -> None:
+        """Close idle connections to a draining or removed endpoint, where a rule requires it.
 
-        When the list says so, and again whenever an attempt that is still pending there ends and leaves its
+        From the update of the list on, and whenever an attempt that was pending there ends and leaves its
         connection idle.
         """
-        rule = self._context.settings.rules.close_idle_within_us
-        if rule is not None and server.state is not EndpointState.READY:
-            self.close(server)
+        within_us = self._context.settings.rules.close_idle_within_us
+        if within_us is not None and endpoint.state is not EndpointState.READY:
+            self.close(endpoint)
 
-    def close(self, server: Endpoint) -> None:
-        """Close the idle connections to a server."""
-        server.connections = server.in_flight
-        self._context.actions.append(CloseIdleConnections(server.name))
+    def close(self, endpoint: Endpoint) -> None:
+        """Close the idle connections to an endpoint."""
+        endpoint.connections = endpoint.in_flight
+        self._context.actions.append(CloseIdleConnections(endpoint.name))
 
     def _current_odds(self) -> float:
         now = self._context.now
-        fade = math.exp((self._odds_at - now) / (FADE_AIMS * self._context.max_latency_objective_us))
-        self._odds, self._odds_at = self._odds * fade, now
-        return self._odds
+        fade_us = FADE_OBJECTIVES * self._context.max_latency_objective_us
+        self._stale_odds *= math.exp((self._stale_odds_at - now) / fade_us)
+        self._stale_odds_at = now
+        return self._stale_odds
--- a/tulipnotch/load_balancing/health/outlier_detection.py
+++ b/tulipnotch/load_balancing/health/outlier_detection.py
@@ -1,38 +1,41 @@
-"""Outlier detection: servers that fail are ejected for a while and readmitted by one trial at a time.
+"""Outlier detection: endpoints that fail are ejected for a while, and readmitted by one probation attempt.
 
-Prevents a server that fails quickly from looking idle and so drawing more requests.
+Prevents a server that fails quickly from appearing idle and so attracting more requests.
 """
 
 from __future__ import annotations
 
 from tulipnotch.load_balancing.actions import LogEvent
 from tulipnotch.load_balancing.context import Context
+from tulipnotch.load_balancing.endpoints.endpoint import Ejection, Endpoint
 from tulipnotch.load_balancing.events import EndpointState
 from tulipnotch.load_balancing.health.idle_connections import IdleConnections
 from tulipnotch.load_balancing.metrics.load import Load
 from tulipnotch.load_balancing.outcomes import Outcome
-from tulipnotch.load_balancing.records import Attempt, Endpoint, Request
+from tulipnotch.load_balancing.requests import Attempt, Request
 from tulipnotch.load_balancing.selection.subset import subset_size
 from tulipnotch.load_balancing.settings import Idempotency
 from tulipnotch.load_balancing.slow_start.warm_capacity import WarmCapacity
 from tulipnotch.load_balancing.slow_start.warm_up_budget import SlowStart
 
-ANSWERS = (Outcome.DELIVERED, Outcome.CLIENT_ERROR)  # outcomes that show a server to be well
+HEALTHY = (Outcome.DELIVERED, Outcome.CLIENT_ERROR)  # outcomes that show a server to be healthy
 FAILURES = (Outcome.TIMED_OUT, Outcome.CONNECTION_LOST, Outcome.CONNECT_FAILED, Outcome.SERVER_ERROR)
-SILENCES = (Outcome.TIMED_OUT, Outcome.CONNECTION_LOST)  # failures that a stale connection may have caused
-CONSECUTIVE_FAILURES = 2  # failures in a row, none answered between, that eject a server
-CONSECUTIVE_DROPPED = 3  # or so many that end in a broken connection, which may be the network's fault
-CONSECUTIVE_SPOILT = 6  # or so many spoilt answers: fewer are the network's fault
-EJECT_AIMS = 2.0  # first ejection lasts this many of the longest aim; it doubles with each failed trial
-EJECT_AIMS_MOST = 16.0  # and never lasts longer: a server that came back is found again
-MOST_EJECTIONS = 8  # counted: the time is at its longest long before
-EJECTED_MOST = 0.6  # never more than this share of the list is ejected: the rest would be overloaded
-SILENT_MOST = 0.34  # nor more than this one for silence alone: more is overload, no outlier
-SILENT = "silent"  # the reason given for an ejection for silence
+NO_RESPONSE = (Outcome.TIMED_OUT, Outcome.CONNECTION_LOST)  # failures that a stale connection may cause
+CONSECUTIVE_FAILURES = 2  # that eject an endpoint, with no response in between
+CONSECUTIVE_LOST_CONNECTIONS = 3  # or so many ending in a lost connection, which may be the network's fault
+CONSECUTIVE_MALFORMED = 6  # or so many malformed responses: fewer may be the network's fault
+EJECTION_OBJECTIVES = (
+    2.0  # length of the first ejection, in longest objectives; it doubles at each further one
+)
+MAX_EJECTION_OBJECTIVES = 16.0  # its maximum: a server that has recovered is found again
+MAX_COUNTED_EJECTIONS = 8  # the length is at its maximum long before
+MAX_EJECTED_PART = 0.6  # of the list, at most: more would overload the rest
+MAX_UNRESPONSIVE_PART = 0.34  # of the list, ejected as unresponsive: more is overload, no outlier
+UNRESPONSIVE = "silent"  # the reason that is logged for these
 
 
 class OutlierDetection:
-    """The health of servers, by how attempts end."""
+    """The health of endpoints, by how attempts end."""
 
     def __init__(
         self,
@@ -40,113 +43,124 @@
         load: Load,
         capacity: WarmCapacity,
         slow_start: SlowStart,
-        idle: IdleConnections,
+        idle_connections: IdleConnections,
     ) -> None:
+        """Begin with no endpoint ejected."""
         self._context = context
         self._load = load
         self._capacity = capacity
         self._slow_start = slow_start
-        self._idle = idle
+        self._idle_connections = idle_connections
         self._ejected: list[Endpoint] = []
-        self.answers = 0  # so far, from all servers
+        self.answers = 0  # responses so far, from all endpoints
 
     def attempt_ended(self, attempt: Attempt, outcome: Outcome) -> None:
-        """Learn of a server's health from the end of an attempt."""
-        server = attempt.endpoint
-        is_trial = server.probation_attempt is attempt
-        if is_trial:
-            server.probation_attempt = None
-        if outcome in ANSWERS:
-            self._answered(attempt)
+        """Learn of an endpoint's health from the end of an attempt."""
+        health = attempt.endpoint.health
+        was_probation = health.probation_attempt is attempt
+        if was_probation:
+            health.probation_attempt = None
+        if outcome in HEALTHY:
+            self._response_received(attempt)
         elif outcome is Outcome.MALFORMED_RESPONSE:
-            self._spoilt(server, is_trial)
+            self._malformed_response_received(attempt.endpoint, was_probation=was_probation)
         elif outcome in FAILURES:
-            self._failed(attempt, outcome, is_trial)
-
-    def _answered(self, attempt: Attempt) -> None:
-        server = attempt.endpoint
-        server.consecutive_failures = server.consecutive_malformed = 0
-        server.last_response_at = self._context.now
-        self._idle.answered(attempt)
+            self._failed(attempt, outcome, was_probation=was_probation)
+
+    def _response_received(self, attempt: Attempt) -> None:
+        endpoint = attempt.endpoint
+        health = endpoint.health
+        health.consecutive_failures = health.consecutive_malformed = 0
+        health.last_response_at = self._context.now
+        self._idle_connections.response_received(attempt)
         self.answers += 1
-        self._capacity.answered(server)
-        if server.ejected_until is not None:
-            self.readmit(server)
-
-    def _spoilt(self, server: Endpoint, is_trial: bool) -> None:
-        """Prevents ejecting servers for what comes spoilt from all of them alike: it takes many in a row."""
-        server.consecutive_malformed += 1
-        server.last_response_at = self._context.now
-        is_outlier = server.consecutive_malformed >= CONSECUTIVE_SPOILT and server.ejected_until is None
-        if is_trial or is_outlier:
-            self._eject(server, Outcome.MALFORMED_RESPONSE.value)
-
-    def _failed(self, attempt: Attempt, outcome: Outcome, is_trial: bool) -> None:
-        server = attempt.endpoint
-        if outcome is Outcome.TIMED_OUT and server.last_response_at > attempt.sent_at:
-            return  # it is slow, and no outlier: it answered others meanwhile
-        if outcome in SILENCES and self._idle.is_blamed_for(attempt) and not is_trial:
+        self._capacity.response_received(endpoint)
+        if endpoint.ejection is not None:
+            self.readmit(endpoint)
+
+    def _malformed_response_received(self, endpoint: Endpoint, *, was_probation: bool) -> None:
+        """Eject for many in a row only, since the network may damage the responses of all servers alike."""
+        health = endpoint.health
+        health.consecutive_malformed += 1
+        health.last_response_at = self._context.now
+        is_outlier = health.consecutive_malformed >= CONSECUTIVE_MALFORMED and endpoint.ejection is None
+        if was_probation or is_outlier:
+            self._eject(endpoint, Outcome.MALFORMED_RESPONSE.value)
+
+    def _failed(self, attempt: Attempt, outcome: Outcome, *, was_probation: bool) -> None:
+        endpoint = attempt.endpoint
+        health = endpoint.health
+        if outcome is Outcome.TIMED_OUT and health.last_response_at > attempt.sent_at:
+            return  # it is slow, and no outlier: it responded to others meanwhile
+        if outcome in NO_RESPONSE and self._idle_connections.is_blamed_for(attempt) and not was_probation:
             return
-        server.consecutive_failures += 1
-        enough = CONSECUTIVE_DROPPED if outcome is Outcome.CONNECTION_LOST else CONSECUTIVE_FAILURES
-        is_outlier = server.consecutive_failures >= enough and server.ejected_until is None
-        if not is_trial and not is_outlier:
+        health.consecutive_failures += 1
+        is_lost = outcome is Outcome.CONNECTION_LOST
+        threshold = CONSECUTIVE_LOST_CONNECTIONS if is_lost else CONSECUTIVE_FAILURES
+        is_outlier = health.consecutive_failures >= threshold and endpoint.ejection is None
+        if not was_probation and not is_outlier:
             return
-        self._eject(server, outcome.value)
-        if is_trial and outcome is Outcome.CONNECT_FAILED:
-            # Its process ended, and another may come before the list says so.  Connections that break say
-            # less: the network may do that, and a fleet taken for cold has no room for anyone.
-            self._slow_start.turned_cold(server)
+        self._eject(endpoint, outcome.value)
+        if was_probation and outcome is Outcome.CONNECT_FAILED:
+            # Its process ended, and another may start before discovery announces it.  Lost connections say
+            # less: the network may cause them, and a fleet that all warms up has capacity for nobody.
+            self._slow_start.process_started(endpoint)
 
-    def eject_silent(self, server: Endpoint) -> None:
-        """Eject a server that has answered nothing for long, unless too many are ejected already."""
-        self._eject(server, SILENT, SILENT_MOST)
+    def eject_unresponsive(self, endpoint: Endpoint) -> None:
+        """Eject an endpoint that has not responded for long, unless too many are ejected already."""
+        self._eject(endpoint, UNRESPONSIVE, MAX_UNRESPONSIVE_PART)
 
-    def _eject(self, server: Endpoint, reason: str, most: float = EJECTED_MOST) -> None:
-        """Eject a server, or eject it for longer.
+    def _eject(self, endpoint: Endpoint, reason: str, max_part: float = MAX_EJECTED_PART) -> None:
+        """Eject an endpoint, or extend its ejection.
 
-        Prevents ejecting so many (the panic threshold) that the rest would be overloaded.
+        `max_part` of the known endpoints may be ejected (the panic threshold): more would overload the rest.
         """
         context = self._context
-        if server.ejected_until is None:
+        ejection = endpoint.ejection
+        if ejection is None:
             known = min(len(context.ready_endpoints), subset_size(self._load.mean))
-            if len(self._ejected) + 1 > most * known:
+            if len(self._ejected) + 1 > max_part * known:
                 return
-            self._ejected.append(server)
-            self._load.server_ejected(server)
-            context.actions.append(LogEvent("ejected", server.name, reason))
-        aims = min(EJECT_AIMS * 2**server.ejections, EJECT_AIMS_MOST)
-        server.ejections = min(server.ejections + 1, MOST_EJECTIONS)
-        server.ejected_until = context.after_about(aims)
-
-    def readmit(self, server: Endpoint) -> None:
-        """End a server's ejection; its process may have been replaced meanwhile, and so be cold."""
-        server.ejected_until = None
-        self._ejected.remove(server)
-        self._load.server_readmitted(server)
-        server.ejections = 0
-        server.consecutive_failures = 0
-        if server.warm_up_started_at is not None and not server.is_start_announced:
-            self._slow_start.turned_cold(server)
-        self._context.actions.append(LogEvent("readmitted", server.name))
-
-    def forget(self, server: Endpoint) -> None:
-        """Prevents servers that left for good from counting as a part of the list that is ejected."""
-        if server in self._ejected:
-            self._ejected.remove(server)
-
-    def trial_due(self, request: Request) -> Endpoint | None:
-        """The ejected server to try with this request, which must be one that may be repeated."""
+            ejection = endpoint.ejection = Ejection()
+            self._ejected.append(endpoint)
+            self._load.endpoint_ejected(endpoint)
+            context.actions.append(LogEvent("ejected", endpoint.name, reason))
+        objectives = min(EJECTION_OBJECTIVES * 2**ejection.count, MAX_EJECTION_OBJECTIVES)
+        ejection.count = min(ejection.count + 1, MAX_COUNTED_EJECTIONS)
+        ejection.until = context.time_after(objectives)
+
+    def readmit(self, endpoint: Endpoint) -> None:
+        """End an endpoint's ejection; its process may have been replaced meanwhile, and so warm up again."""
+        endpoint.ejection = None
+        self._ejected.remove(endpoint)
+        self._load.endpoint_readmitted(endpoint)
+        endpoint.health.consecutive_failures = 0
+        if endpoint.warm_up is not None and not endpoint.warm_up.is_start_announced:
+            self._slow_start.process_started(endpoint)
+        self._context.actions.append(LogEvent("readmitted", endpoint.name))
+
+    def forget(self, endpoint: Endpoint) -> None:
+        """Stop counting a removed endpoint as ejected."""
+        if endpoint in self._ejected:
+            self._ejected.remove(endpoint)
+
+    def probation_due(self, request: Request) -> Endpoint | None:
+        """The ejected endpoint to try with this request, which must be idempotent and have no attempt yet."""
         if (
             not self._ejected
             or request.service_class.idempotency is not Idempotency.IDEMPOTENT
             or request.attempts
         ):
             return None
-        now = self._context.now
-        for server in self._ejected:
-            is_due = server.ejected_until is not None and now >= server.ejected_until
-            if is_due and server.state is EndpointState.READY and server.probation_attempt is None:
-                if self._slow_start.has_room(server, request.work):
-                    return server
+        for endpoint in self._ejected:
+            if self._is_probation_due(endpoint) and self._slow_start.has_room(endpoint, request.work):
+                return endpoint
         return None
+
+    def _is_probation_due(self, endpoint: Endpoint) -> bool:
+        return (
+            endpoint.ejection is not None
+            and self._context.now >= endpoint.ejection.until
+            and endpoint.state is EndpointState.READY
+            and endpoint.health.probation_attempt is None
+        )
--- a/tulipnotch/load_balancing/metrics/rate.py
+++ b/tulipnotch/load_balancing/metrics/rate.py
@@ -1,4 +1,4 @@
-"""Rates that fade with time."""
+"""Rates over a sliding window."""
 
 from __future__ import annotations
 
@@ -6,19 +6,20 @@
 
 
 class Rate:
-    """A rate over a sliding span of time: an exponentially fading count."""
+    """A rate over a sliding window: a count that fades exponentially."""
 
-    __slots__ = ("_at", "_count", "_span_us")
+    __slots__ = ("_count", "_updated_at", "_window_us")
 
-    def __init__(self, span_us: float) -> None:
-        self._span_us = span_us
+    def __init__(self, window_us: float) -> None:
+        """Begin at 0."""
+        self._window_us = window_us
         self._count = 0.0
-        self._at = 0
+        self._updated_at = 0
 
-    def over(self, span_us: float) -> None:
-        """Average over another span from now on."""
-        self._count *= span_us / self._span_us
-        self._span_us = span_us
+    def set_window(self, window_us: float) -> None:
+        """Average over another window from now on; the rate stays."""
+        self._count *= window_us / self._window_us
+        self._window_us = window_us
 
     def add(self, now: int, amount: float) -> None:
         """Count so much at clock time `now`, in microseconds."""
@@ -26,11 +27,11 @@
         self._count += amount
 
     def per_us(self, now: int) -> float:
-        """What is counted per microsecond, as of `now`."""
+        """The amount per microsecond, as of `now`."""
         self._fade(now)
-        return self._count / self._span_us
+        return self._count / self._window_us
 
     def _fade(self, now: int) -> None:
-        if now > self._at:
-            self._count *= math.exp((self._at - now) / self._span_us)
-            self._at = now
+        if now > self._updated_at:
+            self._count *= math.exp((self._updated_at - now) / self._window_us)
+            self._updated_at = now
--- a/tulipnotch/load_balancing/retries/idempotency_rule.py
+++ b/tulipnotch/load_balancing/retries/idempotency_rule.py
@@ -1,11 +1,11 @@
 """Rule 2, no double effects: until when and where an attempt may begin beside others that may have run.
 
-Functions of a request's class and of its attempts, for every place that asks: the decision on a further
-attempt, and the instant in which the last byte of one that was decided on earlier is about to leave.
+Functions of a request's class and of its attempts, for both callers: the decision on a further attempt, and
+the instant in which the last byte of an attempt that was chosen earlier is about to be written.
 
-A class that is safe to repeat has no bound.  One that is unsafe may begin only while nothing else may have
-run.  A keyed one may begin in the same group of servers as whatever may have run, and only for as long as
-these servers remember the first of its attempts.
+An idempotent class has no bound.  A non-idempotent one may begin only while no other attempt may have run.
+One that is idempotent with a key may begin in the deduplication scope of whatever may have run, and only
+within the deduplication window of the first of these attempts.
 """
 
 from __future__ import annotations
@@ -17,57 +17,61 @@
 from tulipnotch.load_balancing.settings import DeduplicationScope, Idempotency, ServiceClass
 
 
-class Place(Protocol):
-    """Where something runs, as the server list has it."""
+class Locality(Protocol):
+    """Where something runs, by the endpoint list."""
 
     @property
-    def zone(self) -> str: ...
+    def zone(self) -> str:
+        """The zone's name."""
+
     @property
-    def cell(self) -> int: ...
+    def cell(self) -> int:
+        """The cell's number."""
 
 
-class PriorAttempt(Place, Protocol):
+class PriorAttempt(Locality, Protocol):
     """An attempt of the same request, as far as it bounds another one."""
 
     @property
-    def may_have_run(self) -> bool: ...
+    def may_have_run(self) -> bool:
+        """Whether a server may have executed it."""
+
     @property
-    def may_run_from(self) -> int: ...
+    def may_run_from(self) -> int:
+        """The earliest clock time at which a server may have begun it."""
 
 
-def begin_by(kind: ServiceClass, clock_resolution_us: int, attempts: Iterable[PriorAttempt]) -> int:
+def begin_by(service_class: ServiceClass, clock_resolution_us: int, attempts: Iterable[PriorAttempt]) -> int:
     """Clock time from which on no attempt may begin beside these; NEVER: no bound, 0: not at all.
 
-    One tick less than servers remember, since a clock may be read once a tick.
+    One clock tick less than the deduplication window, since a clock may be read once a tick.
     """
-    if kind.idempotency is Idempotency.IDEMPOTENT:
+    if service_class.idempotency is Idempotency.IDEMPOTENT:
         return NEVER
     first = min((each.may_run_from for each in attempts if each.may_have_run), default=NEVER)
     if first == NEVER:
         return NEVER
-    return (
-        0
-        if kind.idempotency is Idempotency.NON_IDEMPOTENT
-        else first + kind.deduplication_window_us - clock_resolution_us
-    )
+    if service_class.idempotency is Idempotency.NON_IDEMPOTENT:
+        return 0
+    return first + service_class.deduplication_window_us - clock_resolution_us
 
 
-def is_in_group(kind: ServiceClass, place: Place, attempts: Sequence[PriorAttempt]) -> bool:
-    """Whether servers at this place drop repeats of whatever may have run in these attempts."""
+def is_in_group(service_class: ServiceClass, locality: Locality, attempts: Sequence[PriorAttempt]) -> bool:
+    """Whether servers at this locality deduplicate whatever may have run in these attempts."""
     if (
-        kind.idempotency is not Idempotency.IDEMPOTENT_WITH_KEY
-        or kind.deduplication_scope is DeduplicationScope.ALL
+        service_class.idempotency is not Idempotency.IDEMPOTENT_WITH_KEY
+        or service_class.deduplication_scope is DeduplicationScope.ALL
     ):
         return True
-    ran = [each for each in attempts if each.may_have_run]
-    if kind.deduplication_scope is DeduplicationScope.ZONE:
-        return all(each.zone == place.zone for each in ran)
-    return all(each.cell == place.cell for each in ran)
+    possibly_executed = [each for each in attempts if each.may_have_run]
+    if service_class.deduplication_scope is DeduplicationScope.ZONE:
+        return all(each.zone == locality.zone for each in possibly_executed)
+    return all(each.cell == locality.cell for each in possibly_executed)
 
 
-def may_run_anywhere_again(kind: ServiceClass) -> bool:
-    """Whether a request that may have run may also go out as a new one, to any server."""
-    return kind.idempotency is Idempotency.IDEMPOTENT or (
-        kind.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
-        and kind.deduplication_scope is DeduplicationScope.ALL
+def may_run_anywhere_again(service_class: ServiceClass) -> bool:
+    """Whether a request that may have run may also be sent as a new one, to any endpoint."""
+    return service_class.idempotency is Idempotency.IDEMPOTENT or (
+        service_class.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
+        and service_class.deduplication_scope is DeduplicationScope.ALL
     )
--- a/tulipnotch/load_balancing/retries/retry_policy.py
+++ b/tulipnotch/load_balancing/retries/retry_policy.py
@@ -1,52 +1,66 @@
-"""Retry policy: whether a request is tried again, within rule 2 (`repeat_rule`) and the retry budget."""
+"""Retry policy: whether a request is retried, within rule 2 (`idempotency_rule`) and the retry budget."""
 
 from __future__ import annotations
 
 from tulipnotch.load_balancing.context import Context
-from tulipnotch.load_balancing.records import Request
-from tulipnotch.load_balancing.retries import idempotency_rule as repeat_rule
+from tulipnotch.load_balancing.requests import Attempt, Request
+from tulipnotch.load_balancing.retries import idempotency_rule
 
-RETRIES_PER_REQUEST = 0.2  # further attempts after failures, for each request: no retry storms
-REQUESTS_SAVED = 50.0  # requests whose allowance may be saved up
-BUDGET_MOST = RETRIES_PER_REQUEST * REQUESTS_SAVED
+RETRIES_PER_REQUEST = 0.2  # retries after failures that each request adds to the budget: no retry storms
+MAX_SAVED_REQUESTS = 50.0  # requests whose part of the budget may be saved up
+MAX_RETRY_BUDGET = RETRIES_PER_REQUEST * MAX_SAVED_REQUESTS
 
 
 class RetryPolicy:
     """The retry budget, and what it and rule 2 permit."""
 
     def __init__(self, context: Context) -> None:
+        """Begin with half of the budget."""
         self._context = context
-        self.budget = BUDGET_MOST / 2  # further attempts that are allowed now
+        self.budget = MAX_RETRY_BUDGET / 2  # retries that are permitted now
 
     def request_arrived(self) -> None:
-        """Each request adds to the budget."""
-        self.budget = min(self.budget + RETRIES_PER_REQUEST, BUDGET_MOST)
+        """Add a request's part to the budget."""
+        self.budget = min(self.budget + RETRIES_PER_REQUEST, MAX_RETRY_BUDGET)
 
     def begin_by(self, request: Request) -> int:
-        """Until when the request's class lets another attempt begin."""
-        return repeat_rule.begin_by(
+        """Clock time from which on the request's class lets no further attempt begin."""
+        return idempotency_rule.begin_by(
             request.service_class, self._context.settings.clock_resolution_us, request.attempts
         )
 
-    def may_retry(self, request: Request, was_full: bool) -> bool:
-        """Whether to try again after an attempt that ended.
+    def latest_start(self, request: Request, own: Attempt) -> int:
+        """Clock time from which on the last byte of an attempt may not be written; NEVER: no bound.
 
-        A redraw after a full answer is a part of best-of-k and no retry, so it takes no budget.
+        Bounded by the attempts whose last byte was written; 0: it may not be written at all.
         """
-        return self._context.now < self.begin_by(request) and (was_full or self.budget >= 1.0)
+        settings = self._context.settings
+        others = [each for each in request.attempts if each is not own and each.last_byte_at is not None]
+        if not settings.limits.hedged_requests and any(each.is_pending for each in others):
+            return 0
+        if not idempotency_rule.is_in_group(request.service_class, own.endpoint, others):
+            return 0
+        return idempotency_rule.begin_by(request.service_class, settings.clock_resolution_us, others)
 
-    def may_leave(self, request: Request) -> bool:
-        """Whether to try at another server than one that does not answer."""
+    def may_retry(self, request: Request, *, is_redraw: bool) -> bool:
+        """Whether to retry after an attempt that ended.
+
+        A redraw after an overloaded response is a part of best-of-k and no retry, so it takes no budget.
+        """
+        return self._context.now < self.begin_by(request) and (is_redraw or self.budget >= 1.0)
+
+    def may_hedge(self, request: Request) -> bool:
+        """Whether to try another endpoint than one that is unresponsive."""
         limits = self._context.settings.limits
         if self._context.now >= self.begin_by(request) or len(request.attempts) >= limits.max_attempts:
-            return False  # waiting is all that is left
+            return False
         return self.budget >= 1.0
 
     def spend(self) -> None:
-        """A further attempt goes."""
+        """Take one retry out of the budget."""
         self.budget -= 1.0
 
-    def is_refusal_harmless(self, request: Request) -> bool:
-        """Whether a client may be told that trying again has no double effect."""
+    def is_rejection_harmless(self, request: Request) -> bool:
+        """Whether a client may be notified that sending the request again is harmless."""
         may_have_run = any(each.may_have_run for each in request.attempts)
-        return not may_have_run or repeat_rule.may_run_anywhere_again(request.service_class)
+        return not may_have_run or idempotency_rule.may_run_anywhere_again(request.service_class)
--- a/tulipnotch/load_balancing/selection/best_of_k.py
+++ b/tulipnotch/load_balancing/selection/best_of_k.py
@@ -1,7 +1,7 @@
-"""Selection: best of k.  Of k random distinct servers, the one with the fewest own requests in flight.
+"""Selection: best of k.  Of k random distinct endpoints, the one with the fewest own requests in flight.
 
-The draw is from a subset of the list, by weights: slower servers, cold ones and those of other zones are
-drawn less.  With few requests most counts are zero, so that the draw decides.
+The draw is from a subset of the list, by weights: slower endpoints, those that warm up and those of other
+zones are drawn less.  With few requests most counts are zero, so that the draw decides.
 """
 
 from __future__ import annotations
@@ -10,157 +10,160 @@
 from dataclasses import dataclass
 
 from tulipnotch.load_balancing.context import Context
+from tulipnotch.load_balancing.endpoints.endpoint import BackOff, Endpoint
 from tulipnotch.load_balancing.health.outlier_detection import OutlierDetection
-from tulipnotch.load_balancing.metrics.latency import RATIO_MOST
+from tulipnotch.load_balancing.metrics.latency import MAX_RATIO
 from tulipnotch.load_balancing.metrics.load import Load
-from tulipnotch.load_balancing.records import BackOff, Endpoint, Request
-from tulipnotch.load_balancing.retries import idempotency_rule as repeat_rule
-from tulipnotch.load_balancing.selection import weighted_sampling as weighted_draw
+from tulipnotch.load_balancing.requests import Request
+from tulipnotch.load_balancing.retries import idempotency_rule
 from tulipnotch.load_balancing.selection.locality_weights import LocalityWeights
 from tulipnotch.load_balancing.selection.subset import subset_size
+from tulipnotch.load_balancing.selection.weighted_sampling import weighted_sample
 from tulipnotch.load_balancing.slow_start.warm_up_budget import SlowStart
 
-DRAWN = 4  # k: counts are mostly small here, where two looks find too little
-FAR_SLOWER = 2.0  # of servers as busy, one in a zone that is drawn less counts as this much slower
-HEAVY_POWER = 3.0  # of its latency ratio, in the weight for a request of four times the mean cost or more
-BACK_OFF_AIMS = 0.5  # a class avoids a server for so many of the longest aim after a full answer
-BACK_OFF_AIMS_MOST = 4.0  # and for twice as long at each further one in a row, up to this
+CHOICE_COUNT = 4  # k: counts are mostly small here, where two choices find too little
+REMOTE_SLOWNESS = 2.0  # of endpoints as busy, one in a zone that is drawn less counts as this much slower
+MAX_SLOWNESS_POWER = (
+    3.0  # of the latency ratio, in the weight for a request of four times the mean cost or more
+)
+BACK_OFF_OBJECTIVES = 0.5  # of the longest objective: back-off of a class after an overloaded response
+MAX_BACK_OFF_OBJECTIVES = 4.0  # it doubles at each further one in a row, up to this
 
 
 @dataclass(eq=False)
 class Selection:
-    """Which server a request is sent to."""
+    """The endpoint that an attempt goes to."""
 
     _context: Context
     _load: Load
-    _zones: LocalityWeights
+    _locality_weights: LocalityWeights
     _slow_start: SlowStart
-    _outliers: OutlierDetection
+    _outlier_detection: OutlierDetection
 
     def choose(self, request: Request) -> Endpoint | None:
-        """The server to send a request to; None where no server may have it."""
-        trial = self._outliers.trial_due(request)
-        if trial is not None:
-            return trial
+        """The endpoint to send a request to; None where none is eligible."""
+        probation = self._outlier_detection.probation_due(request)
+        if probation is not None:
+            return probation
         pool = self._subset(request)
         if not pool:
             return None
-        remote = self._zones.remote()
-        weights = self._weights(pool, request, remote)
+        remote_weight = self._locality_weights.remote_weight()
+        weights = self._weights(pool, request, remote_weight)
         context = self._context
         zone = context.settings.zone
-        # Not always, or nothing would be learnt of the others.
-        is_far_slower = remote < 1.0 and context.random.random() >= remote * remote
-        far = FAR_SLOWER if is_far_slower else 1.0
+        # Not always, or nothing would be learnt of other zones.
+        is_remote_slower = remote_weight < 1.0 and context.random.random() >= remote_weight * remote_weight
+        remote_slowness = REMOTE_SLOWNESS if is_remote_slower else 1.0
         best: Endpoint | None = None
         best_rank = (0, 0.0)
-        count = DRAWN << request.overloaded_responses
-        for server in weighted_draw.drawn(context.random, pool, weights, count):
-            slower = 1.0 if server.zone == zone else far
-            rank = (self.busy(server), server.latency_ratio * slower)
+        count = CHOICE_COUNT << request.overloaded_responses
+        for endpoint in weighted_sample(context.random, pool, weights, count):
+            slowness = 1.0 if endpoint.zone == zone else remote_slowness
+            rank = (self.busy(endpoint), endpoint.latency_ratio * slowness)
             if best is None or rank < best_rank:
-                best, best_rank = server, rank
+                best, best_rank = endpoint, rank
         return best
 
-    def busy(self, server: Endpoint) -> int:
-        """Own requests in flight at a server, with those abandoned: they may well run on there.
+    def busy(self, endpoint: Endpoint) -> int:
+        """Own requests in flight at an endpoint, with abandoned ones, which may still be executing.
 
-        Prevents a slow or silent server from looking idle because its attempts were cancelled.
+        Prevents a slow or unresponsive server from appearing idle because its attempts were cancelled.
         """
-        if server.abandoned:
+        if endpoint.abandoned:
             now = self._context.now
-            server.abandoned = [until for until in server.abandoned if until > now]
-        return server.in_flight + len(server.abandoned)
+            endpoint.abandoned = [until for until in endpoint.abandoned if until > now]
+        return endpoint.in_flight + len(endpoint.abandoned)
 
-    def full_received(self, server: Endpoint, kind: str) -> None:
-        """Avoid a server that was full for a class, for requests of this class.
+    def overloaded_received(self, endpoint: Endpoint, class_name: str) -> None:
+        """Avoid an endpoint that was overloaded for a class, for requests of this class.
 
-        Prevents redraws at servers that turn away one class or tenant while they have room for others.  It
-        gives way where nothing else is left.
+        Prevents redraws at servers that reject one class or tenant while they have capacity for others.  An
+        avoided endpoint is used where no other is eligible.
         """
-        back_off = server.back_offs.setdefault(kind, BackOff())
+        back_off = endpoint.back_offs.setdefault(class_name, BackOff())
         back_off.latency_objectives = (
-            min(2.0 * back_off.latency_objectives, BACK_OFF_AIMS_MOST)
+            min(2.0 * back_off.latency_objectives, MAX_BACK_OFF_OBJECTIVES)
             if back_off.latency_objectives
-            else BACK_OFF_AIMS
+            else BACK_OFF_OBJECTIVES
         )
-        back_off.until = self._context.after_about(back_off.latency_objectives)
+        back_off.until = self._context.time_after(back_off.latency_objectives)
 
-    def answer_received(self, server: Endpoint, kind: str) -> None:
-        """A server has room for a class again."""
-        server.back_offs.pop(kind, None)
+    def response_received(self, endpoint: Endpoint, class_name: str) -> None:
+        """End an endpoint's back-off for a class, since it has capacity again."""
+        endpoint.back_offs.pop(class_name, None)
 
     def settings_changed(self) -> None:
-        """Keep nothing of classes that vanished."""
+        """Drop the back-offs of classes that no longer exist."""
         classes = self._context.classes
-        for server in self._context.endpoints.values():
-            kept = {name: each for name, each in server.back_offs.items() if name in classes}
-            server.back_offs = kept
+        for endpoint in self._context.endpoints.values():
+            endpoint.back_offs = {name: each for name, each in endpoint.back_offs.items() if name in classes}
 
     def _subset(self, request: Request) -> list[Endpoint]:
-        """The first eligible servers in this balancer's own order, as many as its traffic can know.
+        """The first eligible endpoints in this balancer's own order, as many as its traffic can learn of.
 
         Prevents many small balancers from holding a connection each to every server of a large fleet: more
         than servers accept, and none would learn much of any.  A busy balancer reaches all.
         """
         size = subset_size(self._load.mean)
-        near_slots, far_slots = self._slots(size)
+        local_slots, remote_slots = self._slots(size)
         zone = self._context.settings.zone
-        kind = request.service_class.name
+        class_name = request.service_class.name
         pool: list[Endpoint] = []
-        spare: list[Endpoint] = []
+        surplus: list[Endpoint] = []
         backing_off: list[Endpoint] = []
-        for server in self._context.ready_endpoints:
-            if not self._is_eligible(server, request):
+        for endpoint in self._context.ready_endpoints:
+            if not self._is_eligible(endpoint, request):
                 continue
-            if server.back_offs and self._is_backing_off(server, kind):
-                backing_off.append(server)
+            if endpoint.back_offs and self._is_backing_off(endpoint, class_name):
+                backing_off.append(endpoint)
                 continue
-            if server.zone == zone:
-                near_slots -= 1
-                has_slot = near_slots >= 0
+            if endpoint.zone == zone:
+                local_slots -= 1
+                has_slot = local_slots >= 0
             else:
-                far_slots -= 1
-                has_slot = far_slots >= 0
-            (pool if has_slot else spare).append(server)
+                remote_slots -= 1
+                has_slot = remote_slots >= 0
+            (pool if has_slot else surplus).append(endpoint)
             if len(pool) >= size:
                 break
-        pool += spare[: size - len(pool)]
+        pool += surplus[: size - len(pool)]
         return pool or backing_off[:size]
 
     def _slots(self, size: int) -> tuple[int, int]:
-        """How many servers of the own zone, and of others, the subset has; the rest may fill it up."""
+        """How many endpoints of the own zone, and of others, the subset has; the surplus may fill it up."""
         if self._context.settings.cost_weights.cross_zone <= 0.0:
             return size, size
-        far = max(round(size * self._zones.remote() * self._zones.far_part), 1)
-        return size - far, far
+        weights = self._locality_weights
+        remote = max(round(size * weights.remote_weight() * weights.remote_part), 1)
+        return size - remote, remote
 
-    def _is_eligible(self, server: Endpoint, request: Request) -> bool:
-        if server.ejected_until is not None:
+    def _is_eligible(self, endpoint: Endpoint, request: Request) -> bool:
+        if endpoint.ejection is not None:
             return False
         if request.attempts:
-            if server in request.failed_endpoints or not repeat_rule.is_in_group(
-                request.service_class, server, request.attempts
+            if endpoint in request.failed_endpoints or not idempotency_rule.is_in_group(
+                request.service_class, endpoint, request.attempts
             ):
                 return False
-            if any(each.is_pending and each.endpoint is server for each in request.attempts):
-                return False  # a second copy goes elsewhere
-        return server.warm_up_started_at is None or self._slow_start.has_room(server, request.work)
+            if any(each.is_pending and each.endpoint is endpoint for each in request.attempts):
+                return False  # a hedged request goes to another endpoint
+        return endpoint.warm_up is None or self._slow_start.has_room(endpoint, request.work)
 
-    def _is_backing_off(self, server: Endpoint, kind: str) -> bool:
-        back_off = server.back_offs.get(kind)
+    def _is_backing_off(self, endpoint: Endpoint, class_name: str) -> bool:
+        back_off = endpoint.back_offs.get(class_name)
         return back_off is not None and self._context.now < back_off.until
 
-    def _weights(self, pool: list[Endpoint], request: Request, remote: float) -> list[float]:
-        """Slower servers are drawn less, still less so for heavy requests, and cold ones by their warmth.
+    def _weights(self, pool: list[Endpoint], request: Request, remote_weight: float) -> list[float]:
+        """Slower endpoints weigh less, still less for heavy requests; the warm-up factor counts too.
 
-        Only quick servers can answer heavy requests in time.
+        Only quick servers can respond to heavy requests in time.
         """
         zone = self._context.settings.zone
-        power = min(max(1.0, float(request.cost_bucket)), HEAVY_POWER)
+        power = min(max(1.0, float(request.cost_bucket)), MAX_SLOWNESS_POWER)
         weights = []
-        for server in pool:
-            slowness = math.pow(max(server.latency_ratio, 1.0 / RATIO_MOST), power)
-            warmth = 1.0 if server.warm_up_started_at is None else self._slow_start.warmth(server)
-            weights.append(warmth / slowness * (1.0 if server.zone == zone else remote))
+        for endpoint in pool:
+            slowness = math.pow(max(endpoint.latency_ratio, 1.0 / MAX_RATIO), power)
+            factor = 1.0 if endpoint.warm_up is None else self._slow_start.warm_up_factor(endpoint)
+            weights.append(factor / slowness * (1.0 if endpoint.zone == zone else remote_weight))
         return weights
--- a/tulipnotch/load_balancing/selection/subset.py
+++ b/tulipnotch/load_balancing/selection/subset.py
@@ -1,11 +1,11 @@
-"""The subset: how many servers of the list a balancer sends to."""
+"""The subset: how many endpoints of the list a balancer sends to."""
 
 from __future__ import annotations
 
-SUBSET_LEAST = 4.0  # servers that an idle balancer draws from: a choice, yet few enough to know them
-SUBSET_PER_BUSY = 1.0  # and so many more for each request in flight: as many again may be empty
+MIN_SUBSET_SIZE = 4.0  # endpoints of an idle balancer: a choice, yet few enough to learn of each
+SUBSET_PER_IN_FLIGHT = 1.0  # and so many more for each request in flight: as many again may be idle
 
 
 def subset_size(mean_load: float) -> int:
-    """How many servers a balancer draws from whose own requests in flight are so many on average."""
-    return int(SUBSET_LEAST + SUBSET_PER_BUSY * mean_load)
+    """The number of endpoints that a balancer draws from with so many own requests in flight on average."""
+    return int(MIN_SUBSET_SIZE + SUBSET_PER_IN_FLIGHT * mean_load)
--- a/tulipnotch/load_balancing/selection/weighted_sampling.py
+++ b/tulipnotch/load_balancing/selection/weighted_sampling.py
@@ -1,4 +1,4 @@
-"""A random draw of distinct items by weight."""
+"""Weighted random sampling without replacement."""
 
 from __future__ import annotations
 
@@ -8,18 +8,20 @@
 _Item = TypeVar("_Item")
 
 
-def drawn(chance: random.Random, pool: list[_Item], weights: list[float], count: int) -> list[_Item]:
-    """Draw distinct items by weight; the order is random too, so the first of equals is chance."""
-    items = []
-    left = list(range(len(pool)))
+def weighted_sample(
+    generator: random.Random, pool: list[_Item], weights: list[float], count: int
+) -> list[_Item]:
+    """Draw up to `count` distinct items by weight, in random order."""
+    sample = []
+    remaining = list(range(len(pool)))
     total = sum(weights)
     for _ in range(min(count, len(pool))):
-        point = chance.random() * total
-        at = 0
-        while at < len(left) - 1 and point >= weights[left[at]]:
-            point -= weights[left[at]]
-            at += 1
-        index = left.pop(at)
+        point = generator.random() * total
+        position = 0
+        while position < len(remaining) - 1 and point >= weights[remaining[position]]:
+            point -= weights[remaining[position]]
+            position += 1
+        index = remaining.pop(position)
         total -= weights[index]
-        items.append(pool[index])
-    return items
+        sample.append(pool[index])
+    return sample
--- a/tulipnotch/load_balancing/settings.py
+++ b/tulipnotch/load_balancing/settings.py
@@ -1,9 +1,9 @@
 """The settings of one balancer: what the deployment permits and asks for.
 
-Times are whole microseconds.  Settings carry what a decision, or the program around the balancer, can act on;
-the balancer itself does not read all of them.  The names of zones and tiers and the family of the service are
-left out on purpose, since a decision that depended on a name would be wrong in another deployment, and so are
-the costs of things that no action can cause.
+Times are whole microseconds.  Settings hold what a decision of the balancer or its host can act on; the
+balancer itself does not read all of them.  The names of zones and tiers and the family of the service are
+left out, since a decision that depends on a name is wrong in another deployment, and so are the costs of what
+no action can cause.
 """
 
 from __future__ import annotations
@@ -16,18 +16,17 @@
 
 @unique
 class Idempotency(Enum):
-    """What a class of requests says of a second attempt."""
+    """Whether the requests of a class may be executed more than once."""
 
-    IDEMPOTENT = "idempotent"  # may run any number of times
-    IDEMPOTENT_WITH_KEY = (
-        "idempotent_with_key"  # repeats are dropped inside one group of servers, for a while
-    )
-    NON_IDEMPOTENT = "non_idempotent"  # must never run twice
+    IDEMPOTENT = "idempotent"  # may be executed any number of times
+    # Servers of one deduplication scope execute it once within the deduplication window.
+    IDEMPOTENT_WITH_KEY = "idempotent_with_key"
+    NON_IDEMPOTENT = "non_idempotent"  # must not be executed twice
 
 
 @unique
 class DeduplicationScope(Enum):
-    """Which servers drop the repeats of a keyed request."""
+    """Which servers deduplicate the attempts of a request with an idempotency key."""
 
     ALL = "all"
     ZONE = "zone"
@@ -36,7 +35,7 @@
 
 @unique
 class DiscoveryMode(Enum):
-    """Whether changes of the server list come unasked."""
+    """Whether discovery pushes changes of the endpoint list."""
 
     PUSHED = "pushed"
     POLLED = "polled"
@@ -44,7 +43,7 @@
 
 @unique
 class NominalCapacity(Enum):
-    """What a server's nominal figure means."""
+    """What the nominal capacity of an endpoint means."""
 
     UNSPECIFIED = "unspecified"
     NOMINAL = "nominal"
@@ -54,7 +53,7 @@
 
 @unique
 class ReportSource(Enum):
-    """Where load reports come from."""
+    """Where load reports of servers are found."""
 
     RESPONSES = "responses"
     HEALTH_CHECKS = "health_checks"
@@ -63,7 +62,7 @@
 
 @unique
 class PriorityWeightBasis(Enum):
-    """What a class's worth is counted for."""
+    """What the priority weight of a class is counted for."""
 
     REQUEST = "request"
     WORK = "work"
@@ -87,7 +86,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """One tenant and what it may ask of the whole fleet."""
+    """One tenant, and its quota of the fleet."""
 
     name: str
     weight: float = 1.0
@@ -96,7 +95,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What the deployment permits."""
+    """What the deployment permits; times in microseconds."""
 
     max_attempts: int = 1
     hedged_requests: bool = False
@@ -108,14 +107,14 @@
     connect_timeout_us: int = 250_000
     idle_timeout_us: int = 15_000_000
     streams_per_connection: int = 1
-    max_open_requests: int | None = None  # requests held at once, kept by the sidecar; None: no limit
-    cpu_us_per_s: int | None = None  # of CPU, for the whole instance
-    cpu_us_per_request: float = 0.0  # of CPU, for a request with its outcomes, on average; 0: no limit
+    max_open_requests: int | None = None  # at once, enforced by the sidecar; None: no limit
+    cpu_us_per_s: int | None = None  # of CPU time, for the instance; None: no limit
+    cpu_us_per_request: float = 0.0  # of CPU time, on average, with the outcomes; 0: no limit
 
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """The figures of the rules.  The defaults are the cautious ends."""
+    """The figures of the rules; the defaults are the most cautious ones."""
 
     response_slack_us: int = 0
     max_poll_interval_us: int = 10_000_000
@@ -124,13 +123,13 @@
     warm_up_us: int = 30_000_000
     overload_multiple: float = 1.0
     overload_window_us: int = 2_000_000
-    overloaded_may_have_run: bool = False  # servers may answer full for work that they had begun
-    close_idle_within_us: int | None = None  # idle connections to draining servers go; None: no such rule
+    overloaded_may_have_run: bool = False  # an overloaded response may follow work that had begun
+    close_idle_within_us: int | None = None  # to draining endpoints; None: no such rule
 
-    def proves_not_executed(self, outcome: Outcome, is_response_certain: bool = True) -> bool:
-        """Whether the outcome proves that the server did nothing of the request: the one place to ask.
+    def proves_not_executed(self, outcome: Outcome, *, is_response_certain: bool = True) -> bool:
+        """Whether the outcome proves that the server did not execute the request, not even in part.
 
-        An answer proves nothing unless it is certain that it belongs to this request.
+        A response proves nothing unless it is certain that it belongs to this request.
         """
         if outcome is Outcome.OVERLOADED:
             return is_response_certain and not self.overloaded_may_have_run
@@ -139,38 +138,38 @@
 
 @dataclass(frozen=True, slots=True)
 class CostWeights:
-    """What extra traffic costs, as a part of all service, mostly for one a request."""
+    """What extra traffic costs, as a part of all service, at one event a request unless said otherwise."""
 
     cross_zone: float = 0.0
     health_check: float = 0.0
     peer_message: float = 0.0  # for 256 bytes a request, delivered
-    wasted_work: float = 0.0  # for server work without an answer, as much as was asked for
+    wasted_work: float = 0.0  # for work of servers that ends without a response, as much as was requested
     handshake: float = 0.0
     connection: float = 0.0  # for a hundred open connections a server
-    discovery: float = 0.0  # for a hundred list lines a request
-    late_failure: float = 0.0  # for all worth ending unserved after its aim
+    discovery: float = 0.0  # for a hundred entries of endpoint lists a request
+    late_failure: float = 0.0  # for all requests, by weight, failing after their latency objective
 
 
 @dataclass(frozen=True, slots=True)
 class ObjectiveWeights:
-    """What counts how much of the whole; all zero: not told."""
+    """The weights of the parts of the overall objective; all zero: not given."""
 
     overall: float = 0.0
     worst_window: float = 0.0
     worst_class: float = 0.0
     worst_tenant: float = 0.0
     tail: float = 0.0
-    tail_slack: float = 0.0  # the part of requests that may miss their aim before the tail shrinks
+    tail_slack: float = 0.0  # the part of requests that may miss their latency objective at no cost
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All that an instance is told at its start."""
+    """The complete settings of one instance."""
 
     classes: tuple[ServiceClass, ...]
     tenants: tuple[Tenant, ...] = ()
     zone: str = ""
-    instance_index: int = -1  # this instance's number in the group, from 0; -1: not told
+    instance_index: int = -1  # this instance's number in the group, from 0; -1: not given
     instance_count: int = 1
     clock_resolution_us: int = 1_000
     discovery_mode: DiscoveryMode = DiscoveryMode.POLLED
@@ -183,6 +182,6 @@
     rules: Rules = field(default_factory=Rules)
     cost_weights: CostWeights = field(default_factory=CostWeights)
     objective_weights: ObjectiveWeights = field(default_factory=ObjectiveWeights)
-    machine_types: tuple[str, ...] = ()  # the kinds of machines that lists may name
+    machine_types: tuple[str, ...] = ()  # those that endpoint lists may name
     clients_mark_retries: bool = False
-    has_key_affinity: bool = False  # a server that met a key lately needs less work for it
+    has_key_affinity: bool = False  # a server that saw a key lately needs less work for it
--- a/tulipnotch/load_balancing/settings_reader.py
+++ b/tulipnotch/load_balancing/settings_reader.py
@@ -126,7 +126,7 @@
 _Choice = TypeVar("_Choice", bound=Enum)
 
 
-_LARGEST = 2**53  # every whole number up to here survives a double
+MAX_EXACT_INTEGER = 2**53  # every whole number up to here survives a double
 
 
 class _Reader:
@@ -197,7 +197,7 @@
             return default
         return value
 
-    def number(self, key: str, default: float, low: float = 0.0, high: float = _LARGEST) -> float:
+    def number(self, key: str, default: float, low: float = 0.0, high: float = MAX_EXACT_INTEGER) -> float:
         value = self._value(key)
         if value is None:
             return default
@@ -210,7 +210,11 @@
         value = self._value(key)
         if value is None and default is not None:
             return default
-        if isinstance(value, bool) or not isinstance(value, (int, float)) or not low <= value <= _LARGEST:
+        if (
+            isinstance(value, bool)
+            or not isinstance(value, (int, float))
+            or not low <= value <= MAX_EXACT_INTEGER
+        ):
             self._nonsense(key, f"a whole number from {low}")
         elif value != int(value):
             self._nonsense(key, "a whole number")
--- a/tulipnotch/load_balancing/slow_start/token_bucket.py
+++ b/tulipnotch/load_balancing/slow_start/token_bucket.py
@@ -1,4 +1,4 @@
-"""A token bucket whose full state lapses: what is not used for long is not saved up."""
+"""A token bucket whose full state lapses: tokens that are not used for long are not saved up."""
 
 from __future__ import annotations
 
@@ -6,44 +6,45 @@
 
 
 class LapsingBucket:
-    """Tokens that fill up to a most; a bucket that stays full for too long begins again, nearly empty."""
+    """Tokens that fill up to a capacity; a bucket that stays full for too long begins again, nearly empty."""
 
-    __slots__ = ("_at", "_full_since", "_tokens")
+    __slots__ = ("_full_since", "_tokens", "_updated_at")
 
-    def __init__(self, now: int, begins_with: float) -> None:
-        self._tokens = begins_with
-        self._at = now
+    def __init__(self, now: int, tokens: float) -> None:
+        """Begin with so many tokens at clock time `now` (microseconds)."""
+        self._tokens = tokens
+        self._updated_at = now
         self._full_since: int | None = None
 
-    def fill(self, now: int, rate: float, most: float, lasts_us: float) -> None:
-        """Fill by so many tokens per microsecond up to `most`; a full bucket lasts for `lasts_us`."""
-        before, self._tokens = self._tokens, self._tokens + rate * max(now - self._at, 0)
-        if self._tokens >= most:
-            if self._full_since is None or before < most:
-                late = (self._tokens - most) / rate if rate > 0.0 else 0.0
-                self._full_since = max(now - int(late), self._at)
-            self._tokens = most
-            self._lapse(now, rate, most, lasts_us)
-        self._at = now
+    def fill(self, now: int, rate: float, capacity: float, lapse_after_us: float) -> None:
+        """Fill by `rate` tokens per microsecond up to `capacity`; lapse if full for `lapse_after_us`."""
+        before, self._tokens = self._tokens, self._tokens + rate * max(now - self._updated_at, 0)
+        if self._tokens >= capacity:
+            full_since = self._full_since
+            if full_since is None or before < capacity:
+                since_full_us = (self._tokens - capacity) / rate if rate > 0.0 else 0.0
+                full_since = max(now - int(since_full_us), self._updated_at)
+            self._full_since = full_since
+            self._tokens = capacity
+            self._lapse(now - full_since, now, rate, capacity, lapse_after_us)
+        self._updated_at = now
 
     def holds(self, tokens: float) -> bool:
         """Whether there are so many tokens."""
         return self._tokens >= tokens
 
     def spend(self, tokens: float) -> None:
-        """Take so many tokens out."""
+        """Take so many tokens out; the rest may become negative."""
         self._tokens -= tokens
         self._full_since = None
 
-    def _lapse(self, now: int, rate: float, most: float, lasts_us: float) -> None:
-        """Full for too long: go on as if it had been emptied in the instant in which it filled."""
-        assert self._full_since is not None
-        period = max(most / rate, 1.0) if rate > 0.0 else math.inf
-        gone = now - self._full_since
-        if gone < lasts_us or period <= lasts_us:
+    def _lapse(self, full_for_us: int, now: int, rate: float, capacity: float, lapse_after_us: float) -> None:
+        """If full for too long, continue as if it had been emptied in the instant in which it became full."""
+        period_us = max(capacity / rate, 1.0) if rate > 0.0 else math.inf
+        if full_for_us < lapse_after_us or period_us <= lapse_after_us:
             return
-        gone = int(math.fmod(gone, period))
-        if gone < lasts_us:
-            self._full_since = now - gone
+        in_period_us = int(math.fmod(full_for_us, period_us))
+        if in_period_us < lapse_after_us:
+            self._full_since = now - in_period_us
         else:
-            self._full_since, self._tokens = None, min(rate * gone, most)
+            self._full_since, self._tokens = None, min(rate * in_period_us, capacity)
--- a/tulipnotch/load_balancing/slow_start/warm_capacity.py
+++ b/tulipnotch/load_balancing/slow_start/warm_capacity.py
@@ -1,80 +1,84 @@
-"""Warm capacity: what a warm server has lately served for this balancer."""
+"""Warm capacity: what an endpoint that has warmed up has lately served for this balancer."""
 
 from __future__ import annotations
 
 import math
 
 from tulipnotch.load_balancing.context import Context
+from tulipnotch.load_balancing.endpoints.endpoint import Endpoint
 from tulipnotch.load_balancing.metrics.load import Load
 from tulipnotch.load_balancing.metrics.rate import Rate
-from tulipnotch.load_balancing.records import Endpoint
 from tulipnotch.load_balancing.selection.subset import subset_size
 from tulipnotch.load_balancing.settings import Rules
 
-RATE_SPANS = 2.0  # rates are averaged over this many fall times
-SERVED_FADES = 0.5  # what a warm server served fades e-fold in this part of the time to warm up
-REPEATED = 1.25  # requests for each that clients want, where most are refused and come again
+RATE_WINDOWS = 2.0  # rates are averaged over this many overload windows
+SERVED_FADE_PART = 0.5  # what a warm endpoint served fades e-fold in this part of the warm-up time
+ARRIVALS_PER_REQUEST = 1.25  # requests for each that clients want, where most are rejected and retried
 
 
-def is_cold(server: Endpoint, rules: Rules, now: int) -> bool:
-    """Whether a server still warms up."""
-    return server.warm_up_started_at is not None and now < server.warm_up_started_at + rules.warm_up_us
+def is_warming_up(endpoint: Endpoint, rules: Rules, now: int) -> bool:
+    """Whether an endpoint still warms up."""
+    warm_up = endpoint.warm_up
+    return warm_up is not None and now < warm_up.started_at + rules.warm_up_us
 
 
 class WarmCapacity:
-    """A running measure of what each warm server serves, as a rate for a server of mean size."""
+    """A running measure of what each warm endpoint serves, as a rate for an endpoint of mean capacity."""
 
     def __init__(self, context: Context, load: Load) -> None:
+        """Begin with nothing served."""
         self._context = context
         self._load = load
-        span = RATE_SPANS * context.settings.rules.overload_window_us
-        self._arrivals = Rate(span)
-        self._served_warm = Rate(span)  # answers of warm servers
-        self._rate = 0.0  # per us, as of _rate_at
+        window_us = RATE_WINDOWS * context.settings.rules.overload_window_us
+        self._arrivals = Rate(window_us)
+        self._served_warm = Rate(window_us)  # responses of warm endpoints
+        self._rate_per_us = 0.0  # as of _rate_at
         self._rate_at = -1
-        self.sent_part = 1.0  # of the servers that served it, those that this balancer sends to
-        self.mean_size = 1.0  # of these servers
+        self.selected_part = 1.0  # of the endpoints that served it, those that this balancer sends to
+        self.mean_nominal_capacity = 1.0  # of these endpoints
 
     def settings_changed(self) -> None:
-        """Average over the new fall time."""
+        """Average over the new overload window."""
         for rate in (self._arrivals, self._served_warm):
-            rate.over(RATE_SPANS * self._context.settings.rules.overload_window_us)
+            rate.set_window(RATE_WINDOWS * self._context.settings.rules.overload_window_us)
 
     def request_arrived(self) -> None:
         """Count a request."""
         self._arrivals.add(self._context.now, 1.0)
 
-    def answered(self, server: Endpoint) -> None:
-        """Count an answer, if its server is warm."""
-        if not is_cold(server, self._context.settings.rules, self._context.now):
+    def response_received(self, endpoint: Endpoint) -> None:
+        """Count a response, if its endpoint is warm."""
+        if not is_warming_up(endpoint, self._context.settings.rules, self._context.now):
             self._served_warm.add(self._context.now, 1.0)
 
     def per_us(self) -> float:
-        """What a warm server serves per microsecond; worked out once for each instant.
+        """Requests that a warm endpoint serves per microsecond; computed once for each instant.
 
-        The highest counts, and fades.  Prevents a loop: what is served falls where requests are refused, and
-        would take the budgets of cold servers with it, just when these are needed.
+        The highest counts, and fades.  Prevents a feedback loop: what is served falls where requests are
+        rejected, and would reduce the budgets of endpoints that warm up, just when these are needed.
         """
         now = self._context.now
         if self._rate_at != now:
-            lapse = now - self._rate_at if self._rate_at >= 0 else 0
-            faded = math.exp(-lapse / max(SERVED_FADES * self._context.settings.rules.warm_up_us, 1.0))
+            elapsed_us = now - self._rate_at if self._rate_at >= 0 else 0
+            fade_us = max(SERVED_FADE_PART * self._context.settings.rules.warm_up_us, 1.0)
+            faded = math.exp(-elapsed_us / fade_us)
             self._rate_at = now
-            self._rate = max(self._served_by_each(), self._rate * faded)
-        return self._rate
+            self._rate_per_us = max(self._served_per_endpoint(), self._rate_per_us * faded)
+        return self._rate_per_us
 
-    def _served_by_each(self) -> float:
-        """What each server sent to serves just now; with no warm server all count, as sends go to all."""
+    def _served_per_endpoint(self) -> float:
+        """What each selected endpoint serves just now; with no warm one all count, as all are selected."""
         now, rules = self._context.now, self._context.settings.rules
         ready = self._context.ready_endpoints
-        warm = [each for each in ready if not is_cold(each, rules, now)]
-        peers = warm or ready  # ejected ones too: they served a part of what is counted
+        warm = [each for each in ready if not is_warming_up(each, rules, now)]
+        serving = warm or ready  # ejected ones too: they served a part of what is counted
         if warm:
-            sent_to = min(len(warm), subset_size(self._load.mean))
-            served = self._served_warm.per_us(now) / max(sent_to, 1)
+            selected = min(len(warm), subset_size(self._load.mean))
+            served = self._served_warm.per_us(now) / max(selected, 1)
         else:
-            sent_to = len(peers)
-            served = self._arrivals.per_us(now) / (REPEATED * max(sent_to, 1))
-        self.sent_part = sent_to / max(len(peers), 1)
-        self.mean_size = sum(each.nominal_capacity for each in peers) / max(len(peers), 1)
+            selected = len(serving)
+            served = self._arrivals.per_us(now) / (ARRIVALS_PER_REQUEST * max(selected, 1))
+        count = max(len(serving), 1)
+        self.selected_part = selected / count
+        self.mean_nominal_capacity = sum(each.nominal_capacity for each in serving) / count
         return served
--- a/tulipnotch/load_balancing/slow_start/warm_up_budget.py
+++ b/tulipnotch/load_balancing/slow_start/warm_up_budget.py
@@ -1,15 +1,15 @@
-"""Slow start: how much all instances together put on a server that started lately, within what it can serve.
+"""Slow start: how much all instances together send to an endpoint that warms up, within what it can serve.
 
-Instances share nothing but the list, clocks and their own numbers.  Each fills an allowance (in requests of
-mean cost) for each cold server; a whole request's worth is a turn.  Three things keep the sum within bounds
-where a server can serve few requests and instances are many:
+Instances share nothing but the endpoint list, clocks and their own numbers.  Each fills a token bucket (in
+requests of mean cost) for each endpoint that warms up; one token lets one request pass.  Three things keep
+the sum within bounds where a server can serve few requests and instances are many:
 
-- turns come due one after another over all instances: the first allowance is a phase, by the server's start
-  and the instance's number, evenly spread over the group;
-- a turn that is not used lapses.  Saved up, the turns of a quiet stretch would all be used in the next burst;
-- a request that is heavier than a small part of chance goes to warm servers only.
+- tokens fall due one after another over all instances: a bucket begins at a phase that is given by the
+  server's start and the instance's number, evenly spread over the group;
+- a token that is not used lapses.  Saved up, the tokens of a quiet time would all be used in the next burst;
+- a request that costs much more than the mean goes to warm endpoints only.
 
-All times are whole microseconds.  `SlowStart` keeps rule 4 for the servers of one balancer.
+All times are whole microseconds.  `SlowStart` enforces rule 4 for the endpoints of one balancer.
 """
 
 from __future__ import annotations
@@ -18,100 +18,106 @@
 import zlib
 
 from tulipnotch.load_balancing.context import Context
-from tulipnotch.load_balancing.records import Endpoint
+from tulipnotch.load_balancing.endpoints.endpoint import Endpoint, WarmUp
 from tulipnotch.load_balancing.settings import Rules
 from tulipnotch.load_balancing.slow_start.token_bucket import LapsingBucket
-from tulipnotch.load_balancing.slow_start.warm_capacity import WarmCapacity, is_cold
+from tulipnotch.load_balancing.slow_start.warm_capacity import WarmCapacity, is_warming_up
 
-FILLS = 0.25  # part of the pushing-over load that all allowances together fill at
-BURST = 0.18  # part of that load that may come at once
-LAPSES = 1.0 / FILLS  # fall times after which an unused turn lapses: those open at once are one budget
-HEAVIEST = 0.1  # roots of the server's budget that one request may cost beyond the mean: far less than chance
+FILL_PART = 0.25  # part of the overload rate that all buckets together fill at
+BURST_PART = 0.18  # part of that rate that may arrive at once
+LAPSE_WINDOWS = 1.0 / FILL_PART  # overload windows after which an unused token lapses: together one budget
+MAX_COST_ROOTS = 0.1  # roots of the endpoint's budget that a request may cost beyond the mean
 
 
-def phase(name: str, started_at: int | None, me: int, instance_count: int, chance: float) -> float:
-    """The part of a turn that an instance begins with, from 0 to below 1.
+def phase(
+    name: str, started_at: int | None, instance_index: int, instance_count: int, random_phase: float
+) -> float:
+    """The part of a token that an instance begins with, from 0 to below 1.
 
     Evenly spread over the group for each start of each server.  Where the start or the own number is not
-    known, `chance` (0 to below 1, the instance's own) takes its place.
+    known, `random_phase` (0 to below 1, the instance's own) takes its place.
     """
-    if started_at is None or not 0 <= me < instance_count or instance_count == 1:
-        return chance
+    if started_at is None or not 0 <= instance_index < instance_count or instance_count == 1:
+        return random_phase
     offset = zlib.crc32(f"{name} {started_at}".encode()) / 2.0**32
-    return (offset + me / instance_count) % 1.0
+    return (offset + instance_index / instance_count) % 1.0
 
 
-def warmth(rules: Rules, since: int | None, now: int) -> float:
-    """The least share of its capacity that a server has, so long after its start; 1 where `since` is None."""
-    if since is None or now >= since + rules.warm_up_us:
+def warm_up_factor(rules: Rules, started_at: int | None, now: int) -> float:
+    """The least part of its capacity that a server has at `now`; 1 where `started_at` is None."""
+    if started_at is None or now >= started_at + rules.warm_up_us:
         return 1.0
-    return rules.initial_capacity + (1.0 - rules.initial_capacity) * max(now - since, 0) / rules.warm_up_us
+    elapsed_us = max(now - started_at, 0)
+    return rules.initial_capacity + (1.0 - rules.initial_capacity) * elapsed_us / rules.warm_up_us
 
 
-def heaviest(budget: float) -> float:
-    """The most that one request may cost where a server can serve `budget` of mean cost in the fall time."""
-    return 1.0 + HEAVIEST * math.sqrt(max(budget, 0.0))
+def max_cost(budget: float) -> float:
+    """The most that a request may cost if a server can serve `budget` of mean cost in an overload window."""
+    return 1.0 + MAX_COST_ROOTS * math.sqrt(max(budget, 0.0))
 
 
-class WarmUpBudget(LapsingBucket):
-    """What an instance may put on one cold server, in requests of mean cost."""
-
-    __slots__ = ()
-
-    def has_room(self, now: int, limit: float, overload_window_us: int, cost: float) -> bool:
-        """Whether a request of this cost may go now; `limit` is the own part of what pushes over, per us."""
-        most = max(1.0, BURST * limit * overload_window_us)
-        self.fill(now, FILLS * limit, most, LAPSES * overload_window_us)
-        return self.holds(min(cost, most))
+def has_room(bucket: LapsingBucket, now: int, rate: float, overload_window_us: int, cost: float) -> bool:
+    """Whether a request of this cost may pass; `rate` is the own part of the overload rate, per us."""
+    capacity = max(1.0, BURST_PART * rate * overload_window_us)
+    bucket.fill(now, FILL_PART * rate, capacity, LAPSE_WINDOWS * overload_window_us)
+    return bucket.holds(min(cost, capacity))
 
 
 class SlowStart:
-    """Which servers are cold, and what this balancer may put on them."""
+    """Which endpoints warm up, and what this balancer may send to them."""
 
     def __init__(self, context: Context, capacity: WarmCapacity) -> None:
+        """Read the settings in force from `context` at each call."""
         self._context = context
         self._capacity = capacity
 
-    def turned_cold(self, server: Endpoint, started_at: int | None = None) -> None:
-        """A server's process started then, by the list, or just now; one in the future has a wrong clock."""
-        settings = self._context.settings
-        server.warm_up_started_at = min(
-            self._context.now if started_at is None else started_at, self._context.now
+    def process_started(self, endpoint: Endpoint, started_at: int | None = None) -> None:
+        """Begin an endpoint's warm-up, at a start that discovery announced, or just now (None).
+
+        A start in the future comes from a wrong clock, and counts as now.
+        """
+        now, settings = self._context.now, self._context.settings
+        random_phase = self._context.random.random()
+        tokens = phase(
+            endpoint.name, started_at, settings.instance_index, settings.instance_count, random_phase
+        )
+        endpoint.warm_up = WarmUp(
+            now if started_at is None else min(started_at, now),
+            LapsingBucket(now, tokens),
+            is_start_announced=started_at is not None,
         )
-        server.is_start_announced = started_at is not None
-        chance = self._context.random.random()
-        begins_with = phase(server.name, started_at, settings.instance_index, settings.instance_count, chance)
-        server.warm_up_budget = WarmUpBudget(self._context.now, begins_with)
 
-    def is_cold(self, server: Endpoint) -> bool:
-        """Whether a server still warms up."""
-        return is_cold(server, self._context.settings.rules, self._context.now)
+    def is_warming_up(self, endpoint: Endpoint) -> bool:
+        """Whether an endpoint still warms up."""
+        return is_warming_up(endpoint, self._context.settings.rules, self._context.now)
 
-    def warmth(self, server: Endpoint) -> float:
-        """The least share of its capacity that a server has now."""
-        return warmth(self._context.settings.rules, server.warm_up_started_at, self._context.now)
+    def warm_up_factor(self, endpoint: Endpoint) -> float:
+        """The least part of its capacity that an endpoint has now."""
+        started_at = None if endpoint.warm_up is None else endpoint.warm_up.started_at
+        return warm_up_factor(self._context.settings.rules, started_at, self._context.now)
 
-    def has_room(self, server: Endpoint, work: float) -> bool:
-        """Whether a cold server's budget has room for a request of this much work, in means.
+    def has_room(self, endpoint: Endpoint, work: float) -> bool:
+        """Whether an endpoint's warm-up budget has room for a request of this much work, in means.
 
-        The budget fills with a part of what would push the server over, judged by what this balancer's warm
-        servers serve for it; all balancers doing so stay under the whole.
+        The budget fills with a part of what would overload the server, judged by what this balancer's warm
+        endpoints serve for it; with all balancers doing so, the sum stays below that.
         """
-        if server.warm_up_budget is None or not self.is_cold(server):
+        warm_up = endpoint.warm_up
+        if warm_up is None or not self.is_warming_up(endpoint):
             return True
         settings = self._context.settings
         rules = settings.rules
-        capacity = self._capacity.per_us()
-        if self._capacity.mean_size > 0.0:
-            capacity *= min(server.nominal_capacity / self._capacity.mean_size, 1.0)
-        limit = rules.overload_multiple * self.warmth(server) * capacity
-        # What all instances may put on it, were all like this one.
-        of_all = limit * rules.overload_window_us * settings.instance_count * self._capacity.sent_part
-        if work > heaviest(of_all):
+        per_us = self._capacity.per_us()
+        if self._capacity.mean_nominal_capacity > 0.0:
+            per_us *= min(endpoint.nominal_capacity / self._capacity.mean_nominal_capacity, 1.0)
+        rate = rules.overload_multiple * self.warm_up_factor(endpoint) * per_us
+        # What all instances together may send to it, if all are like this one.
+        budget = rate * rules.overload_window_us * settings.instance_count * self._capacity.selected_part
+        if work > max_cost(budget):
             return False
-        return server.warm_up_budget.has_room(self._context.now, limit, rules.overload_window_us, work)
+        return has_room(warm_up.budget, self._context.now, rate, rules.overload_window_us, work)
 
-    def spend(self, server: Endpoint, work: float) -> None:
-        """A request of this much work goes to the server."""
-        if server.warm_up_budget is not None and self.is_cold(server):
-            server.warm_up_budget.spend(work)
+    def spend(self, endpoint: Endpoint, work: float) -> None:
+        """Take a request of this much work out of the endpoint's warm-up budget."""
+        if endpoint.warm_up is not None and self.is_warming_up(endpoint):
+            endpoint.warm_up.budget.spend(work)
--- a/tulipnotch/sidecar/sidecar.py
+++ b/tulipnotch/sidecar/sidecar.py
@@ -565,7 +565,9 @@
         written = held.written.get(number)
         if written is not None:
             written.is_in_flight = False
-            written.may_have_run = not self._settings.rules.proves_not_executed(outcome, is_certain)
+            written.may_have_run = not self._settings.rules.proves_not_executed(
+                outcome, is_response_certain=is_certain
+            )
         self._post(
             AttemptEnded(attempt.request, number, server, outcome, elapsed, False, report, again, is_certain)
         )
