--- a/tests/sidecar/discovery/test_change_propagation.py
+++ b/tests/sidecar/discovery/test_change_propagation.py
@@ -257,7 +257,7 @@
 def _failures(scene: Stage, attempts: ConnectionAttempts) -> int:
     """Count calls that failed in a row where lists are polled, else connection attempts."""
     is_polled = scene.sidecar.config.settings.discovery_mode is Mode.POLLED
-    return scene.sidecar._balancer._parts.discovery_polling.failed_calls if is_polled else attempts.made
+    return scene.sidecar._balancer._components.discovery_polling.failed_calls if is_polled else attempts.made
 
 
 def test_start_receives_the_list_before_listening_when_lists_are_pushed(
@@ -390,9 +390,9 @@
 
         async with stage(await ScriptedServer(reports).start()) as scene:
             assert (await scene.ask()).status == 200
-            assert scene.sidecar._balancer._parts.response_times.cores is not None
+            assert scene.sidecar._balancer._components.response_times.cores is not None
             raw = _raw(scene.sidecar.config.name, scene.discovery.address)
             scene.sidecar.reload(parse(raw, raw))
-            assert scene.sidecar._balancer._parts.response_times.cores is None
+            assert scene.sidecar._balancer._components.response_times.cores is None
 
     play(work)
--- a/tulipnotch/sidecar/requests/attempts.py
+++ b/tulipnotch/sidecar/requests/attempts.py
@@ -177,7 +177,9 @@
         written = self._written
         if written is not None:
             written.is_in_flight = False
-            written.may_have_run = not settings.rules.proves_not_executed(outcome, is_response_certain)
+            written.may_have_run = not settings.rules.proves_not_executed(
+                outcome, is_response_certain=is_response_certain
+            )
         starter.events.post(
             AttemptEnded(
                 request=request.number,
