--- /dev/null
+++ b/tests/external_names/test_http_names.py
@@ -0,0 +1,341 @@
+"""HTTP on both sides of a sidecar: headers, paths and statuses, as bytes on loopback sockets."""
+
+from __future__ import annotations
+
+import asyncio
+import re
+from contextlib import suppress
+from typing import Any
+
+import pytest
+from loopback import ERROR, FULL, HOST, OK, Heard, Stage, holding, line, play, request, soon, stage, until
+from outside import ACTIONS, decisions, door, listen, stop
+
+TEXT = OK.replace(
+    b"Content-Length", b"Content-Type: text/x\r\nContent-Encoding: x\r\nX-Own: 1\r\nContent-Length"
+)
+REQUEST = (
+    b"POST /api/7f3a9c21e0b4d655?x=1 HTTP/1.1\r\n"
+    b"Host: origin.svc\r\n"
+    b"Request-Id: 9b1f03aa5c7e2d41\r\n"
+    b"Request-Class: amend\r\n"
+    b"Tenant: acme\r\n"
+    b"Request-Timeout: 1.980\r\n"
+    b"Idempotency-Key: 5c0f6e1a2b3d4c59\r\n"
+    b"Client-Retry: 1\r\n"
+    b"Work-Hint: 12000\r\n"
+    b"Request-Info: region=7,size=2\r\n"
+    b"Connection: close\r\n"
+    b"Content-Length: 4\r\n"
+    b"\r\n"
+    b"body"
+)
+KEY_ASTRAY = b"idempotency-key does not go with the class\n"
+HEALTH = b"GET /_health HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
+TENANTS = [{"name": "acme", "portion": 1.0}]
+
+
+async def ask(scene: Stage, raw: bytes) -> bytes:
+    """All bytes that come back on a connection of its own until the sidecar ends it."""
+    client = await scene.client()
+    client.send(raw)
+    return await soon(client.reader.read())
+
+
+def test_request_passes_on_with_its_headers_and_the_answer_comes_back() -> None:
+    async def work() -> None:
+        async with stage(TEXT) as scene:
+            answer = await ask(scene, REQUEST)
+            head, _, body = answer.partition(b"\r\n\r\n")
+            first, *lines = head.split(b"\r\n")
+            assert (first, body) == (b"HTTP/1.1 200 OK", b"served")
+            assert sorted(lines) == [
+                b"connection: close",
+                b"content-encoding: x",
+                b"content-length: 6",
+                b"content-type: text/x",
+            ]
+            (heard,) = scene.heard
+            assert (heard.method, heard.target) == ("POST", "/api/7f3a9c21e0b4d655?x=1")
+            assert heard.body == b"body"
+            told = heard.headers.pop("request-timeout")
+            assert re.fullmatch(r"[01]\.[0-9]{3}", told) and 0 < float(told) <= 1.98
+            assert heard.headers == {
+                "host": "origin.svc",
+                "request-id": "9b1f03aa5c7e2d41",
+                "request-class": "amend",
+                "tenant": "acme",
+                "idempotency-key": "5c0f6e1a2b3d4c59",
+                "client-retry": "1",
+                "work-hint": "12000",
+                "request-info": "region=7,size=2",
+                "content-length": "4",
+            }
+
+    play(work)
+
+
+def test_request_line_towards_a_server_is_that_of_http_1_1() -> None:
+    async def work() -> None:
+        lines: list[bytes] = []
+
+        async def served(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            lines.append(await reader.readline())
+            writer.write(OK)
+            writer.close()
+
+        server = await asyncio.start_server(served, HOST, 0)
+        address = f"{HOST}:{server.sockets[0].getsockname()[1]}"
+        known = {"version": 1, "full": True, "servers": [line("s-0", address)]}
+        async with stage(given={"known": known}, silent_discovery=True) as scene:
+            await scene.ask("lodge")
+        server.close()
+        assert lines == [b"POST /api/7f3a?x=1 HTTP/1.1\r\n"]
+
+    play(work)
+
+
+def arrival(raw: bytes, monkeypatch: pytest.MonkeyPatch) -> list[Any]:
+    """What the decisions hear of this request, by place; the first value is the sidecar's own number."""
+
+    async def work() -> list[Any]:
+        heard = decisions(monkeypatch)
+        async with stage(OK, realms=TENANTS) as scene:
+            await ask(scene, raw)
+            (event,) = [each for each in heard.of("amend") if "amend" in each[:2]]
+            return event[1:]
+
+    return play(work)
+
+
+def test_headers_of_a_request_reach_the_decisions(monkeypatch: pytest.MonkeyPatch) -> None:
+    name, tenant, key, left_us, cost_us, is_retry, is_write, _ = arrival(REQUEST, monkeypatch)
+    assert (name, tenant, cost_us, is_retry, is_write) == ("amend", "acme", 12_000, True, True)
+    assert type(key) is int and 0 < left_us <= 1_980_000
+
+
+@pytest.mark.parametrize(
+    ("was", "now", "place", "value"),
+    [
+        (b"Tenant: acme\r\n", b"", 1, None),
+        (b"Tenant: acme\r\n", b"Tenant: nobody\r\n", 1, None),
+        (b"Work-Hint: 12000\r\n", b"", 4, None),
+        (b"Client-Retry: 1\r\n", b"", 5, False),
+        (b"Client-Retry: 1\r\n", b"Client-Retry: 0\r\n", 5, False),
+    ],
+)
+def test_header_left_out_or_changed_is_not_assumed(
+    was: bytes, now: bytes, place: int, value: object, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    assert arrival(REQUEST.replace(was, now), monkeypatch)[place] is value
+
+
+def test_key_is_the_last_part_of_the_path(monkeypatch: pytest.MonkeyPatch) -> None:
+    same = REQUEST.replace(b"/api/7f3a9c21e0b4d655?x=1", b"/other/7f3a9c21e0b4d655")
+    other = REQUEST.replace(b"/api/7f3a9c21e0b4d655?x=1", b"/api/7f3a9c21e0b4d656")
+    key = arrival(REQUEST, monkeypatch)[2]
+    assert arrival(same, monkeypatch)[2] == key != arrival(other, monkeypatch)[2]
+
+
+@pytest.mark.parametrize(
+    ("was", "now", "text"),
+    [
+        (b"Host: origin.svc\r\n", b"", b"host is missing\n"),
+        (b"Request-Id: 9b1f03aa5c7e2d41\r\n", b"", b"request-id is missing\n"),
+        (b"Request-Class: amend\r\n", b"", b"request-class is missing\n"),
+        (b"Request-Class: amend\r\n", b"Request-Class: other\r\n", b"request-class is unknown\n"),
+        (b"Request-Timeout: 1.980\r\n", b"", b"request-timeout is missing\n"),
+        (b"Request-Timeout: 1.980\r\n", b"Request-Timeout: soon\r\n", b"request-timeout is nonsense\n"),
+        (b"Idempotency-Key: 5c0f6e1a2b3d4c59\r\n", b"", KEY_ASTRAY),
+        (b"Request-Class: amend\r\n", b"Request-Class: lodge\r\n", KEY_ASTRAY),
+        (b"Idempotency-Key: 5c0f6e1a2b3d4c59\r\n", b"Idempotency-Key:\r\n", KEY_ASTRAY),
+        (b"Request-Id: 9b1f03aa5c7e2d41\r\n", b"Request-Id: a b\r\n", b"request-id is nonsense\n"),
+        (b"Work-Hint: 12000\r\n", b"Work-Hint: much\r\n", b"work-hint is nonsense\n"),
+        (b"/api/7f3a9c21e0b4d655?x=1", b"http://x/api", b"the target is no path\n"),
+        (b"Request-Class: amend\r\n", b"Request-Class: check\r\n", b"the method is not that of the class\n"),
+    ],
+)  # fmt: skip
+def test_request_without_a_header_that_it_needs_is_400(was: bytes, now: bytes, text: bytes) -> None:
+    async def work() -> None:
+        async with stage(OK) as scene:
+            answer = await ask(scene, REQUEST.replace(was, now))
+            assert answer.startswith(b"HTTP/1.1 400 ") and answer.endswith(b"\r\n\r\n" + text)
+            assert scene.heard == []
+
+    play(work)
+
+
+@pytest.mark.parametrize(
+    ("kind", "method", "status"),
+    [
+        ("check", "GET", b"200"),
+        ("check", "HEAD", b"200"),
+        ("check", "POST", b"400"),
+        ("amend", "POST", b"200"),
+        ("amend", "GET", b"400"),
+        ("lodge", "POST", b"200"),
+        ("lodge", "PUT", b"400"),
+    ],
+)
+def test_class_decides_the_method(kind: str, method: str, status: bytes) -> None:
+    async def work() -> None:
+        async with stage(OK.removesuffix(b"served") if method == "HEAD" else OK) as scene:
+            raw = request(kind, Connection="close").partition(b" ")[2]
+            answer = await ask(scene, method.encode() + b" " + raw)
+            assert answer.startswith(b"HTTP/1.1 " + status + b" ")
+            assert [each.method for each in scene.heard] == ([method] if status == b"200" else [])
+
+    play(work)
+
+
+def test_headers_of_one_connection_do_not_pass_and_those_of_the_protocol_always_do() -> None:
+    async def work() -> None:
+        async with stage(OK) as scene:
+            named = b"Connection: close, x-hop, host, request-id, idempotency-key\r\nX-Hop: 1\r\n"
+            answer = await ask(scene, REQUEST.replace(b"Connection: close\r\n", named))
+            assert answer.startswith(b"HTTP/1.1 200 ")
+            (heard,) = scene.heard
+            assert heard.headers.keys() >= {"host", "request-id", "idempotency-key"}
+            assert "x-hop" not in heard.headers and "connection" not in heard.headers
+
+    play(work)
+
+
+NOT_STARTED_LATE = b"HTTP/1.1 504 Late\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"
+STARTED = b"HTTP/1.1 503 Full\r\nNot-Started: 0\r\nContent-Length: 0\r\n\r\n"
+FULL_UNSAID = b"HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n"
+
+
+@pytest.mark.parametrize(
+    ("answer", "status"),
+    [
+        (OK, 200),
+        (FULL, 503),
+        (NOT_STARTED_LATE, 503),
+        (STARTED, 502),
+        (FULL_UNSAID, 502),
+        (ERROR, 502),
+        (None, 504),
+    ],
+)
+def test_answer_of_the_only_server_decides_the_status(answer: bytes | None, status: int) -> None:
+    async def work() -> None:
+        async with stage(answer) as scene:
+            assert (await scene.ask("lodge", timeout="0.3")).status == status
+
+    play(work)
+
+
+def test_refusal_tells_when_to_come_back() -> None:
+    async def work() -> None:
+        async with stage(listed=False, bounds={"retryAfter": True, "maxRetryAfterUs": 2_000_000}) as scene:
+            refused = await scene.ask()
+            assert (refused.status, refused.body) == (503, b"")
+            assert re.fullmatch(r"[0-9]+\.[0-9]{3}", refused.headers["retry-after"])
+            assert 0 < float(refused.headers["retry-after"]) <= 2
+        async with stage(listed=False, bounds={"retryAfter": False}) as scene:
+            refused = await scene.ask()
+            assert refused.status == 503 and "retry-after" not in refused.headers
+
+    play(work)
+
+
+def test_id_of_an_open_request_is_409_and_one_above_the_bound_503() -> None:
+    async def work() -> None:
+        release, hold = holding()
+        async with stage(hold, bounds={"maxOpen": 1}) as scene:
+            first = await scene.client()
+            first.send(request(Request_Id="abc"))
+            await until(lambda: len(scene.heard) == 1)
+            assert (await scene.ask(Request_Id="abc")).status == 409
+            assert (await scene.ask()).status == 503
+            release.set()
+            assert (await first.answer()).status == 200
+
+    play(work)
+
+
+@pytest.mark.parametrize(
+    ("phase", "status", "body"),
+    [
+        ("starting", b"503", b"starting\n"),
+        ("serving", b"200", b"serving\n"),
+        ("evacuating", b"503", b"evacuating\n"),
+        ("stopping", b"503", b"stopping\n"),
+    ],
+)
+def test_health_tells_the_phase(phase: str, status: bytes, body: bytes) -> None:
+    async def work() -> None:
+        async with stage(OK, started=phase != "starting") as scene:
+            if phase == "starting":
+                listen(scene)
+            if phase == "evacuating":
+                door(scene, "evacuate")
+            if phase == "stopping":
+                stop(scene)
+            answer = b""
+            while not answer:  # a connection at rest may be closed while the sidecar empties
+                with suppress(ConnectionResetError):
+                    answer = await ask(scene, HEALTH)
+            head, _, told = answer.partition(b"\r\n\r\n")
+            assert head.startswith(b"HTTP/1.1 " + status + b" ") and told == body
+
+    play(work)
+
+
+@pytest.mark.parametrize(
+    ("source", "path"), [("silent", "/ping"), ("pull", "/_load"), ("piggyback", "/_load")]
+)
+def test_probe_asks_its_path_and_reads_its_report(
+    source: str, path: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    def decide(values: list[Any]) -> list[Any]:
+        return [ACTIONS["CHECK"]("s-0"), ACTIONS["SURRENDER"](1)] if values[:2] == [1, "check"] else []
+
+    async def work() -> None:
+        heard = decisions(monkeypatch, decide)
+        report = {"columns": ["qps", "util"], "source": source}
+        body = b"TEXT qps=9, util=0.5, other=3"
+        answer = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
+        async with stage(answer, report=report) as scene:
+            assert (await scene.ask()).status in (502, 504)
+            await until(lambda: any(each[0] == "s-0" for each in heard.heard))
+            (probe,) = scene.heard
+            assert (probe.method, probe.target, probe.headers) == ("GET", path, {"host": "s-0"})
+            assert heard.hears({"qps": 9.0, "util": 0.5}) == (source != "silent")
+
+    play(work)
+
+
+@pytest.mark.parametrize(("name", "is_read"), [("Server-Load", True), ("Other-Load", False)])
+def test_load_report_of_an_answer_is_read(name: str, is_read: bool, monkeypatch: pytest.MonkeyPatch) -> None:
+    async def work() -> None:
+        heard = decisions(monkeypatch)
+        load = b"%s: TEXT qps=7, queue=2, util=0.61" % name.encode()
+        async with stage(OK.replace(b"Content-Length", load + b"\r\nContent-Length")) as scene:
+            assert (await scene.ask()).status == 200
+            assert heard.hears({"qps": 7.0, "util": 0.61}) == is_read
+
+    play(work)
+
+
+def test_forms_of_a_body_are_those_of_http() -> None:
+    async def echo(heard: Heard) -> bytes:
+        return b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n"
+
+    async def work() -> None:
+        async with stage(echo) as scene:
+            head = REQUEST.replace(
+                b"Content-Length: 4\r\n", b"Transfer-Encoding: chunked\r\nExpect: 100-continue\r\n"
+            )
+            client = await scene.client()
+            client.send(head.removesuffix(b"body"))
+            assert await soon(client.reader.readline()) == b"HTTP/1.1 100 Continue\r\n"
+            client.send(b"4\r\nbody\r\n0\r\n\r\n")
+            answer = await soon(client.reader.read())
+            assert answer.startswith(b"\r\nHTTP/1.1 200 OK\r\n") and answer.endswith(b"\r\n\r\nbody")
+            (heard,) = scene.heard
+            assert (heard.headers["content-length"], heard.body) == ("4", b"body")
+            assert "expect" not in heard.headers
+
+    play(work)
