--- a/tests/external_names/outside.py
+++ b/tests/external_names/outside.py
@@ -21,45 +21,46 @@
 from loopback import HOST, Stage
 from running import ROOT
 
-from tulipnotch.decisions import Balancer, Settings
-from tulipnotch.decisions.interface import (
-    Cancel,
-    CloseIdle,
-    Fail,
-    FetchList,
-    Follow,
-    Note,
-    Probe,
-    Refuse,
-    Send,
+from tulipnotch.load_balancing import Balancer
+from tulipnotch.load_balancing.actions import (
+    CancelAttempt,
+    CloseIdleConnections,
+    FailRequest,
+    FetchEndpoints,
+    LogEvent,
+    RejectRequest,
+    SendPeerMessage,
     SetTimer,
-    Tell,
+    StartAttempt,
+    StartHealthCheck,
+    Subscribe,
 )
-from tulipnotch.sidecar.config import parse
-from tulipnotch.sidecar.control import CallRefused
-from tulipnotch.sidecar.listener import bind
-from tulipnotch.sidecar.peers import Peers
+from tulipnotch.load_balancing.settings_reader import settings_from_mapping
+from tulipnotch.sidecar.configuration.configuration import parse
+from tulipnotch.sidecar.control.endpoint import CommandRejectedError
+from tulipnotch.sidecar.discovery.peers import PeerMessenger
+from tulipnotch.sidecar.downstream.listener import bind
 from tulipnotch.sidecar.program import installation
-from tulipnotch.simwire.adapter import run, settings_from_wire
+from tulipnotch.simulator_wire.adapter import run, settings_from_wire
 
 PACKAGE = "tulipnotch"
 _BALANCER_OF_SIDECAR = "tulipnotch.sidecar.sidecar.Balancer"
-_BALANCER_OF_ADAPTER = "tulipnotch.simwire.adapter.Balancer"
+_BALANCER_OF_ADAPTER = "tulipnotch.simulator_wire.adapter.Balancer"
 COMMAND = (sys.executable, "-c", "from tulipnotch.cli import main; main()")
 
 # The actions by the simulator's names, each built of the values in the simulator's order.
 ACTIONS: dict[str, Callable[..., Any]] = {
-    "ASSIGN": Send,
-    "NOT_NOW": Refuse,
-    "SURRENDER": Fail,
-    "ABORT_ATTEMPT": Cancel,
+    "ASSIGN": StartAttempt,
+    "NOT_NOW": RejectRequest,
+    "SURRENDER": FailRequest,
+    "ABORT_ATTEMPT": CancelAttempt,
     "REMIND": SetTimer,
-    "CHECK": Probe,
-    "SHUT_IDLE": CloseIdle,
-    "POST": Tell,
-    "FOLLOW": Follow,
-    "REFRESH": FetchList,
-    "REMARK": Note,
+    "CHECK": StartHealthCheck,
+    "SHUT_IDLE": CloseIdleConnections,
+    "POST": SendPeerMessage,
+    "FOLLOW": Subscribe,
+    "REFRESH": FetchEndpoints,
+    "REMARK": LogEvent,
 }
 
 
@@ -70,7 +71,7 @@
 
 def settings_of_plain(given: dict[str, Any]) -> object:
     """Settings as the decisions get them, of the program's own form; ValueError on nonsense."""
-    return Settings.from_mapping(given)
+    return settings_from_mapping(given)
 
 
 def put(given: dict[str, Any], path: str, value: object) -> dict[str, Any]:
@@ -167,7 +168,7 @@
     """What an operator would be told by a sidecar in this process: the answer's first line."""
     try:
         return f"+OK {scene.sidecar.calls()[call]()[0]}"
-    except CallRefused as reason:
+    except CommandRejectedError as reason:
         return f"-ERR {reason}"
 
 
@@ -204,7 +205,7 @@
     def __init__(self, addresses: tuple[tuple[str, int], ...], everyone: tuple[str, int] | None) -> None:
         self.heard: asyncio.Queue[tuple[int, bytes]] = asyncio.Queue()
         self._own = addresses[0]
-        self._end = Peers(addresses, everyone, 0, lambda by, what: self.heard.put_nowait((by, what)))
+        self._end = PeerMessenger(addresses, everyone, 0, lambda by, what: self.heard.put_nowait((by, what)))
 
     async def __aenter__(self) -> Peer:
         await self._end.listen(self._own)
@@ -214,7 +215,7 @@
         self._end.close()
 
     def tell(self, receiver: int | None, payload: bytes) -> bool:
-        return self._end.tell(receiver, payload)
+        return self._end.send(receiver, payload)
 
 
 # Processes
