--- a/tests/sidecar/upstream/event_interleavings.py
+++ b/tests/sidecar/upstream/event_interleavings.py
@@ -22,7 +22,7 @@
 )
 
 from tulipnotch.load_balancing.health import outlier_detection
-from tulipnotch.load_balancing.retries import attempt_timeouts as overdue
+from tulipnotch.load_balancing.retries import attempt_timeouts
 from tulipnotch.sidecar import clock
 from tulipnotch.sidecar.http1 import body
 from tulipnotch.sidecar.upstream import connection as client
@@ -80,7 +80,7 @@
         stack.enter_context(mock.patch.object(body, "MAX_BUFFERED_BODY_BYTES", BUFFERED_BYTES))
         stack.enter_context(mock.patch.object(upstream, "_REUSE_DELAY_US", reuse_delay_us))
         # There is no other traffic: an attempt is hedged by its own time alone, also on several servers.
-        stack.enter_context(mock.patch.object(overdue, "OTHER_ANSWERS", 0))
+        stack.enter_context(mock.patch.object(attempt_timeouts, "OTHER_RESPONSES", 0))
         stack.enter_context(mock.patch.object(outlier_detection, "SILENT_MOST", 1.0))
         yield
 
--- a/tests/sidecar/upstream/test_pool.py
+++ b/tests/sidecar/upstream/test_pool.py
@@ -335,7 +335,7 @@
 def test_pool_rejects_requests_beyond_max_connections(monkeypatch: pytest.MonkeyPatch) -> None:
     # Descriptors are limited; a request without a connection was not sent, so it is rejected.
     monkeypatch.setattr(
-        concurrency_limit, "START_LIMIT", 1e9
+        concurrency_limit, "INITIAL_LIMIT_PER_ENDPOINT", 1e9
     )  # else admission control rejects some of these first
 
     async def work() -> None:
