--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -15,7 +15,7 @@
 
 from tulipnotch.sidecar import logs
 from tulipnotch.sidecar.configuration.configuration import parse
-from tulipnotch.sidecar.downstream.server import ClientLimits
+from tulipnotch.sidecar.downstream.client_limits import ClientLimits
 from tulipnotch.sidecar.sidecar import ServiceLevels, Sidecar
 
 # Each worker of pytest-xdist has its own address: no other takes a port that a test closes and opens again.
--- a/tests/orders.py
+++ b/tests/orders.py
@@ -35,7 +35,7 @@
 from tulipnotch.load_balancing.retries import attempt_timeouts as overdue
 from tulipnotch.sidecar import clock
 from tulipnotch.sidecar.configuration.configuration import Config, parse
-from tulipnotch.sidecar.downstream.server import DownstreamConnection
+from tulipnotch.sidecar.downstream.connection import DownstreamConnection
 from tulipnotch.sidecar.http1 import messages as http1
 from tulipnotch.sidecar.sidecar import Sidecar
 from tulipnotch.sidecar.upstream import connection as client
--- a/tests/settings/test_check.py
+++ b/tests/settings/test_check.py
@@ -11,7 +11,7 @@
 from tulipnotch.settings.check import InvalidFileError, read_toml, toml_lines
 from tulipnotch.settings.operator import OperatorFile, load
 from tulipnotch.sidecar.control.endpoint import ControlLimits
-from tulipnotch.sidecar.downstream.server import ClientLimits
+from tulipnotch.sidecar.downstream.client_limits import ClientLimits
 from tulipnotch.sidecar.logs import LogLimits
 
 EXAMPLE = Path(__file__).parents[2] / "deploy" / "operator.toml"
--- a/tests/test_constants.py
+++ b/tests/test_constants.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 from tulipnotch.sidecar.control.endpoint import ControlLimits
-from tulipnotch.sidecar.downstream.server import ClientLimits
+from tulipnotch.sidecar.downstream.client_limits import ClientLimits
 from tulipnotch.sidecar.logs import LogLimits
 
 ROOT = Path(__file__).parent.parent
@@ -16,7 +16,7 @@
 HEADING = "## Constants and the settings they follow from"
 # These mark entries of the agenda and of the wire, and what is not set yet; they stand for nothing in time,
 # count or size.
-MARKS = {"DISCOVERY", "UNSET_RATIO", "WHOLE_REQUEST", "_EVERY_PEER", "_HAS_ENDED"}
+MARKS = {"DISCOVERY", "UNSET_RATIO", "WHOLE_REQUEST", "_EVERY_PEER", "_DISCONNECT_EVENTS"}
 
 
 def _page() -> str:
--- a/tests/test_frontend.py
+++ b/tests/test_frontend.py
@@ -13,7 +13,7 @@
 from loopback import OK, Heard, holding, play, request, soon, stage, until
 
 from tulipnotch.load_balancing.admission import concurrency_limit
-from tulipnotch.sidecar.downstream.server import ClientLimits
+from tulipnotch.sidecar.downstream.client_limits import ClientLimits
 
 
 @pytest.mark.parametrize(
@@ -333,7 +333,7 @@
             await until(lambda: len(scene.heard) == 1)
             await asyncio.sleep(0.05)
             (held,) = scene.sidecar.frontend.connections()
-            assert held.held < 70_000
+            assert held.buffered_bytes < 70_000
 
     play(work)
 
--- a/tests/test_instants.py
+++ b/tests/test_instants.py
@@ -37,7 +37,8 @@
 
 from tulipnotch.sidecar.control import endpoint as control
 from tulipnotch.sidecar.downstream import listener
-from tulipnotch.sidecar.downstream.server import ClientLimits, ConnectionState, DownstreamConnection
+from tulipnotch.sidecar.downstream.client_limits import ClientLimits
+from tulipnotch.sidecar.downstream.connection import ConnectionState, DownstreamConnection
 from tulipnotch.sidecar.sockets import own_socket
 from tulipnotch.sidecar.upstream import connection as client_module
 from tulipnotch.sidecar.upstream import pool as upstream
@@ -128,21 +129,21 @@
         async with stage(_ANSWER, client_limits=limits) as scene, _narrow(scene) as client:
             frontend = scene.sidecar.frontend
             client.send(request("lodge"))
-            await until(lambda: _states(scene) == [ConnectionState.RESTING])
+            await until(lambda: _states(scene) == [ConnectionState.IDLE])
             await until(lambda: all(each.is_idle for each in frontend.connections()))
             if why == "drain":
                 frontend.close_idle()
             else:
                 if why == "evacuation":
                     scene.sidecar.lifecycle.evacuate()
-                frontend._close_overdue()
+                frontend._timeouts.sweep()
             again = request("lodge")
             at = len(again) if part == "whole" else len(again) // 2
             client.send(again[:at])  # the event loop has not run since
             await asyncio.sleep(limits.linger_s)
             client.send(again[at:])
             await asyncio.sleep(limits.linger_s)
-            frontend._close_overdue()
+            frontend._timeouts.sweep()
             await until(lambda: frontend.open_connections == 0)
             got, was_reset = await client.rest()
             assert got.endswith(b"\r\n\r\n" + _LARGE) and not was_reset
@@ -161,12 +162,12 @@
         async with stage(OK, client_limits=limits) as scene:
             frontend = scene.sidecar.frontend
             silent = await scene.client()
-            await until(lambda: _states(scene) == [ConnectionState.SILENT])
+            await until(lambda: _states(scene) == [ConnectionState.CONNECTED])
             resting = await scene.client()
             assert (await resting.ask("lodge")).status == 200
-            await until(lambda: sorted(each.value for each in _states(scene)) == ["resting", "silent"])
+            await until(lambda: sorted(each.value for each in _states(scene)) == ["connected", "idle"])
             silent.send(request("lodge"))  # it lies in the sidecar's socket, and the event loop has not run
-            assert frontend._make_room()
+            assert frontend.connections_by_state.evict()
             assert (await silent.answer()).status == 200
             assert await soon(resting.reader.read()) == b""
 
@@ -183,10 +184,10 @@
             whole = request("lodge")
             client.send(whole[:sent])
             await until(
-                lambda: _states(scene) == [ConnectionState.READING if sent else ConnectionState.SILENT]
+                lambda: _states(scene) == [ConnectionState.READING if sent else ConnectionState.CONNECTED]
             )
             client.send(whole[sent:])  # it lies in the sidecar's socket, and the event loop has not run
-            assert not scene.sidecar.frontend._make_room()
+            assert not scene.sidecar.frontend.connections_by_state.evict()
             assert (await client.answer()).status == 200
 
     play(work)
@@ -197,9 +198,9 @@
         limits = ClientLimits(header_timeout_s=0.0, sweep_s=600.0)
         async with stage(OK, client_limits=limits) as scene:
             client = await scene.client()
-            await until(lambda: _states(scene) == [ConnectionState.SILENT])
+            await until(lambda: _states(scene) == [ConnectionState.CONNECTED])
             client.send(request("lodge"))  # it lies in the sidecar's socket, and the event loop has not run
-            scene.sidecar.frontend._close_overdue()
+            scene.sidecar.frontend._timeouts.sweep()
             assert (await client.answer()).status == 200
 
     play(work)
@@ -220,7 +221,7 @@
             frontend = scene.sidecar.frontend
             assert frontend.open_connections == 1
             frontend.max_connections = 1
-            assert not frontend._make_room()  # it is owed the rest
+            assert not frontend.connections_by_state.evict()  # it is owed the rest
             got, was_reset = await client.rest()
             assert got.endswith(b"\r\n\r\n" + bytes(size)) and not was_reset
 
@@ -661,7 +662,7 @@
             frontend = scene.sidecar.frontend
             await until(lambda: frontend.open_connections == 1)
             await until(lambda: scene.sidecar.open_requests == 0)
-            assert frontend._held == 0
+            assert frontend.connections_by_state.buffered_bytes == 0
             assert resource.getrusage(resource.RUSAGE_SELF).ru_maxrss - before < 30_000  # KiB
 
     play(work)
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -14,7 +14,7 @@
 from tulipnotch.load_balancing.retries import idempotency_rule as repeat_rule
 from tulipnotch.load_balancing.retries.retry_policy import RetryPolicy
 from tulipnotch.load_balancing.settings import DeduplicationScope, Idempotency, ServiceClass
-from tulipnotch.sidecar.downstream.server import DownstreamConnection
+from tulipnotch.sidecar.downstream.connection import DownstreamConnection
 from tulipnotch.sidecar.http1.messages import Request
 from tulipnotch.sidecar.requests.invariants import CloseReason, Invariant, InvariantChecker, WrittenAttempt
 from tulipnotch.sidecar.sidecar import Sidecar
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -18,7 +18,8 @@
 from tulipnotch.load_balancing.clock_time import NEVER
 from tulipnotch.load_balancing.events import AttemptEnded, Event, RequestArrived, TimerFired
 from tulipnotch.load_balancing.outcomes import Outcome
-from tulipnotch.sidecar.downstream.server import ClientLimits, ConnectionState, DownstreamConnection
+from tulipnotch.sidecar.downstream.client_limits import ClientLimits
+from tulipnotch.sidecar.downstream.connection import ConnectionState, DownstreamConnection
 from tulipnotch.sidecar.http1.messages import KEPT
 from tulipnotch.sidecar.upstream import pool as upstream
 from tulipnotch.sidecar.upstream.connection import UpstreamConnection
@@ -348,9 +349,9 @@
                 whole = request("lodge", timeout="15", body=b"x" * size)
                 cut = 20 if size == 0 else len(whole) - 20_000
                 application.sendall(whole[:cut])
-                state = ConnectionState.PASSING if size > 100_000 else ConnectionState.READING
+                state = ConnectionState.STREAMING_BODY if size > 100_000 else ConnectionState.READING
                 await until(lambda: [each.state for each in scene.sidecar.frontend.connections()] == [state])
-                if state is ConnectionState.PASSING:
+                if state is ConnectionState.STREAMING_BODY:
                     await until(lambda: scene.servers[0].connections == 1)
                     (held,) = scene.sidecar._open.values()
                     await until(lambda: held.incoming.body.size == size - 20_000)
@@ -363,10 +364,11 @@
                 await until(lambda: scene.sidecar.frontend.open_connections == 0)
                 await _is_over(scene)
                 assert scene.heard == []
-                if state is ConnectionState.PASSING:
+                if state is ConnectionState.STREAMING_BODY:
                     await until(lambda: scene.servers[0].closed == [0])
                 assert scene.heard == []
-                assert scene.servers[0].connections == _withheld(scene) == (state is ConnectionState.PASSING)
+                is_streamed = state is ConnectionState.STREAMING_BODY
+                assert scene.servers[0].connections == _withheld(scene) == is_streamed
 
     play(work)
 
--- a/tests/test_never_ran.py
+++ b/tests/test_never_ran.py
@@ -13,7 +13,7 @@
 from barriers import Fate, HeldDials, Kernel, NarrowServer, narrow_connections, reset, server_line, tell
 from loopback import ERROR, FULL, HOST, OK, Client, Heard, Stage, play, reply, request, stage, until
 
-from tulipnotch.sidecar.downstream.server import ClientLimits
+from tulipnotch.sidecar.downstream.client_limits import ClientLimits
 from tulipnotch.sidecar.http1.messages import KEPT
 from tulipnotch.sidecar.upstream import pool as upstream
 from tulipnotch.sidecar.upstream.connection import UpstreamConnection
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -173,7 +173,7 @@
 
 
 def test_everything_that_keeps_settings_takes_new_ones(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("tulipnotch.sidecar.downstream.server._CLASS_FADES_S", 0.05)
+    monkeypatch.setattr("tulipnotch.sidecar.downstream.server._CLASS_RETENTION_S", 0.05)
 
     async def work() -> None:
         release, hold = holding()
@@ -216,7 +216,7 @@
     ahead: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # Guards slow clients: a head may take longer than a class that vanished is taken.
-    monkeypatch.setattr("tulipnotch.sidecar.downstream.server._CLASS_FADES_S", 0.05)
+    monkeypatch.setattr("tulipnotch.sidecar.downstream.server._CLASS_RETENTION_S", 0.05)
 
     async def work() -> None:
         release, hold = holding()
--- a/tests/test_streaming.py
+++ b/tests/test_streaming.py
@@ -26,7 +26,7 @@
 from tulipnotch.load_balancing.actions import FailRequest, RejectRequest
 from tulipnotch.load_balancing.events import AttemptEnded, RequestArrived, RequestBodyCompleted
 from tulipnotch.load_balancing.outcomes import Outcome
-from tulipnotch.sidecar.downstream.server import ClientLimits
+from tulipnotch.sidecar.downstream.client_limits import ClientLimits
 from tulipnotch.sidecar.http1.messages import KEPT, MOST_BODY, Body
 from tulipnotch.sidecar.sidecar import Sidecar
 
--- /dev/null
+++ b/tulipnotch/sidecar/downstream/timeouts.py
@@ -0,0 +1,102 @@
+"""The periodic sweep that closes connections of clients that take too long."""
+
+from __future__ import annotations
+
+import asyncio
+
+from tulipnotch.sidecar.control.lifecycle import Lifecycle
+from tulipnotch.sidecar.downstream.client_limits import ClientLimits
+from tulipnotch.sidecar.downstream.connection import ConnectionState
+from tulipnotch.sidecar.downstream.connection_table import ConnectionTable
+from tulipnotch.sidecar.requests.invariants import CloseReason
+
+
+class TimeoutSweep:
+    """Checks all connections each `ClientLimits.sweep_s`: a descriptor that waits for nothing is needed.
+
+    While the sidecar drains, idle connections are closed soon, yet not at once: the next request of a client
+    that is at work has its response, which says that the connection closes.
+    """
+
+    def __init__(self, connections: ConnectionTable, limits: ClientLimits, lifecycle: Lifecycle) -> None:
+        """Check nothing before `start`."""
+        self._connections = connections
+        self._limits = limits
+        self._lifecycle = lifecycle
+        self._timer: asyncio.TimerHandle | None = None
+
+    def start(self) -> None:
+        """Check from now on."""
+        self._timer = asyncio.get_running_loop().call_later(self._limits.sweep_s, self._run)
+
+    def stop(self) -> None:
+        """Check no more."""
+        if self._timer is not None:
+            self._timer.cancel()
+
+    def _run(self) -> None:
+        self.sweep()
+        self.start()
+
+    def sweep(self) -> None:
+        """Close what has taken too long."""
+        now = asyncio.get_running_loop().time()
+        self._sweep_connected(now)
+        self._sweep_reading(now)
+        self._sweep_streaming(now)
+        self._sweep_awaiting_response(now)
+        self._sweep_idle(now)
+        self._sweep_closing(now)
+
+    def _sweep_connected(self, now: float) -> None:
+        limits = self._limits
+        idle_s = limits.leaving_s if self._lifecycle.is_draining else limits.idle_timeout_s
+        timeout_s = min(limits.header_timeout_s, idle_s)
+        for connection in self._connections.in_state(ConnectionState.CONNECTED):
+            if now - connection.state_since >= timeout_s and connection.is_idle:
+                connection.close(CloseReason.SILENT)
+
+    def _sweep_reading(self, now: float) -> None:
+        for connection in self._connections.in_state(ConnectionState.READING):
+            if connection.has_head:
+                is_late = connection.is_request_stalled(now, self._limits)
+            else:
+                is_late = now - connection.state_since >= self._limits.header_timeout_s
+            if is_late:
+                connection.reject(408)
+
+    def _sweep_streaming(self, now: float) -> None:
+        for connection in self._connections.in_state(ConnectionState.STREAMING_BODY):
+            if connection.is_request_stalled(now, self._limits):
+                connection.abandon_request(408)
+            elif connection.is_reading_paused:
+                connection.check_disconnected()
+
+    def _sweep_awaiting_response(self, now: float) -> None:
+        for connection in self._connections.in_state(ConnectionState.AWAITING_RESPONSE):
+            if connection.is_response_stalled(now, self._limits):
+                connection.abort(CloseReason.UNREAD)
+            elif connection.is_reading_paused:
+                connection.check_disconnected()
+
+    def _sweep_idle(self, now: float) -> None:
+        limits = self._limits
+        timeout_s = limits.idle_timeout_s
+        if self._lifecycle.is_draining:
+            timeout_s = min(limits.leaving_s, timeout_s)
+        for connection in self._connections.in_state(ConnectionState.IDLE):
+            if now - connection.state_since < timeout_s:
+                break  # those after it are idle for less time
+            if connection.is_idle:  # else its response is still being sent, or a further request has come
+                connection.close(CloseReason.IDLE)
+            elif connection.is_response_stalled(now, self._limits):
+                connection.abort(CloseReason.UNREAD)
+
+    def _sweep_closing(self, now: float) -> None:
+        for connection in self._connections.in_state(ConnectionState.CLOSING):
+            if connection.has_unsent_output:
+                connection.state_since = now  # the linger time begins when everything is sent
+                if connection.is_response_stalled(now, self._limits):
+                    connection.abort(CloseReason.UNREAD)
+            elif now - connection.state_since >= self._limits.linger_s:
+                connection.abort(CloseReason.LINGERED)
--- a/tulipnotch/sidecar/requests/open_request.py
+++ b/tulipnotch/sidecar/requests/open_request.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass
 
 from tulipnotch.load_balancing.outcomes import Outcome
+from tulipnotch.sidecar.downstream.connection import DownstreamConnection
 from tulipnotch.sidecar.downstream.incoming_request import IncomingRequest
-from tulipnotch.sidecar.downstream.server import DownstreamConnection
 from tulipnotch.sidecar.requests.invariants import WrittenAttempt
 from tulipnotch.sidecar.upstream.request import UpstreamRequest
 
--- a/tulipnotch/sidecar/sidecar.py
+++ b/tulipnotch/sidecar/sidecar.py
@@ -57,9 +57,11 @@
 from tulipnotch.sidecar.discovery.client import DiscoveryClient
 from tulipnotch.sidecar.discovery.endpoint_list_codec import DiscoveryResponse
 from tulipnotch.sidecar.discovery.peers import PeerMessenger
+from tulipnotch.sidecar.downstream.client_limits import ClientLimits
+from tulipnotch.sidecar.downstream.connection import DownstreamConnection
 from tulipnotch.sidecar.downstream.incoming_request import BadRequestError, IncomingRequest
 from tulipnotch.sidecar.downstream.listener import left_waiting, listen, reserve_soon
-from tulipnotch.sidecar.downstream.server import ClientLimits, DownstreamConnection, DownstreamServer
+from tulipnotch.sidecar.downstream.server import DownstreamServer
 from tulipnotch.sidecar.http1.messages import Headers, Request, Response
 from tulipnotch.sidecar.logs import Log
 from tulipnotch.sidecar.requests.invariants import CloseReason, Invariant, InvariantChecker, WrittenAttempt
@@ -145,9 +147,7 @@
             config.settings,
             limits or client_limits(config),
             self.lifecycle,
-            self._arrived,
-            self._gone,
-            self._client_closed,
+            self,
             self._guard,
         )
         self._upstream = UpstreamPool(self._clock, config.settings, self._guard)
@@ -205,7 +205,8 @@
         """Whether the list that was known before the start is not enough to serve by."""
         return self._is_inherited or self._settings.discovery_mode is DiscoveryMode.PUSHED
 
-    def _client_closed(self, reason: CloseReason) -> None:
+    def connection_closed(self, reason: CloseReason) -> None:
+        """Count the end of a client's connection."""
         self.telemetry.connection_closed(reason)
         if self._trace is not None:
             self._trace.connection_closed(reason)
@@ -460,7 +461,9 @@
         """Log why there is no endpoint list."""
         self._log("no_list", fault=fault)
 
-    def _arrived(self, client: DownstreamConnection, incoming: IncomingRequest) -> int | None:
+    def request_received(self, connection: DownstreamConnection, request: IncomingRequest) -> int | None:
+        """Open a request, and have the balancer decide on it."""
+        client, incoming = connection, request
         most = self._settings.limits.max_open_requests
         if incoming.request_id in self._owed:
             # Guards against a client that takes another's id: servers tell requests apart by it.
@@ -513,8 +516,9 @@
             self._upstream.set_deadline(call, held.whole_at + remaining_us)
         self._post(RequestBodyCompleted(request, remaining_us))
 
-    def _gone(self, request: int) -> None:
-        held = self._open.get(request)
+    def client_disconnected(self, number: int) -> None:
+        """Close a request that its client does not wait for any more."""
+        held = self._open.get(number)
         if held is not None and held.reading is not None and held.streamed is not None:
             self._stream_over(held, Result.FAILED)
             self._upstream.cancel(held.calls[held.streamed])
@@ -524,9 +528,9 @@
             self._remember_spent(held)
             if self._trace is not None:
                 self._trace.request_ended(held.name, 0)
-        self._settle(request)
-        self._post(ClientDisconnected(request))
-        self._forget_if_over(request)
+        self._settle(number)
+        self._post(ClientDisconnected(number))
+        self._forget_if_over(number)
 
     def _remember_spent(self, held: OpenRequest) -> None:
         """Take a request no second time whose client has left, if it may have run and must not run twice."""
