--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -15,7 +15,7 @@
 
 from tulipnotch.sidecar import logs
 from tulipnotch.sidecar.configuration.configuration import parse
-from tulipnotch.sidecar.downstream.server import ClientLimits
+from tulipnotch.sidecar.downstream.client_limits import ClientLimits
 from tulipnotch.sidecar.service_level_monitor import ServiceLevels
 from tulipnotch.sidecar.sidecar import Sidecar
 
--- a/tests/sidecar/upstream/interleaving_world.py
+++ b/tests/sidecar/upstream/interleaving_world.py
@@ -41,7 +41,7 @@
 )
 
 from tulipnotch.load_balancing.events import EndpointUpdateKind
-from tulipnotch.sidecar.downstream.server import DownstreamConnection
+from tulipnotch.sidecar.downstream.connection import DownstreamConnection
 from tulipnotch.sidecar.sidecar import Sidecar
 
 
--- a/tests/sidecar/upstream/test_rejection_proofs.py
+++ b/tests/sidecar/upstream/test_rejection_proofs.py
@@ -10,7 +10,7 @@
 from barriers import reset, server_line, tell
 from loopback import ERROR, FULL, OK, Heard, play, reply, request, stage, until
 
-from tulipnotch.sidecar.downstream.server import ClientLimits
+from tulipnotch.sidecar.downstream.client_limits import ClientLimits
 from tulipnotch.sidecar.http1.body import MAX_BUFFERED_BODY_BYTES
 
 _REJECTED = (429, 503)
--- a/tulipnotch/sidecar/descriptor_budget.py
+++ b/tulipnotch/sidecar/descriptor_budget.py
@@ -7,7 +7,7 @@
 from typing import Any, Protocol
 
 from tulipnotch.sidecar.configuration.configuration import Config
-from tulipnotch.sidecar.downstream.server import ClientLimits
+from tulipnotch.sidecar.downstream.client_limits import ClientLimits
 
 RESERVED_DESCRIPTORS = 32  # for everything but clients, servers and operators
 # Part of all descriptors that clients and servers have at least, however many operators may connect.
--- a/tulipnotch/sidecar/requests/request_receiver.py
+++ b/tulipnotch/sidecar/requests/request_receiver.py
@@ -5,7 +5,7 @@
 from tulipnotch.load_balancing.events import ClientDisconnected, RequestArrived, RequestBodyCompleted
 from tulipnotch.sidecar.control.telemetry import Result
 from tulipnotch.sidecar.downstream.incoming_request import BadRequestError, IncomingRequest
-from tulipnotch.sidecar.downstream.server import DownstreamConnection
+from tulipnotch.sidecar.downstream.connection import DownstreamConnection
 from tulipnotch.sidecar.event_queue import EventQueue
 from tulipnotch.sidecar.requests.context import SidecarContext
 from tulipnotch.sidecar.requests.invariants import CloseReason
--- a/tulipnotch/sidecar/requests/request_registry.py
+++ b/tulipnotch/sidecar/requests/request_registry.py
@@ -6,7 +6,7 @@
 
 from tulipnotch.load_balancing.retries.idempotency_rule import may_run_anywhere_again
 from tulipnotch.sidecar.downstream.incoming_request import IncomingRequest
-from tulipnotch.sidecar.downstream.server import DownstreamConnection
+from tulipnotch.sidecar.downstream.connection import DownstreamConnection
 from tulipnotch.sidecar.requests.open_request import OpenRequest
 from tulipnotch.sidecar.requests.possibly_executed import PossiblyExecutedRequests
 
--- a/tulipnotch/sidecar/requests/responses.py
+++ b/tulipnotch/sidecar/requests/responses.py
@@ -5,7 +5,7 @@
 from tulipnotch.load_balancing.actions import FailRequest, RejectRequest
 from tulipnotch.load_balancing.outcomes import Outcome
 from tulipnotch.sidecar.control.telemetry import Result
-from tulipnotch.sidecar.downstream.server import DownstreamConnection
+from tulipnotch.sidecar.downstream.connection import DownstreamConnection
 from tulipnotch.sidecar.http1.messages import Headers, Response
 from tulipnotch.sidecar.requests.context import SidecarContext
 from tulipnotch.sidecar.requests.invariants import CloseReason
--- a/tulipnotch/sidecar/sidecar.py
+++ b/tulipnotch/sidecar/sidecar.py
@@ -26,8 +26,9 @@
 from tulipnotch.sidecar.discovery.client import DiscoveryClient
 from tulipnotch.sidecar.discovery.endpoint_list_codec import DiscoveryResponse
 from tulipnotch.sidecar.discovery.peers import PeerMessenger
+from tulipnotch.sidecar.downstream.client_limits import ClientLimits
 from tulipnotch.sidecar.downstream.listener import reserve_soon
-from tulipnotch.sidecar.downstream.server import ClientLimits, DownstreamServer
+from tulipnotch.sidecar.downstream.server import DownstreamServer
 from tulipnotch.sidecar.event_queue import EventQueue
 from tulipnotch.sidecar.logs import Log
 from tulipnotch.sidecar.requests.attempts import AttemptStarter
@@ -95,9 +96,7 @@
             config.settings,
             limits or client_limits(config),
             self.lifecycle,
-            self._receiver.request_received,
-            self._receiver.client_disconnected,
-            self._receiver.connection_closed,
+            self._receiver,
             invariants,
         )
         self._budget = DescriptorBudget(config, self.operators, self.frontend, self._upstream)
