--- a/benchmarks/ready.py
+++ b/benchmarks/ready.py
@@ -37,9 +37,9 @@
 
 _SERVING = _pattern("serving", after_ms=r"\d+")
 _TEXT = {
-    "door_open": _pattern("door_open"),
-    "no_fresh_list": _pattern("no_fresh_list"),
-    "no_list": _pattern("no_list", fault=".+"),
+    "control_endpoint_listening": _pattern("control_endpoint_listening"),
+    "endpoint_list_stale": _pattern("endpoint_list_stale"),
+    "discovery_failed": _pattern("discovery_failed", fault=".+"),
 }
 
 
@@ -110,9 +110,9 @@
             if isinstance(after_ms, int):
                 starts.append(Start(folder, str(fields.get("name")), after_ms, waited))
             begun = waited = False
-        elif event == "no_fresh_list":  # written by a start only
+        elif event == "endpoint_list_stale":  # written by a start only
             begun = waited = True
-        elif event == "door_open" or not starts:
+        elif event == "control_endpoint_listening" or not starts:
             begun = True
     return starts, begun
 
--- /dev/null
+++ b/tests/sidecar/control/test_lifecycle.py
@@ -0,0 +1,111 @@
+"""The lifecycle of a process, and what evacuation means for its clients."""
+
+from __future__ import annotations
+
+import asyncio
+
+import pytest
+from loopback import OK, Client, Heard, play, request, soon, stage, until
+
+from tulipnotch.sidecar.control.endpoint import CommandRejectedError
+from tulipnotch.sidecar.control.lifecycle import Lifecycle, Phase
+from tulipnotch.sidecar.http1.messages import Request
+
+
+async def health(client: Client) -> tuple[int, str | None]:
+    """Status and `Connection` header of the response to a health check."""
+    client.send(Request(b"GET", b"/_health", [(b"host", b"x")]).start())
+    response = await client.answer()
+    return response.status, response.headers.get("connection")
+
+
+def test_lifecycle_cannot_leave_stopping() -> None:
+    lifecycle = Lifecycle()
+    lifecycle.started()
+    lifecycle.stop()
+    assert not lifecycle.activate()
+    lifecycle.evacuate()
+    lifecycle.started()
+    assert lifecycle.phase is Phase.STOPPING
+
+
+def test_lifecycle_returns_to_starting_when_activated_before_the_start_is_complete() -> None:
+    lifecycle = Lifecycle()
+    lifecycle.evacuate()
+    assert lifecycle.activate()
+    assert lifecycle.phase is Phase.STARTING
+
+
+def test_lifecycle_stays_evacuating_when_the_start_completes_and_serves_when_activated() -> None:
+    lifecycle = Lifecycle()
+    phases: list[Phase] = []
+    lifecycle.on_change(lambda: phases.append(lifecycle.phase))
+    lifecycle.evacuate()
+    lifecycle.started()
+    assert phases == [Phase.EVACUATING]
+    assert lifecycle.activate()
+    assert phases == [Phase.EVACUATING, Phase.SERVING]
+
+
+def test_lifecycle_notifies_once_for_each_change() -> None:
+    lifecycle = Lifecycle()
+    phases: list[Phase] = []
+    lifecycle.on_change(lambda: phases.append(lifecycle.phase))
+    lifecycle.started()
+    for _ in range(2):
+        lifecycle.evacuate()
+    for _ in range(2):
+        lifecycle.activate()
+    assert phases == [Phase.SERVING, Phase.EVACUATING, Phase.SERVING]
+
+
+def test_evacuation_empties_the_sidecar_until_it_is_activated() -> None:
+    async def work() -> None:
+        release = asyncio.Event()
+
+        async def hold(heard: Heard) -> bytes:
+            if heard.target.endswith("hold"):
+                await release.wait()
+            return OK
+
+        async with stage(hold) as scene:
+            commands = scene.sidecar.calls()
+            idle, silent, working = [await scene.client() for _ in range(3)]
+            assert (await idle.ask()).status == 200
+            working.send(request("lodge", target="/hold"))
+            await until(lambda: len(scene.heard) == 2)
+            for _ in range(2):
+                assert commands["evacuate"]() == ["evacuating"]
+            with pytest.raises(CommandRejectedError):
+                commands["readyz"]()
+            assert await health(await scene.client()) == (503, "close")  # the listener stays open
+            for client in (idle, silent):
+                assert await soon(client.reader.read()) == b""
+            late = await scene.ask()
+            assert (late.status, late.headers["connection"]) == (200, "close")
+            release.set()
+            response = await working.answer()
+            assert (response.status, response.headers["connection"]) == (200, "close")
+            await until(lambda: scene.sidecar.frontend.open_connections == 0)
+            for _ in range(2):
+                assert commands["activate"]() == ["serving"]
+            assert commands["readyz"]() == ["ready"]
+            client = await scene.client()
+            assert await health(client) == (200, None)
+            assert "connection" not in (await client.ask()).headers
+
+    play(work)
+
+
+def test_evacuation_responds_to_the_next_request_of_an_active_connection_and_closes_it() -> None:
+    # A connection that is closed while a request is on its way would lose that request.
+    async def work() -> None:
+        async with stage(OK) as scene:
+            client = await scene.client()
+            assert (await client.ask()).status == 200
+            scene.sidecar.calls()["evacuate"]()
+            response = await client.ask()
+            assert (response.status, response.headers["connection"]) == (200, "close")
+            assert await soon(client.reader.read()) == b""
+
+    play(work)
--- /dev/null
+++ b/tests/sidecar/control/test_telemetry.py
@@ -0,0 +1,149 @@
+"""Metrics: their names, which are fixed, and what each counts."""
+
+from __future__ import annotations
+
+import asyncio
+
+from loopback import OK, Heard, play, request, stage, until
+
+from tulipnotch.load_balancing.outcomes import Outcome, TerminationReason
+from tulipnotch.sidecar.control.telemetry import (
+    CLOSE_REASON_NAMES,
+    OUTCOME_NAMES,
+    TERMINATION_REASON_NAMES,
+    Result,
+    Telemetry,
+)
+from tulipnotch.sidecar.requests.invariants import CloseReason
+
+# As operators' dashboards know them.
+COUNTERS_BY_REASON = {
+    "client_closes": [
+        "client_left",
+        "answered",
+        "idle",
+        "silent",
+        "rejected",
+        "unread",
+        "answer_broken",
+        "lingered",
+        "no_room",
+    ],
+    "retries": [
+        "overdue",
+        "error",
+        "full",
+        "expired",
+        "dial_failed",
+        "dropped",
+        "cancelled",
+        "unsent",
+        "spoilt",
+    ],
+    "refusals": ["max_open", "admission", "no_server", "no_retry", "deadline", "at_fault"],
+    "failures": ["admission", "no_server", "no_retry", "deadline", "at_fault"],
+}
+
+
+def metrics_of(lines: list[str]) -> dict[str, int]:
+    """The metrics of a `telemetry` response by name."""
+    assert (lines[0], lines[-1]) == ("", ".")
+    return {name: int(value) for name, _, value in (each.partition("=") for each in lines[1:-1])}
+
+
+def test_telemetry_shows_every_class_from_the_start_and_keeps_removed_ones() -> None:
+    telemetry = Telemetry(["look", "odd name=\n"])
+    assert "app.downstream_requests.look.rejected=0" in telemetry.lines({})
+    assert "app.downstream_requests.odd_name__.failed=0" in telemetry.lines({})
+    telemetry.request_ended("look", Result.FAILED)
+    telemetry.add_classes(["new"])
+    lines = telemetry.lines({"pending": 3})
+    assert "app.downstream_requests.look.failed=1" in lines
+    assert "app.downstream_requests.new.completed=0" in lines
+    assert "app.pending=3" in lines
+    assert "app.upstream_requests_withheld=0" in lines
+    assert len(lines) == 3 * 3 + 5 + 29
+
+
+def test_telemetry_names_every_member_of_the_enums_that_it_counts() -> None:
+    assert OUTCOME_NAMES.keys() == set(Outcome)
+    assert TERMINATION_REASON_NAMES.keys() == set(TerminationReason)
+    assert CLOSE_REASON_NAMES.keys() == set(CloseReason)
+
+
+def test_telemetry_keeps_the_names_that_dashboards_know_in_their_order() -> None:
+    lines = Telemetry([]).lines({})
+    assert lines[:4] == [
+        "app.upstream_requests=0",
+        "app.upstream_requests_withheld=0",
+        "app.config_reloads=0",
+        "app.config_reload_errors=0",
+    ]
+    assert lines[4:] == [
+        f"app.{group}.{reason}=0" for group, reasons in COUNTERS_BY_REASON.items() for reason in reasons
+    ]
+
+
+def test_telemetry_counts_each_event_under_its_own_name() -> None:
+    telemetry = Telemetry([])
+    telemetry.request_retried(None)
+    telemetry.request_retried(Outcome.MALFORMED_RESPONSE)
+    telemetry.request_rejected(None)
+    telemetry.request_rejected(TerminationReason.NO_ENDPOINT)
+    telemetry.request_failed(TerminationReason.CLIENT_ERROR)
+    telemetry.connection_closed(CloseReason.SILENT)
+    telemetry.attempt_written()
+    telemetry.attempt_withheld()
+    telemetry.configuration_reloaded()
+    telemetry.configuration_rejected()
+    counted = {each.partition("=")[0] for each in telemetry.lines({}) if each.endswith("=1")}
+    assert counted == {
+        "app.retries.overdue",
+        "app.retries.spoilt",
+        "app.refusals.max_open",
+        "app.refusals.no_server",
+        "app.failures.at_fault",
+        "app.client_closes.silent",
+        "app.upstream_requests",
+        "app.upstream_requests_withheld",
+        "app.config_reloads",
+        "app.config_reload_errors",
+    }
+
+
+def test_telemetry_shows_what_became_of_each_request() -> None:
+    # Early rejections count too, and an attempt counts once its last byte is written, not before.
+    async def work() -> None:
+        release = asyncio.Event()
+
+        async def script(heard: Heard) -> bytes:
+            if heard.target.endswith("hold"):
+                await release.wait()
+            return OK if heard.method == "GET" else b"HTTP/1.1 500 Broken\r\nContent-Length: 0\r\n\r\n"
+
+        async with stage(script, bounds={"maxOpen": 2}) as scene:
+
+            def metrics() -> dict[str, int]:
+                return metrics_of(list(scene.sidecar.calls()["telemetry"]()))
+
+            assert metrics()["app.downstream_requests.amend.completed"] == 0
+            assert (await scene.ask("check")).status == 200
+            assert (await scene.ask("lodge")).status == 502
+            held_clients = [await scene.client(), await scene.client()]
+            for client in held_clients:
+                client.send(request("check", target="/hold"))
+            await until(lambda: len(scene.heard) == 4)
+            assert (await scene.ask("check")).status == 503
+            now = metrics()
+            assert now["app.downstream_requests.check.completed"] == 1
+            assert now["app.downstream_requests.check.rejected"] == 1
+            assert now["app.downstream_requests.lodge.failed"] == 1
+            assert now["app.pending"] == 2
+            assert now["app.upstream_requests"] == 4
+            assert (now["app.members"], now["app.members_unavailable"]) == (1, 0)
+            release.set()
+            for client in held_clients:
+                assert (await client.answer()).status == 200
+            assert metrics()["app.pending"] == 0
+
+    play(work)
--- /dev/null
+++ b/tests/sidecar/test_start_faults.py
@@ -0,0 +1,120 @@
+"""Starts under faults: signals, failing system calls and addresses in use before a process is ready."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import os
+import signal
+import socket
+from pathlib import Path
+from typing import Any
+
+import pytest
+from loopback import HOST, OK, play, soon
+from running import running_on, started, world
+
+
+def _preamble(folder: Path, source: str) -> dict[str, str]:
+    """Returns an environment in which a process runs this source before it imports the program."""
+    directory = folder / "preamble"
+    directory.mkdir()
+    (directory / "sitecustomize.py").write_text(source)
+    return {
+        "PYTHONPATH": os.pathsep.join([str(directory), os.environ.get("PYTHONPATH", "")]).rstrip(os.pathsep)
+    }
+
+
+_FAILING_CALL = """
+import errno, os, socket
+remaining_failures = [3]
+def failing(call):
+    def wrapped(*given, **named):
+        # Only a new socket, or a call of its own: sockets made from a descriptor are left alone.
+        if remaining_failures[0] and len(given) < 5 and "fileno" not in named:
+            remaining_failures[0] -= 1
+            raise OSError(errno.{error}, os.strerror(errno.{error}))
+        return call(*given, **named)
+    return wrapped
+socket.socket.{call} = failing(socket.socket.{call})
+"""
+
+
+@pytest.mark.parametrize(
+    ("call", "error"),
+    [("__init__", "ENFILE"), ("__init__", "ENOBUFS"), ("bind", "EADDRINUSE"), ("bind", "EADDRNOTAVAIL")],
+)
+def test_start_succeeds_after_system_calls_have_failed_temporarily(
+    call: str, error: str, tmp_path: Path
+) -> None:
+    play(lambda: _start_with(_FAILING_CALL.format(call=call, error=error), tmp_path))
+
+
+# Sends SIGHUP while a module is being found, and records that in a file.
+_SIGHUP_AT_IMPORT = """
+import os, signal, sys
+class SignalSender:
+    def find_spec(self, name, path, target=None):
+        if name == "tulipnotch.sidecar.{module}":
+            open({record!r}, "a").write(name)
+            os.kill(os.getpid(), signal.SIGHUP)
+sys.meta_path.insert(0, SignalSender())
+"""
+
+
+@pytest.mark.parametrize("module", ["configuration", "sidecar"])
+def test_start_survives_sighup_while_the_program_is_imported(module: str, tmp_path: Path) -> None:
+    record = tmp_path / "signals"
+    source = _SIGHUP_AT_IMPORT.format(module=module, record=str(record))
+    play(lambda: _start_with(source, tmp_path))
+    assert record.read_text() == f"tulipnotch.sidecar.{module}"
+
+
+def test_start_succeeds_while_the_previous_version_holds_the_peer_address(
+    tmp_path: Path,
+) -> None:
+    async def work() -> None:
+        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as free:
+            free.bind((HOST, 0))
+            peer_listen = f"{HOST}:{free.getsockname()[1]}"
+        async with world(OK, tmp_path) as (config, server):
+            given: dict[str, Any] = json.loads(config.read_text())
+            given |= {"peer_listen": peer_listen, "peers": [peer_listen]}
+            given["settings"]["bounds"] = {"mayTell": True, "sendCap": 1}
+            config.write_text(json.dumps(given))
+            with socket.socket() as listener:
+                listener.bind((HOST, 0))
+                listener.listen()
+                async with (
+                    running_on(config, server, listener),
+                    running_on(config, server, listener) as new,
+                ):
+                    assert (await new.call("readyz"))[0] == "+OK ready"
+
+    play(work)
+
+
+async def _start_with(source: str, folder: Path) -> None:
+    """Starts a process that runs this source first, and checks that it serves."""
+    environ = _preamble(folder, source)
+    async with world(OK, folder) as (config, _):
+        process = await started(config, **environ)
+        try:
+            assert await _wait_until_serving(process)
+        finally:
+            await _kill(process)
+
+
+async def _wait_until_serving(process: asyncio.subprocess.Process) -> bool:
+    """Returns whether the process logs that it serves before it ends."""
+    assert process.stderr is not None
+    while said := await soon(process.stderr.readline()):
+        if b"serves on" in said:
+            return True
+    return False
+
+
+async def _kill(process: asyncio.subprocess.Process) -> None:
+    if process.returncode is None:
+        process.send_signal(signal.SIGKILL)
+    await process.wait()
--- a/tulipnotch/cli/check.py
+++ b/tulipnotch/cli/check.py
@@ -1,22 +1,36 @@
-"""`tulipnotch check`: every fault of the files that people write."""
+"""`tulipnotch check`: reports all faults of configurations, operator files and scenarios."""
 
 from __future__ import annotations
 
 import json
 import os
-import re
 import sys
 import tomllib
-from collections.abc import Iterator
 from dataclasses import asdict
+from enum import StrEnum, unique
 from pathlib import Path
 
 import click
 
 from tulipnotch.cli.root import examples
 from tulipnotch.settings import operator
-from tulipnotch.settings.check import Fault, InvalidFileError, line_of
-from tulipnotch.sidecar.configuration import configuration as config
+from tulipnotch.settings.check import Fault, InvalidFileError
+from tulipnotch.settings.source_lines import json_lines, line_of
+from tulipnotch.sidecar.configuration.configuration import with_environment
+from tulipnotch.sidecar.configuration.errors import ConfigError
+from tulipnotch.sidecar.configuration.json_file import CONFIG_VARIABLE, read_object
+from tulipnotch.sidecar.configuration.validation import find_faults
+
+_EXIT_INVALID = 2
+
+
+@unique
+class _FileKind(StrEnum):
+    """What a file is; the values are shown to users."""
+
+    CONFIGURATION = "configuration"
+    OPERATOR_FILE = "operator file"
+    SCENARIO = "scenario"
 
 
 @click.command(
@@ -27,93 +41,59 @@
 )
 @click.argument("files", nargs=-1, required=True, type=click.Path(path_type=Path))
 @click.option("--json", "as_json", is_flag=True, help="One JSON object a file.")
-def check(files: tuple[Path, ...], as_json: bool) -> None:
+def check(*, files: tuple[Path, ...], as_json: bool) -> None:
     """Check configurations (.json), operator files and scenarios (.toml); name every fault of each.
 
     A .toml file that has `seconds` or `fleet` is a scenario, any other an operator file.  Exits with 2 if
     there is any fault.
     """
-    bad = False
+    is_any_invalid = False
     for path in files:
-        kind, faults = _faults(path)
-        bad = bad or bool(faults)
+        kind = _kind(path)
+        faults = _find_faults(path, kind)
+        is_any_invalid = is_any_invalid or bool(faults)
         if as_json:
-            told = {"file": str(path), "kind": kind, "faults": [asdict(each) for each in faults]}
-            click.echo(json.dumps(told))
+            report = {"file": str(path), "kind": kind, "faults": [asdict(each) for each in faults]}
+            click.echo(json.dumps(report))
         elif faults:
-            for each in faults:
-                click.echo(f"{path}: {each}", err=True)
+            for fault in faults:
+                click.echo(f"{path}: {fault}", err=True)
         else:
             click.echo(f"{path}: a good {kind}")
-    sys.exit(2 if bad else 0)
+    sys.exit(_EXIT_INVALID if is_any_invalid else 0)
 
 
-def _faults(path: Path) -> tuple[str, list[Fault]]:
+def _kind(path: Path) -> _FileKind:
     if path.suffix == ".json":
-        return "configuration", list(_of_configuration(path))
-    kind = "scenario" if _is_scenario(path) else "operator file"
+        return _FileKind.CONFIGURATION
+    try:
+        given = tomllib.loads(path.read_text(encoding="utf-8"))
+    except (OSError, ValueError):
+        return _FileKind.OPERATOR_FILE
+    is_scenario = "fleet" in given or "seconds" in given
+    return _FileKind.SCENARIO if is_scenario else _FileKind.OPERATOR_FILE
+
+
+def _find_faults(path: Path, kind: _FileKind) -> list[Fault]:
+    if kind is _FileKind.CONFIGURATION:
+        return _configuration_faults(path)
     try:
-        if kind == "scenario":
+        if kind is _FileKind.SCENARIO:
             from tulipnotch.lab import scenario
 
             scenario.load(path)
         else:
             operator.load(path)
-    except InvalidFileError as bad:
-        return kind, bad.faults
-    return kind, []
-
-
-def _is_scenario(path: Path) -> bool:
-    try:
-        given = tomllib.loads(path.read_text(encoding="utf-8"))
-    except (OSError, ValueError):
-        return False
-    return "fleet" in given or "seconds" in given
+    except InvalidFileError as error:
+        return error.faults
+    return []
 
 
-def _of_configuration(path: Path) -> Iterator[Fault]:
+def _configuration_faults(path: Path) -> list[Fault]:
     try:
-        given = config.read_object(str(path))
-    except config.ConfigError as fault:
-        yield Fault(0, "", str(fault).removeprefix("BALANCER_CONFIG: "))
-        return
+        given = read_object(str(path))
+    except ConfigError as error:
+        return [Fault(0, "", str(error).removeprefix(f"{CONFIG_VARIABLE}: "))]
     lines = json_lines(path.read_text(encoding="utf-8"))
-    for text in config.faults_of(config.with_environment(given, os.environ)):
-        key, _, rest = text.partition(": ")
-        yield Fault(line_of(lines, key), key, rest)
-
-
-_TOKEN = re.compile(r'"(?:[^"\\]|\\.)*"|[{}\[\]:,]|[^\s{}\[\]:,"]+')
-
-
-def json_lines(text: str) -> dict[str, int]:
-    """Where each key of a good JSON text stands: path to line, from 1."""
-    lines: dict[str, int] = {}
-    stack: list[tuple[str, int]] = []  # of each open object or array: its path, and -1 or the next index
-    path, key_due, line, at = "", False, 1, 0
-    for token in _TOKEN.finditer(text):
-        line += text.count("\n", at, token.start())
-        at = token.start()
-        word = token[0]
-        if word in "{[":
-            stack.append((path, -1 if word == "{" else 0))
-            key_due = word == "{"
-            if word == "[":
-                path = f"{path}[0]"
-        elif word in "}]":
-            path, _ = stack.pop()
-            key_due = False
-        elif word == ",":
-            base, index = stack[-1]
-            key_due = index < 0
-            if index >= 0:
-                stack[-1] = (base, index + 1)
-                path = f"{base}[{index + 1}]"
-        elif key_due and word != ":":
-            base = stack[-1][0]
-            name = str(json.loads(word))
-            path = f"{base}.{name}" if base else name
-            lines[path] = line
-            key_due = False
-    return lines
+    faults = find_faults(with_environment(given, os.environ))
+    return [Fault(line_of(lines, each.key), each.key, each.problem) for each in faults]
--- a/tulipnotch/cli/run.py
+++ b/tulipnotch/cli/run.py
@@ -1,4 +1,4 @@
-"""`tulipnotch run`: the sidecar in the foreground."""
+"""`tulipnotch run`: runs the sidecar in the foreground."""
 
 from __future__ import annotations
 
@@ -28,16 +28,16 @@
     help="The operator file, in place of $BALANCER_OPERATOR.",
 )
 def run(config: Path | None, operator: Path | None) -> None:
-    """Run one sidecar until SIGTERM or SIGINT; SIGHUP takes up a new configuration.
+    """Run one sidecar until SIGTERM or SIGINT; SIGHUP reloads the configuration.
 
-    Exits with 0 after SIGTERM or SIGINT, with 1 if it can't listen, with 2 if a file or the inherited
-    listening socket is bad.
+    Exits with 0 after SIGTERM or SIGINT, with 1 if an address cannot be bound, with 2 if a file or the
+    inherited listening socket is invalid.
     """
     environ = dict(os.environ)
     if config is not None:
         environ["BALANCER_CONFIG"] = str(config.resolve())
     if operator is not None:
         environ["BALANCER_OPERATOR"] = str(operator.resolve())
-    # The process becomes the sidecar, so that nothing of the command line stays in its memory.
+    # Replaces the process image, so that the sidecar's memory holds nothing of the command line.
     command = [sys.executable, "-m", "tulipnotch.sidecar"]
     os.execve(command[0], command, environ)
--- a/tulipnotch/settings/operator.py
+++ b/tulipnotch/settings/operator.py
@@ -1,11 +1,13 @@
-"""The operator file: what staff set for one installation, beside what the platform tells.
+"""The operator file: what operators set for one installation, in addition to the platform's configuration.
 
 `deploy/operator.toml` shows every key with its default.  `BALANCER_OPERATOR` names the file; without it the
-defaults hold and nothing of this package is imported.
+defaults hold and nothing of this package is imported.  Where a key of the file differs from the name in the
+code, the field's `name` maps one to the other.
 """
 
 from __future__ import annotations
 
+from itertools import pairwise
 from pathlib import Path
 from typing import Annotated, Literal
 
@@ -13,85 +15,98 @@
 
 from tulipnotch.settings.check import read_toml
 
-Positive = Annotated[float, msgspec.Meta(gt=0.0, le=3600.0)]
+Seconds = Annotated[float, msgspec.Meta(gt=0.0, le=3600.0)]
+Fraction = Annotated[float, msgspec.Meta(gt=0.0, le=1.0)]
+ClassNames = tuple[Annotated[str, msgspec.Meta(min_length=1, max_length=128)], ...]
+
+_FULL_SERVICE = "full"  # the name under which the log shows that no level is in force
 
 
 class LogTable(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """`[log]`: how events are written, and how many."""
+    """`[log]`: the format of the log and its rate limit."""
 
     format: Literal["text", "json"] = "text"
     lines_per_s: Annotated[float, msgspec.Meta(gt=0.0, le=10_000.0)] = 20.0
-    lines_at_once: Annotated[float, msgspec.Meta(ge=1.0, le=100_000.0)] = 200.0
-    requests: bool = False
+    burst_lines: Annotated[float, msgspec.Meta(ge=1.0, le=100_000.0)] = msgspec.field(
+        default=200.0, name="lines_at_once"
+    )
+    traces_requests: bool = msgspec.field(default=False, name="requests")
 
 
-class DoorTable(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """`[door]`: what callers of the operators' door may take."""
+class ControlTable(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """`[door]`: limits on connections to the control endpoint."""
 
-    most_connections: Annotated[int, msgspec.Meta(ge=1, le=256)] = 16
-    line_timeout_s: Positive = 5.0
-    linger_s: Positive = 0.5
+    max_connections: Annotated[int, msgspec.Meta(ge=1, le=256)] = msgspec.field(
+        default=16, name="most_connections"
+    )
+    line_timeout_s: Seconds = 5.0
+    linger_s: Seconds = 0.5
 
 
 class ClientsTable(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """`[clients]`: how long one client's connection may rest, read and send."""
-
-    header_timeout_s: Positive = 2.7
-    stall_s: Positive = 2.0
-    reading_s: Positive = 20.0
-    idle_timeout_s: Positive = 5.0
+    """`[clients]`: timeouts of clients' connections; the names are those of `ClientLimits`."""
 
-
-Bar = Annotated[float, msgspec.Meta(gt=0.0, le=1.0)]
-ClassNames = tuple[Annotated[str, msgspec.Meta(min_length=1, max_length=128)], ...]
+    header_timeout_s: Seconds = 2.7
+    stall_s: Seconds = 2.0
+    reading_s: Seconds = 20.0
+    idle_timeout_s: Seconds = 5.0
 
 
 class LevelTable(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """`[[overload.levels]]`: a level of reduced service; it keeps out what the one before does, and more."""
+    """`[[overload.levels]]`: a level of reduced service; it rejects what the previous one does, and more."""
 
     name: Annotated[str, msgspec.Meta(pattern=r"^[a-z][a-z0-9-]{0,31}$")]
-    over_share: ClassNames = ()
-    closed: ClassNames = ()
-    enter_refused: Bar = 0.1
+    over_quota_classes: ClassNames = msgspec.field(default=(), name="over_share")
+    rejected_classes: ClassNames = msgspec.field(default=(), name="closed")
+    enter_rejected_fraction: Fraction = msgspec.field(default=0.1, name="enter_refused")
     enter_s: Annotated[float, msgspec.Meta(ge=5.0, le=600.0)] = 20.0
-    leave_fill: Bar = 0.6
+    leave_fill: Fraction = 0.6
     leave_s: Annotated[float, msgspec.Meta(ge=5.0, le=600.0)] = 30.0
 
     def __post_init__(self) -> None:
-        if self.name == "full":
-            raise ValueError("name: `full` is full service; a level needs another name")
-        if not self.over_share and not self.closed:
-            raise ValueError(
-                "over_share: a level that keeps nothing out is none; name classes here or in `closed`"
-            )
+        """Validates the level by itself; raises ValueError, worded `key: problem`."""
+        if self.name == _FULL_SERVICE:
+            raise ValueError(f"name: {_FULL_SERVICE!r} is reserved for full service")
+        if not self.over_quota_classes and not self.rejected_classes:
+            raise ValueError("over_share: a level must name classes, here or in `closed`")
 
 
 class OverloadTable(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """`[overload]`: levels of reduced service, the mildest first; none by default."""
+    """`[overload]`: levels of reduced service, ordered by severity; none by default."""
 
     hold_s: Annotated[float, msgspec.Meta(ge=30.0, le=3600.0)] = 30.0
     levels: Annotated[tuple[LevelTable, ...], msgspec.Meta(max_length=8)] = ()
 
     def __post_init__(self) -> None:
-        names = [each.name for each in self.levels]
+        """Validates the order of the levels; raises ValueError, worded `key: problem`."""
+        names = [level.name for level in self.levels]
         if len(set(names)) != len(names):
-            raise ValueError("levels: a name stands twice")
-        for place, (milder, each) in enumerate(zip(self.levels, self.levels[1:], strict=False), 1):
-            if not set(milder.closed) <= set(each.closed):
-                raise ValueError(f"levels[{place}].closed: must name all that {milder.name!r} names")
-            if not set(milder.over_share) <= {*each.over_share, *each.closed}:
-                raise ValueError(f"levels[{place}].over_share: must name all that {milder.name!r} names")
+            raise ValueError("levels: two levels have the same name")
+        for index, (previous, level) in enumerate(pairwise(self.levels), 1):
+            if not set(previous.rejected_classes) <= set(level.rejected_classes):
+                raise ValueError(
+                    f"levels[{index}].closed: must name all classes that {previous.name!r} names"
+                )
+            restricted = {*level.over_quota_classes, *level.rejected_classes}
+            if not set(previous.over_quota_classes) <= restricted:
+                raise ValueError(
+                    f"levels[{index}].over_share: must name all classes that {previous.name!r} names"
+                )
 
 
 class OperatorFile(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The whole file."""
+    """The complete file."""
 
     log: LogTable = LogTable()
-    door: DoorTable = DoorTable()
+    control: ControlTable = msgspec.field(default=ControlTable(), name="door")
     clients: ClientsTable = ClientsTable()
     overload: OverloadTable = OverloadTable()
 
 
 def load(path: Path) -> OperatorFile:
-    """Read and check the file; raise `check.BadFile` with all that is wrong with it."""
+    """Reads and validates the file.
+
+    Raises:
+        InvalidFileError: The file is invalid; it has all faults.
+    """
     return read_toml(path, OperatorFile).value
--- /dev/null
+++ b/tulipnotch/settings/source_lines.py
@@ -0,0 +1,105 @@
+"""Finds the line on which each key of a TOML or JSON file stands.
+
+Paths are written as `table.key` and `list[0].key`; lines count from 1.
+"""
+
+from __future__ import annotations
+
+import json
+import re
+from collections.abc import Mapping
+from dataclasses import dataclass
+
+_TOML_TABLE = re.compile(r"^\s*(\[\[?)\s*([\w.\-\"' ]+?)\s*\]\]?\s*(#.*)?$")
+_TOML_KEY = re.compile(r"^\s*([\w\-]+|\"[^\"]*\"|'[^']*')\s*(\.[\w.\-]+)?\s*=")
+_JSON_TOKEN = re.compile(r'"(?:[^"\\]|\\.)*"|[{}\[\]:,]|[^\s{}\[\]:,"]+')
+
+
+def join_path(path: str, key: str) -> str:
+    """Returns the path of a key of the table at `path`; the path is empty for the file itself."""
+    return f"{path}.{key}" if path else key
+
+
+def line_of(lines: Mapping[str, int], path: str) -> int:
+    """Returns the line of a key, or of the nearest enclosing table that has one; 0 if there is none."""
+    while path:
+        if path in lines:
+            return lines[path]
+        path = path[: max(path.rfind("."), path.rfind("["), 0)]
+    return 0
+
+
+def toml_lines(text: str) -> dict[str, int]:
+    """Returns the line of each table and key of a TOML text, except for keys within inline tables."""
+    lines: dict[str, int] = {}
+    array_lengths: dict[str, int] = {}  # of arrays of tables, by path
+    table = ""
+    for number, line in enumerate(text.splitlines(), 1):
+        if (header := _TOML_TABLE.match(line)) is not None:
+            table = ".".join(part.strip(" \"'") for part in header[2].split("."))
+            if header[1] == "[[":
+                index = array_lengths.get(table, 0)
+                array_lengths[table] = index + 1
+                table = f"{table}[{index}]"
+            lines.setdefault(table, number)
+        elif (key := _TOML_KEY.match(line)) is not None:
+            name = key[1].strip("\"'") + (key[2] or "").replace(" ", "")
+            lines.setdefault(join_path(table, name), number)
+    return lines
+
+
+@dataclass(slots=True)
+class _Container:
+    """An object or array of a JSON text that has not ended yet."""
+
+    path: str
+    next_index: int | None  # of an array; None: it is an object
+
+
+class _JsonLineFinder:
+    """Follows the tokens of a valid JSON text and records the line of each key."""
+
+    def __init__(self) -> None:
+        self.lines: dict[str, int] = {}
+        self._containers: list[_Container] = []
+        self._path = ""  # of the value that comes next
+        self._expects_key = False
+
+    def token_read(self, token: str, line: int) -> None:
+        """Takes the next token, which begins on this line."""
+        match token:
+            case "{":
+                self._containers.append(_Container(self._path, None))
+                self._expects_key = True
+            case "[":
+                self._containers.append(_Container(self._path, 0))
+                self._next_value()
+            case "}" | "]":
+                self._path = self._containers.pop().path
+                self._expects_key = False
+            case ",":
+                self._next_value()
+            case ":":
+                pass
+            case _ if self._expects_key:
+                self._path = join_path(self._containers[-1].path, str(json.loads(token)))
+                self.lines[self._path] = line
+                self._expects_key = False
+
+    def _next_value(self) -> None:
+        container = self._containers[-1]
+        self._expects_key = container.next_index is None
+        if container.next_index is not None:
+            self._path = f"{container.path}[{container.next_index}]"
+            container.next_index += 1
+
+
+def json_lines(text: str) -> dict[str, int]:
+    """Returns the line of each key of a valid JSON text."""
+    finder = _JsonLineFinder()
+    line, position = 1, 0
+    for token in _JSON_TOKEN.finditer(text):
+        line += text.count("\n", position, token.start())
+        position = token.start()
+        finder.token_read(token[0], line)
+    return finder.lines
--- a/tulipnotch/sidecar/__main__.py
+++ b/tulipnotch/sidecar/__main__.py
@@ -1,7 +1,7 @@
 """Starts a sidecar: `python -m tulipnotch.sidecar`.
 
-Exit codes: 0 after SIGTERM or SIGINT, 1 if it can't listen, 2 if its configuration or the listening socket
-that it inherits is bad.
+Exit codes: 0 after SIGTERM or SIGINT, 1 if an address cannot be bound, 2 if the configuration or the
+inherited listening socket is invalid.
 """
 
 from __future__ import annotations
@@ -11,9 +11,9 @@
 
 
 def main() -> int:
-    """Run one sidecar, and give its exit code.
+    """Runs one sidecar and returns its exit code.
 
-    SIGHUP ends a process that has no handler for it yet, so it waits until the program has one.
+    Blocks SIGHUP before anything else is imported: it would terminate a process that has no handler yet.
     """
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
     from tulipnotch.sidecar.program import run
--- a/tulipnotch/sidecar/configuration/__init__.py
+++ b/tulipnotch/sidecar/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""The configuration of one sidecar: reading it, and applying a new one."""
+"""The configuration file of a sidecar: reading, validation and reload."""
--- a/tulipnotch/sidecar/control/__init__.py
+++ b/tulipnotch/sidecar/control/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' side of one sidecar: its control endpoint, metrics and lifecycle."""
+"""What operators use of one sidecar: the control endpoint and its client, telemetry and lifecycle."""
--- a/tulipnotch/sidecar/control/telemetry.py
+++ b/tulipnotch/sidecar/control/telemetry.py
@@ -1,21 +1,56 @@
-"""Figures of one process: plain counters, kept where a thing happens, and one renderer."""
+"""Metrics of one process: plain counters, and the one place that names them as operators see them.
+
+The metric names are part of the control endpoint's protocol and appear in dashboards, so they do not follow
+the names that the code uses.  The tables below map one to the other; nothing else does.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Iterable, Mapping
-from enum import Enum, unique
+from enum import StrEnum, unique
 
 from tulipnotch.load_balancing.outcomes import Outcome, TerminationReason
 from tulipnotch.sidecar.requests.invariants import CloseReason
 
-_OVERDUE = "overdue"  # in place of an outcome: the attempt before has none yet
-_MAX_OPEN = "max_open"  # in place of a reason: as many requests are open as the settings allow
-_RETRIED_AFTER = [each.value for each in Outcome if each not in (Outcome.DELIVERED, Outcome.CLIENT_ERROR)]
+OUTCOME_NAMES: Mapping[Outcome, str] = {
+    Outcome.DELIVERED: "delivered",
+    Outcome.SERVER_ERROR: "error",
+    Outcome.OVERLOADED: "full",
+    Outcome.TIMED_OUT: "expired",
+    Outcome.CONNECT_FAILED: "dial_failed",
+    Outcome.CONNECTION_LOST: "dropped",
+    Outcome.CANCELLED: "cancelled",
+    Outcome.NOT_SENT: "unsent",
+    Outcome.MALFORMED_RESPONSE: "spoilt",
+    Outcome.CLIENT_ERROR: "rejected",
+}
+TERMINATION_REASON_NAMES: Mapping[TerminationReason, str] = {
+    TerminationReason.ADMISSION: "admission",
+    TerminationReason.NO_ENDPOINT: "no_server",
+    TerminationReason.NO_RETRY: "no_retry",
+    TerminationReason.DEADLINE: "deadline",
+    TerminationReason.CLIENT_ERROR: "at_fault",
+}
+CLOSE_REASON_NAMES: Mapping[CloseReason, str] = {
+    CloseReason.CLIENT_LEFT: "client_left",
+    CloseReason.ANSWERED: "answered",
+    CloseReason.IDLE: "idle",
+    CloseReason.SILENT: "silent",
+    CloseReason.REJECTED: "rejected",
+    CloseReason.UNREAD: "unread",
+    CloseReason.ANSWER_BROKEN: "answer_broken",
+    CloseReason.LINGERED: "lingered",
+    CloseReason.NO_ROOM: "no_room",
+}
+_IN_FLIGHT_NAME = "overdue"  # in place of an outcome: the previous attempt has none yet
+_MAX_OPEN_REQUESTS_NAME = "max_open"  # in place of a termination reason
+
+_FINAL_OUTCOMES = (Outcome.DELIVERED, Outcome.CLIENT_ERROR)  # no retry follows them
 
 
 @unique
-class Result(Enum):
-    """How a request ended, for its client."""
+class Result(StrEnum):
+    """How a request ended, as its client sees it; the values are parts of metric names."""
 
     COMPLETED = "completed"
     REJECTED = "rejected"
@@ -23,77 +58,104 @@
 
 
 class Telemetry:
-    """Counts from the start of the process; nothing here decides anything."""
+    """Owns the counters, which count from the start of the process; makes no decisions."""
 
     def __init__(self, classes: Iterable[str]) -> None:
-        self._ended: dict[str, dict[Result, int]] = {}
-        self.upstream_requests = 0  # attempts written whole to servers
-        self.upstream_requests_withheld = 0  # attempts not written whole, since their clients had gone
-        self._retries = dict.fromkeys([_OVERDUE, *_RETRIED_AFTER], 0)
-        self._refusals = dict.fromkeys([_MAX_OPEN, *(each.value for each in TerminationReason)], 0)
-        self._failures = dict.fromkeys([each.value for each in TerminationReason], 0)
-        self._client_closes = dict.fromkeys((each.value for each in CloseReason), 0)
-        self.config_reloads = 0
-        self.config_reload_errors = 0
+        """Starts all counters at 0, including those of the service classes with these names."""
+        self._results: dict[str, dict[Result, int]] = {}  # by the name of the service class
+        self._attempts_written = 0
+        self._attempts_withheld = 0
+        self._retries: dict[Outcome | None, int] = {
+            None: 0,
+            **{outcome: 0 for outcome in OUTCOME_NAMES if outcome not in _FINAL_OUTCOMES},
+        }
+        self._rejections: dict[TerminationReason | None, int] = {
+            None: 0,
+            **dict.fromkeys(TERMINATION_REASON_NAMES, 0),
+        }
+        self._failures = dict.fromkeys(TERMINATION_REASON_NAMES, 0)
+        self._closes = dict.fromkeys(CLOSE_REASON_NAMES, 0)
+        self._reloads = 0
+        self._reload_errors = 0
         self.add_classes(classes)
 
     def add_classes(self, classes: Iterable[str]) -> None:
-        """Show these classes from now on, with zeros until something is counted.
+        """Adds counters for these service classes, unless they exist.
 
-        A class that the settings no longer name stays: its requests under way still end.
+        A class that the settings no longer name stays, since its open requests have yet to end.
         """
-        for each in classes:
-            self._ended.setdefault(each, dict.fromkeys(Result, 0))
+        for name in classes:
+            self._results.setdefault(name, dict.fromkeys(Result, 0))
 
     def request_ended(self, service_class: str, result: Result) -> None:
-        """A request has its final answer."""
-        self._ended[service_class][result] += 1
+        """Counts a request that has its final response."""
+        self._results[service_class][result] += 1
 
     def attempt_written(self) -> None:
-        self.upstream_requests += 1
+        """Counts an attempt that was written completely to a server."""
+        self._attempts_written += 1
 
     def attempt_withheld(self) -> None:
-        self.upstream_requests_withheld += 1
+        """Counts an attempt that was not written completely because its client has disconnected."""
+        self._attempts_withheld += 1
 
     def request_retried(self, after: Outcome | None) -> None:
-        """A request goes to a further server, after this outcome or (None) while it waits for one."""
-        self._retries[_OVERDUE if after is None else after.value] += 1
+        """Counts a further attempt, after the previous one's outcome; None if that is still in flight."""
+        self._retries[after] += 1
 
     def request_rejected(self, reason: TerminationReason | None) -> None:
-        """A request is refused, for this reason or (None) for as many as are open."""
-        self._refusals[_MAX_OPEN if reason is None else reason.value] += 1
+        """Counts a rejected request; None if the maximum number of requests was open."""
+        self._rejections[reason] += 1
+
+    def request_failed(self, reason: TerminationReason) -> None:
+        """Counts a request that got an error as its final response."""
+        self._failures[reason] += 1
 
     def connection_closed(self, reason: CloseReason) -> None:
-        """A client's connection has ended."""
-        self._client_closes[reason.value] += 1
+        """Counts a client's connection that has ended."""
+        self._closes[reason] += 1
 
-    def request_failed(self, reason: TerminationReason) -> None:
-        """A request is answered as failed."""
-        self._failures[reason.value] += 1
+    def configuration_reloaded(self) -> None:
+        """Counts a configuration that was applied."""
+        self._reloads += 1
+
+    def configuration_rejected(self) -> None:
+        """Counts a configuration that was rejected at a reload."""
+        self._reload_errors += 1
 
     def lines(self, gauges: Mapping[str, int]) -> list[str]:
-        """All figures, one a line, after the gauges that their owners have read just now."""
-        figures = {
-            f"downstream_requests.{_word(name)}.{result.value}": count
-            for name, counts in self._ended.items()
+        """Renders all metrics, one a line: the counters, then the gauges that their owners have just read."""
+        metrics = {
+            f"downstream_requests.{_metric_name_part(name)}.{result}": count
+            for name, counts in self._results.items()
             for result, count in counts.items()
         }
-        figures["upstream_requests"] = self.upstream_requests
-        figures["upstream_requests_withheld"] = self.upstream_requests_withheld
-        figures["config_reloads"] = self.config_reloads
-        figures["config_reload_errors"] = self.config_reload_errors
-        for name, counts in (
-            ("client_closes", self._client_closes),
-            ("retries", self._retries),
-            ("refusals", self._refusals),
-            ("failures", self._failures),
-        ):
-            figures |= {f"{name}.{reason}": count for reason, count in counts.items()}
-        return [f"app.{name}={value}" for name, value in (figures | dict(gauges)).items()]
-
-
-def _word(name: str) -> str:
-    """A class's name as part of a key; what would break the line or the key is masked."""
+        metrics |= {
+            "upstream_requests": self._attempts_written,
+            "upstream_requests_withheld": self._attempts_withheld,
+            "config_reloads": self._reloads,
+            "config_reload_errors": self._reload_errors,
+        }
+        for reason, count in self._closes.items():
+            metrics[f"client_closes.{CLOSE_REASON_NAMES[reason]}"] = count
+        for outcome, count in self._retries.items():
+            metrics[f"retries.{retry_cause_name(outcome)}"] = count
+        for cause, count in self._rejections.items():
+            name = _MAX_OPEN_REQUESTS_NAME if cause is None else TERMINATION_REASON_NAMES[cause]
+            metrics[f"refusals.{name}"] = count
+        for cause, count in self._failures.items():
+            metrics[f"failures.{TERMINATION_REASON_NAMES[cause]}"] = count
+        return [f"app.{name}={value}" for name, value in (metrics | dict(gauges)).items()]
+
+
+def retry_cause_name(previous: Outcome | None) -> str:
+    """Returns the name of the outcome that a retry follows; None: that attempt is still in flight."""
+    return _IN_FLIGHT_NAME if previous is None else OUTCOME_NAMES[previous]
+
+
+def _metric_name_part(name: str) -> str:
+    """Replaces the characters that would break the line or the metric's name by underscores."""
     return "".join(
-        each if each.isascii() and each.isprintable() and each not in " =" else "_" for each in name
+        character if character.isascii() and character.isprintable() and character not in " =" else "_"
+        for character in name
     )
--- a/tulipnotch/sidecar/log_stream.py
+++ b/tulipnotch/sidecar/log_stream.py
@@ -1,7 +1,7 @@
-"""A stream for log lines whose writes never block the process.
+"""A stream for log lines that never blocks the process.
 
-Standard error may be a pipe that nobody empties, a file on a full disk, or a connection that has ended.  Each
-of these fails the write at once, with an OSError, and the line is lost: no request waits for the log.
+Standard error may be a pipe that nobody reads, a file on a full disk or a connection that has ended.  In each
+of these cases the write fails at once with an OSError and the line is lost: no request waits for the log.
 """
 
 from __future__ import annotations
@@ -11,41 +11,48 @@
 import stat
 
 STANDARD_ERROR = 2
-_MOST_BYTES = select.PIPE_BUF  # of a line: a pipe that has room at all takes so many at once, or none
+# A pipe that poll(2) reports as writable accepts this many bytes at once, or none.
+_MAX_LINE_BYTES = select.PIPE_BUF
 
 
 class LogStream:
-    """Writes whole lines to a descriptor, with what a text stream has for it: `write` and `flush`."""
+    """Writes lines to a descriptor; has the two methods of a text stream that a log needs."""
 
     def __init__(self, descriptor: int = STANDARD_ERROR) -> None:
-        self._descriptor = _own_pipe(descriptor)
+        """Prepares to write to this descriptor, which stays open as it is."""
+        self._descriptor = _reopen_pipe_nonblocking(descriptor)
         self._poll = select.poll()
         self._poll.register(self._descriptor, select.POLLOUT)
-        self._has_part = False  # whether the last line stands there without its end
+        self._ends_in_partial_line = False
 
     def write(self, text: str) -> int:
-        """Write a line with its end; raise OSError where it can't be written whole, at once."""
+        """Writes one line at once, truncated to the maximum size; returns the length of `text`.
+
+        Raises:
+            OSError: The line was not written, or only partially; the next write ends a partial line first.
+        """
         if not self._poll.poll(0):
-            raise BlockingIOError("there is no room for a line")
-        end = "\n" if text.endswith("\n") else ""
-        line = text.removesuffix("\n").encode("utf-8", "backslashreplace")
-        before = b"\n" if self._has_part else b""
-        line = before + line[: _MOST_BYTES - len(before) - len(end)] + end.encode()
-        written = os.write(self._descriptor, line)
-        self._has_part = written < len(line)
-        if self._has_part:
-            raise BlockingIOError("a part of a line was written")
+            raise BlockingIOError("the log's descriptor is not writable")
+        line_end = b"\n" if text.endswith("\n") else b""
+        separator = b"\n" if self._ends_in_partial_line else b""
+        content = text.removesuffix("\n").encode("utf-8", "backslashreplace")
+        max_content_bytes = _MAX_LINE_BYTES - len(separator) - len(line_end)
+        line = separator + content[:max_content_bytes] + line_end
+        written_bytes = os.write(self._descriptor, line)
+        self._ends_in_partial_line = written_bytes < len(line)
+        if self._ends_in_partial_line:
+            raise BlockingIOError("the line was written partially")
         return len(text)
 
     def flush(self) -> None:
-        """Nothing is kept back."""
+        """Does nothing, since nothing is buffered."""
 
 
-def _own_pipe(descriptor: int) -> int:
-    """A description of the same pipe that does not block; any other descriptor as it is.
+def _reopen_pipe_nonblocking(descriptor: int) -> int:
+    """Returns a non-blocking descriptor of the same pipe, or `descriptor` itself if that is not a pipe.
 
-    Prevents a block where another process writes to the pipe between a look at its room and the write.  The
-    flag is never set on the description that was inherited: other processes share it.
+    A blocking pipe could block if another process fills it between poll(2) and write(2).  The flag is not set
+    on the inherited file description because other processes share that.
     """
     try:
         if not stat.S_ISFIFO(os.fstat(descriptor).st_mode):
--- a/tulipnotch/sidecar/logs.py
+++ b/tulipnotch/sidecar/logs.py
@@ -1,7 +1,7 @@
-"""The log of one process: events with a fixed name and fixed fields, one a line on standard error.
+"""Log of one process: events with fixed names and fixed fields, one event a line on standard error.
 
-`EVENTS` is the whole list, and the page for staff on call explains each.  Text for people is the default;
-JSON lines, by structlog, are written where the operator file asks for them (imported then, and only then).
+`EVENTS` lists all of them; `docs/on-call.md` explains each.  The default format is text for people.  JSON
+lines are written by structlog where the operator file asks for them, and only then is structlog imported.
 """
 
 from __future__ import annotations
@@ -10,64 +10,94 @@
 import time
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
-from enum import Enum, unique
+from enum import StrEnum, unique
 from typing import Any, Protocol, TextIO, cast
 
 from tulipnotch.sidecar.log_stream import LogStream
 
 
 class Log(Protocol):
-    """Writes one event: its name in `EVENTS`, and that event's fields, no more and no fewer."""
+    """Writes events."""
 
-    def __call__(self, event: str, /, **fields: object) -> None: ...
+    def __call__(self, event: str, /, **fields: object) -> None:
+        """Writes one event, given its name in `EVENTS` and exactly that event's fields."""
+        ...
+
+
+@unique
+class Severity(StrEnum):
+    """How serious an event is; the values are written to JSON lines."""
+
+    INFO = "info"
+    WARNING = "warning"
+    ERROR = "error"
 
 
 @dataclass(frozen=True, slots=True)
 class EventForm:
-    """How bad an event is, and its line for people; the names in braces are its fields."""
+    """How an event is written: its severity, and its text with the names of its fields in braces."""
 
-    level: str
+    severity: Severity
     text: str
 
     @property
     def fields(self) -> frozenset[str]:
+        """The names of the event's fields."""
         return frozenset(name for _, name, _, _ in string.Formatter().parse(self.text) if name)
 
 
+def _info(text: str) -> EventForm:
+    return EventForm(Severity.INFO, text)
+
+
+def _warning(text: str) -> EventForm:
+    return EventForm(Severity.WARNING, text)
+
+
+def _error(text: str) -> EventForm:
+    return EventForm(Severity.ERROR, text)
+
+
 EVENTS: Mapping[str, EventForm] = {
-    "serving": EventForm("info", "{name} serves on {address}, {after_ms} ms after its start"),
-    "door_open": EventForm("info", "operators are heard on {address}"),
-    "draining": EventForm("info", "draining"),
-    "drained": EventForm("info", "drained"),
-    "no_fresh_list": EventForm("warning", "no fresh list in {waited_s:g} s: going by the known one"),
-    "no_list": EventForm("warning", "no list from discovery: {fault}; the one in force stays"),
-    "reloaded": EventForm("info", "reloaded: discovery at {discovery}{waits}"),
-    "reload_refused": EventForm("error", "reload: the old configuration stays in force: {fault}"),
-    "ejected": EventForm("warning", "ejected {server}: {reason}"),
-    "readmitted": EventForm("info", "readmitted {server}"),
-    "level": EventForm("warning", "level {now}, was {before} for {held_s:g} s: {reason}"),
-    "message_unsent": EventForm("warning", "a message to other sidecars could not be sent"),
-    "invariant_broken": EventForm("error", "invariant broken: {invariant}: {about}"),
-    "internal_error": EventForm("error", "internal error: {where}: {fault}"),
-    "request_taken": EventForm("info", "request {request}: taken, {kind}, {left_ms} ms left"),
-    "attempt_begun": EventForm("info", "request {request}: attempt {number} to {server}, after {after}"),
-    "attempt_written": EventForm("info", "request {request}: attempt {number} written"),
-    "attempt_ended": EventForm("info", "request {request}: attempt {number} ended, {outcome}"),
-    "request_ended": EventForm("info", "request {request}: answered with {status}"),
-    "connection_closed": EventForm("info", "a client's connection closed, {reason}"),
-    "phase_changed": EventForm("info", "now {phase}"),
-    "left_out": EventForm("warning", "left out {count} lines"),
+    "serving": _info("{name} serves on {address}, {after_ms} ms after its start"),
+    "control_endpoint_listening": _info("control endpoint listens on {address}"),
+    "draining": _info("draining"),
+    "drained": _info("drained"),
+    "endpoint_list_stale": _warning("no fresh endpoint list within {waited_s:g} s, using the cached one"),
+    "discovery_failed": _warning("discovery failed: {fault}; the endpoint list in force stays"),
+    "reloaded": _info("reloaded: discovery at {discovery}{waits}"),
+    "reload_rejected": _error("reload rejected, the previous configuration stays in force: {fault}"),
+    "ejected": _warning("ejected {server}: {reason}"),
+    "readmitted": _info("readmitted {server}"),
+    "service_level_changed": _warning(
+        "service level {now}, was {before} for {previous_duration_s:g} s: {reason}"
+    ),
+    "peer_message_not_sent": _warning("a message to other sidecars could not be sent"),
+    "invariant_broken": _error("invariant broken: {invariant}: {about}"),
+    "internal_error": _error("internal error: {where}: {fault}"),
+    "request_received": _info("request {request}: received, {kind}, {left_ms} ms left"),
+    "attempt_started": _info("request {request}: attempt {number} to {server} started, after {after}"),
+    "attempt_written": _info("request {request}: attempt {number} written"),
+    "attempt_ended": _info("request {request}: attempt {number} ended, {outcome}"),
+    "request_ended": _info("request {request}: ended with status {status}"),
+    "connection_closed": _info("client connection closed, {reason}"),
+    "phase_changed": _info("phase {phase}"),
+    "log_lines_dropped": _warning("dropped {count} log lines"),
 }
 
 
 def line(event: str, fields: Mapping[str, Any]) -> str:
-    """The event as one line for people; what would break the line is folded.  KeyError: no such event."""
+    """Formats an event as one line of text; line feeds in its fields become spaces.
+
+    Raises:
+        KeyError: No such event, or a field is missing.
+    """
     return EVENTS[event].text.format_map(fields).replace("\n", " ")
 
 
 @unique
-class Format(Enum):
-    """How events are written."""
+class LogFormat(StrEnum):
+    """How events are written; the values are those of the operator file."""
 
     TEXT = "text"
     JSON = "json"
@@ -75,57 +105,69 @@
 
 @dataclass(frozen=True, slots=True)
 class LogLimits:
-    """How much may be written: a log must not fill a disk."""
+    """Rate limit of the log, which protects the disk that it is kept on."""
 
     lines_per_s: float = 20.0
-    lines_at_once: float = 200.0
+    burst_lines: float = 200.0
 
 
 class LineStream(Protocol):
-    """Takes lines, or raises OSError."""
+    """Where lines are written to; both methods raise OSError on failure."""
 
-    def write(self, text: str, /) -> int: ...
+    def write(self, text: str, /) -> int:
+        """Writes a line that includes its line end; returns the number of characters."""
+        ...
 
-    def flush(self) -> None: ...
+    def flush(self) -> None:
+        """Writes what is buffered."""
+        ...
 
 
 class LineLog:
-    """Writes events to a stream, not more than so many a second; what was left out is counted and said.
+    """Writes events to a stream, up to a rate limit; counts the lines that it drops and logs their number.
 
-    A line that the stream does not take is left out too: no event ends, and nobody waits, for want of a log.
+    A line that the stream does not accept is dropped too: the process neither fails nor waits because of it.
     """
 
     def __init__(
         self,
-        form: Format = Format.TEXT,
+        log_format: LogFormat = LogFormat.TEXT,
         limits: LogLimits | None = None,
         stream: LineStream | None = None,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
+        """Creates a log that may begin with a burst; `clock` is monotonic and returns seconds."""
         self._limits = limits or LogLimits()
         self._stream = stream or LogStream()
         self._clock = clock
-        self._write = self._write_text if form is Format.TEXT else _json_writer(self._stream)
-        self._allowance = self._limits.lines_at_once
-        self._at = clock()
-        self._left_out = 0
+        self._write = self._write_text if log_format is LogFormat.TEXT else _json_writer(self._stream)
+        self._tokens = self._limits.burst_lines
+        self._refilled_at = clock()
+        self._dropped = 0  # lines, since the last one that was written
 
     def __call__(self, event: str, /, **fields: object) -> None:
-        now = self._clock()
-        earned = (now - self._at) * self._limits.lines_per_s
-        self._allowance = min(self._allowance + earned, self._limits.lines_at_once)
-        self._at = now
-        if self._allowance < 1.0:
-            self._left_out += 1
+        """Writes one event, or drops it; see `Log`."""
+        if not self._take_token():
+            self._dropped += 1
             return
-        self._allowance -= 1.0
         try:
-            if self._left_out:
-                self._write("left_out", {"count": self._left_out})
-                self._left_out = 0
+            if self._dropped:
+                self._write("log_lines_dropped", {"count": self._dropped})
+                self._dropped = 0
             self._write(event, fields)
         except OSError:
-            self._left_out += 1
+            self._dropped += 1
+
+    def _take_token(self) -> bool:
+        """Refills the token bucket, then takes the token for one event, if there is one."""
+        now = self._clock()
+        refill = (now - self._refilled_at) * self._limits.lines_per_s
+        self._tokens = min(self._tokens + refill, self._limits.burst_lines)
+        self._refilled_at = now
+        if self._tokens < 1.0:
+            return False
+        self._tokens -= 1.0
+        return True
 
     def _write_text(self, event: str, fields: Mapping[str, object]) -> None:
         self._stream.write(line(event, fields) + "\n")
@@ -133,6 +175,7 @@
 
 
 def _json_writer(stream: LineStream) -> Callable[[str, Mapping[str, object]], None]:
+    """Returns a function that writes an event as one JSON object on one line."""
     import structlog
 
     logger = structlog.wrap_logger(
@@ -146,6 +189,6 @@
     )
 
     def write(event: str, fields: Mapping[str, object]) -> None:
-        getattr(logger, EVENTS[event].level)(event, **fields)
+        getattr(logger, EVENTS[event].severity)(event, **fields)
 
     return write
--- a/tulipnotch/sidecar/requests/trace.py
+++ b/tulipnotch/sidecar/requests/trace.py
@@ -6,6 +6,7 @@
 from __future__ import annotations
 
 from tulipnotch.load_balancing.outcomes import Outcome
+from tulipnotch.sidecar.control.telemetry import CLOSE_REASON_NAMES, OUTCOME_NAMES
 from tulipnotch.sidecar.logs import Log
 from tulipnotch.sidecar.requests.invariants import CloseReason
 
@@ -16,13 +17,13 @@
     def __init__(self, log: Log) -> None:
         self._log = log
 
-    def request_taken(self, request: str, service_class: str, left_us: int) -> None:
+    def request_received(self, request: str, service_class: str, left_us: int) -> None:
         """All that the sidecar needs of a request has come."""
-        self._log("request_taken", request=request, kind=service_class, left_ms=left_us // 1_000)
+        self._log("request_received", request=request, kind=service_class, left_ms=left_us // 1_000)
 
-    def attempt_begun(self, request: str, number: int, server: str, after: str) -> None:
+    def attempt_started(self, request: str, number: int, server: str, after: str) -> None:
         """An attempt is decided on; `after` says what became of the one before."""
-        self._log("attempt_begun", request=request, number=number, server=server, after=after or "none")
+        self._log("attempt_started", request=request, number=number, server=server, after=after or "none")
 
     def attempt_written(self, request: str, number: int) -> None:
         """Its last byte has left."""
@@ -30,7 +31,7 @@
 
     def attempt_ended(self, request: str, number: int, outcome: Outcome) -> None:
         """An attempt has its outcome."""
-        self._log("attempt_ended", request=request, number=number, outcome=outcome.value)
+        self._log("attempt_ended", request=request, number=number, outcome=OUTCOME_NAMES[outcome])
 
     def request_ended(self, request: str, status: int) -> None:
         """A request has its final answer; 0 where its client left first."""
@@ -38,7 +39,7 @@
 
     def connection_closed(self, reason: CloseReason) -> None:
         """A client's connection has ended."""
-        self._log("connection_closed", reason=reason.value)
+        self._log("connection_closed", reason=CLOSE_REASON_NAMES[reason])
 
     def phase_changed(self, phase: str) -> None:
         """The process is in another phase."""
--- a/tulipnotch/sidecar/sidecar.py
+++ b/tulipnotch/sidecar/sidecar.py
@@ -53,7 +53,7 @@
 from tulipnotch.sidecar.configuration.configuration import Config
 from tulipnotch.sidecar.control.endpoint import CommandHandler, CommandRejectedError, ControlLimits
 from tulipnotch.sidecar.control.lifecycle import Lifecycle, Phase
-from tulipnotch.sidecar.control.telemetry import Result, Telemetry
+from tulipnotch.sidecar.control.telemetry import Result, Telemetry, retry_cause_name
 from tulipnotch.sidecar.discovery import client as discovery
 from tulipnotch.sidecar.discovery.peers import PeerMessenger
 from tulipnotch.sidecar.downstream.incoming_request import BadRequestError, IncomingRequest
@@ -116,7 +116,7 @@
     ) -> None:
         self.config = config
         if operators is None:
-            operators = ControlLimits().most_connections
+            operators = ControlLimits().max_connections
         # As many of them as the descriptors allow; fixed at the start, like the door itself.
         self.operators = min(operators, config.sockets - int(_FOR_WORK * config.sockets) - RESERVED)
         self._log = log
@@ -157,7 +157,7 @@
             config.settings.discovery_mode is DiscoveryMode.PUSHED,
             self._listed,
             lambda: self._post(EndpointsUpdated(EndpointUpdateKind.FAILED)),
-            lambda fault: self._log("no_list", fault=fault),
+            lambda fault: self._log("discovery_failed", fault=fault),
             config.settings.rules.drain_grace_us,
             config.settings.instance_index,
             has_list=bool(config.known.endpoints),
@@ -227,9 +227,12 @@
         """Bring the ladder a reading, again and again, and its change of level to the decisions."""
         change = ladder.observe(self._clock.now(), self._balancer.pressure())
         if change is not None:
-            held_s = round(change.previous_duration_us / 1e6, 1)
             self._log(
-                "level", now=change.current, before=change.previous, held_s=held_s, reason=change.reason
+                "service_level_changed",
+                now=change.current,
+                before=change.previous,
+                previous_duration_s=round(change.previous_duration_us / 1e6, 1),
+                reason=change.reason,
             )
             self._post(change.effect)
         if self.lifecycle.phase is not Phase.STOPPING:
@@ -256,7 +259,7 @@
             alone.cancel()
         if not self._has_fresh_list.is_set():
             self._has_waited = True
-            self._log("no_fresh_list", waited_s=round(loop.time() - began, 1))
+            self._log("endpoint_list_stale", waited_s=round(loop.time() - began, 1))
 
     async def _until(self, received: asyncio.Event, within_s: float) -> None:
         try:
@@ -264,7 +267,7 @@
                 await received.wait()
         except TimeoutError:
             self._has_waited = True
-            self._log("no_fresh_list", waited_s=within_s)
+            self._log("endpoint_list_stale", waited_s=within_s)
 
     def _alone(self) -> None:
         """The version before has ended by now."""
@@ -485,7 +488,7 @@
             incoming.body.on_complete = lambda: self._whole(number)
         self._owed.add(incoming.request_id)
         if self._trace is not None:
-            self._trace.request_taken(self._open[number].name, incoming.class_name, incoming.remaining_us)
+            self._trace.request_received(self._open[number].name, incoming.class_name, incoming.remaining_us)
         self._post(
             RequestArrived(
                 request=number,
@@ -633,7 +636,7 @@
                 self._probe(action.endpoint)
             case SendPeerMessage():
                 if not self._peers.send(action.receiver, action.payload):
-                    self._log("message_unsent")
+                    self._log("peer_message_not_sent")
             case LogEvent():
                 self._log(action.event, **action.fields)
 
@@ -666,8 +669,8 @@
         if held.calls:
             self.telemetry.request_retried(after)
         if self._trace is not None:
-            cause = "" if not held.calls else "overdue" if after is None else after.value
-            self._trace.attempt_begun(held.name, attempt.number, attempt.server, cause)
+            cause = retry_cause_name(after) if held.calls else ""
+            self._trace.attempt_started(held.name, attempt.number, attempt.server, cause)
 
     def _check_written(self, held: OpenRequest, attempt: AttemptId, call: UpstreamRequest) -> None:
         """The last byte of an attempt leaves in this instant: look whether the rules let it."""
