--- a/tulipnotch/sidecar/program.py
+++ b/tulipnotch/sidecar/program.py
@@ -25,6 +25,7 @@
 from tulipnotch.sidecar.operator_file import OPERATOR_VARIABLE, OperatorOptions, load_operator_options
 from tulipnotch.sidecar.requests.trace import Trace
 from tulipnotch.sidecar.sidecar import Sidecar, client_limits
+from tulipnotch.sidecar.upstream.connection import Address
 
 _INHERITED_VARIABLE = "BALANCER_INHERITED_FD"  # of the environment: descriptor of a listening socket
 
@@ -83,13 +84,11 @@
     )
     loop.add_signal_handler(signal.SIGHUP, reload_configuration, sidecar, os.environ, log)
     signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})  # `__main__` blocks it until here
-    control_limits = replace(options.control_limits, max_connections=sidecar.operators)
-    control = ControlEndpoint(sidecar.calls(), control_limits)
+    control = ControlEndpoint(
+        sidecar.calls(), replace(options.control_limits, max_connections=sidecar.operators)
+    )
     if config.control is not None:
-        reserved = await reserve_soon(config.control)
-        listen(reserved)
-        control.accept_from(reserved)
-        log("control_endpoint_listening", address=f"{config.control[0]}:{control.port}")
+        await _listen_for_commands(control, config.control, log)
     await _start_and_wait(sidecar, inherited, stop_requested, log)
     log("draining")
     await sidecar.drain()
@@ -97,6 +96,18 @@
     log("drained")
 
 
+async def _listen_for_commands(control: ControlEndpoint, address: Address, log: Log) -> None:
+    """Opens the control endpoint; waits a few seconds for its address if that is in use.
+
+    Raises:
+        OSError: The address cannot be bound.
+    """
+    listener = await reserve_soon(address)
+    listen(listener)
+    control.accept_from(listener)
+    log("control_endpoint_listening", address=f"{address[0]}:{control.port}")
+
+
 async def _start_and_wait(
     sidecar: Sidecar, inherited: socket.socket | None, stop_requested: asyncio.Event, log: Log
 ) -> None:
