--- a/tulipnotch/sidecar/action_executor.py
+++ b/tulipnotch/sidecar/action_executor.py
@@ -116,7 +116,7 @@
 
     def _send_peer_message(self, action: SendPeerMessage) -> None:
         if not self._peers.send(action.receiver, action.payload):
-            self._context.log("message_unsent")
+            self._context.log("peer_message_not_sent")
 
     def _log_event(self, action: LogEvent) -> None:
         self._context.log(action.event, **action.fields)
--- a/tulipnotch/sidecar/requests/attempts.py
+++ b/tulipnotch/sidecar/requests/attempts.py
@@ -8,6 +8,7 @@
 from tulipnotch.load_balancing.outcomes import Outcome
 from tulipnotch.sidecar.event_queue import EventQueue
 from tulipnotch.sidecar.http1.messages import Response
+from tulipnotch.sidecar.control.telemetry import retry_cause_name
 from tulipnotch.sidecar.requests.context import SidecarContext
 from tulipnotch.sidecar.requests.invariants import WrittenAttempt
 from tulipnotch.sidecar.requests.open_request import ClientLeft, OpenRequest, WaitingForResponse
@@ -53,8 +54,8 @@
         if number:
             context.telemetry.request_retried(previous_outcome)
         if context.trace is not None:
-            cause = "" if not number else "overdue" if previous_outcome is None else previous_outcome.value
-            context.trace.attempt_begun(request.name, number, action.endpoint, cause)
+            cause = retry_cause_name(previous_outcome) if number else ""
+            context.trace.attempt_started(request.name, number, action.endpoint, cause)
 
         upstream_request = UpstreamRequest(
             action.endpoint, deadline, request.incoming.upstream_message, attempt
--- a/tulipnotch/sidecar/requests/request_receiver.py
+++ b/tulipnotch/sidecar/requests/request_receiver.py
@@ -59,7 +59,7 @@
         if is_body_incomplete:
             incoming.body.on_complete = lambda: self._body_completed(request)
         if context.trace is not None:
-            context.trace.request_taken(request.name, incoming.class_name, incoming.remaining_us)
+            context.trace.request_received(request.name, incoming.class_name, incoming.remaining_us)
         self._events.post(
             RequestArrived(
                 request=request.number,
--- a/tulipnotch/sidecar/service_level_monitor.py
+++ b/tulipnotch/sidecar/service_level_monitor.py
@@ -56,9 +56,12 @@
         """Observes now and each interval from now on, until the process stops."""
         change = self._controller.observe(self._clock.now(), self._balancer.pressure())
         if change is not None:
-            held_s = round(change.previous_duration_us / 1e6, 1)
             self._log(
-                "level", now=change.current, before=change.previous, held_s=held_s, reason=change.reason
+                "service_level_changed",
+                now=change.current,
+                before=change.previous,
+                previous_duration_s=round(change.previous_duration_us / 1e6, 1),
+                reason=change.reason,
             )
             self._events.post(change.effect)
         if lifecycle.phase is not Phase.STOPPING:
--- a/tulipnotch/sidecar/sidecar.py
+++ b/tulipnotch/sidecar/sidecar.py
@@ -72,7 +72,7 @@
         """
         self.config = config
         if operators is None:
-            operators = ControlLimits().most_connections
+            operators = ControlLimits().max_connections
         # Fixed at the start, like the control endpoint itself.
         self.operators = max_control_connections(config.sockets, operators)
         clock = Clock()
@@ -235,4 +235,4 @@
         self._events.post(EndpointsUpdated(EndpointUpdateKind.FAILED))
 
     def fault_changed(self, fault: str) -> None:
-        self._context.log("no_list", fault=fault)
+        self._context.log("discovery_failed", fault=fault)
--- a/tulipnotch/sidecar/startup.py
+++ b/tulipnotch/sidecar/startup.py
@@ -78,7 +78,7 @@
             unserved.cancel()
         if not self._list_received.is_set():
             self.has_timed_out = True
-            self._log("no_fresh_list", waited_s=round(loop.time() - began, 1))
+            self._log("endpoint_list_stale", waited_s=round(loop.time() - began, 1))
         self._downstream.listen(inherited)
         loop.call_later(_TAKEOVER_OVERLAP_S, self._end_takeover)
 
@@ -93,4 +93,4 @@
                 await received.wait()
         except TimeoutError:
             self.has_timed_out = True
-            self._log("no_fresh_list", waited_s=timeout_s)
+            self._log("endpoint_list_stale", waited_s=timeout_s)
