--- a/tests/orders.py
+++ b/tests/orders.py
@@ -652,8 +652,8 @@
         stack.enter_context(mock.patch.object(http1, "KEPT", KEPT))
         stack.enter_context(mock.patch.object(upstream, "_REST_US", rest_us))
         # No other traffic is played: an attempt is overdue by its own time alone, also on several servers.
-        stack.enter_context(mock.patch.object(overdue, "OTHER_ANSWERS", 0))
-        stack.enter_context(mock.patch.object(outlier_detection, "SILENT_MOST", 1.0))
+        stack.enter_context(mock.patch.object(overdue, "OTHER_RESPONSES", 0))
+        stack.enter_context(mock.patch.object(outlier_detection, "MAX_UNRESPONSIVE_PART", 1.0))
         yield
 
 
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -15,7 +15,8 @@
 from hypothesis import settings as how
 from hypothesis import strategies as st
 
-from tulipnotch.simulator_wire.adapter import run, settings_from_wire
+from tulipnotch.simulator_wire.adapter import run
+from tulipnotch.simulator_wire.names import settings_from_wire
 
 BOOT: dict[str, Any] = {
     "bounds": {"sendCap": 3, "secondCopies": True, "mayCancel": True, "streamsPerConn": 1},
@@ -101,14 +102,14 @@
         ('["FRAME"]', "inside a batch"),
         ('["WORK_ITEM","sidecar-1",5]', "needs 8 values"),
         ('["WAKE","sidecar-9","x"]', "has not begun"),
-        ('["CLIENT_GONE","sidecar-1","five"]', "whole number"),
-        ('["TARGETS","sidecar-1","rumour",0,1]', "unknown word"),
+        ('["CLIENT_GONE","sidecar-1","five"]', "must be an integer"),
+        ('["TARGETS","sidecar-1","rumour",0,1]', "unknown value"),
         ('["TARGETS","sidecar-1","full",9,1]', "not given"),
-        ('["ATTEMPT_END","sidecar-1",5,0,"a:1","lost",1,true,null]', "unknown word"),
+        ('["ATTEMPT_END","sidecar-1",5,0,"a:1","lost",1,true,null]', "unknown value"),
         ('["PAGE",0,[["a:1"]]]', "at least 6"),
         ('["MEMO","sidecar-1",0,"xyz"]', "hex"),
-        ('["BEGIN","sidecar-2",1,{"lanes":[]}]', "classes"),
-        ('["BEGIN","sidecar-2",1,{"lanes":[{"name":"a","giveUpUs":-1}]}]', "classes[0].deadline_us"),
+        ('["BEGIN","sidecar-2",1,{"lanes":[]}]', "settings: lanes: "),
+        ('["BEGIN","sidecar-2",1,{"lanes":[{"name":"a","giveUpUs":-1}]}]', "settings: lanes[0].giveUpUs: "),
     ],
 )
 def test_bad_input_is_named_with_its_line_and_ends_the_run(line: str, complaint: str) -> None:
--- a/tests/test_frontend.py
+++ b/tests/test_frontend.py
@@ -295,7 +295,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(
-        concurrency_limit, "START_LIMIT", 1e9
+        concurrency_limit, "INITIAL_LIMIT_PER_ENDPOINT", 1e9
     )  # else the decisions refuse some of these first
 
     async def work() -> None:
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -11,7 +11,7 @@
 from tulipnotch.load_balancing.admission import concurrency_limit
 from tulipnotch.sidecar.clock import Clock
 from tulipnotch.sidecar.upstream import pool as upstream
-from tulipnotch.simulator_wire.adapter import settings_from_wire
+from tulipnotch.simulator_wire.names import settings_from_wire
 
 
 def at_the_sidecar(scene: Stage) -> int:
@@ -351,7 +351,7 @@
 def test_no_more_connections_than_there_is_room_for(monkeypatch: pytest.MonkeyPatch) -> None:
     # Guards against running out of descriptors; what finds no room was not sent, so it is refused.
     monkeypatch.setattr(
-        concurrency_limit, "START_LIMIT", 1e9
+        concurrency_limit, "INITIAL_LIMIT_PER_ENDPOINT", 1e9
     )  # else the decisions refuse some of these first
 
     async def work() -> None:
--- a/tulipnotch/lab/scenario.py
+++ b/tulipnotch/lab/scenario.py
@@ -18,7 +18,16 @@
 import msgspec
 from msgspec import Meta
 
+from tulipnotch.load_balancing.settings import (
+    DeduplicationScope,
+    DiscoveryMode,
+    Idempotency,
+    NominalCapacity,
+    PriorityWeightBasis,
+    ReportSource,
+)
 from tulipnotch.settings.check import Checked, Fault, InvalidFileError, nearest, read_toml
+from tulipnotch.simulator_wire.names import settings_to_wire
 
 Part = Annotated[float, Meta(ge=0.0, le=1.0)]
 Positive = Annotated[float, Meta(gt=0.0, le=1e6)]
@@ -392,52 +401,95 @@
 
 
 def wire_settings(given: Scenario, sidecar: int, capacity: float) -> dict[str, Any]:
-    """The settings that a sidecar is told, as the platform words them.
+    """The settings of a sidecar, under the names of the simulator's wire.
 
     `capacity` is what the warm fleet can do, in seconds of work on a standard core a second.
     """
+    return settings_to_wire(_plain_settings(given, sidecar, capacity))
+
+
+def _plain_settings(given: Scenario, sidecar: int, capacity: float) -> dict[str, Any]:
     rules, fleet, network = given.rules, given.fleet, given.network
-    shares = sum(each.share for each in given.tenants) or 1.0
-    bearable = capacity / given.mean_work_s * rules.quota_of_capacity
-    repeats = {"safe": "read_like", "keyed": "idempotency_key", "unsafe": "non_idempotent"}
+    total_share = sum(each.share for each in given.tenants) or 1.0
+    max_rate_per_s = capacity / given.mean_work_s * rules.quota_of_capacity
     return {
-        "lanes": [
+        "classes": [_plain_class(each) for each in given.classes],
+        "tenants": [
             {
-                "name": each.name, "giveUpUs": _us(each.deadline_ms), "promiseUs": _us(each.aim_ms),
-                "worth": each.worth, "lateValue": 0.0, "repeat": repeats[each.repeat],
-                "group": "all" if each.repeat == "safe" else each.group, "memorySpanUs": _us(each.window_ms),
-                "streaming": False,
+                "name": each.name,
+                "weight": each.share / total_share,
+                "quota_per_s": max_rate_per_s * each.share / total_share,
             }
-            for each in given.classes
-        ],
-        "realms": [
-            {"name": each.name, "portion": each.share / shares, "quotaRps": bearable * each.share / shares}
             for each in given.tenants
         ],
         "zone": fleet.zones[sidecar % len(fleet.zones)],
-        "me": sidecar,
-        "groupSize": fleet.sidecars,
-        "quantumUs": 5_000,
-        "discovery": "on_request",
-        "weights": "silent",
-        "worthBy": "request",
-        "overShareWorth": rules.over_share_worth,
-        "report": {"columns": ["queue"], "source": "pull"},
-        "bounds": {
-            "sendCap": rules.max_attempts, "secondCopies": rules.second_copies, "mayCancel": True,
-            "probing": True, "mayTell": False, "retryAfter": True, "maxRetryAfterUs": 2_000_000,
-            "dialTimeoutUs": _us(network.dial_timeout_ms), "idleCloseUs": int(network.idle_s * 1e6),
-            "streamsPerConn": 1, "maxOpen": 20_000,
+        "instance_index": sidecar,
+        "instance_count": fleet.sidecars,
+        "clock_resolution_us": 5_000,
+        "discovery_mode": DiscoveryMode.POLLED.value,
+        "nominal_capacity": NominalCapacity.UNSPECIFIED.value,
+        "priority_weight_basis": PriorityWeightBasis.REQUEST.value,
+        "over_quota_weight": rules.over_share_worth,
+        "report": {"columns": ["queue"], "source": ReportSource.HEALTH_CHECKS.value},
+        "limits": {
+            "max_attempts": rules.max_attempts,
+            "hedged_requests": rules.second_copies,
+            "may_cancel": True,
+            "may_health_check": True,
+            "may_send_peer_messages": False,
+            "retry_after": True,
+            "max_retry_after_us": 2_000_000,
+            "connect_timeout_us": _us(network.dial_timeout_ms),
+            "idle_timeout_us": int(network.idle_s * 1e6),
+            "streams_per_connection": 1,
+            "max_open_requests": 20_000,
+        },
+        "rules": {
+            "response_slack_us": _us(rules.slack_ms),
+            "max_poll_interval_us": int(rules.ask_within_s * 1e6),
+            "drain_grace_us": _us(rules.drain_grace_ms),
+            "initial_capacity": fleet.cold_from,
+            "warm_up_us": int(fleet.cold_s * 1e6),
+            "overload_multiple": fleet.fall_multiple,
+            "overload_window_us": int(fleet.fall_s * 1e6),
         },
-        "guarantees": {
-            "answerSlackUs": _us(rules.slack_ms), "askWithinUs": int(rules.ask_within_s * 1e6),
-            "drainGraceUs": _us(rules.drain_grace_ms), "coldFrom": fleet.cold_from,
-            "coldUs": int(fleet.cold_s * 1e6), "fallMultiple": fleet.fall_multiple,
-            "fallUs": int(fleet.fall_s * 1e6),
+        "cost_weights": {
+            "cross_zone": 0.022,
+            "wasted_work": 0.015,
+            "health_check": 0.01,
+            "late_failure": 0.08,
+            "handshake": 0.02,
         },
-        "prices": {"crossZone": 0.022, "waste": 0.015, "probe": 0.01, "lateFail": 0.08, "handshake": 0.02},
-        "goal": {"whole": 0.75, "worstWindow": 0.05, "worstClass": 0.1, "worstTenant": 0.1},
-        "kinds": [each.name for each in fleet.kinds],
-        "clientHabits": {"marksRetry": False},
-        "domain": {"warmKeys": fleet.affinity is not None},
-    }  # fmt: skip
+        "objective_weights": {
+            "overall": 0.75,
+            "worst_window": 0.05,
+            "worst_class": 0.1,
+            "worst_tenant": 0.1,
+        },
+        "machine_types": [each.name for each in fleet.kinds],
+        "client_habits": {"mark_retries": False},
+        "domain": {"has_key_affinity": fleet.affinity is not None},
+    }
+
+
+_IDEMPOTENCY = {
+    "safe": Idempotency.IDEMPOTENT,
+    "keyed": Idempotency.IDEMPOTENT_WITH_KEY,
+    "unsafe": Idempotency.NON_IDEMPOTENT,
+}
+
+
+def _plain_class(given: ServiceClass) -> dict[str, Any]:
+    idempotency = _IDEMPOTENCY[given.repeat]
+    is_idempotent = idempotency is Idempotency.IDEMPOTENT
+    return {
+        "name": given.name,
+        "deadline_us": _us(given.deadline_ms),
+        "latency_objective_us": _us(given.aim_ms),
+        "priority_weight": given.worth,
+        "late_priority_weight": 0.0,
+        "idempotency": idempotency.value,
+        "deduplication_scope": DeduplicationScope.ALL.value if is_idempotent else given.group,
+        "deduplication_window_us": _us(given.window_ms),
+        "streaming": False,
+    }
--- a/tulipnotch/lab/virtual.py
+++ b/tulipnotch/lab/virtual.py
@@ -48,7 +48,7 @@
 )
 from tulipnotch.load_balancing.outcomes import Outcome
 from tulipnotch.load_balancing.settings import Settings
-from tulipnotch.simulator_wire.adapter import settings_from_wire
+from tulipnotch.simulator_wire.names import settings_from_wire
 
 _BACK_AFTER_US = 300_000  # how long a sidecar that was killed is away
 _ERROR_US = 1_000  # what a quick error takes
--- a/tulipnotch/sidecar/configuration/configuration.py
+++ b/tulipnotch/sidecar/configuration/configuration.py
@@ -9,9 +9,10 @@
 from typing import Any
 
 from tulipnotch.load_balancing import Settings
+from tulipnotch.load_balancing.mapping_reader import ROOT, SettingsError
 from tulipnotch.sidecar.discovery.client import DiscoveryResponse, parse_listing
 from tulipnotch.sidecar.upstream.connection import Address, parse_address
-from tulipnotch.simulator_wire.adapter import settings_from_wire, wire_path
+from tulipnotch.simulator_wire.names import settings_from_wire
 
 _DEFAULT_SOCKETS = 1_024
 _DEFAULT_MEMORY_MB = 64
@@ -148,23 +149,21 @@
 
 
 def _settings(given: object, faults: list[str] | None) -> Settings:
-    found: list[str] | None = None if faults is None else []
+    found: list[SettingsError] | None = None if faults is None else []
     try:
         settings = settings_from_wire(given, found)
-    except ValueError as nonsense:
-        raise ConfigError(_on_wire(str(nonsense))) from None
+    except SettingsError as error:
+        raise ConfigError(_in_file(error)) from None
     if faults is not None and found is not None:
-        faults += [_on_wire(each) for each in found]
+        faults += [_in_file(each) for each in found]
     if settings.limits.max_attempts < 1:
         raise ConfigError("settings.bounds.sendCap: a number of attempts above 0 is needed")
     return settings
 
 
-def _on_wire(fault: str) -> str:
-    """The fault with its key named as the file names it."""
-    path, colon, text = fault.partition(":")
-    known_as = path if path.startswith("settings") else f"settings.{wire_path(path)}"
-    return known_as + colon + text
+def _in_file(error: SettingsError) -> str:
+    """The error with the path of its key in the file."""
+    return str(error) if error.path == ROOT else f"settings.{error}"
 
 
 def _known(given: object) -> DiscoveryResponse:
