--- a/tests/lab/broken_sidecar.py
+++ b/tests/lab/broken_sidecar.py
@@ -65,7 +65,7 @@
         return newest if newest is not None else choose(self, request)
 
     Selection.choose = broken  # type: ignore[method-assign]
-    SlowStart.has_room = lambda *_: True  # type: ignore[method-assign]
+    SlowStart.has_budget = lambda *_: True  # type: ignore[method-assign]
 
 
 if __name__ == "__main__":
--- a/tests/overload/test_levels.py
+++ b/tests/overload/test_levels.py
@@ -77,13 +77,13 @@
 
 
 def test_leaving_by_what_is_refused_alone_would_go_to_and_fro(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Under a level little is refused, since the level took the load away: the trap that `leave_fill` avoids.
+    # Under a level the limit rejects little, since the level removed the load; hence `leave_utilization`.
     def leaves(self: ServiceLevelController, now: int, level: levels.ServiceLevel) -> str | None:
-        refused, _, _ = self._over(now, level.enter_us)
-        leaves = self._covers(level.enter_us) and refused <= level.enter_refused / 2
+        rejected_part = self._summary(now, level.enter_us).rejected_part
+        leaves = self._covers(level.enter_us) and rejected_part <= level.enter_rejected / 2
         return "little is refused" if leaves else None
 
-    monkeypatch.setattr(ServiceLevelController, "_leaves", leaves)
+    monkeypatch.setattr(ServiceLevelController, "_leave_reason", leaves)
     assert len(played(lambda _: 1.17, 600)) > 8
 
 
@@ -94,13 +94,13 @@
 
 def test_a_level_left_too_early_is_left_later_the_next_time(monkeypatch: pytest.MonkeyPatch) -> None:
     patient = len(played(early, 1800))
-    monkeypatch.setattr(levels, "PATIENCE_MOST", 1)
+    monkeypatch.setattr(levels, "MAX_LEAVE_FACTOR", 1)
     assert len(played(early, 1800)) > 2 * patient
 
 
 def test_a_sidecar_with_hardly_any_traffic_stays_at_full_service(monkeypatch: pytest.MonkeyPatch) -> None:
     assert played(lambda _: 2.5, 300, rate=1) == []
-    monkeypatch.setattr(levels, "LEAST_ASKED", 0)
+    monkeypatch.setattr(levels, "MIN_OFFERED", 0)
     assert played(lambda _: 2.5, 300, rate=1) != []
 
 
@@ -119,5 +119,5 @@
     for second in range(5_000):
         ladder.observe(second * 1_000_000, Pressure(10 * second, 0, 0.1))
         ladder.observe(second * 1_000_000 + 1, Pressure(10 * second, 0, 0.1))  # too soon: left out
-    longest = levels.PATIENCE_MOST * max(each.leave_us for each in standard("consulter"))
-    assert len(ladder._readings) <= longest / 1_000_000 + 3
+    longest = levels.MAX_LEAVE_FACTOR * max(each.leave_us for each in standard("consulter"))
+    assert len(ladder._observations) <= longest / 1_000_000 + 3
--- a/tests/test_constants.py
+++ b/tests/test_constants.py
@@ -16,7 +16,7 @@
 HEADING = "## Constants and the settings they follow from"
 # These mark entries of the agenda and of the wire, and what is not set yet; they stand for nothing in time,
 # count or size.
-MARKS = {"DISCOVERY", "UNSET_RATIO", "WHOLE_REQUEST", "_ALL_PEERS", "_HAS_ENDED"}
+MARKS = {"DISCOVERY", "UNSET_RATIO", "REQUEST_DEADLINE", "_ALL_PEERS", "_HAS_ENDED"}
 
 
 def _page() -> str:
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -91,7 +91,7 @@
 
 
 def _repeats_anything(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(repeat_rule, "begin_by", lambda *given: 2**62)
+    patch.setattr(repeat_rule, "latest_start", lambda *given: 2**62)
     patch.setattr(repeat_rule, "is_in_group", lambda *given: True)
 
 
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -70,7 +70,7 @@
     bucket = LapsingBucket(0, begins_with)
     through = []
     for at in asked_at:
-        if slow_start.has_room(bucket, at, limit, 1 * S, 1.0):
+        if slow_start.has_budget(bucket, at, limit, 1 * S, 1.0):
             bucket.spend(1.0)
             through.append(at)
     return through
@@ -122,10 +122,10 @@
 
 def test_a_heavy_request_is_paid_back_before_the_next() -> None:
     bucket = LapsingBucket(0, 1.0)
-    assert slow_start.has_room(bucket, 0, 1.0 / S, 1 * S, 1.5)
+    assert slow_start.has_budget(bucket, 0, 1.0 / S, 1 * S, 1.5)
     bucket.spend(1.5)
-    assert not slow_start.has_room(bucket, 5 * S, 1.0 / S, 1 * S, 1.0)
-    assert slow_start.has_room(bucket, 6 * S + 1, 1.0 / S, 1 * S, 1.0)
+    assert not slow_start.has_budget(bucket, 5 * S, 1.0 / S, 1 * S, 1.0)
+    assert slow_start.has_budget(bucket, 6 * S + 1, 1.0 / S, 1 * S, 1.0)
 
 
 def test_the_heaviest_request_grows_with_the_budget_far_slower_than_it() -> None:
--- a/tulipnotch/load_balancing/balancer.py
+++ b/tulipnotch/load_balancing/balancer.py
@@ -30,7 +30,7 @@
 from tulipnotch.load_balancing.requests import Attempt, AttemptState, Request
 from tulipnotch.load_balancing.retries import idempotency_rule
 from tulipnotch.load_balancing.settings import ServiceClass, Settings
-from tulipnotch.load_balancing.timer_queue import DISCOVERY, WHOLE_REQUEST, TimerEntry
+from tulipnotch.load_balancing.timer_queue import DISCOVERY, REQUEST_DEADLINE, TimerEntry
 
 RESPONSE_MARGIN_TICKS = 2  # a final response is sent this many clock ticks before the request's time is up
 
@@ -50,7 +50,7 @@
         context = self._context
         context.now = now
         context.actions = []
-        self._components.load.follow(self._components.concurrency_limit.limit)
+        self._components.load.update(self._components.concurrency_limit.limit)
         if not self._has_polled:
             self._has_polled = True
             self._components.discovery_polling.poll()
@@ -147,7 +147,7 @@
         margin_us = RESPONSE_MARGIN_TICKS * context.settings.clock_resolution_us
         request.body_incomplete = False
         request.respond_by = context.now + remaining_us - margin_us
-        self._components.timers.schedule(request.respond_by, request.request_id, WHOLE_REQUEST)
+        self._components.timers.schedule(request.respond_by, request.request_id, REQUEST_DEADLINE)
 
     def _request_body_completed(self, event: RequestBodyCompleted) -> None:
         """Start the request's time; the attempt that its body was streamed to is in flight from here on."""
@@ -158,7 +158,7 @@
         for attempt in request.attempts:
             if attempt.is_pending:
                 attempt.sent_at = self._context.now
-                attempt.responses_before = self._components.outlier_detection.answers
+                attempt.responses_before = self._components.outlier_detection.response_count
                 self._attempt_in_flight(request, attempt)
 
     def _client_disconnected(self, event: ClientDisconnected) -> None:
@@ -188,7 +188,7 @@
         components = self._components
         now = self._context.now
         components.slow_start.spend(endpoint, request.work)
-        attempt = Attempt(len(request.attempts), endpoint, now, components.outlier_detection.answers)
+        attempt = Attempt(len(request.attempts), endpoint, now, components.outlier_detection.response_count)
         attempt.connection_idle_us = components.idle_connections.reuse(endpoint)
         request.attempts.append(attempt)
         if endpoint.ejection is not None:
@@ -206,19 +206,19 @@
             return False
         if not limits.hedged_requests and request.is_pending():
             return False  # rule 2
-        if now >= self._components.retries.begin_by(request):
+        if now >= self._components.retries.latest_attempt_start(request):
             return False  # rule 2
         if not idempotency_rule.is_in_group(request.service_class, endpoint, request.attempts):
             return False  # rule 2
         if endpoint.state is not EndpointState.READY:
             return False  # rule 3: from the update on, without use of the drain grace
-        return self._components.slow_start.has_room(endpoint, request.work)  # rule 4
+        return self._components.slow_start.has_budget(endpoint, request.work)  # rule 4
 
     def _attempt_in_flight(self, request: Request, attempt: Attempt) -> None:
         """Count an attempt as in flight: its server has the complete request, or will in a moment."""
         attempt.state = AttemptState.IN_FLIGHT
-        self._components.load.attempt_began(attempt.endpoint)
-        self._components.idle_connections.attempt_began(attempt)
+        self._components.load.attempt_started(attempt.endpoint)
+        self._components.idle_connections.attempt_started(attempt)
         self._components.attempt_timeouts.watch(request, attempt)
 
     # The gate for final responses
@@ -312,7 +312,7 @@
         request = self._requests.get(entry.request)
         if request is None or request.is_responded or any(each.response_started for each in request.attempts):
             return
-        if entry.attempt == WHOLE_REQUEST:
+        if entry.attempt == REQUEST_DEADLINE:
             self._terminate(request, TerminationReason.DEADLINE)
         elif request.attempts[entry.attempt].is_pending:
             self._attempt_overdue(request, request.attempts[entry.attempt])
@@ -337,4 +337,4 @@
         request = self._requests.get(entry.request)
         if request is None or request.is_responded:
             return True
-        return entry.attempt != WHOLE_REQUEST and not request.attempts[entry.attempt].is_pending
+        return entry.attempt != REQUEST_DEADLINE and not request.attempts[entry.attempt].is_pending
--- a/tulipnotch/load_balancing/endpoints/discovery_polling.py
+++ b/tulipnotch/load_balancing/endpoints/discovery_polling.py
@@ -5,7 +5,7 @@
 from tulipnotch.load_balancing.actions import Subscribe
 from tulipnotch.load_balancing.context import Context
 from tulipnotch.load_balancing.settings import DiscoveryMode
-from tulipnotch.load_balancing.timer_queue import DISCOVERY, WHOLE_REQUEST, TimerQueue
+from tulipnotch.load_balancing.timer_queue import DISCOVERY, REQUEST_DEADLINE, TimerQueue
 
 MIN_POLL_BACK_OFF = 0.05  # before the next poll after a failed one, as a part of the longest poll interval
 MAX_POLL_BACK_OFF = 0.25  # of the same: three failed polls in a row still fit
@@ -53,4 +53,4 @@
     def _poll_in(self, wait_us: float) -> None:
         """Poll after this wait, in place of any earlier schedule."""
         self.due_at = self._context.now + int(wait_us)
-        self._timers.schedule(self.due_at, DISCOVERY, WHOLE_REQUEST)
+        self._timers.schedule(self.due_at, DISCOVERY, REQUEST_DEADLINE)
--- a/tulipnotch/load_balancing/health/idle_connections.py
+++ b/tulipnotch/load_balancing/health/idle_connections.py
@@ -23,7 +23,7 @@
 SUSPECT_IDLE_PART = 0.5  # after this part of the shortest idle time at which one was stale
 
 # Responses that leave their connection open, if they are certain to belong to the request.
-KEEPING_OPEN = (Outcome.OVERLOADED, Outcome.CLIENT_ERROR)
+CONNECTION_STAYS_OPEN = (Outcome.OVERLOADED, Outcome.CLIENT_ERROR)
 
 
 class IdleConnections:
@@ -55,7 +55,7 @@
             return 0
         return idle_us
 
-    def attempt_began(self, attempt: Attempt) -> None:
+    def attempt_started(self, attempt: Attempt) -> None:
         """Note the connection of an attempt that is in flight from now on."""
         endpoint = attempt.endpoint
         attempt.opens_connection = endpoint.in_flight > endpoint.connections
@@ -63,8 +63,8 @@
 
     def attempt_ended(self, endpoint: Endpoint, event: AttemptEnded) -> None:
         """Note whether the connection of an attempt that ended is still open."""
-        is_kept_open = event.outcome in KEEPING_OPEN and event.is_response_certain
-        if event.outcome is not Outcome.DELIVERED and not is_kept_open:
+        stays_open = event.outcome in CONNECTION_STAYS_OPEN and event.is_response_certain
+        if event.outcome is not Outcome.DELIVERED and not stays_open:
             endpoint.connections = max(endpoint.connections - 1, endpoint.in_flight)
         self.close_unless_ready(endpoint)
 
--- a/tulipnotch/load_balancing/health/outlier_detection.py
+++ b/tulipnotch/load_balancing/health/outlier_detection.py
@@ -52,7 +52,7 @@
         self._slow_start = slow_start
         self._idle_connections = idle_connections
         self._ejected: list[Endpoint] = []
-        self.answers = 0  # responses so far, from all endpoints
+        self.response_count = 0  # responses so far, from all endpoints
 
     def attempt_ended(self, attempt: Attempt, outcome: Outcome) -> None:
         """Learn of an endpoint's health from the end of an attempt."""
@@ -73,7 +73,7 @@
         health.consecutive_failures = health.consecutive_malformed = 0
         health.last_response_at = self._context.now
         self._idle_connections.response_received(attempt)
-        self.answers += 1
+        self.response_count += 1
         self._capacity.response_received(endpoint)
         if endpoint.ejection is not None:
             self.readmit(endpoint)
@@ -153,7 +153,7 @@
         ):
             return None
         for endpoint in self._ejected:
-            if self._is_probation_due(endpoint) and self._slow_start.has_room(endpoint, request.work):
+            if self._is_probation_due(endpoint) and self._slow_start.has_budget(endpoint, request.work):
                 return endpoint
         return None
 
--- a/tulipnotch/load_balancing/metrics/latency.py
+++ b/tulipnotch/load_balancing/metrics/latency.py
@@ -41,22 +41,22 @@
         """Learn from a response, of the endpoint and of such requests."""
         key = (request.service_class.name, request.cost_bucket)
         usual = self.usual_us.setdefault(key, float(elapsed_us))  # the first response of its kind is usual
-        self._follow_ratio(endpoint, request, elapsed_us)
+        self._update_ratio(endpoint, request, elapsed_us)
         self.usual_us[key] = usual + USUAL_STEP * (elapsed_us - usual)
 
     def attempt_abandoned(self, endpoint: Endpoint, request: Request, elapsed_us: int) -> None:
         """Learn from an attempt without a response that took longer than usual at this endpoint."""
         if elapsed_us > self.usual(request) * endpoint.latency_ratio:
-            self._follow_ratio(endpoint, request, elapsed_us)
+            self._update_ratio(endpoint, request, elapsed_us)
 
     def error_received(self, endpoint: Endpoint, request: Request) -> None:
         """Count an error as the slowest response there is.
 
         Prevents taking a server that fails quickly for a quick server.
         """
-        self._follow_ratio(endpoint, request, int(MAX_RATIO * self.usual(request)))
+        self._update_ratio(endpoint, request, int(MAX_RATIO * self.usual(request)))
 
-    def _follow_ratio(self, endpoint: Endpoint, request: Request, elapsed_us: int) -> None:
+    def _update_ratio(self, endpoint: Endpoint, request: Request, elapsed_us: int) -> None:
         ratio = min(elapsed_us / max(self.usual(request), 1.0), MAX_RATIO)
         endpoint.latency_ratio += RATIO_STEP * self._load.stretch() * (ratio - endpoint.latency_ratio)
 
--- a/tulipnotch/load_balancing/metrics/load.py
+++ b/tulipnotch/load_balancing/metrics/load.py
@@ -23,7 +23,7 @@
         self._context = context
         self.mean = 0.0
         self.busy_at = 0  # clock time of the last event at which anything was in flight
-        self._followed_at = 0
+        self._updated_at = 0
         self._in_flight = 0
         self._at_ejected = 0  # of these, at ejected endpoints
         self._abandoned: list[int] = []  # when each abandoned attempt stops counting, soonest first
@@ -40,19 +40,19 @@
         """How much longer than in a busy balancer it takes to distinguish a change from chance."""
         return max(1.0, min(LOW_LOAD / max(self.mean, 1e-9), MAX_STRETCH))
 
-    def follow(self, limit: float) -> None:
+    def update(self, limit: float) -> None:
         """Follow the mean up to the time of this event; `limit` is the concurrency limit in force."""
-        elapsed_us = self._context.now - self._followed_at
+        elapsed_us = self._context.now - self._updated_at
         if elapsed_us > 0:
-            self._followed_at = self._context.now
+            self._updated_at = self._context.now
             window_us = self.stretch() * self._context.max_latency_objective_us
             load = self.current()
             if load > 0:
-                self.busy_at = self._followed_at
+                self.busy_at = self._updated_at
             self.mean = min(self.mean, max(load, limit, 1.0))  # more would delay relief
             self.mean += (load - self.mean) * (1.0 - math.exp(-elapsed_us / window_us))
 
-    def attempt_began(self, endpoint: Endpoint) -> None:
+    def attempt_started(self, endpoint: Endpoint) -> None:
         """Count an attempt as in flight."""
         endpoint.in_flight += 1
         self._in_flight += 1
--- a/tulipnotch/load_balancing/metrics/response_times.py
+++ b/tulipnotch/load_balancing/metrics/response_times.py
@@ -28,7 +28,7 @@
         self.late = 0.0  # the part of the responses that come after their objective
         self.idle = 0.0  # the least that the typical response has lately taken
         self.cores: float | None = None  # utilization of servers' cores, from 0 to 1; None: not reported
-        self._has_begun = False
+        self._has_started = False
 
     def forget_cores(self) -> None:
         """Drop the last reports of core utilization, as servers send none any more."""
@@ -47,8 +47,8 @@
         what was typical, the more evidence it takes.  Prevents small balancers, whose few responses are
         mostly chance, from taking chance for overload.
         """
-        if not self._has_begun:
-            self._has_begun = True
+        if not self._has_started:
+            self._has_started = True
             self.typical = self.idle = min(part, self._max_first_part)
         stretch = self._load.stretch()
         before = max(self.typical, MIN_RESPONSE_PART)
--- a/tulipnotch/load_balancing/retries/attempt_timeouts.py
+++ b/tulipnotch/load_balancing/retries/attempt_timeouts.py
@@ -66,7 +66,7 @@
         )
         if elapsed_us < unresponsive_after_us:
             self._timers.schedule(attempt.sent_at + unresponsive_after_us, request.request_id, attempt.index)
-        elif self._is_singled_out(attempt) and not self._idle_connections.is_blamed_for(attempt):
+        elif self._is_only_unresponsive(attempt) and not self._idle_connections.is_blamed_for(attempt):
             self._outlier_detection.eject_unresponsive(endpoint)
         return endpoint.ejection is not None or attempt.is_connection_suspect
 
@@ -84,7 +84,7 @@
             attempt.counted_late = True
             self._concurrency_limit.request_overdue()
 
-    def _is_singled_out(self, attempt: Attempt) -> bool:
+    def _is_only_unresponsive(self, attempt: Attempt) -> bool:
         """Whether others responded meanwhile, so that only this endpoint is unresponsive."""
-        responses = self._outlier_detection.answers - attempt.responses_before
+        responses = self._outlier_detection.response_count - attempt.responses_before
         return attempt.endpoint.ejection is None and responses >= OTHER_RESPONSES
--- a/tulipnotch/load_balancing/retries/idempotency_rule.py
+++ b/tulipnotch/load_balancing/retries/idempotency_rule.py
@@ -41,7 +41,9 @@
         """The earliest clock time at which a server may have begun it."""
 
 
-def begin_by(service_class: ServiceClass, clock_resolution_us: int, attempts: Iterable[PriorAttempt]) -> int:
+def latest_start(
+    service_class: ServiceClass, clock_resolution_us: int, attempts: Iterable[PriorAttempt]
+) -> int:
     """Clock time from which on no attempt may begin beside these; NEVER: no bound, 0: not at all.
 
     One clock tick less than the deduplication window, since a clock may be read once a tick.
--- a/tulipnotch/load_balancing/retries/retry_policy.py
+++ b/tulipnotch/load_balancing/retries/retry_policy.py
@@ -23,9 +23,9 @@
         """Add a request's part to the budget."""
         self.budget = min(self.budget + RETRIES_PER_REQUEST, MAX_RETRY_BUDGET)
 
-    def begin_by(self, request: Request) -> int:
+    def latest_attempt_start(self, request: Request) -> int:
         """Clock time from which on the request's class lets no further attempt begin."""
-        return idempotency_rule.begin_by(
+        return idempotency_rule.latest_start(
             request.service_class, self._context.settings.clock_resolution_us, request.attempts
         )
 
@@ -40,19 +40,22 @@
             return 0
         if not idempotency_rule.is_in_group(request.service_class, own.endpoint, others):
             return 0
-        return idempotency_rule.begin_by(request.service_class, settings.clock_resolution_us, others)
+        return idempotency_rule.latest_start(request.service_class, settings.clock_resolution_us, others)
 
     def may_retry(self, request: Request, *, is_redraw: bool) -> bool:
         """Whether to retry after an attempt that ended.
 
         A redraw after an overloaded response is a part of best-of-k and no retry, so it takes no budget.
         """
-        return self._context.now < self.begin_by(request) and (is_redraw or self.budget >= 1.0)
+        return self._context.now < self.latest_attempt_start(request) and (is_redraw or self.budget >= 1.0)
 
     def may_hedge(self, request: Request) -> bool:
         """Whether to try another endpoint than one that is unresponsive."""
         limits = self._context.settings.limits
-        if self._context.now >= self.begin_by(request) or len(request.attempts) >= limits.max_attempts:
+        if (
+            self._context.now >= self.latest_attempt_start(request)
+            or len(request.attempts) >= limits.max_attempts
+        ):
             return False
         return self.budget >= 1.0
 
--- a/tulipnotch/load_balancing/selection/best_of_k.py
+++ b/tulipnotch/load_balancing/selection/best_of_k.py
@@ -148,7 +148,7 @@
                 return False
             if any(each.is_pending and each.endpoint is endpoint for each in request.attempts):
                 return False  # a hedged request goes to another endpoint
-        return endpoint.warm_up is None or self._slow_start.has_room(endpoint, request.work)
+        return endpoint.warm_up is None or self._slow_start.has_budget(endpoint, request.work)
 
     def _is_backing_off(self, endpoint: Endpoint, class_name: str) -> bool:
         back_off = endpoint.back_offs.get(class_name)
--- a/tulipnotch/load_balancing/slow_start/warm_up_budget.py
+++ b/tulipnotch/load_balancing/slow_start/warm_up_budget.py
@@ -56,7 +56,7 @@
     return 1.0 + MAX_COST_ROOTS * math.sqrt(max(budget, 0.0))
 
 
-def has_room(bucket: LapsingBucket, now: int, rate: float, overload_window_us: int, cost: float) -> bool:
+def has_budget(bucket: LapsingBucket, now: int, rate: float, overload_window_us: int, cost: float) -> bool:
     """Whether a request of this cost may pass; `rate` is the own part of the overload rate, per us."""
     capacity = max(1.0, BURST_PART * rate * overload_window_us)
     bucket.fill(now, FILL_PART * rate, capacity, LAPSE_WINDOWS * overload_window_us)
@@ -96,7 +96,7 @@
         started_at = None if endpoint.warm_up is None else endpoint.warm_up.started_at
         return warm_up_factor(self._context.settings.rules, started_at, self._context.now)
 
-    def has_room(self, endpoint: Endpoint, work: float) -> bool:
+    def has_budget(self, endpoint: Endpoint, work: float) -> bool:
         """Whether an endpoint's warm-up budget has room for a request of this much work, in means.
 
         The budget fills with a part of what would overload the server, judged by what this balancer's warm
@@ -115,7 +115,7 @@
         budget = rate * rules.overload_window_us * settings.instance_count * self._capacity.selected_part
         if work > max_cost(budget):
             return False
-        return has_room(warm_up.budget, self._context.now, rate, rules.overload_window_us, work)
+        return has_budget(warm_up.budget, self._context.now, rate, rules.overload_window_us, work)
 
     def spend(self, endpoint: Endpoint, work: float) -> None:
         """Take a request of this much work out of the endpoint's warm-up budget."""
--- a/tulipnotch/load_balancing/timer_queue.py
+++ b/tulipnotch/load_balancing/timer_queue.py
@@ -8,7 +8,7 @@
 
 from tulipnotch.load_balancing.actions import SetTimer
 
-WHOLE_REQUEST = -1  # in place of an attempt: the entry is for the request's deadline
+REQUEST_DEADLINE = -1  # in place of an attempt: the entry is for the request's deadline
 DISCOVERY = -1  # in place of a request, which are never negative: the entry is for a poll of discovery
 TOKEN = "agenda"  # of the one timer; the simulator's lines show it
 
@@ -19,7 +19,7 @@
     due: int
     order: int
     request: int  # or DISCOVERY
-    attempt: int  # or WHOLE_REQUEST
+    attempt: int  # or REQUEST_DEADLINE
 
 
 class TimerQueue:
