--- a/tulipnotch/load_balancing/balancer.py
+++ b/tulipnotch/load_balancing/balancer.py
@@ -27,7 +27,7 @@
 )
 from tulipnotch.load_balancing.metrics.latency import UNSEEN_OBJECTIVES
 from tulipnotch.load_balancing.outcomes import Outcome, TerminationReason
-from tulipnotch.load_balancing.requests import Attempt, AttemptState, Request
+from tulipnotch.load_balancing.requests import PENDING, Attempt, AttemptState, Request
 from tulipnotch.load_balancing.retries import idempotency_rule
 from tulipnotch.load_balancing.settings import ServiceClass, Settings
 from tulipnotch.load_balancing.timer_queue import DISCOVERY, REQUEST_DEADLINE, TimerEntry
@@ -54,7 +54,21 @@
         if not self._has_polled:
             self._has_polled = True
             self._components.discovery_polling.poll()
-        self._dispatch(event)
+        match event:
+            case AttemptEnded():
+                self._attempt_ended(event)
+            case RequestArrived():
+                self._request_arrived(event)
+            case TimerFired():
+                self._timer_fired()
+            case ClientDisconnected():
+                self._client_disconnected(event)
+            case RequestBodyCompleted():
+                self._request_body_completed(event)
+            case ResponseStarted():
+                self._response_started(event)
+            case _:
+                self._update(event)
         timer = self._components.timers.next_timer(now, self._is_obsolete)
         if timer is not None:
             context.actions.append(timer)
@@ -90,26 +104,8 @@
             return None
         return retained.attempts[attempt]
 
-    # Dispatch
-
-    def _dispatch(self, event: Event) -> None:
-        match event:
-            case AttemptEnded():
-                self._attempt_ended(event)
-            case RequestArrived():
-                self._request_arrived(event)
-            case TimerFired():
-                self._timer_fired()
-            case ClientDisconnected():
-                self._client_disconnected(event)
-            case RequestBodyCompleted():
-                self._request_body_completed(event)
-            case ResponseStarted():
-                self._response_started(event)
-            case _:
-                self._dispatch_update(event)
-
-    def _dispatch_update(self, event: Event) -> None:
+    def _update(self, event: Event) -> None:
+        """Apply an event that concerns no single request."""
         match event:
             case EndpointsUpdated():
                 self._components.endpoints_updated(event)
@@ -156,7 +152,7 @@
             return
         self._set_deadline(request, event.remaining_us)
         for attempt in request.attempts:
-            if attempt.is_pending:
+            if attempt.state in PENDING:
                 attempt.sent_at = self._context.now
                 attempt.responses_before = self._components.outlier_detection.response_count
                 self._attempt_in_flight(request, attempt)
@@ -240,7 +236,7 @@
         context = self._context
         if context.settings.limits.may_cancel:
             for attempt in request.attempts:
-                if attempt.is_pending and not attempt.response_started:
+                if attempt.state in PENDING and not attempt.response_started:
                     context.actions.append(CancelAttempt(request.request_id, attempt.index))
         self._forget_if_ended(request)
 
@@ -252,7 +248,7 @@
 
     def _attempt_ended(self, event: AttemptEnded) -> None:
         attempt = self._attempt(event.request, event.attempt)
-        if attempt is None or not attempt.is_pending:
+        if attempt is None or attempt.state not in PENDING:
             return
         components = self._components
         request = self._requests[event.request]
@@ -337,4 +333,4 @@
         request = self._requests.get(entry.request)
         if request is None or request.is_responded:
             return True
-        return entry.attempt != REQUEST_DEADLINE and not request.attempts[entry.attempt].is_pending
+        return entry.attempt != REQUEST_DEADLINE and request.attempts[entry.attempt].state not in PENDING
--- a/tulipnotch/load_balancing/requests.py
+++ b/tulipnotch/load_balancing/requests.py
@@ -23,7 +23,7 @@
     NOT_EXECUTED = "not_executed"  # ended, and the outcome proves that the server did nothing of it
 
 
-_PENDING = (AttemptState.IN_FLIGHT, AttemptState.AWAITING_BODY)
+PENDING = (AttemptState.IN_FLIGHT, AttemptState.AWAITING_BODY)  # the states before an attempt's end
 _NOT_EXECUTED = AttemptState.NOT_EXECUTED
 
 
@@ -65,7 +65,7 @@
     @property
     def is_pending(self) -> bool:
         """Whether it has not ended yet."""
-        return self.state in _PENDING
+        return self.state in PENDING
 
     @property
     def may_have_run(self) -> bool:
@@ -116,4 +116,4 @@
 
     def is_pending(self) -> bool:
         """Whether an attempt has not ended yet."""
-        return any(each.is_pending for each in self.attempts)
+        return any(each.state in PENDING for each in self.attempts)
--- a/tulipnotch/load_balancing/selection/best_of_k.py
+++ b/tulipnotch/load_balancing/selection/best_of_k.py
@@ -19,7 +19,7 @@
 from tulipnotch.load_balancing.selection.locality_weights import LocalityWeights
 from tulipnotch.load_balancing.selection.subset import subset_size
 from tulipnotch.load_balancing.selection.weighted_sampling import weighted_sample
-from tulipnotch.load_balancing.slow_start.warm_up_budget import SlowStart
+from tulipnotch.load_balancing.slow_start.warm_up_budget import SlowStart, warm_up_factor
 
 CHOICE_COUNT = 4  # k: counts are mostly small here, where two choices find too little
 REMOTE_SLOWNESS = 2.0  # of endpoints as busy, one in a zone that is drawn less counts as this much slower
@@ -159,11 +159,13 @@
 
         Only quick servers can respond to heavy requests in time.
         """
-        zone = self._context.settings.zone
+        now, settings = self._context.now, self._context.settings
+        rules, zone = settings.rules, settings.zone
         power = min(max(1.0, float(request.cost_bucket)), MAX_SLOWNESS_POWER)
         weights = []
         for endpoint in pool:
             slowness = math.pow(max(endpoint.latency_ratio, 1.0 / MAX_RATIO), power)
-            factor = 1.0 if endpoint.warm_up is None else self._slow_start.warm_up_factor(endpoint)
+            warm_up = endpoint.warm_up
+            factor = 1.0 if warm_up is None else warm_up_factor(rules, warm_up.started_at, now)
             weights.append(factor / slowness * (1.0 if endpoint.zone == zone else remote_weight))
         return weights
--- a/tulipnotch/load_balancing/slow_start/warm_up_budget.py
+++ b/tulipnotch/load_balancing/slow_start/warm_up_budget.py
@@ -91,31 +91,25 @@
         """Whether an endpoint still warms up."""
         return is_warming_up(endpoint, self._context.settings.rules, self._context.now)
 
-    def warm_up_factor(self, endpoint: Endpoint) -> float:
-        """The least part of its capacity that an endpoint has now."""
-        started_at = None if endpoint.warm_up is None else endpoint.warm_up.started_at
-        return warm_up_factor(self._context.settings.rules, started_at, self._context.now)
-
     def has_budget(self, endpoint: Endpoint, work: float) -> bool:
         """Whether an endpoint's warm-up budget has room for a request of this much work, in means.
 
         The budget fills with a part of what would overload the server, judged by what this balancer's warm
         endpoints serve for it; with all balancers doing so, the sum stays below that.
         """
-        warm_up = endpoint.warm_up
-        if warm_up is None or not self.is_warming_up(endpoint):
+        now, settings = self._context.now, self._context.settings
+        rules, warm_up = settings.rules, endpoint.warm_up
+        if warm_up is None or not is_warming_up(endpoint, rules, now):
             return True
-        settings = self._context.settings
-        rules = settings.rules
         per_us = self._capacity.per_us()
         if self._capacity.mean_nominal_capacity > 0.0:
             per_us *= min(endpoint.nominal_capacity / self._capacity.mean_nominal_capacity, 1.0)
-        rate = rules.overload_multiple * self.warm_up_factor(endpoint) * per_us
+        rate = rules.overload_multiple * warm_up_factor(rules, warm_up.started_at, now) * per_us
         # What all instances together may send to it, if all are like this one.
         budget = rate * rules.overload_window_us * settings.instance_count * self._capacity.selected_part
         if work > max_cost(budget):
             return False
-        return has_budget(warm_up.budget, self._context.now, rate, rules.overload_window_us, work)
+        return has_budget(warm_up.budget, now, rate, rules.overload_window_us, work)
 
     def spend(self, endpoint: Endpoint, work: float) -> None:
         """Take a request of this much work out of the endpoint's warm-up budget."""
