--- a/tests/external_names/outside.py
+++ b/tests/external_names/outside.py
@@ -41,7 +41,8 @@
 from tulipnotch.sidecar.discovery.peers import PeerMessenger
 from tulipnotch.sidecar.downstream.listener import bind
 from tulipnotch.sidecar.operator_file import load_operator_options
-from tulipnotch.simulator_wire.adapter import run, settings_from_wire
+from tulipnotch.simulator_wire.adapter import run
+from tulipnotch.simulator_wire.names import settings_from_wire
 
 PACKAGE = "tulipnotch"
 _BALANCER_OF_SIDECAR = "tulipnotch.sidecar.sidecar.Balancer"
--- a/tests/external_names/test_configuration_names.py
+++ b/tests/external_names/test_configuration_names.py
@@ -151,7 +151,7 @@
             assert process.stderr is not None
             try:
                 events = [json.loads(await soon(process.stderr.readline()))["event"] for _ in range(2)]
-                assert events == ["door_open", "serving"]
+                assert events == ["control_endpoint_listening", "serving"]
                 process.terminate()
                 assert await soon(process.wait()) == 0
             finally:
--- a/tests/sidecar/upstream/test_pool.py
+++ b/tests/sidecar/upstream/test_pool.py
@@ -11,6 +11,7 @@
 from tulipnotch.load_balancing.admission import concurrency_limit
 from tulipnotch.sidecar.upstream import pool as upstream
 from tulipnotch.sidecar.upstream import timeouts
+from tulipnotch.simulator_wire.names import settings_from_wire
 
 
 def open_requests(scene: Stage) -> int:
--- a/tests/sidecar/upstream/test_upstream_timeouts.py
+++ b/tests/sidecar/upstream/test_upstream_timeouts.py
@@ -6,7 +6,7 @@
 from loopback import CLASSES
 
 from tulipnotch.sidecar.upstream.timeouts import UpstreamTimeouts
-from tulipnotch.simulator_wire.adapter import settings_from_wire
+from tulipnotch.simulator_wire.names import settings_from_wire
 
 
 @pytest.mark.parametrize(
--- a/tests/test_constants.py
+++ b/tests/test_constants.py
@@ -15,7 +15,7 @@
 PACKAGES = ("sidecar", "load_balancing", "simulator_wire")
 HEADING = "## Constants and the settings they follow from"
 # Keys of timers and of the wire, and values that mean "not set": none of them is a time, a count or a size.
-KEYS = {"DISCOVERY", "UNSET_RATIO", "WHOLE_REQUEST", "_EVERY_PEER", "_DISCONNECT_EVENTS"}
+KEYS = {"DISCOVERY", "UNSET_RATIO", "REQUEST_DEADLINE", "_ALL_PEERS", "_DISCONNECT_EVENTS"}
 
 
 def _page() -> str:
--- a/tulipnotch/sidecar/configuration/validation.py
+++ b/tulipnotch/sidecar/configuration/validation.py
@@ -6,10 +6,11 @@
 from typing import Any
 
 from tulipnotch.load_balancing import Settings
+from tulipnotch.load_balancing.mapping_reader import ROOT, SettingsError
 from tulipnotch.sidecar.configuration.errors import ConfigError
 from tulipnotch.sidecar.addresses import Address, parse_address
 from tulipnotch.sidecar.discovery.endpoint_list_codec import DiscoveryResponse, parse_endpoint_list
-from tulipnotch.simulator_wire.adapter import settings_from_wire, wire_path
+from tulipnotch.simulator_wire.names import settings_from_wire
 
 _DEFAULT_SOCKETS = 1_024
 _MIN_SOCKETS = 64
@@ -45,11 +46,11 @@
 
 def _read_settings(given: object, faults: list[ConfigError] | None) -> Settings:
     """Reads the settings; adds what is wrong to `faults` if that is given, and raises the first if not."""
-    found: list[str] | None = None if faults is None else []
+    found: list[SettingsError] | None = None if faults is None else []
     try:
         settings = settings_from_wire(given, found)
-    except ValueError as error:
-        raise _settings_error(str(error)) from None
+    except SettingsError as error:
+        raise _settings_error(error) from None
     if faults is not None and found is not None:
         faults += [_settings_error(each) for each in found]
     if settings.limits.max_attempts < 1:
@@ -57,11 +58,10 @@
     return settings
 
 
-def _settings_error(fault: str) -> ConfigError:
-    """Converts a fault, `key: problem`, to an error that names the key as the file does."""
-    path, _, problem = fault.partition(": ")
-    key = path if path.startswith("settings") else f"settings.{wire_path(path)}"
-    return ConfigError(key, problem)
+def _settings_error(error: SettingsError) -> ConfigError:
+    """Converts an error in the settings to one that names the key as the file does."""
+    key = error.path if error.path == ROOT else f"settings.{error.path}"
+    return ConfigError(key, error.problem)
 
 
 def _read_cached_endpoints(given: Mapping[str, Any]) -> DiscoveryResponse:
