--- /dev/null
+++ b/tests/sidecar/http1/test_request_reader.py
@@ -0,0 +1,68 @@
+"""Reading requests, without sockets."""
+
+from __future__ import annotations
+
+import pytest
+
+from tulipnotch.sidecar.http1.body import MAX_BUFFERED_BODY_BYTES
+from tulipnotch.sidecar.http1.request_reader import MAX_HEAD_BYTES, RequestReader
+
+
+def _message(*headers: bytes, body: bytes = b"", version: bytes = b"1.1") -> bytes:
+    lines = b"".join(b"%s\r\n" % header for header in (b"Host: origin", *headers))
+    return b"POST /path HTTP/%s\r\n%s\r\n%s" % (version, lines, body)
+
+
+@pytest.mark.parametrize(
+    ("message", "status"),
+    [
+        (b"garbage\r\n\r\n", 400),
+        (_message(b"Content-Length: 1", b"Content-Length: 1"), 400),
+        (_message(b"Transfer-Encoding: gzip, chunked"), 501),
+        (_message(b"Content-Length: 101"), 413),
+        (_message(b"Transfer-Encoding: chunked", body=b"65\r\n" + bytes(101)), 413),
+        (b"GET /" + bytes([120]) * MAX_HEAD_BYTES, 431),
+    ],
+    ids=["no http", "two lengths", "coding", "length", "chunk", "head"],
+)
+def test_request_reader_sets_fault_when_message_is_unacceptable(message: bytes, status: int) -> None:
+    reader = RequestReader(max_body_bytes=100)
+    reader.feed(message)
+    assert reader.fault == status
+    assert reader.requests == []
+
+
+def test_request_reader_queues_pipelined_requests() -> None:
+    reader = RequestReader()
+    reader.feed(_message(b"Content-Length: 3", body=b"one") + _message(b"Content-Length: 3", body=b"two"))
+    assert [bytes(request.body.buffered) for request in reader.requests] == [b"one", b"two"]
+    assert not reader.is_mid_message
+
+
+def test_request_reader_queues_request_when_its_body_exceeds_buffer() -> None:
+    reader = RequestReader()
+    length = MAX_BUFFERED_BODY_BYTES + 2
+    reader.feed(_message(b"Content-Length: %d" % length, body=bytes(MAX_BUFFERED_BODY_BYTES)))
+    assert reader.requests == []
+    reader.feed(b"x")
+    (request,) = reader.requests
+    assert (request.length, request.body.pending_bytes, request.body.is_complete) == (length, 1, False)
+    reader.feed(b"x")
+    assert (request.body.pending_bytes, request.body.is_complete) == (2, True)
+    assert len(reader.requests) == 1
+
+
+def test_request_reader_awaits_continue_until_body_is_complete() -> None:
+    reader = RequestReader()
+    reader.feed(_message(b"Content-Length: 3", b"Expect: 100-continue"))
+    assert reader.awaits_continue
+    reader.feed(b"one")
+    assert not reader.awaits_continue
+
+
+def test_request_reader_reads_nothing_after_release() -> None:
+    reader = RequestReader()
+    reader.release()
+    reader.feed(_message(b"Content-Length: 3", body=b"one"))
+    assert reader.requests == []
+    assert reader.fault == 400
--- /dev/null
+++ b/tests/sidecar/http1/test_response_reader.py
@@ -0,0 +1,128 @@
+"""Reading responses, without sockets."""
+
+from __future__ import annotations
+
+import pytest
+
+from tulipnotch.sidecar.http1.response_reader import ResponseReader
+
+_HEAD = b"HTTP/1.1 200 OK\r\n"
+_MAX_BUFFERED_BYTES = 100
+_MAX_BODY_BYTES = 100_000
+
+
+@pytest.fixture
+def reader() -> ResponseReader:
+    return ResponseReader(_MAX_BUFFERED_BYTES, _MAX_BODY_BYTES)
+
+
+@pytest.mark.parametrize("part_bytes", [1, 7, 1_000])
+def test_response_reader_completes_response_when_received_in_parts(
+    reader: ResponseReader, part_bytes: int
+) -> None:
+    message = _HEAD + b"Content-Length: 6\r\n\r\nserved"
+    for start in range(0, len(message), part_bytes):
+        assert reader.response is None
+        reader.feed(message[start : start + part_bytes])
+    assert reader.response is not None
+    assert (reader.response.status, reader.response.body, reader.keep_alive) == (200, b"served", True)
+    assert not reader.has_excess_data
+
+
+@pytest.mark.parametrize("excess", [b"x", _HEAD, _HEAD + b"Content-Length: 0\r\n\r\n"])
+@pytest.mark.parametrize("in_one_read", [True, False])
+def test_response_reader_keeps_response_when_excess_data_follows(
+    reader: ResponseReader, excess: bytes, in_one_read: bool
+) -> None:
+    message = _HEAD + b"Content-Length: 6\r\n\r\nserved"
+    for data in [message + excess] if in_one_read else [message, excess]:
+        reader.feed(data)
+    assert reader.has_excess_data
+    assert not reader.is_malformed
+    assert reader.response is not None
+    assert reader.response.body == b"served"
+
+
+@pytest.mark.parametrize(
+    "message",
+    [
+        b"garbage\r\n\r\n",
+        _HEAD + b"Content-Length: 6\r\nTransfer-Encoding: chunked\r\n\r\n",
+        _HEAD + b"Content-Length: 6, 6\r\n\r\n",
+        _HEAD + b"Transfer-Encoding: gzip\r\n\r\n",
+        _HEAD + b"Content-Length: %d\r\n\r\n" % (_MAX_BODY_BYTES + 1),
+        _HEAD
+        + b"Transfer-Encoding: chunked\r\n\r\n%x\r\n" % (_MAX_BODY_BYTES + 1)
+        + bytes(_MAX_BODY_BYTES + 1),
+        b"HTTP/1.1 103 Early\r\n\r\n" * 9,
+    ],
+    ids=["no http", "two framings", "two lengths", "coding", "length", "chunk", "interim responses"],
+)
+def test_response_reader_reports_malformed_response(reader: ResponseReader, message: bytes) -> None:
+    reader.feed(message)
+    assert reader.is_malformed
+    assert reader.response is None
+
+
+def test_response_reader_skips_interim_responses(reader: ResponseReader) -> None:
+    reader.feed(b"HTTP/1.1 103 Early\r\n\r\n" * 8 + _HEAD + b"Content-Length: 0\r\n\r\n")
+    assert reader.response is not None
+    assert reader.response.status == 200
+
+
+def test_response_reader_completes_response_without_length_when_connection_ends(
+    reader: ResponseReader,
+) -> None:
+    reader.feed(_HEAD + b"\r\nserved")
+    assert reader.response is None
+    reader.feed_end()
+    assert reader.response is not None
+    assert (reader.response.body, reader.keep_alive) == (b"served", False)
+
+
+def test_response_reader_does_not_complete_truncated_response_when_connection_ends(
+    reader: ResponseReader,
+) -> None:
+    reader.feed(_HEAD + b"Content-Length: 6\r\n\r\nserv")
+    reader.feed_end()
+    assert reader.response is None
+
+
+def test_response_reader_expects_no_body_after_head_request(reader: ResponseReader) -> None:
+    reader.expect_response(to_head_request=True)
+    reader.feed(_HEAD + b"Content-Length: 6\r\n\r\n")
+    assert reader.response is not None
+    assert (reader.response.length, reader.response.body, reader.keep_alive) == (6, b"", False)
+
+
+@pytest.mark.parametrize(
+    ("framing", "body", "is_due"),
+    [
+        (b"Content-Length: 100", b"x", False),
+        (b"Content-Length: 101", b"", False),
+        (b"Content-Length: 101", b"x", True),
+        (b"Transfer-Encoding: chunked", b"%x\r\n%s\r\n" % (16_384, bytes(16_384)), False),
+        (b"Transfer-Encoding: chunked", b"%x\r\n%s\r\n" % (16_385, bytes(16_385)), True),
+    ],
+)
+def test_response_reader_starts_streaming_when_body_exceeds_buffer(
+    reader: ResponseReader, framing: bytes, body: bytes, is_due: bool
+) -> None:
+    reader.feed(_HEAD + framing + b"\r\n\r\n" + body)
+    assert (reader.head_to_stream is not None) == is_due
+
+
+def test_response_reader_completes_long_error_without_its_body(reader: ResponseReader) -> None:
+    reader.feed(b"HTTP/1.1 500 Broken\r\nContent-Length: 1000\r\n\r\n" + bytes(_MAX_BUFFERED_BYTES + 1))
+    assert reader.response is not None
+    assert (reader.response.status, reader.response.body, reader.keep_alive) == (500, b"", False)
+
+
+def test_response_reader_reads_next_response_after_expect_response(reader: ResponseReader) -> None:
+    message = _HEAD + b"Content-Length: 6\r\n\r\n"
+    reader.feed(message + b"before")
+    reader.expect_response()
+    assert reader.response is None
+    reader.feed(message + b"served")
+    assert reader.response is not None
+    assert reader.response.body == b"served"
--- a/tests/sidecar/upstream/test_connection_accounting.py
+++ b/tests/sidecar/upstream/test_connection_accounting.py
@@ -15,6 +15,7 @@
 from tulipnotch.sidecar.http1.response_reader import ResponseReader
 from tulipnotch.sidecar.upstream.buffered_exchange import BufferedExchange
 from tulipnotch.sidecar.upstream.connection import UpstreamConnection
+from tulipnotch.sidecar.upstream.errors import ConnectionNotIdleError
 
 _LARGE = b"x" * (2 * MAX_BUFFERED_BODY_BYTES)
 
@@ -134,3 +135,16 @@
     response = await soon(exchange.result)
     assert isinstance(response, Response)
     return response
+
+
+@pytest.mark.parametrize("is_closed", [False, True])
+def test_connection_rejects_exchange_when_not_idle(is_closed: bool) -> None:
+    async def work() -> None:
+        connection = UpstreamConnection(ResponseReader(MAX_BUFFERED_BODY_BYTES), None, 5.0)
+        if is_closed:
+            connection.close()
+        assert not connection.is_usable()
+        with pytest.raises(ConnectionNotIdleError):
+            connection.exchange(Request(b"GET", b"/", []), BufferedExchange())
+
+    play(work)
--- /dev/null
+++ b/tests/sidecar/upstream/test_unwritten_request.py
@@ -0,0 +1,53 @@
+"""What is still to be written of a request, without sockets."""
+
+from __future__ import annotations
+
+import pytest
+
+from tulipnotch.sidecar.http1.body import MAX_BUFFERED_BODY_BYTES, Body
+from tulipnotch.sidecar.http1.messages import Request
+from tulipnotch.sidecar.upstream.unwritten_request import UnwrittenRequest
+
+_HEAD = b"POST /path HTTP/1.1\r\nhost: origin\r\n\r\n"
+
+
+def _ignore() -> None:
+    """A hook that does nothing."""
+
+
+def _request(body: Body, *, is_chunked: bool = False) -> Request:
+    return Request(b"POST", b"/path", [(b"host", b"origin")], body, is_chunked=is_chunked)
+
+
+def test_unwritten_request_withholds_last_received_byte_until_body_is_complete() -> None:
+    body = Body(is_complete=False)
+    unwritten = UnwrittenRequest(_request(body), _ignore)
+    body.feed(bytes(MAX_BUFFERED_BODY_BYTES))
+    body.feed(b"abc")
+    assert unwritten.pop_available() == _HEAD + b"ab"
+    assert unwritten.pop_available() == b""
+    body.feed(b"d")
+    body.complete()
+    assert unwritten.remainder() == b"cd"
+
+
+@pytest.mark.parametrize("is_chunked", [False, True])
+def test_unwritten_request_removes_what_was_written(is_chunked: bool) -> None:
+    unwritten = UnwrittenRequest(_request(Body(b"body"), is_chunked=is_chunked), _ignore)
+    expected = _HEAD + (b"4\r\nbody\r\n0\r\n\r\n" if is_chunked else b"body")
+    assert unwritten.remainder() == expected
+    unwritten.written(10)
+    assert unwritten.pop_all_but_last_byte() == expected[10:-1]
+    assert unwritten.remainder() == expected[-1:]
+    unwritten.written(1)
+    assert unwritten.remainder() == b""
+
+
+def test_unwritten_request_detaches_only_its_own_hook() -> None:
+    body = Body(b"body")
+    unwritten = UnwrittenRequest(_request(body), _ignore)
+    body.on_data = other = lambda: None
+    unwritten.detach(_ignore)
+    assert body.on_data is other
+    UnwrittenRequest(_request(body), _ignore).detach(_ignore)
+    assert body.on_data is None
