--- a/tulipnotch/sidecar/upstream/connection.py
+++ b/tulipnotch/sidecar/upstream/connection.py
@@ -227,7 +227,7 @@
 
     def buffer_updated(self, nbytes: int) -> None:
         """Read a part of a response; close the connection where none is due."""
-        if self._current_exchange() is None:
+        if isinstance(self._state, (_Unused, Closed)):
             self.close()
             return
         self._read(bytes(_READ_BUFFER[:nbytes]))
@@ -272,8 +272,9 @@
 
     def _write_end(self, writing: Writing) -> None:
         """Write the end of a request that was received completely, or as much of it as the kernel accepts."""
+        remainder = writing.request.remainder()
         try:
-            count = os.write(self._descriptor, writing.request.remainder())
+            count = os.write(self._descriptor, remainder)
         except BlockingIOError:
             count = 0
         except OSError:
@@ -281,12 +282,12 @@
             if self._transport is not None:
                 self._transport.abort()  # and connection_lost follows
             return
-        writing.request.written(count)
-        if not writing.request.remainder():
+        if count == len(remainder):
             self._stop_writing(writing)
             self._state = AwaitingResponse(writing.observer)
             writing.observer.request_written()
             return
+        writing.request.written(count)
         self._write(writing.request.pop_all_but_last_byte())
         if not self._has_backlog:
             # The kernel accepted all but one byte, or has no space for the one that is left: the transport
@@ -315,8 +316,10 @@
         if reader.is_malformed:
             self._fail(ExchangeFailure.MALFORMED_RESPONSE)
             return
-        if isinstance(self._state, AwaitingResponse) and self._state.observer.streams_responses:
-            self._start_streaming(self._state)
+        if isinstance(self._state, AwaitingResponse):
+            head = reader.head_to_stream
+            if head is not None and self._state.observer.streams_responses:
+                self._start_streaming(self._state, head)
         state = self._state
         if isinstance(state, Streaming):
             data = reader.pop_buffered()
@@ -332,11 +335,8 @@
             # is too late to try another server.  Interim responses do not count as a start.
             self._check_progress()
 
-    def _start_streaming(self, awaiting: AwaitingResponse) -> None:
-        """Find a consumer for the response, if it is to be streamed by now."""
-        head = self._reader.head_to_stream
-        if head is None:
-            return
+    def _start_streaming(self, awaiting: AwaitingResponse, head: Response) -> None:
+        """Find a consumer for the response, which fails without one."""
         consumer = awaiting.observer.response_started(head)
         if consumer is None:
             self._fail(ExchangeFailure.MALFORMED_RESPONSE)  # nobody waits for it any more
