--- a/tests/test_announced.py
+++ b/tests/test_announced.py
@@ -260,7 +260,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # What the agent has counts as announced from the first moment on; the remembered list may be older.
-    monkeypatch.setattr(startup, "_LIST_TIMEOUT_S", PATIENCE_S)
+    monkeypatch.setattr(startup, "_ENDPOINT_LIST_TIMEOUT_S", PATIENCE_S)
 
     async def work() -> None:
         async with stage(OK, OK, discovery="pushed", started=False, silent_discovery=True) as scene:
@@ -280,7 +280,7 @@
 def test_where_lists_are_pushed_an_agent_that_is_away_holds_no_start_up(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(startup, "_LIST_TIMEOUT_S", 4 * PATIENCE_S)
+    monkeypatch.setattr(startup, "_ENDPOINT_LIST_TIMEOUT_S", 4 * PATIENCE_S)
 
     async def work() -> None:
         async with stage(OK, discovery="pushed", started=False) as scene:
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -139,7 +139,7 @@
 ) -> None:
     # Guards against waiting for a discovery that is down: others wait for this process.
     async def work() -> None:
-        monkeypatch.setattr("tulipnotch.sidecar.startup._LIST_TIMEOUT_S", 0.5)
+        monkeypatch.setattr("tulipnotch.sidecar.startup._ENDPOINT_LIST_TIMEOUT_S", 0.5)
         async with stage(OK, silent_discovery=True, started=False, given={"known": None}) as scene:
             starting = asyncio.ensure_future(scene.sidecar.start())
             await asyncio.sleep(0)
--- a/tulipnotch/sidecar/requests/attempts.py
+++ b/tulipnotch/sidecar/requests/attempts.py
@@ -10,7 +10,7 @@
 from tulipnotch.sidecar.http1.messages import Response
 from tulipnotch.sidecar.requests.context import SidecarContext
 from tulipnotch.sidecar.requests.invariants import WrittenAttempt
-from tulipnotch.sidecar.requests.open_request import ClientLeft, OpenRequest, WaitingForResponse
+from tulipnotch.sidecar.requests.open_request import Disconnected, OpenRequest, WaitingForResponse
 from tulipnotch.sidecar.requests.request_registry import RequestRegistry
 from tulipnotch.sidecar.requests.responses import ResponseSender
 from tulipnotch.sidecar.upstream.connection import ResponseConsumer, UpstreamConnection
@@ -53,7 +53,7 @@
             context.telemetry.request_retried(previous_outcome)
         if context.trace is not None:
             cause = "" if not number else "overdue" if previous_outcome is None else previous_outcome.value
-            context.trace.attempt_begun(request.name, number, action.endpoint, cause)
+            context.trace.attempt_started(request.name, number, action.endpoint, cause)
 
         upstream_request = UpstreamRequest(
             action.endpoint, deadline, request.incoming.upstream_message, attempt
@@ -160,7 +160,7 @@
             starter.registry.remove_if_ended(request)
             return
         request.last_outcome = outcome
-        if outcome is Outcome.NOT_SENT and isinstance(request.response, ClientLeft):
+        if outcome is Outcome.NOT_SENT and isinstance(request.response, Disconnected):
             context.telemetry.attempt_withheld()
         if outcome is Outcome.DELIVERED and response is not None:
             starter.responses.respond_from(request.number, response)
--- a/tulipnotch/sidecar/requests/invariants.py
+++ b/tulipnotch/sidecar/requests/invariants.py
@@ -79,7 +79,7 @@
         """How often any of them was broken."""
         return sum(self.broken.values())
 
-    def check(self, holds: bool, invariant: Invariant, about: str | bytes) -> None:
+    def check(self, invariant: Invariant, about: str | bytes, *, holds: bool) -> None:
         """Counts and reports an invariant unless it holds; `about` names what it was broken for."""
         if holds:
             return
@@ -89,8 +89,8 @@
 
     def check_attempt(self, request_id: bytes, *, is_client_waiting: bool, now: int, deadline: int) -> None:
         """The last byte of an attempt is written; times are clock times (us)."""
-        self.check(is_client_waiting, Invariant.CLIENT_WAITS_FOR_ATTEMPT, request_id)
-        self.check(now < deadline, Invariant.ATTEMPT_BEFORE_DEADLINE, request_id)
+        self.check(Invariant.CLIENT_WAITS_FOR_ATTEMPT, request_id, holds=is_client_waiting)
+        self.check(Invariant.ATTEMPT_BEFORE_DEADLINE, request_id, holds=now < deadline)
 
     def check_retry(
         self,
@@ -103,10 +103,10 @@
     ) -> None:
         """The last byte of a further attempt is written; `earlier` are the written ones before it."""
         is_alone = allows_hedging or not any(attempt.is_in_flight for attempt in earlier)
-        self.check(is_alone, Invariant.RETRY_WITHOUT_HEDGING, request_id)
+        self.check(Invariant.RETRY_WITHOUT_HEDGING, request_id, holds=is_alone)
         executed = [attempt for attempt in earlier if attempt.may_have_run]
         is_deduplicated = _may_execute_beside(service_class, written, executed)
-        self.check(is_deduplicated, Invariant.RETRY_WITHIN_DEDUPLICATION, request_id)
+        self.check(Invariant.RETRY_WITHIN_DEDUPLICATION, request_id, holds=is_deduplicated)
 
     def check_rejection(
         self, request_id: bytes, service_class: ServiceClass, attempts: Iterable[WrittenAttempt]
@@ -115,12 +115,12 @@
         has_no_effect = may_run_anywhere_again(service_class) or not any(
             attempt.may_have_run for attempt in attempts
         )
-        self.check(has_no_effect, Invariant.REJECTION_WITHOUT_EFFECT, request_id)
+        self.check(Invariant.REJECTION_WITHOUT_EFFECT, request_id, holds=has_no_effect)
 
     def check_close(self, reason: CloseReason, *, is_owed: bool) -> None:
         """This side ends a client's connection; `is_owed`: with a pending response."""
         holds = not is_owed or reason in _WITH_PENDING_RESPONSE
-        self.check(holds, Invariant.CLOSE_WITHOUT_PENDING_RESPONSE, reason.value)
+        self.check(Invariant.CLOSE_WITHOUT_PENDING_RESPONSE, reason.value, holds=holds)
 
 
 def _may_execute_beside(
--- a/tulipnotch/sidecar/requests/open_request.py
+++ b/tulipnotch/sidecar/requests/open_request.py
@@ -32,16 +32,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ClientLeft:
+class Disconnected:
     """The client disconnected before its response had ended, or its body was abandoned."""
 
 
 RESPONSE_ENDED = ResponseEnded()
-CLIENT_LEFT = ClientLeft()
+DISCONNECTED = Disconnected()
 
 # WaitingForResponse -> StreamingResponse -> ResponseEnded; a buffered response leaves the second one out.
-# ClientLeft may follow WaitingForResponse, and ResponseEnded where a streamed response broke off.
-ResponseState = WaitingForResponse | StreamingResponse | ResponseEnded | ClientLeft
+# Disconnected may follow WaitingForResponse, and ResponseEnded where a streamed response broke off.
+ResponseState = WaitingForResponse | StreamingResponse | ResponseEnded | Disconnected
 
 
 class OpenRequest:
--- a/tulipnotch/sidecar/requests/request_receiver.py
+++ b/tulipnotch/sidecar/requests/request_receiver.py
@@ -59,7 +59,7 @@
         if is_body_incomplete:
             incoming.body.on_complete = lambda: self._body_completed(request)
         if context.trace is not None:
-            context.trace.request_taken(request.name, incoming.class_name, incoming.remaining_us)
+            context.trace.request_accepted(request.name, incoming.class_name, incoming.remaining_us)
         self._events.post(
             RequestArrived(
                 request=request.number,
@@ -86,16 +86,16 @@
         self._events.post(RequestBodyCompleted(request.number, remaining_us))
 
     def client_disconnected(self, number: int) -> None:
-        """The client left before its response had ended, or its body was abandoned."""
+        """The client disconnected before its response had ended, or its body was abandoned."""
         request = self._registry.get(number)
         if request is not None:
             if isinstance(request.response, StreamingResponse):
                 self._responses.cancel_stream(request, request.response)
                 return
-            self._registry.client_left(request, self._context.clock.now())
+            self._registry.client_disconnected(request, self._context.clock.now())
             if self._context.trace is not None:
                 self._context.trace.request_ended(request.name, 0)
-            self._responses.client_left(request)
+            self._responses.client_disconnected(request)
         self._events.post(ClientDisconnected(number))
         if request is not None:
             self._registry.remove_if_ended(request)
--- a/tulipnotch/sidecar/requests/request_registry.py
+++ b/tulipnotch/sidecar/requests/request_registry.py
@@ -89,7 +89,7 @@
         """Whether a request with this id may have been executed, and must not be executed once more."""
         return self._possibly_executed.contains(request_id, now)
 
-    def client_left(self, request: OpenRequest, now: int) -> None:
+    def client_disconnected(self, request: OpenRequest, now: int) -> None:
         """Rejects the id of a request from now on that may have been executed and must not be twice.
 
         Args:
--- a/tulipnotch/sidecar/requests/responses.py
+++ b/tulipnotch/sidecar/requests/responses.py
@@ -10,7 +10,7 @@
 from tulipnotch.sidecar.requests.context import SidecarContext
 from tulipnotch.sidecar.requests.invariants import CloseReason
 from tulipnotch.sidecar.requests.open_request import (
-    CLIENT_LEFT,
+    DISCONNECTED,
     RESPONSE_ENDED,
     OpenRequest,
     ResponseState,
@@ -58,10 +58,10 @@
             self._context.upstream.cancel_unwritten(upstream_request)
         return waiting.client
 
-    def client_left(self, request: OpenRequest) -> None:
+    def client_disconnected(self, request: OpenRequest) -> None:
         """The client disconnected; where a streamed response broke off before, only the state changes."""
-        self.stop_waiting(request, CLIENT_LEFT)
-        request.response = CLIENT_LEFT
+        self.stop_waiting(request, DISCONNECTED)
+        request.response = DISCONNECTED
 
     def respond(
         self, number: int, status: int, headers: Headers, body: bytes = b"", length: int | None = None
--- a/tulipnotch/sidecar/requests/trace.py
+++ b/tulipnotch/sidecar/requests/trace.py
@@ -1,4 +1,4 @@
-"""The life of each request in the log, by its id: for following one through, and off by default.
+"""The course of each request in the log, by its id; off by default.
 
 `requests = true` under `[log]` of the operator file turns it on.  The log's limits hold for these lines too.
 """
@@ -11,21 +11,22 @@
 
 
 class Trace:
-    """Writes what becomes of requests, connections and the process; `request` is a client's own id."""
+    """Logs what happens to requests, connections and the process; `request` is a client's own id."""
 
     def __init__(self, log: Log) -> None:
+        """Logs here from the start."""
         self._log = log
 
-    def request_taken(self, request: str, service_class: str, left_us: int) -> None:
-        """All that the sidecar needs of a request has come."""
-        self._log("request_taken", request=request, kind=service_class, left_ms=left_us // 1_000)
+    def request_accepted(self, request: str, service_class: str, remaining_us: int) -> None:
+        """A request was read as far as the sidecar needs it."""
+        self._log("request_taken", request=request, kind=service_class, left_ms=remaining_us // 1_000)
 
-    def attempt_begun(self, request: str, number: int, server: str, after: str) -> None:
-        """An attempt is decided on; `after` says what became of the one before."""
+    def attempt_started(self, request: str, number: int, server: str, after: str) -> None:
+        """An attempt was decided on; `after` is the outcome of the one before, empty for the first."""
         self._log("attempt_begun", request=request, number=number, server=server, after=after or "none")
 
     def attempt_written(self, request: str, number: int) -> None:
-        """Its last byte has left."""
+        """The last byte of an attempt was written."""
         self._log("attempt_written", request=request, number=number)
 
     def attempt_ended(self, request: str, number: int, outcome: Outcome) -> None:
@@ -33,7 +34,7 @@
         self._log("attempt_ended", request=request, number=number, outcome=outcome.value)
 
     def request_ended(self, request: str, status: int) -> None:
-        """A request has its final answer; 0 where its client left first."""
+        """A request has its response, or the first part of it; 0 where its client disconnected first."""
         self._log("request_ended", request=request, status=status)
 
     def connection_closed(self, reason: CloseReason) -> None:
@@ -41,5 +42,5 @@
         self._log("connection_closed", reason=reason.value)
 
     def phase_changed(self, phase: str) -> None:
-        """The process is in another phase."""
+        """The process is in another phase of its lifecycle."""
         self._log("phase_changed", phase=phase)
--- a/tulipnotch/sidecar/shutdown.py
+++ b/tulipnotch/sidecar/shutdown.py
@@ -45,21 +45,23 @@
         Args:
             hands_over_listener: Whether other processes hold the listening socket too.
         """
-        began = asyncio.get_running_loop().time()
+        started_at = asyncio.get_running_loop().time()
         deadlines_us = [each.deadline_us for each in self._context.settings.classes]
         remaining_s = min(max(deadlines_us) / 1e6, _MAX_DEADLINE_S) + _KILL_DELAY_S - _FINAL_WRITE_S
         self._registry.respond_by = self._context.clock.now() + int(remaining_s * 1e6)
         self._downstream.lifecycle.stop()
         if hands_over_listener:
-            await self._hand_over_listener(began + remaining_s)
+            await self._hand_over_listener(started_at + remaining_s)
         else:
-            await self._drain_connections(began, began + remaining_s)
+            await self._drain_connections(started_at, started_at + remaining_s)
         for request in self._registry:
             self._responses.respond(request.number, 504, [])  # the balancer has not ended it in time
             self._responses.end_stream(request, Outcome.CANCELLED)
         await asyncio.sleep(0)
         pending = self._registry.pending_responses
-        self._context.invariants.check(not pending, Invariant.STOP_WITHOUT_PENDING_RESPONSE, str(pending))
+        self._context.invariants.check(
+            Invariant.STOP_WITHOUT_PENDING_RESPONSE, str(pending), holds=not pending
+        )
 
     async def _hand_over_listener(self, until: float) -> None:
         """Leaves new connections to whoever else holds the listening socket, and finishes the open ones.
@@ -71,7 +73,7 @@
         self._context.upstream.close_all_idle()
         await _poll(lambda: self._downstream.has_no_connections, _POLL_INTERVAL_S, until)
 
-    async def _drain_connections(self, began: float, until: float) -> None:
+    async def _drain_connections(self, started_at: float, until: float) -> None:
         """Accepts what clients still send, since nobody else listens, then closes what is idle."""
         loop = asyncio.get_running_loop()
         downstream = self._downstream
@@ -80,7 +82,7 @@
         await _poll(
             lambda: loop.time() >= downstream.last_opened + _QUIET_PERIOD_S,
             _QUIET_PERIOD_S / 2,
-            began + _KILL_DELAY_S,
+            started_at + _KILL_DELAY_S,
         )
         await _poll(downstream.accept_pending, _QUIET_PERIOD_S / 2, until)
         downstream.stop_listening()
--- a/tulipnotch/sidecar/sidecar.py
+++ b/tulipnotch/sidecar/sidecar.py
@@ -172,7 +172,7 @@
         )
         is_cache_sufficient = bool(self.config.known.endpoints) and not needs_fresh_list
         self._context.invariants.check(
-            is_cache_sufficient or has_waited, Invariant.READY_AFTER_DISCOVERY, self.config.name
+            Invariant.READY_AFTER_DISCOVERY, self.config.name, holds=is_cache_sufficient or has_waited
         )
 
     @property
--- a/tulipnotch/sidecar/startup.py
+++ b/tulipnotch/sidecar/startup.py
@@ -13,8 +13,8 @@
 from tulipnotch.sidecar.downstream.server import DownstreamServer
 from tulipnotch.sidecar.logs import Log
 
-_LIST_TIMEOUT_S = 1.0  # how long a start without a cached endpoint list waits for one
-_TAKEOVER_LIST_TIMEOUT_S = 3.0  # the same where the previous process serves meanwhile
+_ENDPOINT_LIST_TIMEOUT_S = 1.0  # how long a start without a cached endpoint list waits for one
+_TAKEOVER_TIMEOUT_S = 3.0  # the same where the previous process serves meanwhile
 # Connections that have waited for so long show that the previous process does not accept them any more.
 _UNSERVED_AFTER_S = 0.25
 _TAKEOVER_OVERLAP_S = 5.0  # from being ready after a takeover: the previous process has ended by then
@@ -29,14 +29,14 @@
         log: Log,
         downstream: DownstreamServer,
         budget: DescriptorBudget,
-        list_received: asyncio.Event,
+        endpoints_received: asyncio.Event,
     ) -> None:
-        """`list_received` is set when discovery has sent an endpoint list."""
+        """`endpoints_received` is set when discovery has sent an endpoint list."""
         self._config = config
         self._log = log
         self._downstream = downstream
         self._budget = budget
-        self._list_received = list_received
+        self._endpoints_received = endpoints_received
         self.has_timed_out = False  # whether a wait for discovery did
 
     async def listen(self, reserved: socket.socket, first_call_ended: asyncio.Event) -> None:
@@ -52,11 +52,11 @@
         """
         if self._config.settings.discovery_mode is DiscoveryMode.PUSHED:
             # Nothing listens meanwhile: what the kernel accepts is lost if the start is cancelled.
-            await self._wait(first_call_ended, _LIST_TIMEOUT_S)
+            await self._wait(first_call_ended, _ENDPOINT_LIST_TIMEOUT_S)
         listen(reserved, self._downstream.max_connections)
         self._downstream.listen(reserved)
         if not self._config.known.endpoints:
-            await self._wait(self._list_received, _LIST_TIMEOUT_S)
+            await self._wait(self._endpoints_received, _ENDPOINT_LIST_TIMEOUT_S)
 
     async def take_over(self, inherited: socket.socket) -> None:
         """Accepts from an inherited listener once there is a fresh endpoint list.
@@ -66,19 +66,19 @@
         """
         self._budget.set_shared(is_shared=True)
         loop = asyncio.get_running_loop()
-        began = loop.time()
-        fresh = loop.create_task(self._list_received.wait())
+        started_at = loop.time()
+        fresh = loop.create_task(self._endpoints_received.wait())
         unserved = loop.create_task(left_waiting(inherited, _UNSERVED_AFTER_S))
         try:
             await asyncio.wait(
-                (fresh, unserved), timeout=_TAKEOVER_LIST_TIMEOUT_S, return_when=asyncio.FIRST_COMPLETED
+                (fresh, unserved), timeout=_TAKEOVER_TIMEOUT_S, return_when=asyncio.FIRST_COMPLETED
             )
         finally:
             fresh.cancel()
             unserved.cancel()
-        if not self._list_received.is_set():
+        if not self._endpoints_received.is_set():
             self.has_timed_out = True
-            self._log("no_fresh_list", waited_s=round(loop.time() - began, 1))
+            self._log("no_fresh_list", waited_s=round(loop.time() - started_at, 1))
         self._downstream.listen(inherited)
         loop.call_later(_TAKEOVER_OVERLAP_S, self._end_takeover)
 
--- a/tulipnotch/sidecar/upstream/pool.py
+++ b/tulipnotch/sidecar/upstream/pool.py
@@ -289,7 +289,9 @@
             return call.observer.response_started(head, connection)
 
         self._guard.check(
-            self._is_ready(call.endpoint, connection), Invariant.ATTEMPT_TO_READY_ENDPOINT, call.endpoint
+            Invariant.ATTEMPT_TO_READY_ENDPOINT,
+            call.endpoint,
+            holds=self._is_ready(call.endpoint, connection),
         )
         call.connection = connection
         now = self._clock.now()
