--- a/tests/barriers.py
+++ b/tests/barriers.py
@@ -26,7 +26,7 @@
 
     def __init__(self, patch: pytest.MonkeyPatch) -> None:
         self.now_us = 1_700_000_000_000_000
-        patch.setattr(Clock, "now", lambda clock: self.now_us)
+        patch.setattr(Clock, "now", lambda _clock: self.now_us)
 
     def advance(self, span_us: int) -> None:
         self.now_us += span_us
--- a/tests/test_service.py
+++ b/tests/load_balancing/test_long_service.py
@@ -14,7 +14,7 @@
     return [each.text for each in stage.said(LogEvent) if each.text.startswith("ejected")]
 
 
-def test_nothing_is_kept_of_servers_that_were_replaced() -> None:
+def test_balancer_retains_nothing_of_servers_that_were_replaced() -> None:
     # Guards against growth: every id is new, and all servers are replaced over and over.
     stage = Stage(settings(limits={"hedged_requests": False}))
     for round_ in range(200):
@@ -32,7 +32,7 @@
     assert all(each.state is EndpointState.READY for each in balancer._parts.outlier_detection._ejected)
 
 
-def test_a_server_that_left_is_kept_until_its_last_attempt_has_ended() -> None:
+def test_removed_server_is_retained_until_its_last_attempt_has_ended() -> None:
     stage = Stage()
     stage.servers(names(1))
     request = stage.request("pay")
@@ -44,7 +44,7 @@
     assert stage.balancer._parts.load.current() == 0
 
 
-def test_spoilt_answers_eject_nobody_until_they_are_all_that_a_server_gives() -> None:
+def test_malformed_responses_eject_a_server_only_when_it_gives_no_others() -> None:
     # Guards against ejecting half the fleet for noise on the way that meets any server alike.
     stage = Stage()
     stage.servers(names(4))
@@ -60,7 +60,7 @@
     assert any(each.endswith("spoilt") for each in _ejected(stage))
 
 
-def test_a_spoilt_answer_may_have_run() -> None:
+def test_request_with_a_malformed_response_may_have_been_executed() -> None:
     stage = Stage()
     stage.servers(names(4))
     for kind in ("look", "pay"):
@@ -71,7 +71,7 @@
     assert len(stage.said(FailRequest)) == 1
 
 
-def test_a_request_that_a_server_finds_fault_with_fails_at_once_and_is_held_against_nobody() -> None:
+def test_request_fails_at_once_and_blames_no_server_after_a_client_error() -> None:
     stage = Stage()
     stage.servers(names(4))
     for _ in range(20):
@@ -82,7 +82,7 @@
     assert _ejected(stage) == []
 
 
-def test_handshakes_are_not_taken_for_overload_or_silence() -> None:
+def test_handshakes_are_not_taken_for_overload_or_unresponsiveness() -> None:
     # Guards the first second after a start: every connection is new, and its first answer comes late.
     def refused(every_answer_us: int, first_answer_us: int) -> int:
         stage = Stage()
@@ -100,7 +100,7 @@
     assert refused(700 * MS, 700 * MS) > 10
 
 
-def test_a_refused_client_is_told_when_to_come_back_within_its_aim() -> None:
+def test_rejected_client_is_advised_to_retry_within_its_latency_objective() -> None:
     for allowed, most in ((True, 2 * S), (True, 20 * MS), (False, 2 * S)):
         stage = Stage(settings(limits={"retry_after": allowed, "max_retry_after_us": most}))
         stage.servers([])
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -218,7 +218,7 @@
     """A script that answers nothing until the event is set."""
     release = asyncio.Event()
 
-    async def hold(heard: Heard) -> bytes:
+    async def hold(_heard: Heard) -> bytes:
         await release.wait()
         return OK
 
--- a/tests/test_leaving.py
+++ b/tests/sidecar/requests/test_client_disconnects.py
@@ -46,7 +46,9 @@
 
 @pytest.mark.parametrize("may_cancel", [True, False])
 @pytest.mark.parametrize("seen_by", ["the sweep", "a look before the write"])
-def test_a_client_gone_during_a_dial_with_reading_paused(seen_by: str, may_cancel: bool) -> None:
+def test_attempt_is_not_written_when_the_client_disconnects_during_a_dial_with_reading_paused(
+    *, seen_by: str, may_cancel: bool
+) -> None:
     # What it sent ahead stops the reading, so that the event loop never sees its end.
     async def work() -> None:
         slow = SlowToAccept()
@@ -71,11 +73,11 @@
     play(work)
 
 
-def test_a_client_gone_before_a_refusal_is_redrawn() -> None:
+def test_attempt_is_not_retried_when_the_client_disconnects_before_a_rejection() -> None:
     async def work() -> None:
         release = asyncio.Event()
 
-        async def full(heard: Heard) -> bytes:
+        async def full(_heard: Heard) -> bytes:
             await release.wait()
             return FULL
 
@@ -90,7 +92,9 @@
     play(work)
 
 
-def test_what_a_client_sent_ahead_is_not_taken_once_it_has_left(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_pipelined_request_is_not_accepted_when_its_client_has_disconnected(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(upstream, "_REST_US", 0)  # it would be written at once
 
     async def work() -> None:
@@ -101,12 +105,13 @@
             await _leave(client)
             release.set()
             await until(lambda: scene.sidecar.frontend.open_connections == 0)
-            assert scene.sidecar.open_requests == 0 and len(scene.heard) == 1
+            assert scene.sidecar.open_requests == 0
+            assert len(scene.heard) == 1
 
     play(work)
 
 
-def test_a_body_that_still_comes_is_not_waited_for_once_its_client_has_left() -> None:
+def test_incomplete_body_is_not_waited_for_when_its_client_has_disconnected() -> None:
     # No server begins what is not whole: without permission to cancel too, its place there is given back.
     async def work() -> None:
         async with stage(OK, bounds={"mayCancel": False}) as scene:
@@ -122,7 +127,7 @@
     play(work)
 
 
-def test_a_second_copy_that_still_dials_goes_nowhere_once_the_first_is_answered() -> None:
+def test_hedged_attempt_that_dials_is_not_written_when_the_first_is_responded() -> None:
     # Nothing may follow the final answer, and no permission is needed to stop what has not left.
     async def work() -> None:
         slow = SlowToAccept()
@@ -177,7 +182,8 @@
         if how == "reset":
             application.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         application.close()
-    assert at_sidecar is not None and at_sidecar._transport is not None
+    assert at_sidecar is not None
+    assert at_sidecar._transport is not None
     ended = select.poll()
     ended.register(at_sidecar._transport.get_extra_info("socket").fileno(), select.POLLRDHUP)
     assert ended.poll(20_000)
@@ -217,10 +223,10 @@
         self._request = 0
         self.ended: list[Outcome] = []
 
-    def __call__(self, settings: Settings, seed: int) -> _Scripted:
+    def __call__(self, _settings: Settings, _seed: int) -> _Scripted:
         return self
 
-    def handle(self, now: int, event: Event) -> list[Action]:
+    def handle(self, _now: int, event: Event) -> list[Action]:
         if isinstance(event, RequestArrived):
             self._request = event.request
         if isinstance(event, AttemptEnded):
@@ -232,7 +238,7 @@
     def attempt_written(self, request: int, attempt: int, now: int) -> None:
         """Nothing here bounds another attempt."""
 
-    def latest_start(self, request: int, attempt: int) -> int:
+    def latest_start(self, _request: int, _attempt: int) -> int:
         return NEVER
 
     def members(self) -> tuple[int, int]:
@@ -241,7 +247,7 @@
 
 @pytest.mark.parametrize("ahead", [b"", _AHEAD], ids=["", "pipelined"])
 @pytest.mark.parametrize("how", _LEAVING)
-def test_a_timer_that_falls_due_in_the_instant_of_the_leaving(
+def test_attempts_are_not_started_when_a_timer_fires_as_the_client_disconnects(
     how: str, ahead: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # Two attempts are due at once, as after a step of the loop that came late.
@@ -259,7 +265,8 @@
                 await _is_over(scene)
                 assert decisions.ended == [Outcome.NOT_SENT] * 2
                 assert _withheld(scene) == 2
-                assert scene.heard == [] and [each.connections for each in scene.servers] == [0, 0]
+                assert scene.heard == []
+                assert [each.connections for each in scene.servers] == [0, 0]
 
     play(work)
 
@@ -267,7 +274,7 @@
 @pytest.mark.parametrize("end", [FULL, ERROR, None], ids=["full", "failed", "dropped"])
 @pytest.mark.parametrize("ahead", [b"", _AHEAD], ids=["", "pipelined"])
 @pytest.mark.parametrize("how", [*_LEAVING, "stays"])
-def test_a_first_attempt_that_ends_in_the_instant_of_the_leaving(
+def test_attempt_is_not_retried_when_it_ends_as_the_client_disconnects(
     how: str, ahead: bytes, end: bytes | None
 ) -> None:
     async def work() -> None:
@@ -291,7 +298,8 @@
                     assert _withheld(scene) == 0
                     return
                 await _is_over(scene)
-                assert len(scene.heard) == 1 and sum(each.connections for each in scene.servers) == 1
+                assert len(scene.heard) == 1
+                assert sum(each.connections for each in scene.servers) == 1
                 assert _withheld(scene) == 1
 
     play(work)
@@ -300,8 +308,8 @@
 @pytest.mark.parametrize("is_trial", [False, True], ids=["", "trial"])
 @pytest.mark.parametrize("ahead", [b"", _AHEAD], ids=["", "pipelined"])
 @pytest.mark.parametrize("how", [*_LEAVING, "stays"])
-def test_a_connection_has_rested_in_the_instant_of_the_leaving(
-    how: str, ahead: bytes, is_trial: bool, monkeypatch: pytest.MonkeyPatch
+def test_attempt_is_not_written_when_its_connection_is_reusable_as_the_client_disconnects(
+    *, how: str, ahead: bytes, is_trial: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(upstream, "_REST_US", 600_000_000)  # its end is brought on here
 
@@ -331,8 +339,10 @@
                     await until(lambda: len(scene.heard) == 2)
                     return
                 await _is_over(scene)
-                assert len(scene.heard) == 1 and scene.servers[0].connections == 1
-                assert _withheld(scene) == 1 and listed.probation_attempt is None
+                assert len(scene.heard) == 1
+                assert scene.servers[0].connections == 1
+                assert _withheld(scene) == 1
+                assert listed.probation_attempt is None
 
     play(work)
 
@@ -340,7 +350,9 @@
 @pytest.mark.parametrize("ahead", [b"", _AHEAD], ids=["", "pipelined"])
 @pytest.mark.parametrize("size", [0, 40_000, 200_000], ids=["no body", "kept", "passing through"])
 @pytest.mark.parametrize("how", [*_LEAVING, "stays"])
-def test_the_rest_of_a_request_and_the_leaving_come_together(how: str, size: int, ahead: bytes) -> None:
+def test_attempt_is_not_written_when_the_last_bytes_come_as_the_client_disconnects(
+    how: str, size: int, ahead: bytes
+) -> None:
     # An attempt begins with the last byte of its request: what passes through is at its server by half.
     async def work() -> None:
         async with stage(OK, client_limits=_NEVER_SWEPT, bounds={"mayCancel": False}) as scene:
@@ -372,7 +384,7 @@
 
 
 @pytest.mark.parametrize("how", [*_LEAVING, "stays"])
-def test_the_end_of_a_body_waits_behind_what_its_server_has_not_taken(
+def test_end_of_a_body_is_written_after_what_its_server_has_not_read(
     how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # The network takes little of it at a time: the rest waits in this process, the last byte among it.
@@ -402,7 +414,8 @@
                 accepted, _ = await loop.sock_accept(server)
                 await _paused(scene, _AHEAD)
                 (held,) = scene.sidecar._registry
-                assert held.incoming.body.is_complete and held.incoming.body.pending_bytes > 1
+                assert held.incoming.body.is_complete
+                assert held.incoming.body.pending_bytes > 1
                 got = b""
                 while held.incoming.body.pending_bytes > 1:
                     got += await loop.sock_recv(accepted, 1_000)
@@ -420,7 +433,7 @@
     play(work)
 
 
-def test_a_dial_that_comes_up_in_the_instant_of_the_leaving() -> None:
+def test_attempt_is_not_written_when_its_dial_succeeds_as_the_client_disconnects() -> None:
     # Three at once, each with a request behind the open one: connections come up late by a second.
     async def work() -> None:
         slow = SlowToAccept()
--- a/tests/test_invariants.py
+++ b/tests/sidecar/requests/test_invariants.py
@@ -60,8 +60,8 @@
         (_ZONED, _written(), _written(at=1, zone="b"), False),
     ],
 )
-def test_a_repeat_is_checked_by_the_words_of_its_class(
-    kind: ServiceClass, before: WrittenAttempt, new: WrittenAttempt, holds: bool
+def test_check_retry_follows_the_deduplication_of_the_class(
+    *, kind: ServiceClass, before: WrittenAttempt, new: WrittenAttempt, holds: bool
 ) -> None:
     guard = InvariantChecker()
     guard.check_retry(b"r-1", kind, new, [before], allows_hedging=True)
@@ -69,7 +69,7 @@
     assert guard.violations == (not holds)
 
 
-def test_a_second_copy_is_checked_by_the_settings() -> None:
+def test_check_retry_follows_the_settings_on_hedging() -> None:
     for second_copies in (True, False):
         guard = InvariantChecker()
         guard.check_retry(
@@ -91,12 +91,12 @@
 
 
 def _repeats_anything(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(repeat_rule, "begin_by", lambda *given: 2**62)
-    patch.setattr(repeat_rule, "is_in_group", lambda *given: True)
+    patch.setattr(repeat_rule, "begin_by", lambda *_given: 2**62)
+    patch.setattr(repeat_rule, "is_in_group", lambda *_given: True)
 
 
 def _refuses_anything(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(RetryPolicy, "is_refusal_harmless", lambda *given: True)
+    patch.setattr(RetryPolicy, "is_refusal_harmless", lambda *_given: True)
 
 
 @pytest.mark.parametrize(
@@ -108,7 +108,7 @@
     ],
     ids=["none", "repeats anything", "refuses anything"],
 )
-def test_a_gate_that_is_taken_out_shows(
+def test_invariants_are_broken_when_a_rule_is_left_out(
     defect: Callable[[pytest.MonkeyPatch], None] | None,
     invariant: Invariant | None,
     monkeypatch: pytest.MonkeyPatch,
@@ -117,7 +117,7 @@
         defect(monkeypatch)
 
     async def work() -> None:
-        async def silent(heard: Heard) -> None:
+        async def silent(_heard: Heard) -> None:
             return None
 
         async with stage(silent, OK, listed=False) as scene:
@@ -133,15 +133,17 @@
     play(work)
 
 
-def test_a_write_for_a_client_that_has_left_shows(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_invariants_are_broken_when_an_attempt_is_written_without_a_client(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     # The gate before each write is taken out, and so is what withdraws an attempt.
-    monkeypatch.setattr(UpstreamPool, "_may_write", lambda upstream, call: True)
-    monkeypatch.setattr(UpstreamPool, "cancel_unwritten", lambda upstream, call: None)
+    monkeypatch.setattr(UpstreamPool, "_may_write", lambda _upstream, _call: True)
+    monkeypatch.setattr(UpstreamPool, "cancel_unwritten", lambda _upstream, _call: None)
 
     async def work() -> None:
         async with stage(OK) as scene:
             client = await scene.client()
-            monkeypatch.setattr(Balancer, "latest_start", lambda *given: 2**62)
+            monkeypatch.setattr(Balancer, "latest_start", lambda *_given: 2**62)
             held: list[Any] = []
             exchange = scene.sidecar._upstream._write
 
@@ -159,7 +161,9 @@
     play(work)
 
 
-def test_a_write_whose_time_is_up_is_ended_though_its_timer_is_late(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_attempt_is_not_written_after_its_deadline_when_its_timer_is_late(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     clock = ManualClock(monkeypatch)
 
     async def work() -> None:
@@ -185,7 +189,7 @@
     play(work)
 
 
-def test_an_end_with_an_answer_owed_shows_unless_the_client_left_it() -> None:
+def test_invariants_are_broken_when_a_connection_with_a_pending_response_is_closed() -> None:
     async def work() -> None:
         release, hold = holding()
         async with stage(hold) as scene:
@@ -201,11 +205,11 @@
     play(work)
 
 
-def test_reasons_are_counted_for_closes_retries_and_refusals() -> None:
+def test_telemetry_counts_reasons_of_closes_retries_and_rejections() -> None:
     answers = iter([FULL, ERROR, OK])
 
     async def work() -> None:
-        async def script(heard: Heard) -> bytes:
+        async def script(_heard: Heard) -> bytes:
             return next(answers)
 
         async with stage(script, script, script) as scene:
@@ -221,7 +225,7 @@
     play(work)
 
 
-def test_a_request_is_told_from_its_arrival_to_its_end_where_the_trace_is_on() -> None:
+def test_trace_logs_a_request_from_its_arrival_to_its_end() -> None:
     from tulipnotch.sidecar.requests.trace import Trace
 
     async def work() -> None:
@@ -241,13 +245,13 @@
     play(work)
 
 
-def test_a_write_whose_time_is_up_shows() -> None:
+def test_check_attempt_reports_a_write_after_the_deadline() -> None:
     guard = InvariantChecker()
     guard.check_attempt(b"r-1", is_client_waiting=True, now=5, deadline=5)
     assert [each for each, count in guard.broken.items() if count] == [Invariant.ATTEMPT_BEFORE_DEADLINE]
 
 
-def test_a_write_to_a_server_that_drains_shows() -> None:
+def test_invariants_are_broken_when_an_attempt_goes_to_a_draining_server() -> None:
     async def work() -> None:
         async with stage(OK) as scene:
             assert (await scene.ask("check")).status == 200
@@ -255,15 +259,15 @@
             (server,) = upstream._servers.values()
             connection = server.idle.pop().connection
             server.is_leaving = True
-            call = UpstreamRequest("s-0", 2**61, lambda left_us: _PING, IndependentRequestObserver())
+            call = UpstreamRequest("s-0", 2**61, lambda _left_us: _PING, IndependentRequestObserver())
             upstream._write(call, connection)
             assert scene.sidecar._context.invariants.broken[Invariant.ATTEMPT_TO_READY_ENDPOINT] == 1
 
     play(work)
 
 
-def test_a_start_that_has_not_looked_for_a_list_shows(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def goes_on(*given: object) -> None:
+def test_invariants_are_broken_when_a_start_does_not_call_discovery(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def goes_on(*_given: object) -> None:
         return None
 
     monkeypatch.setattr(Startup, "_wait", goes_on)
@@ -276,14 +280,16 @@
     play(work)
 
 
-def test_an_end_with_answers_owed_shows(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_invariants_are_broken_when_a_shutdown_leaves_pending_responses(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     async def work() -> None:
         _, hold = holding()
         async with stage(hold) as scene:
             client = await scene.client()
             client.send(request("check", timeout="0.2"))
             await until(lambda: len(scene.heard) == 1)
-            monkeypatch.setattr(scene.sidecar._responses, "respond", lambda *given: None)
+            monkeypatch.setattr(scene.sidecar._responses, "respond", lambda *_given: None)
             await scene.sidecar.drain()
             assert scene.sidecar._context.invariants.broken[Invariant.STOP_WITHOUT_PENDING_RESPONSE] == 1
 
--- a/tests/test_streaming.py
+++ b/tests/sidecar/requests/test_streamed_bodies.py
@@ -5,16 +5,15 @@
 import asyncio
 import hashlib
 import resource
-from collections.abc import AsyncIterator
 
 import pytest
 from helpers import MS, Stage, names
 from helpers import S as SECOND
+from large_bodies import SlowReader, chunked, pattern
 from loopback import (
     OK,
     Client,
     Heard,
-    ScriptedServer,
     play,
     read_head,
     request,
@@ -33,69 +32,11 @@
 HEAD = b"HTTP/1.1 200 OK\r\n"
 
 
-def pattern(size: int) -> bytes:
-    return hashlib.shake_128(b"%d" % size).digest(size)
-
-
-class Sucking(ScriptedServer):
-    """Reads requests in either framing, as slowly as it is told, and keeps a digest of each body."""
-
-    def __init__(self, answer: bytes = OK) -> None:
-        super().__init__(None)
-        self.answer = answer
-        self.go_on = asyncio.Event()
-        self.go_on.set()
-        self.heads: list[dict[str, str]] = []
-        self.digests: list[bytes] = []
-        self.got = 0
-        self.cuts: list[str] = []  # connections still to be cut off in the middle of a body
-
-    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self._writers.append(writer)
-        try:
-            while True:
-                _, headers = await read_head(reader)
-                self.heads.append(headers)
-                digest = hashlib.sha1()
-                async for piece in self._pieces(reader, headers):
-                    digest.update(piece)
-                    self.got += len(piece)
-                    if self.cuts and self.got >= 60_000:
-                        self.cuts.pop()
-                        writer.transport.abort()
-                        return
-                    await self.go_on.wait()
-                self.digests.append(digest.digest())
-                writer.write(self.answer)
-        except (asyncio.IncompleteReadError, ConnectionError):
-            pass
-        finally:
-            writer.close()
-
-    async def _pieces(self, reader: asyncio.StreamReader, headers: dict[str, str]) -> AsyncIterator[bytes]:
-        if headers.get("transfer-encoding") != "chunked":
-            left = int(headers.get("content-length", "0"))
-            while left:
-                piece = await reader.readexactly(min(left, 65_536))
-                left -= len(piece)
-                yield piece
-            return
-        while size := int(await reader.readline(), 16):
-            yield await reader.readexactly(size)
-            await reader.readexactly(2)
-        await reader.readexactly(2)
-
-
-def chunked(body: bytes, size: int, trailer: bytes = b"") -> bytes:
-    pieces = [body[at : at + size] for at in range(0, len(body), size)]
-    return b"".join(b"%x;x=y\r\n%s\r\n" % (len(each), each) for each in pieces) + b"0\r\n" + trailer + b"\r\n"
-
-
 @pytest.mark.parametrize("form", ["length", "chunked"])
 @pytest.mark.parametrize("size", [KEPT - 1, KEPT, KEPT + 1, 3_000_000])
-def test_a_large_body_reaches_its_server_unchanged(form: str, size: int) -> None:
+def test_large_request_body_reaches_its_server_unchanged(form: str, size: int) -> None:
     async def work() -> None:
-        server = Sucking()
+        server = SlowReader()
         async with stage(server) as scene:
             body = pattern(size)
             client = await scene.client()
@@ -117,9 +58,9 @@
     return int(found.partition("=")[2])
 
 
-def test_a_server_that_reads_nothing_holds_its_client_back_and_memory_stays_bounded() -> None:
+def test_client_is_held_back_and_memory_bounded_when_a_server_reads_nothing() -> None:
     async def work() -> None:
-        server = Sucking()
+        server = SlowReader()
         async with stage(server) as scene:
             server.go_on.clear()
             size = MOST_BODY
@@ -155,7 +96,7 @@
 
 @pytest.mark.parametrize("form", ["length", "chunked", "close"])
 @pytest.mark.parametrize("size", [100, KEPT + 1, 3_000_000])
-def test_a_large_answer_reaches_its_client_unchanged(form: str, size: int) -> None:
+def test_large_response_reaches_its_client_unchanged(form: str, size: int) -> None:
     async def work() -> None:
         body = pattern(size)
 
@@ -194,7 +135,7 @@
     return status, body
 
 
-def test_a_client_that_reads_slowly_holds_its_server_back_and_is_served_in_the_end() -> None:
+def test_server_is_held_back_and_the_client_served_when_it_reads_slowly() -> None:
     async def work() -> None:
         written = 0
 
@@ -225,7 +166,7 @@
 
 
 @pytest.mark.parametrize("form", ["length", "chunked"])
-def test_an_answer_that_breaks_on_its_way_through_is_cut_off_so_that_its_client_can_tell(
+def test_streamed_response_is_aborted_visibly_when_it_breaks_off(
     form: str,
 ) -> None:
     async def work() -> None:
@@ -250,7 +191,7 @@
     play(work)
 
 
-def test_a_client_that_leaves_an_answer_under_way_frees_its_server() -> None:
+def test_server_is_freed_when_the_client_disconnects_during_a_streamed_response() -> None:
     async def work() -> None:
         async def script(heard: Heard) -> None:
             heard.writer.write(HEAD + b"Content-Length: 30000000\r\n\r\n" + bytes(200_000))
@@ -268,9 +209,9 @@
 
 
 @pytest.mark.parametrize(("size", "status"), [(KEPT, 200), (20_000_000, 503)])
-def test_a_body_is_written_again_only_while_all_of_it_is_kept(size: int, status: int) -> None:
+def test_request_is_retried_only_while_its_whole_body_is_retained(size: int, status: int) -> None:
     async def work() -> None:
-        servers = [Sucking(), Sucking()]
+        servers = [SlowReader(), SlowReader()]
         servers[0].cuts = servers[1].cuts = ["whichever is met first"]
         async with stage(*servers) as scene:
             assert (await scene.ask("amend", body=bytes(size))).status == status
@@ -283,10 +224,10 @@
 
 
 @pytest.mark.parametrize("form", ["length", "chunked"])
-def test_a_body_over_32_mib_gets_413(form: str) -> None:
+def test_request_is_rejected_with_413_when_its_body_exceeds_32_mib(form: str) -> None:
     # Guards against a reset that takes the answer with it, when the client is still sending.
     async def work() -> None:
-        server = Sucking()
+        server = SlowReader()
         async with stage(server) as scene:
             client = await scene.client()
             body = bytes(MOST_BODY + 1)
@@ -306,9 +247,9 @@
 
 
 @pytest.mark.parametrize("how", ["stalls", "trickles", "leaves", "nonsense"])
-def test_a_body_that_stops_half_way_is_let_go_and_never_runs(how: str) -> None:
+def test_request_is_never_executed_when_its_body_stops_half_way(how: str) -> None:
     async def work() -> None:
-        server = Sucking()
+        server = SlowReader()
         async with stage(server, client_limits=SHORT) as scene:
             client = await scene.client()
             if how == "nonsense":
@@ -342,10 +283,10 @@
         await asyncio.sleep(0.02)
 
 
-def test_a_slow_body_outlasts_the_time_of_its_request() -> None:
+def test_slow_body_may_take_longer_than_the_time_of_its_request() -> None:
     # Its time begins with its last byte; progress is all that is asked of it before.
     async def work() -> None:
-        server = Sucking()
+        server = SlowReader()
         async with stage(server) as scene:
             client = await scene.client()
             client.send(request("lodge", timeout="0.4", Content_Length="400000"))
@@ -358,7 +299,7 @@
     play(work)
 
 
-def test_an_early_refusal_answers_a_body_that_still_comes() -> None:
+def test_rejection_is_written_while_the_body_is_incomplete() -> None:
     async def work() -> None:
         async with stage(OK, bounds={"maxOpen": 0}) as scene:
             client = await scene.client()
@@ -370,9 +311,9 @@
     play(work)
 
 
-def test_expect_is_answered_before_a_large_body() -> None:
+def test_expect_continue_is_responded_before_a_large_body() -> None:
     async def work() -> None:
-        server = Sucking()
+        server = SlowReader()
         async with stage(server) as scene:
             client = await scene.client()
             client.send(request("lodge", Content_Length="300000", Expect="100-continue"))
@@ -385,7 +326,7 @@
 
 
 @pytest.mark.parametrize("length", [6, 5_000_000])
-def test_head_passes_on_the_length_and_no_body(length: int) -> None:
+def test_head_response_has_the_length_and_no_body(length: int) -> None:
     async def work() -> None:
         async def script(heard: Heard) -> bytes:
             assert heard.method == "HEAD"
@@ -401,24 +342,25 @@
     play(work)
 
 
-def test_an_old_client_gets_a_large_answer_of_unknown_length_ended_by_its_connection() -> None:
+def test_http_1_0_client_gets_a_response_of_unknown_length_ended_by_its_connection() -> None:
     async def work() -> None:
         body = pattern(200_000)
 
-        async def script(heard: Heard) -> bytes:
+        async def script(_heard: Heard) -> bytes:
             return HEAD + b"Transfer-Encoding: chunked\r\n\r\n" + chunked(body, 10_000)
 
         async with stage(script) as scene:
             client = await scene.client()
             client.send(request().replace(b"HTTP/1.1", b"HTTP/1.0", 1))
             _, headers = await soon(read_head(client.reader))
-            assert "transfer-encoding" not in headers and headers["connection"] == "close"
+            assert "transfer-encoding" not in headers
+            assert headers["connection"] == "close"
             assert await soon(client.reader.read()) == body
 
     play(work)
 
 
-def test_white_space_round_header_values_is_no_part_of_them() -> None:
+def test_header_values_are_read_without_the_white_space_around_them() -> None:
     async def work() -> None:
         async with stage(OK) as scene:
             raw = request("lodge", body=b"x").replace(b"\r\nRequest-", b" \t\r\nRequest-")
@@ -430,7 +372,7 @@
     play(work)
 
 
-def test_a_request_cut_at_every_point_is_the_same_request() -> None:
+def test_request_is_read_the_same_when_split_at_any_point() -> None:
     async def work() -> None:
         async with stage(OK) as scene:
             client = await scene.client()
@@ -446,13 +388,14 @@
 # The decisions
 
 
-def test_the_time_of_a_request_that_still_comes_begins_with_its_last_byte() -> None:
+def test_time_of_a_streamed_request_begins_with_its_last_byte() -> None:
     stage = Stage()
     stage.servers(names(3))
     stage.play(RequestArrived(1, "pay", None, None, 500 * MS, body_incomplete=True))
     assert len(stage.sends(1)) == 1
     stage.wait(30 * SECOND)
-    assert stage.said(FailRequest) == [] and stage.said(RejectRequest) == []
+    assert stage.said(FailRequest) == []
+    assert stage.said(RejectRequest) == []
     assert stage.balancer._parts.load.current() == 0  # what still comes is no work for a server
     stage.play(RequestBodyCompleted(1, 500 * MS))
     assert stage.balancer._parts.load.current() == 1
@@ -460,18 +403,20 @@
     assert [each.request for each in stage.said(FailRequest)] == [1]
 
 
-def test_what_can_not_be_written_again_is_given_up_at_once() -> None:
+def test_request_fails_at_once_when_it_cannot_be_written_again() -> None:
     stage = Stage()
     stage.servers(names(3))
     stage.play(RequestArrived(1, "look", None, None, 500 * MS, body_incomplete=True))
     (_, send) = stage.sends(1)[0]
-    stage.play(AttemptEnded(1, 0, send.endpoint, Outcome.CONNECT_FAILED, 0, False, None, is_retryable=False))
+    stage.play(
+        AttemptEnded(1, 0, send.endpoint, Outcome.CONNECT_FAILED, 0, is_responded=False, is_retryable=False)
+    )
     assert len(stage.sends(1)) == 1
     assert [each.request for each in stage.said(RejectRequest)] == [1]
     assert stage.balancer._parts.load.current() == 0
 
 
-def test_a_body_keeps_its_first_part_and_gives_the_rest_once() -> None:
+def test_body_retains_its_first_part_and_gives_the_rest_once() -> None:
     body = Body(is_whole=False)
     body.feed(bytes(KEPT - 10))
     body.feed(b"x" * 20)
--- a/tests/test_sidecar.py
+++ b/tests/sidecar/test_event_queue.py
@@ -51,7 +51,7 @@
         self.times: list[int] = []
         self._inside = False
 
-    def __call__(self, settings: Settings, seed: int) -> Scripted:
+    def __call__(self, _settings: Settings, _seed: int) -> Scripted:
         return self
 
     def handle(self, now: int, event: Event) -> list[Action]:
@@ -67,7 +67,7 @@
     def attempt_written(self, request: int, attempt: int, now: int) -> None:
         """Nothing here bounds another attempt."""
 
-    def latest_start(self, request: int, attempt: int) -> int:
+    def latest_start(self, _request: int, _attempt: int) -> int:
         return NEVER
 
     def heard(self, kind: type[T]) -> list[T]:
@@ -94,7 +94,7 @@
     return decide
 
 
-def test_final_answers_leave_at_once_and_advice_is_decimal(scripted: Use) -> None:
+def test_responses_are_written_at_once_with_retry_after_in_decimals(scripted: Use) -> None:
     def decide(event: Event) -> list[Action]:
         if not isinstance(event, RequestArrived):
             return []
@@ -107,13 +107,15 @@
             refused = await scene.ask("check", timeout="9000")
             assert (refused.status, refused.headers["retry-after"]) == (503, "0.250")
             failed = await scene.ask("lodge", timeout="9000")
-            assert failed.status in (502, 504) and "retry-after" not in failed.headers
-            assert scene.heard == [] and scene.sidecar.open_requests == 0
+            assert failed.status in (502, 504)
+            assert "retry-after" not in failed.headers
+            assert scene.heard == []
+            assert scene.sidecar.open_requests == 0
 
     play(work)
 
 
-def test_a_cancelled_attempt_ends_once_and_its_connection_is_closed(scripted: Use) -> None:
+def test_attempt_ends_once_and_its_connection_is_closed_when_cancelled(scripted: Use) -> None:
     def decide(event: Event) -> list[Action]:
         if isinstance(event, RequestArrived):
             return [StartAttempt(event.request, "s-0", FAR), SetTimer(50_000, "later")]
@@ -134,7 +136,7 @@
     play(work)
 
 
-def test_only_the_first_delivery_is_the_answer_and_every_attempt_ends(scripted: Use) -> None:
+def test_request_is_responded_by_the_first_delivery_when_several_attempts_end(scripted: Use) -> None:
     async def work() -> None:
         balancer = scripted(
             on_arrival(
@@ -160,12 +162,12 @@
     play(work)
 
 
-def test_a_client_that_leaves_is_told_to_the_decisions(scripted: Use) -> None:
+def test_balancer_is_notified_when_a_client_disconnects(scripted: Use) -> None:
     async def work() -> None:
         balancer = scripted(on_arrival(lambda number: StartAttempt(number, "s-0", FAR)))
         release = asyncio.Event()
 
-        async def hold(heard: Heard) -> bytes:
+        async def hold(_heard: Heard) -> bytes:
             await release.wait()
             return OK
 
@@ -183,8 +185,8 @@
 
 
 @pytest.mark.parametrize("how", ["header", "body"])
-def test_a_probe_brings_its_report(scripted: Use, how: str) -> None:
-    async def report(heard: Heard) -> bytes:
+def test_health_check_brings_its_load_report(scripted: Use, how: str) -> None:
+    async def report(_heard: Heard) -> bytes:
         text = b"TEXT qps=7, util=0.5"
         if how == "header":
             return b"HTTP/1.1 200 OK\r\nServer-Load: %s\r\nContent-Length: 0\r\n\r\n" % text
@@ -200,12 +202,13 @@
             ended = balancer.heard(HealthCheckEnded)[0]
             assert (ended.endpoint, ended.outcome) == ("s-0", Outcome.DELIVERED)
             assert ended.report == {"qps": 7.0, "util": 0.5}
-            assert scene.heard[0].target == "/_load" and "request-id" not in scene.heard[0].headers
+            assert scene.heard[0].target == "/_load"
+            assert "request-id" not in scene.heard[0].headers
 
     play(work)
 
 
-def test_idle_connections_are_closed_the_list_is_fetched_and_lines_are_logged(scripted: Use) -> None:
+def test_actions_close_idle_connections_fetch_the_endpoint_list_and_log(scripted: Use) -> None:
     def decide(event: Event) -> list[Action]:
         if isinstance(event, RequestArrived):
             return [StartAttempt(event.request, "s-0", FAR)]
@@ -234,7 +237,7 @@
     play(work)
 
 
-def test_a_message_reaches_the_other_sidecar(scripted: Use) -> None:
+def test_peer_message_reaches_the_other_sidecar(scripted: Use) -> None:
     async def work() -> None:
         balancer = scripted(
             lambda event: (
@@ -272,7 +275,7 @@
     play(work)
 
 
-def test_a_defect_of_the_decisions_fails_its_request_and_no_other(scripted: Use) -> None:
+def test_internal_error_fails_its_request_and_no_other(scripted: Use) -> None:
     # Guards against a request that nobody owns any more, after an exception on its way.
     def decide(event: Event) -> list[Action]:
         if isinstance(event, RequestArrived):
@@ -291,7 +294,7 @@
     play(work)
 
 
-def test_an_action_that_fails_ends_none_of_those_behind_it(scripted: Use) -> None:
+def test_actions_are_executed_when_one_before_them_raises(scripted: Use) -> None:
     # Guards against a request, or the one timer of all deadlines, that is lost with a line of the log.
     def decide(event: Event) -> list[Action]:
         if isinstance(event, RequestArrived):
@@ -303,7 +306,7 @@
         async with stage(OK) as scene:
             said: list[str] = []
 
-            def note(event: str, /, **fields: object) -> None:
+            def note(event: str, /, **_fields: object) -> None:
                 said.append(event)
                 if event == "readmitted":
                     raise OSError("no room")
@@ -315,7 +318,7 @@
     play(work)
 
 
-def test_any_bytes_from_clients_and_servers_leave_the_sidecar_alive() -> None:
+def test_sidecar_serves_on_after_any_bytes_from_clients_and_servers() -> None:
     chance = random.Random(20)
 
     def mangled(text: bytes) -> bytes:
@@ -325,7 +328,7 @@
             data[at : at + chance.randint(0, 4)] = chance.randbytes(chance.randint(0, 4))
         return bytes(data)
 
-    async def odd(heard: Heard) -> bytes:
+    async def odd(_heard: Heard) -> bytes:
         return mangled(OK + OK) if chance.random() < 0.7 else OK
 
     async def work() -> None:
--- a/tests/test_upgrade.py
+++ b/tests/sidecar/test_listener_handover.py
@@ -29,7 +29,9 @@
     return Client(*await asyncio.open_connection(*listener.getsockname()))
 
 
-def test_a_new_version_takes_over_and_the_old_one_finishes(listener: socket.socket, tmp_path: Path) -> None:
+def test_new_process_takes_over_the_listener_while_the_old_one_finishes(
+    listener: socket.socket, tmp_path: Path
+) -> None:
     async def work() -> None:
         release = asyncio.Event()
 
@@ -81,9 +83,7 @@
     return int(figure.removeprefix(name))
 
 
-def test_an_idle_connection_of_the_old_version_is_closed_and_it_ends(
-    listener: socket.socket, tmp_path: Path
-) -> None:
+def test_old_process_closes_its_idle_connections_and_ends(listener: socket.socket, tmp_path: Path) -> None:
     async def work() -> None:
         async with world(OK, tmp_path) as (config, server), running_on(config, server, listener) as old:
             idle = await connected(listener)
@@ -100,7 +100,9 @@
 
 
 @pytest.mark.parametrize("what", ["nonsense", "-1", "99999", "file", "unconnected", "datagram"])
-def test_a_bad_descriptor_is_one_line_and_exit_code_2(what: str, tmp_path: Path) -> None:
+def test_process_exits_with_code_2_when_the_inherited_descriptor_is_invalid(
+    what: str, tmp_path: Path
+) -> None:
     async def work() -> None:
         async with world(OK, tmp_path) as (config, _):
             with (
@@ -114,12 +116,13 @@
                 process = await started(config, tuple(open_ones.values()), BALANCER_INHERITED_FD=told)
                 _, said = await soon(process.communicate())
                 assert process.returncode == 2
-                assert said.startswith(b"tulipnotch: BALANCER_INHERITED_FD: ") and said.count(b"\n") == 1
+                assert said.startswith(b"tulipnotch: BALANCER_INHERITED_FD: ")
+                assert said.count(b"\n") == 1
 
     play(work)
 
 
-def test_adopting_leaves_what_is_not_a_listener_alone() -> None:
+def test_adopt_leaves_a_descriptor_open_when_it_is_no_listener() -> None:
     with socket.socket() as other:
         with pytest.raises(ValueError, match="not a listening"):
             adopt(str(other.fileno()))
@@ -134,7 +137,7 @@
     return answer.status
 
 
-def test_a_start_that_knows_no_server_is_not_ready_until_it_does_or_a_bounded_wait_is_over(
+def test_start_waits_for_an_endpoint_list_for_a_bounded_time_when_none_is_cached(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # Guards against waiting for a discovery that is down: others wait for this process.
@@ -152,7 +155,7 @@
     play(work)
 
 
-def test_a_plain_start_with_a_known_list_waits_for_nothing() -> None:
+def test_start_waits_for_nothing_when_an_endpoint_list_is_cached() -> None:
     # Guards against waiting for a discovery that is down, while clients wait for this process.
     async def work() -> None:
         async with stage(OK, silent_discovery=True) as scene:
@@ -162,7 +165,7 @@
     play(work)
 
 
-def test_a_takeover_accepts_nothing_before_it_has_a_fresh_list(listener: socket.socket) -> None:
+def test_takeover_accepts_nothing_before_it_has_a_fresh_endpoint_list(listener: socket.socket) -> None:
     async def work() -> None:
         async with stage(OK, silent_discovery=True, started=False) as scene:
             starting = asyncio.ensure_future(scene.sidecar.start(adopt(str(os.dup(listener.fileno())))))
@@ -178,7 +181,7 @@
     play(work)
 
 
-def test_a_takeover_that_is_told_to_stop_while_it_waits_ends_without_having_served(
+def test_takeover_ends_without_serving_when_stopped_while_it_waits(
     listener: socket.socket, tmp_path: Path
 ) -> None:
     async def work() -> None:
@@ -193,13 +196,14 @@
                 assert b"operators are heard on" in await soon(process.stderr.readline())
                 process.send_signal(signal.SIGTERM)
                 said = await soon(process.stderr.read())
-                assert b"serves on" not in said and b"drained" in said
+                assert b"serves on" not in said
+                assert b"drained" in said
                 assert await soon(process.wait()) == 0
 
     play(work)
 
 
-def test_room_for_servers_is_halved_while_two_versions_run(
+def test_budget_for_servers_is_halved_while_two_processes_run(
     listener: socket.socket, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def work() -> None:
@@ -216,7 +220,9 @@
     play(work)
 
 
-def test_a_takeover_from_nobody_serves_what_waits_on_the_socket(listener: socket.socket) -> None:
+def test_takeover_serves_what_waits_on_the_socket_when_the_old_process_was_killed(
+    listener: socket.socket,
+) -> None:
     # The version before was killed, and discovery is silent: nobody else takes what clients write there.
     async def work() -> None:
         async with stage(OK, started=False, silent_discovery=True) as scene:
--- a/tests/test_instants.py
+++ b/tests/sidecar/test_race_conditions.py
@@ -10,7 +10,7 @@
 import socket
 import struct
 from collections.abc import AsyncIterator, Coroutine, Iterator
-from contextlib import asynccontextmanager
+from contextlib import asynccontextmanager, suppress
 from pathlib import Path
 from typing import Any, TypeVar
 
@@ -87,13 +87,13 @@
 
 
 @pytest.mark.parametrize("how", ["asked to close", "emptying", "stopping", "passed through"])
-def test_a_last_answer_is_whole_with_more_unread_behind_its_request(how: str) -> None:
+def test_last_response_is_complete_when_bytes_are_unread_behind_its_request(how: str) -> None:
     # Guards against the reset that a close over unread bytes sends: the rest of the answer goes with it.
     async def work() -> None:
         release = asyncio.Event()
         body = 2 * _LARGE if how == "passed through" else _LARGE  # that is more than is kept
 
-        async def script(heard: Heard) -> bytes:
+        async def script(_heard: Heard) -> bytes:
             await release.wait()
             return reply(body)
 
@@ -110,7 +110,8 @@
             release.set()
             await until(lambda: scene.sidecar.frontend.open_connections == 0)
             got, was_reset = await client.rest()
-            assert got.endswith(b"\r\n\r\n" + body) and not was_reset
+            assert got.endswith(b"\r\n\r\n" + body)
+            assert not was_reset
             assert len(scene.heard) == 1
 
     play(work)
@@ -118,7 +119,7 @@
 
 @pytest.mark.parametrize("part", ["whole", "first half"])
 @pytest.mark.parametrize("why", ["idle for long", "drain", "evacuation"])
-def test_a_request_in_the_instant_of_a_close_takes_no_answer_with_it_and_is_not_sent_on(
+def test_request_that_comes_as_its_connection_closes_is_not_forwarded_and_loses_no_response(
     why: str, part: str
 ) -> None:
     # It crosses the close, so its client sends it again; nothing may come of this copy.
@@ -144,7 +145,8 @@
             frontend._close_overdue()
             await until(lambda: frontend.open_connections == 0)
             got, was_reset = await client.rest()
-            assert got.endswith(b"\r\n\r\n" + _LARGE) and not was_reset
+            assert got.endswith(b"\r\n\r\n" + _LARGE)
+            assert not was_reset
             assert len(scene.heard) == 1
             other = await scene.client()
             other.send(again)
@@ -154,7 +156,7 @@
     play(work)
 
 
-def test_room_is_made_at_the_cost_of_who_rests_and_not_of_a_request_unread() -> None:
+def test_capacity_is_made_by_closing_an_idle_connection_and_none_with_an_unread_request() -> None:
     async def work() -> None:
         limits = ClientLimits(greeting_s=0.0, sweep_s=600.0)
         async with stage(OK, client_limits=limits) as scene:
@@ -173,7 +175,7 @@
 
 
 @pytest.mark.parametrize("sent", [0, 40], ids=["unread", "read in part"])
-def test_room_is_made_at_no_request_whose_last_byte_lies_in_the_socket(sent: int) -> None:
+def test_capacity_is_not_made_by_closing_a_request_whose_last_byte_is_unread(sent: int) -> None:
     # It has been taken by then; whoever connects is turned away instead.
     async def work() -> None:
         limits = ClientLimits(greeting_s=0.0, sweep_s=600.0)
@@ -191,7 +193,7 @@
     play(work)
 
 
-def test_a_first_request_in_the_instant_in_which_its_time_is_up_is_read() -> None:
+def test_first_request_is_read_when_it_comes_as_its_time_is_up() -> None:
     async def work() -> None:
         limits = ClientLimits(header_timeout_s=0.0, sweep_s=600.0)
         async with stage(OK, client_limits=limits) as scene:
@@ -204,12 +206,12 @@
     play(work)
 
 
-def test_an_answer_that_its_client_takes_slowly_is_not_cut_off_while_it_is_the_last() -> None:
+def test_last_response_is_complete_when_its_client_reads_slowly() -> None:
     # The time to linger begins when all is written; until then it counts that the client goes on reading.
     async def work() -> None:
         size = 8 << 20
 
-        async def script(heard: Heard) -> bytes:
+        async def script(_heard: Heard) -> bytes:
             return reply(bytes(size))
 
         async with stage(script, client_limits=_LIMITS) as scene, _narrow(scene) as client:
@@ -221,12 +223,13 @@
             frontend.max_connections = 1
             assert not frontend._make_room()  # it is owed the rest
             got, was_reset = await client.rest()
-            assert got.endswith(b"\r\n\r\n" + bytes(size)) and not was_reset
+            assert got.endswith(b"\r\n\r\n" + bytes(size))
+            assert not was_reset
 
     play(work)
 
 
-def test_a_client_that_never_ends_its_side_is_let_go_in_bounded_time() -> None:
+def test_connection_is_closed_in_bounded_time_when_its_client_never_closes() -> None:
     async def work() -> None:
         release, hold = holding()
         release.set()
@@ -244,7 +247,7 @@
 
 @pytest.mark.alone
 @pytest.mark.parametrize("waits_for", ["a dial", "a connection's rest"])
-def test_no_repeat_is_written_once_its_window_is_over(
+def test_retry_is_not_written_after_the_deduplication_window(
     waits_for: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # The repeat is drawn within the window, which is shorter than the deadline, and its connection is late.
@@ -312,7 +315,7 @@
 
 
 @pytest.mark.parametrize("end", ["fin", "reset", "reset in one go"])
-def test_an_answer_of_no_length_is_whole_after_an_end_and_broken_after_a_reset(end: str) -> None:
+def test_response_without_length_is_complete_after_an_end_and_broken_after_a_reset(end: str) -> None:
     async def work() -> None:
         def reader_has_part() -> bool:
             calls = [call for each in scene.sidecar._registry for call in each.upstream_requests]
@@ -339,7 +342,7 @@
 
 @pytest.mark.parametrize("end", ["fin", "reset", "stall"])
 @pytest.mark.parametrize("version", [b"HTTP/1.0", b"HTTP/1.1"])
-def test_a_client_can_tell_how_an_answer_of_no_length_ended_that_passed_through(
+def test_client_can_tell_how_a_streamed_response_without_length_ended(
     version: bytes, end: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # For HTTP/1.0 nothing but the connection's end frames it: an orderly one would say that it is whole.
@@ -370,10 +373,8 @@
                 with pytest.raises(ConnectionError):
                     await soon(client.reader.read())
             else:
-                try:
+                with suppress(ConnectionError):
                     got += await soon(client.reader.read())
-                except ConnectionError:
-                    pass
                 assert not got.endswith(b"\r\n0\r\n\r\n")
             await until(lambda: scene.sidecar.open_requests == 0)
 
@@ -381,7 +382,7 @@
 
 
 @pytest.mark.parametrize("end", ["fin", "reset"])
-def test_a_list_of_no_length_is_taken_after_an_end_and_not_after_a_reset(end: str) -> None:
+def test_endpoint_list_without_length_is_accepted_after_an_end_and_not_after_a_reset(end: str) -> None:
     async def work() -> None:
         answered = 0
 
@@ -428,7 +429,7 @@
     found: list[object] = []
     before = asyncio.Runner.run
 
-    def note(loop: asyncio.AbstractEventLoop, what: dict[str, Any]) -> None:
+    def note(_loop: asyncio.AbstractEventLoop, what: dict[str, Any]) -> None:
         if not isinstance(
             what.get("exception"), asyncio.CancelledError
         ):  # a scripted end's, as it is taken down
@@ -447,10 +448,11 @@
 _HALF_LINES = [b"H", b"HTT", b"HTTP/1.1 20", b"HTTP/1.1 200 OK\r\nContent-Le", b"x", b"\r", b"\r\n", b"\0"]
 
 
+@pytest.mark.usefixtures("nothing_breaks")
 @pytest.mark.parametrize("half", _HALF_LINES)
 @pytest.mark.parametrize("when", ["in one piece", "at rest", "just before use"])
-def test_half_a_line_behind_an_answer_spoils_no_further_request(
-    half: bytes, when: str, monkeypatch: pytest.MonkeyPatch, nothing_breaks: None
+def test_half_a_line_behind_a_response_breaks_no_further_request(
+    half: bytes, when: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # An unsafe request must not be lost to it: the connection goes, or what came means nothing.
     monkeypatch.setattr(upstream, "_REST_US", 0)
@@ -475,9 +477,10 @@
     play(work)
 
 
+@pytest.mark.usefixtures("nothing_breaks")
 @pytest.mark.parametrize("when", ["given up", "idle closed", "all closed"])
-def test_half_a_line_in_the_instant_of_a_close_at_the_order_servers_side_is_nobodys(
-    when: str, nothing_breaks: None
+def test_half_a_line_that_comes_as_a_server_connection_closes_belongs_to_no_request(
+    when: str,
 ) -> None:
     async def work() -> None:
         release, hold = holding()
@@ -506,7 +509,7 @@
     play(work)
 
 
-def test_small_writes_are_held_back_on_no_socket(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_sockets_delay_no_small_writes(monkeypatch: pytest.MonkeyPatch) -> None:
     # What the system still holds back goes with a reset: each socket is set before its first byte.
     found: dict[str, set[int]] = {}
 
@@ -556,7 +559,7 @@
 
 
 @pytest.mark.alone
-def test_a_connection_that_comes_up_late_is_used_kept_and_counted() -> None:
+def test_connection_that_is_established_late_is_used_retained_and_counted() -> None:
     async def work() -> None:
         slow = SlowToAccept()
         await slow.fill()
@@ -601,7 +604,7 @@
     play(work)
 
 
-def test_a_dial_that_takes_too_long_costs_its_request_only_time() -> None:
+def test_dial_that_takes_too_long_costs_its_request_only_time() -> None:
     async def work() -> None:
         slow = SlowToAccept()
         await slow.fill()
@@ -635,7 +638,7 @@
 
 
 @pytest.mark.parametrize("what", _FLOODS)
-def test_clients_that_send_much_at_once_and_go_cost_others_nothing(what: str) -> None:
+def test_clients_that_send_much_and_disconnect_cost_others_nothing(what: str) -> None:
     # Each sends as much as its system takes, without a pause, and leaves; some reset, some close.
     async def work() -> None:
         loop = asyncio.get_running_loop()
@@ -644,10 +647,8 @@
             with socket.socket() as plain:
                 plain.setblocking(False)
                 await loop.sock_connect(plain, (HOST, scene.sidecar.frontend.port))
-                try:
+                with suppress(OSError):
                     plain.send(_FLOODS[what])
-                except OSError:
-                    pass
                 if number % 2:
                     plain.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
 
@@ -667,7 +668,7 @@
 
 
 @pytest.mark.parametrize("after_s", [0.0, 0.002, 0.01])
-def test_a_request_in_the_instant_of_sigterm_is_answered_or_never_sent_on(
+def test_request_that_comes_as_the_process_stops_is_responded_or_never_forwarded(
     after_s: float, tmp_path: Path
 ) -> None:
     # Clients rest on their connections, and all of them send around the moment in which these are let go.
@@ -698,7 +699,8 @@
             assert set(statuses) <= {200, 503}  # a crowd at one server: some may be refused
             served = [f"again-{number}" for number, status in enumerate(statuses) if status == 200]
             heard = [each.headers["request-id"] for each in running.server.heard[before:]]
-            assert served and sorted(heard) == sorted(served)  # none twice, and none for nobody
+            assert served
+            assert sorted(heard) == sorted(served)
             assert await soon(running.process.wait()) == 0
 
     play(work)
--- a/tests/test_ready.py
+++ b/tests/sidecar/test_readiness.py
@@ -67,8 +67,8 @@
     ],
     ids=["asked", "asked-unknown", "pushed", "pushed-unknown", "takeover"],
 )
-def test_a_restart_is_ready_within_its_waits_while_discovery_is_away(
-    mode: str, knows_servers: bool, takes_over: bool, waits_s: dict[str, list[float]], tmp_path: Path
+def test_restart_is_ready_within_its_waits_while_discovery_is_unreachable(
+    *, mode: str, knows_servers: bool, takes_over: bool, waits_s: dict[str, list[float]], tmp_path: Path
 ) -> None:
     async def once(away: str) -> None:
         agent = Returning(away)
@@ -105,7 +105,7 @@
     return logs.line("no_fresh_list", {"waited_s": 1.0})
 
 
-def test_the_reader_finds_starts_and_restarts_in_text_and_json_logs(
+def test_ready_report_finds_starts_and_restarts_in_text_and_json_logs(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     roll, herd = tmp_path / "roll+mass", tmp_path / "herd+mass" / "n"
@@ -136,5 +136,5 @@
     assert "never ready: herd+mass/n/n2.err" in capsys.readouterr().out
 
 
-def test_a_folder_without_a_start_is_told_by_the_exit_code(tmp_path: Path) -> None:
+def test_ready_report_exits_with_an_error_when_a_folder_has_no_start(tmp_path: Path) -> None:
     assert ready.main([str(tmp_path)]) == 1
--- a/tests/test_reload.py
+++ b/tests/sidecar/test_reload.py
@@ -42,9 +42,13 @@
     for key, value in items:
         if isinstance(key, str):
             yield (*path, key)
-        if isinstance(value, (dict, list)) and key != "known" and value and isinstance(value, (dict, list)):
-            if isinstance(value, dict) or isinstance(value[0], dict):
-                yield from key_paths(value, (*path, key))
+        if (
+            isinstance(value, (dict, list))
+            and key != "known"
+            and value
+            and (isinstance(value, dict) or isinstance(value[0], dict))
+        ):
+            yield from key_paths(value, (*path, key))
 
 
 def _common(path: tuple[str | int, ...]) -> bool:
@@ -55,7 +59,7 @@
 
 
 @pytest.mark.parametrize("path", [each for each in key_paths(FULL) if _common(each)], ids=str)
-def test_a_file_that_lacks_a_key_of_the_one_in_force_is_turned_down(
+def test_reload_is_rejected_when_the_file_lacks_a_key_of_the_one_in_force(
     path: tuple[str | int, ...], tmp_path: Path
 ) -> None:
     # Guards against a default, or the environment, that hides what was cut off.
@@ -79,7 +83,7 @@
 @pytest.mark.parametrize(
     "text", ["", " ", "{", "[]", "null", "7", json.dumps(FULL)[:-1], json.dumps(FULL)[:200]]
 )
-def test_a_file_that_is_empty_or_cut_short_is_turned_down(text: str, tmp_path: Path) -> None:
+def test_reload_is_rejected_when_the_file_is_empty_or_truncated(text: str, tmp_path: Path) -> None:
     before = read(json.dumps(FULL), tmp_path, None)
     with pytest.raises(ConfigError, match=r"^BALANCER_CONFIG: "):
         read(text, tmp_path, before)
@@ -89,7 +93,7 @@
     "value", ["NaN", "Infinity", "-Infinity", "1e999", "true", "0", "-5", '"3"', "[]", "null"]
 )
 @pytest.mark.parametrize("key", ["giveUpUs", "promiseUs", "sendCap"])
-def test_a_figure_that_is_no_number_above_0_is_turned_down(key: str, value: str, tmp_path: Path) -> None:
+def test_reload_is_rejected_when_a_figure_is_no_positive_number(key: str, value: str, tmp_path: Path) -> None:
     before = read(json.dumps(FULL), tmp_path, None)
     given = copy.deepcopy(FULL)
     at = given["settings"]["bounds"] if key == "sendCap" else given["settings"]["lanes"][1]
@@ -102,13 +106,13 @@
         assert key in str(complaint.value) or str(complaint.value).startswith("BALANCER_CONFIG: ")
 
 
-def test_a_key_that_stands_twice_is_turned_down(tmp_path: Path) -> None:
+def test_reload_is_rejected_when_a_key_is_duplicated(tmp_path: Path) -> None:
     text = json.dumps(FULL)[:-1] + ', "seed": "1"}'
     with pytest.raises(ConfigError, match=r"^seed: "):
         read(text, tmp_path, None)
 
 
-def test_a_class_may_come_that_has_what_all_classes_have(tmp_path: Path) -> None:
+def test_reload_accepts_a_further_class(tmp_path: Path) -> None:
     before = read(json.dumps(FULL), tmp_path, None)
     given = copy.deepcopy(FULL)
     given["settings"]["lanes"] = [{**FULL["settings"]["lanes"][0], "name": "new"}]
@@ -118,7 +122,7 @@
 # The decisions
 
 
-def test_fewer_attempts_bind_every_later_send() -> None:
+def test_reload_limits_every_later_attempt_when_fewer_are_allowed() -> None:
     before = settings(limits={"max_attempts": 3})
     stage = Stage(before)
     stage.servers(names(5))
@@ -132,7 +136,7 @@
     assert len(stage.sends(second)) == 2
 
 
-def test_a_request_under_way_keeps_the_class_that_it_arrived_with() -> None:
+def test_request_retains_its_class_when_a_reload_changes_it() -> None:
     stage = Stage()
     stage.servers(names(5))
     under_way = stage.request("look")
@@ -144,7 +148,7 @@
     assert len(stage.sends(later)) == 1
 
 
-def test_nothing_is_kept_of_classes_that_vanish() -> None:
+def test_balancer_retains_nothing_of_classes_that_a_reload_removes() -> None:
     stage = Stage()
     stage.servers(names(5))
     for round_ in range(20):
@@ -172,7 +176,7 @@
     return parse(given, given)
 
 
-def test_everything_that_keeps_settings_takes_new_ones(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_reload_applies_settings_to_every_component(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("tulipnotch.sidecar.downstream.server._CLASS_FADES_S", 0.05)
 
     async def work() -> None:
@@ -201,7 +205,7 @@
     play(work)
 
 
-def test_a_request_of_a_class_that_vanished_just_now_is_still_taken() -> None:
+def test_request_is_accepted_when_its_class_was_just_removed() -> None:
     # Guards against failing what was on its way when the file changed.
     async def work() -> None:
         async with stage(OK) as scene:
@@ -212,8 +216,8 @@
 
 
 @pytest.mark.parametrize("ahead", [False, True], ids=["at rest", "behind an open request"])
-def test_a_request_whose_first_byte_came_before_its_class_vanished_is_taken(
-    ahead: bool, monkeypatch: pytest.MonkeyPatch
+def test_request_is_accepted_when_its_class_is_removed_after_its_first_byte(
+    *, ahead: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # Guards slow clients: a head may take longer than a class that vanished is taken.
     monkeypatch.setattr("tulipnotch.sidecar.downstream.server._CLASS_FADES_S", 0.05)
@@ -242,7 +246,7 @@
     play(work)
 
 
-def test_a_started_program_takes_good_files_and_turns_down_bad_ones(tmp_path: Path) -> None:
+def test_process_reloads_valid_files_and_rejects_invalid_ones(tmp_path: Path) -> None:
     async def work() -> None:
         async with program(OK, tmp_path) as running:
             good = json.loads(running.config.read_text())
@@ -263,7 +267,8 @@
             assert (await hup(json.dumps(good))).startswith("reloaded: ")
             assert (await (await running.client()).ask("new")).status == 200
             figures = await running.call("telemetry")
-            assert "app.config_reloads=1" in figures and "app.config_reload_errors=2" in figures
+            assert "app.config_reloads=1" in figures
+            assert "app.config_reload_errors=2" in figures
             assert "app.downstream_requests.new.completed=1" in figures
             running.process.send_signal(signal.SIGTERM)
             assert await soon(running.process.wait()) == 0
--- a/tests/test_wall_clock.py
+++ b/tests/sidecar/test_wall_clock.py
@@ -21,7 +21,7 @@
 
 
 @pytest.mark.parametrize("ahead_s", [1, _HOUR_S])
-def test_a_server_that_started_in_the_future_warms_up_from_now(ahead_s: int) -> None:
+def test_slow_start_begins_now_when_the_start_time_is_in_the_future(ahead_s: int) -> None:
     given = settings()
     cold_us = given.rules.warm_up_us
     scene = Stage(given)
@@ -36,7 +36,7 @@
     assert not any(slow_start.is_cold(each) for each in servers)
 
 
-def test_a_server_that_is_readmitted_is_no_colder_for_a_start_in_the_future() -> None:
+def test_readmitted_server_is_not_set_back_when_its_start_time_is_in_the_future() -> None:
     given = settings()
     scene = Stage(given)
     scene.servers(
@@ -51,7 +51,7 @@
     assert not scene.balancer._parts.slow_start.is_cold(server)
 
 
-def test_a_process_whose_clock_is_an_hour_behind_serves_as_one_whose_clock_is_true(tmp_path: Path) -> None:
+def test_process_serves_alike_when_its_clock_is_an_hour_behind(tmp_path: Path) -> None:
     async def work() -> None:
         server = await ScriptedServer(OK).start()
         listed = line("s-1", server.address, started_ms=time.time_ns() // 1_000_000)
--- a/tests/test_told_deadline.py
+++ b/tests/sidecar/upstream/test_passed_deadline.py
@@ -12,7 +12,7 @@
 
 
 @pytest.mark.parametrize("late_s", [0.05, 0.5])
-def test_a_server_that_takes_a_request_late_is_not_told_more_than_is_left(
+def test_passed_deadline_is_at_most_what_remains_when_a_server_reads_late(
     late_s: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # The head has gone with the time that was left then; what the kernel holds back goes when there is room.
--- a/tests/test_partial_writes.py
+++ b/tests/test_partial_writes.py
@@ -7,8 +7,8 @@
 
 import pytest
 from barriers import Fate, Kernel
+from large_bodies import SlowReader, chunked, pattern
 from loopback import play, request, stage
-from test_streaming import Sucking, chunked, pattern
 
 from tulipnotch.sidecar.http1.messages import KEPT
 
@@ -33,7 +33,7 @@
     body = pattern(size)
 
     async def work() -> None:
-        server = Sucking()
+        server = SlowReader()
         async with stage(server) as scene:
             kernel = Kernel(monkeypatch, server.address, tuple(_takes(each) for each in takes))
             application = await scene.client()
--- a/tests/test_repeat_bounds.py
+++ b/tests/test_repeat_bounds.py
@@ -404,7 +404,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     narrow_connections(monkeypatch)
-    # The time that its head told is another bound, and a closer one (`test_told_deadline.py`).
+    # The time that its head told is another bound, and a closer one (`test_passed_deadline.py`).
     monkeypatch.setattr(upstream, "_TOLD_LATE_US", 10 * WINDOW_US)
     clock = ManualClock(monkeypatch)
 
