--- a/tests/barriers.py
+++ b/tests/barriers.py
@@ -25,10 +25,12 @@
     """The sidecar's clock: it stands still until a test moves it on."""
 
     def __init__(self, patch: pytest.MonkeyPatch) -> None:
+        """Stops the clock of every sidecar of this process."""
         self.now_us = 1_700_000_000_000_000
         patch.setattr(Clock, "now", lambda _clock: self.now_us)
 
     def advance(self, span_us: int) -> None:
+        """Moves the clock on by so many microseconds."""
         self.now_us += span_us
 
 
@@ -36,6 +38,7 @@
     """Connections to addresses that are held are begun only once they are released."""
 
     def __init__(self, patch: pytest.MonkeyPatch) -> None:
+        """Patches the event loop; no address is held yet."""
         self.waiting = 0
         self._gates: dict[int, asyncio.Event] = {}
         create = uvloop.Loop.create_connection
@@ -59,9 +62,11 @@
         patch.setattr(uvloop.Loop, "create_connection", create_connection)
 
     def hold(self, address: str) -> None:
+        """Holds back every further connection to this address."""
         self._gates[int(address.rpartition(":")[2])] = asyncio.Event()
 
     def release(self, address: str) -> None:
+        """Lets the connections to this address go on."""
         self._gates[int(address.rpartition(":")[2])].set()
 
 
@@ -69,6 +74,7 @@
     """A server that takes little at a time, and nothing until it is told to."""
 
     def __init__(self) -> None:
+        """Listens on a free port."""
         self._listener = socket.socket()
         self._listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
         self._listener.bind((HOST, 0))
@@ -78,9 +84,11 @@
 
     @property
     def address(self) -> str:
+        """Where it listens."""
         return f"{HOST}:{self._listener.getsockname()[1]}"
 
     async def accept(self) -> None:
+        """Accepts the next connection."""
         self.accepted, _ = await asyncio.get_running_loop().sock_accept(self._listener)
 
     async def read_to(self, end: bytes) -> bytes:
@@ -99,10 +107,12 @@
         return got
 
     async def send(self, raw: bytes) -> None:
+        """Writes to the accepted connection."""
         assert self.accepted is not None
         await asyncio.get_running_loop().sock_sendall(self.accepted, raw)
 
     def close(self) -> None:
+        """Closes the listener and the accepted connection."""
         self._listener.close()
         if self.accepted is not None:
             self.accepted.close()
@@ -136,6 +146,7 @@
 
 
 def server_line(index: int, address: str, **changes: Any) -> dict[str, Any]:
+    """Returns a line of the endpoint list for the server with this index."""
     return line(f"s-{index}", address, **changes)
 
 
@@ -146,6 +157,7 @@
     """Writes the ends of requests; a test says what comes of the first writes to one server."""
 
     def __init__(self, patch: pytest.MonkeyPatch, server: str, fates: tuple[Fate, ...]) -> None:
+        """`fates` are used up one a write, for this server's address only."""
         self.left = list(fates)
         self._server = server
         patch.setattr(client, "os", SimpleNamespace(write=self._write))
--- a/tests/large_bodies.py
+++ b/tests/large_bodies.py
@@ -10,6 +10,7 @@
 
 
 def pattern(size: int) -> bytes:
+    """Returns bytes that differ by size and hardly compress."""
     return hashlib.shake_128(b"%d" % size).digest(size)
 
 
@@ -17,6 +18,7 @@
     """Reads requests in either framing, as slowly as it is let, and retains a digest of each body."""
 
     def __init__(self, answer: bytes = OK) -> None:
+        """Reads on until `go_on` is cleared."""
         super().__init__(None)
         self.answer = answer
         self.go_on = asyncio.Event()
@@ -63,5 +65,6 @@
 
 
 def chunked(body: bytes, size: int, trailer: bytes = b"") -> bytes:
+    """Returns the chunked form of a body, in chunks of this size with an extension each."""
     pieces = [body[at : at + size] for at in range(0, len(body), size)]
     return b"".join(b"%x;x=y\r\n%s\r\n" % (len(each), each) for each in pieces) + b"0\r\n" + trailer + b"\r\n"
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -55,11 +55,13 @@
 
 
 async def soon(what: Awaitable[T]) -> T:
+    """Returns what is awaited; raises TimeoutError after the patience of a test."""
     async with asyncio.timeout(PATIENCE_S):
         return await what
 
 
 async def until(condition: Callable[[], bool]) -> None:
+    """Returns once the condition holds; raises TimeoutError after the patience of a test."""
     async with asyncio.timeout(PATIENCE_S):
         while not condition():
             await asyncio.sleep(0.005)
@@ -78,6 +80,7 @@
 
 
 async def read_head(reader: asyncio.StreamReader) -> tuple[str, dict[str, str]]:
+    """Reads the head of a request or response: its first line, and its headers by lower-case name."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")
     pairs = (line.partition(":") for line in head[1:] if line)
     return head[0], {name.lower(): value.strip() for name, _, value in pairs}
@@ -90,6 +93,7 @@
     """Hears requests and answers by a script; None answers nothing."""
 
     def __init__(self, script: Script | bytes | None) -> None:
+        """The script may be replaced between requests."""
         self.script = script
         self.heard: list[Heard] = []
         self.closed: list[int] = []  # connections that the other side ended
@@ -98,11 +102,13 @@
         self._server: asyncio.Server | None = None
 
     async def start(self, port: int = 0) -> ScriptedServer:
+        """Listens on this port, or on a free one."""
         self._server = await asyncio.start_server(self._serve, HOST, port)
         return self
 
     @property
     def address(self) -> str:
+        """Where it listens."""
         assert self._server is not None
         return f"{HOST}:{self._server.sockets[0].getsockname()[1]}"
 
@@ -136,6 +142,7 @@
             writer.close()
 
     def stop(self) -> None:
+        """Closes the listener and all connections."""
         assert self._server is not None
         self._server.close()
         self.hang_up()
@@ -145,6 +152,7 @@
     """Answers every call that may wait with silence until `tell`, and others with the list."""
 
     def __init__(self) -> None:
+        """Lists no servers until `servers` is set."""
         super().__init__(self._answer)
         self.version = 1
         self.servers: list[dict[str, Any]] = []
@@ -157,6 +165,7 @@
         self._speaks.clear()
 
     def speak(self) -> None:
+        """Answers again, also what came meanwhile."""
         self._speaks.set()
 
     async def _answer(self, heard: Heard) -> bytes:
@@ -177,6 +186,7 @@
 
 
 def reply(body: bytes, status: str = "200 OK") -> bytes:
+    """Returns the bytes of a response with this body."""
     return b"HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n%s" % (status.encode(), len(body), body)
 
 
@@ -187,6 +197,8 @@
 
 @dataclass
 class Answer:
+    """A response as a client reads it."""
+
     status: int
     headers: dict[str, str]
     body: bytes
@@ -196,21 +208,26 @@
     """One connection of the application."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Takes over an open connection."""
         self.reader, self.writer = reader, writer
 
     def send(self, raw: bytes) -> None:
+        """Writes bytes as they are."""
         self.writer.write(raw)
 
     async def answer(self) -> Answer:
+        """Reads one response."""
         first, headers = await soon(read_head(self.reader))
         body = await soon(self.reader.readexactly(int(headers["content-length"])))
         return Answer(int(first.split(" ")[1]), headers, body)
 
     async def ask(self, kind: str = "check", **how: Any) -> Answer:
+        """Writes a request and reads its response."""
         self.send(request(kind, **how))
         return await self.answer()
 
     def close(self) -> None:
+        """Closes the connection."""
         self.writer.close()
 
 
@@ -262,15 +279,18 @@
     clients: list[Client] = field(default_factory=list)
 
     async def client(self) -> Client:
+        """Returns a further connection to the sidecar."""
         client = Client(*await asyncio.open_connection(HOST, self.sidecar.frontend.port))
         self.clients.append(client)
         return client
 
     async def ask(self, kind: str = "check", **how: Any) -> Answer:
+        """Writes a request on a connection of its own and reads its response."""
         return await (await self.client()).ask(kind, **how)
 
     @property
     def heard(self) -> list[Heard]:
+        """All requests that the servers have read."""
         return [each for server in self.servers for each in server.heard]
 
 
--- a/tulipnotch/sidecar/sidecar.py
+++ b/tulipnotch/sidecar/sidecar.py
@@ -89,30 +89,19 @@
         self._registry = RequestRegistry()
         self._responses = ResponseSender(self._context, self._registry)
         self._events = EventQueue(self._balancer, self._context, self._registry, self._responses)
-        self._receiver = RequestReceiver(self._context, self._registry, self._responses, self._events)
+        receiver = RequestReceiver(self._context, self._registry, self._responses, self._events)
         self.frontend = DownstreamServer(
             config.settings,
             limits or client_limits(config),
             self.lifecycle,
-            self._receiver.request_received,
-            self._receiver.client_disconnected,
-            self._receiver.connection_closed,
+            receiver.request_received,
+            receiver.client_disconnected,
+            receiver.connection_closed,
             invariants,
         )
         self._budget = DescriptorBudget(config, self.operators, self.frontend, self._upstream)
         self._endpoints = _EndpointUpdates(self._context, self._events)
-        self._discovery = DiscoveryClient(
-            config.discovery,
-            config.known.version,
-            config.settings.discovery_mode is DiscoveryMode.PUSHED,
-            self._endpoints.endpoints_received,
-            self._endpoints.call_failed,
-            self._endpoints.fault_changed,
-            config.settings.rules.drain_grace_us,
-            config.settings.instance_index,
-            has_list=bool(config.known.endpoints),
-            max_poll_interval_us=config.settings.rules.max_poll_interval_us,
-        )
+        self._discovery = _discovery_client(config, self._endpoints)
         self._levels = (
             ServiceLevelMonitor(levels, clock, self._balancer, self._events, log) if levels else None
         )
@@ -131,7 +120,9 @@
         self._commands = ControlCommands(
             self._context, self.lifecycle, self._balancer, self._registry, self._levels
         )
-        self._startup = Startup(config, log, self.frontend, self._budget, self._endpoints.received)
+        self._startup = Startup(
+            log, self.frontend, self._budget, self._discovery.first_call_ended, self._endpoints.received
+        )
         self._shutdown = Shutdown(self._context, self.frontend, self._budget, self._registry, self._responses)
         self._has_inherited_listener = False  # whether other processes hold the listening socket too
 
@@ -154,7 +145,9 @@
         if inherited is not None:
             await self._startup.take_over(inherited)
         elif reserved is not None:
-            await self._startup.listen(reserved, self._discovery.first_call_ended)
+            await self._startup.listen(reserved, self._context.settings.discovery_mode)
+            if not self.config.known.endpoints:
+                await self._startup.wait_for_endpoints()
         self._check_ready()
         self.lifecycle.started()
         if self._levels is not None:
@@ -162,17 +155,14 @@
 
     def _check_ready(self) -> None:
         """Checks that this process has waited for an endpoint list, or that the cached one is sufficient."""
-        has_waited = (
-            self._startup.has_timed_out
-            or self._endpoints.received.is_set()
-            or self._discovery.first_call_ended.is_set()
-        )
         needs_fresh_list = (
             self._has_inherited_listener or self._context.settings.discovery_mode is DiscoveryMode.PUSHED
         )
         is_cache_sufficient = bool(self.config.known.endpoints) and not needs_fresh_list
         self._context.invariants.check(
-            Invariant.READY_AFTER_DISCOVERY, self.config.name, holds=is_cache_sufficient or has_waited
+            Invariant.READY_AFTER_DISCOVERY,
+            self.config.name,
+            holds=is_cache_sufficient or self._startup.has_waited,
         )
 
     @property
@@ -245,3 +235,18 @@
 
     def fault_changed(self, fault: str) -> None:
         self._context.log("no_list", fault=fault)
+
+
+def _discovery_client(config: Config, updates: _EndpointUpdates) -> DiscoveryClient:
+    return DiscoveryClient(
+        config.discovery,
+        config.known.version,
+        config.settings.discovery_mode is DiscoveryMode.PUSHED,
+        updates.endpoints_received,
+        updates.call_failed,
+        updates.fault_changed,
+        config.settings.rules.drain_grace_us,
+        config.settings.instance_index,
+        has_list=bool(config.known.endpoints),
+        max_poll_interval_us=config.settings.rules.max_poll_interval_us,
+    )
--- a/tulipnotch/sidecar/startup.py
+++ b/tulipnotch/sidecar/startup.py
@@ -6,7 +6,6 @@
 import socket
 
 from tulipnotch.load_balancing.settings import DiscoveryMode
-from tulipnotch.sidecar.configuration.configuration import Config
 from tulipnotch.sidecar.control.lifecycle import Phase
 from tulipnotch.sidecar.descriptor_budget import DescriptorBudget
 from tulipnotch.sidecar.downstream.listener import left_waiting, listen
@@ -25,22 +24,30 @@
 
     def __init__(
         self,
-        config: Config,
         log: Log,
         downstream: DownstreamServer,
         budget: DescriptorBudget,
+        first_call_ended: asyncio.Event,
         endpoints_received: asyncio.Event,
     ) -> None:
-        """`endpoints_received` is set when discovery has sent an endpoint list."""
-        self._config = config
+        """Waits for two events of discovery.
+
+        Args:
+            log: Takes the event that a wait was in vain.
+            downstream: Accepts from the listener.
+            budget: Divides the descriptors with the previous process at a takeover.
+            first_call_ended: Set when the first call to discovery has ended in any way.
+            endpoints_received: Set when discovery has sent an endpoint list.
+        """
         self._log = log
         self._downstream = downstream
         self._budget = budget
+        self._first_call_ended = first_call_ended
         self._endpoints_received = endpoints_received
-        self.has_timed_out = False  # whether a wait for discovery did
+        self._has_timed_out = False  # whether a wait for discovery did
 
-    async def listen(self, reserved: socket.socket, first_call_ended: asyncio.Event) -> None:
-        """Listens on an address that no other process serves; returns once requests can be served.
+    async def listen(self, reserved: socket.socket, discovery_mode: DiscoveryMode) -> None:
+        """Listens on an address that no other process serves.
 
         The cached endpoint list is sufficient here: clients would wait with nobody to serve them, and a
         release that kills most sidecars at once leaves discovery with a long queue.  It is not sufficient
@@ -48,15 +55,22 @@
 
         Args:
             reserved: A bound socket that does not listen yet.
-            first_call_ended: Set when the first call to discovery has ended in any way.
+            discovery_mode: How endpoint lists come.
         """
-        if self._config.settings.discovery_mode is DiscoveryMode.PUSHED:
+        if discovery_mode is DiscoveryMode.PUSHED:
             # Nothing listens meanwhile: what the kernel accepts is lost if the start is cancelled.
-            await self._wait(first_call_ended, _ENDPOINT_LIST_TIMEOUT_S)
+            await self._wait(self._first_call_ended, _ENDPOINT_LIST_TIMEOUT_S)
         listen(reserved, self._downstream.max_connections)
         self._downstream.listen(reserved)
-        if not self._config.known.endpoints:
-            await self._wait(self._endpoints_received, _ENDPOINT_LIST_TIMEOUT_S)
+
+    async def wait_for_endpoints(self) -> None:
+        """Waits for an endpoint list for a bounded time: without one no request can be served."""
+        await self._wait(self._endpoints_received, _ENDPOINT_LIST_TIMEOUT_S)
+
+    @property
+    def has_waited(self) -> bool:
+        """Whether discovery was called, and has responded, failed or exceeded the time allowed."""
+        return self._has_timed_out or self._endpoints_received.is_set() or self._first_call_ended.is_set()
 
     async def take_over(self, inherited: socket.socket) -> None:
         """Accepts from an inherited listener once there is a fresh endpoint list.
@@ -77,7 +91,7 @@
             fresh.cancel()
             unserved.cancel()
         if not self._endpoints_received.is_set():
-            self.has_timed_out = True
+            self._has_timed_out = True
             self._log("no_fresh_list", waited_s=round(loop.time() - started_at, 1))
         self._downstream.listen(inherited)
         loop.call_later(_TAKEOVER_OVERLAP_S, self._end_takeover)
@@ -92,5 +106,5 @@
             async with asyncio.timeout(timeout_s):
                 await received.wait()
         except TimeoutError:
-            self.has_timed_out = True
+            self._has_timed_out = True
             self._log("no_fresh_list", waited_s=timeout_s)
