--- a/tests/sidecar/discovery/test_change_propagation.py
+++ b/tests/sidecar/discovery/test_change_propagation.py
@@ -264,7 +264,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # What discovery has counts as announced from the start; the list from before may be older.
-    monkeypatch.setattr(startup, "_LIST_TIMEOUT_S", PATIENCE_S)
+    monkeypatch.setattr(startup, "_ENDPOINT_LIST_TIMEOUT_S", PATIENCE_S)
 
     async def work() -> None:
         async with stage(OK, OK, discovery="pushed", started=False, silent_discovery=True) as scene:
@@ -284,7 +284,7 @@
 def test_start_does_not_wait_when_pushed_discovery_is_down(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(startup, "_LIST_TIMEOUT_S", 4 * PATIENCE_S)
+    monkeypatch.setattr(startup, "_ENDPOINT_LIST_TIMEOUT_S", 4 * PATIENCE_S)
 
     async def work() -> None:
         async with stage(OK, discovery="pushed", started=False) as scene:
--- a/tests/sidecar/upstream/test_partial_writes.py
+++ b/tests/sidecar/upstream/test_partial_writes.py
@@ -7,8 +7,8 @@
 
 import pytest
 from barriers import Fate, Kernel
+from large_bodies import SlowReader, chunked, pattern
 from loopback import play, request, stage
-from test_streaming import Sucking, chunked, pattern
 
 from tulipnotch.sidecar.http1.body import MAX_BUFFERED_BODY_BYTES
 
@@ -35,7 +35,7 @@
     body = pattern(size)
 
     async def work() -> None:
-        server = Sucking()
+        server = SlowReader()
         async with stage(server) as scene:
             kernel = Kernel(monkeypatch, server.address, tuple(_accepts(each) for each in accepts))
             application = await scene.client()
--- a/tulipnotch/sidecar/requests/attempts.py
+++ b/tulipnotch/sidecar/requests/attempts.py
@@ -11,7 +11,7 @@
 from tulipnotch.sidecar.control.telemetry import retry_cause_name
 from tulipnotch.sidecar.requests.context import SidecarContext
 from tulipnotch.sidecar.requests.invariants import WrittenAttempt
-from tulipnotch.sidecar.requests.open_request import ClientLeft, OpenRequest, WaitingForResponse
+from tulipnotch.sidecar.requests.open_request import Disconnected, OpenRequest, WaitingForResponse
 from tulipnotch.sidecar.requests.request_registry import RequestRegistry
 from tulipnotch.sidecar.requests.responses import ResponseSender
 from tulipnotch.sidecar.upstream.connection import UpstreamConnection
@@ -162,7 +162,7 @@
             starter.registry.remove_if_ended(request)
             return
         request.last_outcome = outcome
-        if outcome is Outcome.NOT_SENT and isinstance(request.response, ClientLeft):
+        if outcome is Outcome.NOT_SENT and isinstance(request.response, Disconnected):
             context.telemetry.attempt_withheld()
         if outcome is Outcome.DELIVERED and response is not None:
             starter.responses.respond_from(request.number, response)
--- a/tulipnotch/sidecar/sidecar.py
+++ b/tulipnotch/sidecar/sidecar.py
@@ -91,12 +91,12 @@
         self._registry = RequestRegistry()
         self._responses = ResponseSender(self._context, self._registry)
         self._events = EventQueue(self._balancer, self._context, self._registry, self._responses)
-        self._receiver = RequestReceiver(self._context, self._registry, self._responses, self._events)
+        receiver = RequestReceiver(self._context, self._registry, self._responses, self._events)
         self.frontend = DownstreamServer(
             config.settings,
             limits or client_limits(config),
             self.lifecycle,
-            self._receiver,
+            receiver,
             invariants,
         )
         self._budget = DescriptorBudget(config, self.operators, self.frontend, self._upstream)
@@ -122,7 +122,9 @@
         self._commands = ControlCommands(
             self._context, self.lifecycle, self._balancer, self._registry, self._levels
         )
-        self._startup = Startup(config, log, self.frontend, self._budget, self._endpoints.received)
+        self._startup = Startup(
+            log, self.frontend, self._budget, self._discovery.first_call_ended, self._endpoints.received
+        )
         self._shutdown = Shutdown(self._context, self.frontend, self._budget, self._registry, self._responses)
         self._has_inherited_listener = False  # whether other processes hold the listening socket too
 
@@ -145,7 +147,9 @@
         if inherited is not None:
             await self._startup.take_over(inherited)
         elif reserved is not None:
-            await self._startup.listen(reserved, self._discovery.first_call_ended)
+            await self._startup.listen(reserved, self._context.settings.discovery_mode)
+            if not self.config.known.endpoints:
+                await self._startup.wait_for_endpoints()
         self._check_ready()
         self.lifecycle.started()
         if self._levels is not None:
@@ -153,17 +157,14 @@
 
     def _check_ready(self) -> None:
         """Checks that this process has waited for an endpoint list, or that the cached one is sufficient."""
-        has_waited = (
-            self._startup.has_timed_out
-            or self._endpoints.received.is_set()
-            or self._discovery.first_call_ended.is_set()
-        )
         needs_fresh_list = (
             self._has_inherited_listener or self._context.settings.discovery_mode is DiscoveryMode.PUSHED
         )
         is_cache_sufficient = bool(self.config.known.endpoints) and not needs_fresh_list
         self._context.invariants.check(
-            is_cache_sufficient or has_waited, Invariant.READY_AFTER_DISCOVERY, self.config.name
+            Invariant.READY_AFTER_DISCOVERY,
+            self.config.name,
+            holds=is_cache_sufficient or self._startup.has_waited,
         )
 
     @property
--- a/tulipnotch/sidecar/upstream/pool.py
+++ b/tulipnotch/sidecar/upstream/pool.py
@@ -194,9 +194,9 @@
         endpoint = self._endpoints.get(request.endpoint)
         is_ready = endpoint is not None and not endpoint.is_draining
         self._guard.check(
-            is_ready and self._endpoint_of.get(connection) is endpoint,
             Invariant.ATTEMPT_TO_READY_ENDPOINT,
             request.endpoint,
+            holds=is_ready and self._endpoint_of.get(connection) is endpoint,
         )
         request.connection = connection
         now = self._clock.now()
