--- a/tests/test_accept_faults.py
+++ b/tests/sidecar/downstream/test_acceptor.py
@@ -1,4 +1,4 @@
-"""Accepting connections while the system call fails for a moment, in the ways that accept(2) documents."""
+"""Accepting connections while accept(2) fails in the ways that it documents."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from tulipnotch.sidecar.downstream.listener import Acceptor, bind
 
 _CLIENTS = 3
-_WAITED_S = 0.5
-# Of one connection, gone by now or broken on the way; and of this machine, for a moment.
+_QUEUED_S = 0.5
+# Of one connection that has failed, and of a machine that is out of resources.
 _FAULTS = [
     errno.ECONNABORTED,
     errno.EPROTO,
@@ -56,8 +56,8 @@
 
 
 @pytest.mark.parametrize("fault", _FAULTS, ids=errno.errorcode.__getitem__)
-def test_the_last_to_listen_takes_every_connection_though_a_call_fails(fault: int) -> None:
-    # A close would reset what the kernel has accepted, with the requests that are written there.
+def test_accept_pending_accepts_every_connection_when_calls_fail(fault: int) -> None:
+    # Closing the listener would reset the connections in its queue, with the requests written to them.
     async def work() -> None:
         listener = _listener(fault, fault)
         served: list[asyncio.BaseTransport] = []
@@ -77,19 +77,19 @@
 
 
 @pytest.mark.parametrize("fault", [errno.EMFILE, errno.ENFILE], ids=errno.errorcode.__getitem__)
-def test_a_machine_without_descriptors_is_not_asked_without_a_rest(
+def test_accept_is_retried_after_a_delay_when_resources_are_short(
     fault: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Whatever waits in the kernel keeps the listener readable: calls that fail would take the whole core.
+    # The queue keeps the listener readable, so calls in each round would take the whole core.
     async def work() -> None:
-        most = 1_000
-        listener = _listener(*[fault] * most)
+        rounds = 1_000
+        listener = _listener(*[fault] * rounds)
         served: list[asyncio.BaseTransport] = []
         acceptor = Acceptor(listener, lambda _: _Served(served))
         with socket.create_connection(listener.getsockname()):
-            for _ in range(most):
+            for _ in range(rounds):
                 await asyncio.sleep(0)  # a round of the event loop
-            assert len(listener.faults) > most // 2
+            assert len(listener.faults) > rounds // 2
             listener.faults = []
             await until(lambda: len(served) == 1)
             served[0].close()
@@ -98,7 +98,7 @@
     play(work)
 
 
-def test_one_connection_that_broke_does_not_hold_up_those_behind_it() -> None:
+def test_acceptor_accepts_the_next_connection_when_one_has_failed() -> None:
     async def work() -> None:
         served: list[asyncio.BaseTransport] = []
         listener = _listener(errno.ECONNABORTED)
@@ -112,8 +112,8 @@
     play(work)
 
 
-def test_a_request_that_lay_unread_while_calls_failed_has_that_much_less_time() -> None:
-    # Its client counts from when it was sent, and so does what its server is told.
+def test_request_timeout_is_reduced_by_the_time_in_the_accept_queue() -> None:
+    # The client's time runs from when it sent the request, and so does the timeout for its server.
     async def work() -> None:
         async with stage(OK) as scene:
             acceptor = scene.sidecar.frontend._acceptor
@@ -125,11 +125,11 @@
             acceptor._listener = failing
             acceptor._accept()
             assert acceptor._failing_since is not None
-            acceptor._failing_since -= _WAITED_S
+            acceptor._failing_since -= _QUEUED_S
             client = socket.create_connection(plain.getsockname())
             client.sendall(request("check", timeout="2.0"))
             await until(lambda: len(scene.heard) == 1)
-            assert float(scene.heard[0].headers["request-timeout"]) <= 2.0 - _WAITED_S
+            assert float(scene.heard[0].headers["request-timeout"]) <= 2.0 - _QUEUED_S
             client.close()
             plain.close()
 
--- a/tests/test_descriptors.py
+++ b/tests/sidecar/downstream/test_descriptor_limits.py
@@ -1,4 +1,4 @@
-"""Clients hold every descriptor that they may while discovery is away: all others still get theirs."""
+"""Limits on descriptors and memory while idle clients hold all that clients may."""
 
 from __future__ import annotations
 
@@ -35,17 +35,17 @@
 pytestmark = pytest.mark.alone
 
 DESCRIPTORS = 96
-IDLE = 300  # clients, several for each descriptor
-AT_LEAST = 20  # connections of clients at once, of the 24 that they may have with so many descriptors
-CONNECTS_AGAIN_S = 0.5
-LISTED_WITHIN_S = 1.0  # of discovery's return
-MOST_BYTES_A_CONNECTION = 4_096  # at rest; what comes on it is counted by itself
-ASKING_S = 40.0  # the time allowed without asking: the first rest after a failed call is 1 s at least
+IDLE_CLIENTS = 300  # clients, several for each descriptor
+NEARLY_ALL = 20  # of the 24 connections that clients may have with so many descriptors
+RECONNECT_S = 0.5
+MAX_LIST_DELAY_S = 1.0  # from the return of discovery
+MAX_BYTES_PER_CONNECTION = 4_096  # idle; buffers for requests are counted by themselves
+MAX_POLL_INTERVAL_S = 40.0  # so the first delay after a failed call is 1 s at least
 
 
 @asynccontextmanager
 async def idle_clients(port: int) -> AsyncIterator[None]:
-    """Clients that connect and say nothing, and connect again after they were let go."""
+    """Clients that connect and send nothing, and reconnect when they are closed."""
 
     async def idle() -> None:
         while True:
@@ -57,9 +57,9 @@
                     writer.close()
             except OSError:
                 pass
-            await asyncio.sleep(CONNECTS_AGAIN_S)
+            await asyncio.sleep(RECONNECT_S)
 
-    tasks = [asyncio.ensure_future(idle()) for _ in range(IDLE)]
+    tasks = [asyncio.ensure_future(idle()) for _ in range(IDLE_CLIENTS)]
     try:
         yield
     finally:
@@ -70,7 +70,7 @@
 
 @asynccontextmanager
 async def silent_callers(port: int, count: int) -> AsyncIterator[None]:
-    """Operators that connect and say nothing."""
+    """Operators that connect and send nothing."""
     writers = [(await asyncio.open_connection(HOST, port))[1] for _ in range(count)]
     try:
         yield
@@ -80,24 +80,24 @@
 
 
 def _clients(running: Program) -> int:
-    """How many of its descriptors are connections of clients."""
+    """Count the descriptors of the process that are connections of clients."""
     pid = running.process.pid
-    held = set()
+    sockets = set()
     for each in Path(f"/proc/{pid}/fd").iterdir():
         try:
-            held.add(os.readlink(each))
+            sockets.add(os.readlink(each))
         except FileNotFoundError:
             pass  # closed meanwhile
     rows = [each.split() for each in Path(f"/proc/{pid}/net/tcp").read_text().splitlines()[1:]]
-    ours = f":{running.port:04X}"
-    return sum(row[1].endswith(ours) and row[3] == "01" and f"socket:[{row[9]}]" in held for row in rows)
+    local = f":{running.port:04X}"
+    return sum(row[1].endswith(local) and row[3] == "01" and f"socket:[{row[9]}]" in sockets for row in rows)
 
 
 async def _until_full(running: Program) -> None:
-    """Wait until clients hold nearly all descriptors that they may."""
+    """Wait until clients have nearly all connections that they may."""
 
     async def work() -> None:
-        while _clients(running) < AT_LEAST:
+        while _clients(running) < NEARLY_ALL:
             await asyncio.sleep(0.01)
 
     await soon(work())
@@ -112,10 +112,10 @@
 
 
 async def _status(running: Program, raw: bytes) -> int:
-    """How a new client's first request is answered.
+    """Send a request on a new connection; returns the status of its response.
 
-    Connecting and sending are one step, as an application does it: between the two steps of this event loop,
-    hundreds of idle clients connect again, and the sidecar may take one that has not said anything for idle.
+    Connecting and sending are one step, as in an application.  Between two steps of this event loop hundreds
+    of idle clients reconnect, and a connection without a byte may be evicted.
     """
     plain = socket.create_connection((HOST, running.port), timeout=10.0)
     plain.sendall(raw)
@@ -131,24 +131,26 @@
 
 
 @pytest.mark.parametrize("mode", ["on_request", "pushed"])
-@pytest.mark.parametrize("away", FAULTS)
-def test_idle_clients_take_no_descriptor_that_others_need(away: str, mode: str, tmp_path: Path) -> None:
-    # Idle clients take all that clients may while discovery is away and no list was ever held.  At its return
-    # that is dialled, a first list is taken, servers are dialled, operators and working clients get through.
+@pytest.mark.parametrize("fault", FAULTS)
+def test_idle_clients_leave_descriptors_for_discovery_servers_and_operators(
+    fault: str, mode: str, tmp_path: Path
+) -> None:
+    # Idle clients have all connections that clients may while discovery is unavailable and there is no list.
+    # On its return the first list comes, servers are connected to, and operators and clients are served.
     async def work() -> None:
         server = await ScriptedServer(OK).start()
-        agent = UnavailableDiscovery(away)
-        agent.servers = [line("s-1", server.address)]
-        await agent.start_unavailable()
+        discovery = UnavailableDiscovery(fault)
+        discovery.servers = [line("s-1", server.address)]
+        await discovery.start_unavailable()
         config = tmp_path / "config.json"
         given = {
             **GOOD,
-            "discovery": f"{HOST}:{agent.port}",
+            "discovery": f"{HOST}:{discovery.port}",
             "limits": {**GOOD["limits"], "sockets": DESCRIPTORS},
             "settings": {
                 **GOOD["settings"],
                 "discovery": mode,
-                "guarantees": {"askWithinUs": int(ASKING_S * 1e6)},
+                "guarantees": {"askWithinUs": int(MAX_POLL_INTERVAL_S * 1e6)},
             },
         }
         config.write_text(json.dumps(given))
@@ -161,12 +163,12 @@
                     assert await running.call("readyz") == ["+OK ready"]
                     assert [await _health(running) for _ in range(5)] == [200] * 5
                     assert "app.members=0" in await running.call("telemetry")
-                    await agent.return_to_service()
-                    back_at = time.monotonic()
+                    await discovery.return_to_service()
+                    returned_at = time.monotonic()
                     await _until_listed(running)
-                    listed_s = time.monotonic() - back_at
-                    print(f"{mode} {away}: listed after {listed_s:.2f} s")
-                    assert listed_s < LISTED_WITHIN_S
+                    list_delay_s = time.monotonic() - returned_at
+                    print(f"{mode} {fault}: listed after {list_delay_s:.2f} s")
+                    assert list_delay_s < MAX_LIST_DELAY_S
                     statuses = [await _status(running, request()) for _ in range(10)]
                     assert statuses == [200] * 10
                     assert server.connections >= 1
@@ -174,19 +176,19 @@
                     assert await running.call("readyz") == ["+OK ready"]
                 running.process.kill()
                 assert running.process.stderr is not None
-                told = (await soon(running.process.stderr.read())).decode()
-                assert "internal error" not in told and "Errno 24" not in told
+                log = (await soon(running.process.stderr.read())).decode()
+                assert "internal error" not in log and "Errno 24" not in log
         finally:
-            agent.stop()
+            discovery.stop()
             server.stop()
 
     play(work)
 
 
-def test_operators_take_no_descriptor_that_others_need(
+def test_operators_leave_descriptors_for_clients_and_servers(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Guards an installation whose operator file allows the door more descriptors than are kept for it.
+    # The operator file may allow the control endpoint more connections than there are descriptors for it.
     operator = tmp_path / "operator.toml"
     operator.write_text("[door]\nmost_connections = 80\nline_timeout_s = 60.0\n")
     monkeypatch.setenv("BALANCER_OPERATOR", str(operator))
@@ -207,14 +209,13 @@
                 resource.prlimit(running.process.pid, resource.RLIMIT_NOFILE, (DESCRIPTORS, DESCRIPTORS))
                 async with silent_callers(running.control_port, 80):
                     assert await running.call("readyz") == ["+OK ready"]
-                    asking = [
-                        asyncio.ensure_future(_status(running, request())) for _ in range(4)
-                    ]  # as many as the first window lets in
+                    # As many as the first concurrency limit admits.
+                    statuses = [asyncio.ensure_future(_status(running, request())) for _ in range(4)]
                     async with asyncio.timeout(10.0):
                         while len(server.heard) < 4:
                             await asyncio.sleep(0.01)
                     release.set()
-                    assert [await each for each in asking] == [200] * 4
+                    assert [await each for each in statuses] == [200] * 4
                     assert await _health(running) == 200
         finally:
             discovery.stop()
@@ -224,17 +225,17 @@
 
 
 @pytest.mark.parametrize("sockets", [64, 96, 1_024, 65_536])
-@pytest.mark.parametrize("door", [1, 16, 80, 256])
-def test_all_that_may_be_open_at_once_is_within_the_limit(sockets: int, door: int) -> None:
+@pytest.mark.parametrize("operators", [1, 16, 80, 256])
+def test_shares_of_descriptors_are_within_the_limit(sockets: int, operators: int) -> None:
     given = {**GOOD, "limits": {**GOOD["limits"], "sockets": sockets, "memory_mb": 2_048}}
 
     async def work() -> None:
         config = parse(given, given)
-        sidecar = Sidecar(config, lambda event, /, **fields: None, operators=door)
+        sidecar = Sidecar(config, lambda event, /, **fields: None, operators=operators)
         shares = sidecar.frontend.max_connections, sidecar._upstream.max_connections, sidecar.operators
         assert min(shares) >= 1
         assert sum(shares) + RESERVED <= sockets
-        if door == 16:
+        if operators == 16:
             assert shares == ((sockets - 48) // 2, (sockets - 48) - (sockets - 48) // 2, 16)
         sidecar.close()
 
@@ -245,22 +246,20 @@
     ("sockets", "memory_mb", "connections"),
     [(1_024, 16, 976), (1_024, 64, 976), (4_096, 2_048, 4_048), (16_384, 64, 4_096), (65_536, 192, 12_288)],
 )
-def test_idle_connections_take_a_quarter_of_the_memory_at_most(
-    sockets: int, memory_mb: int, connections: int
-) -> None:
-    # Guards a process with many descriptors and little memory: clients that only connect would end it.
+def test_max_connections_fit_a_quarter_of_the_memory(sockets: int, memory_mb: int, connections: int) -> None:
+    # With many descriptors and little memory, clients that only connect would exhaust it.
     given = {**GOOD, "limits": {"sockets": sockets, "memory_mb": memory_mb}}
 
     async def work() -> None:
         sidecar = Sidecar(parse(given, given), lambda event, /, **fields: None)
         assert sidecar.frontend.max_connections + sidecar._upstream.max_connections == connections
-        assert connections * MOST_BYTES_A_CONNECTION <= memory_mb * (1 << 20) / 4
+        assert connections * MAX_BYTES_PER_CONNECTION <= memory_mb * (1 << 20) / 4
         sidecar.close()
 
     play(work)
 
 
-def test_an_idle_connection_takes_no_more_memory_than_is_reckoned_for_it(tmp_path: Path) -> None:
+def test_idle_connection_memory_is_within_its_estimate(tmp_path: Path) -> None:
     count = 1_500
 
     async def work() -> None:
@@ -273,9 +272,9 @@
             clients = [await running.client() for _ in range(count)]
             while _clients(running) < count:
                 await asyncio.sleep(0.01)
-            a_connection = (resident_bytes(running) - before) / count
-            print(f"{a_connection:.0f} bytes a connection")
-            assert a_connection <= MOST_BYTES_A_CONNECTION
+            per_connection = (resident_bytes(running) - before) / count
+            print(f"{per_connection:.0f} bytes a connection")
+            assert per_connection <= MAX_BYTES_PER_CONNECTION
             for each in clients:
                 each.close()
 
--- a/tests/test_frontend.py
+++ b/tests/sidecar/downstream/test_downstream_server.py
@@ -1,4 +1,4 @@
-"""The application's side, over loopback sockets."""
+"""The server for clients, over loopback sockets."""
 
 from __future__ import annotations
 
@@ -17,19 +17,19 @@
 
 
 @pytest.mark.parametrize(
-    ("kind", "body"), [("check", b""), ("amend", b'{"a":1}'), ("lodge", b"x" * 65_536)], ids=str
+    ("class_name", "body"), [("check", b""), ("amend", b'{"a":1}'), ("lodge", b"x" * 65_536)], ids=str
 )
-def test_a_request_goes_on_unchanged_and_its_answer_comes_back(kind: str, body: bytes) -> None:
+def test_request_is_forwarded_unchanged_and_its_response_returned(class_name: str, body: bytes) -> None:
     async def work() -> None:
         async with stage(OK) as scene:
-            answer = await scene.ask(kind, body=body, timeout="1.5", Request_Id="9b1f03aa5c7e2d41")
+            answer = await scene.ask(class_name, body=body, timeout="1.5", Request_Id="9b1f03aa5c7e2d41")
             assert (answer.status, answer.body) == (200, b"served")
             (heard,) = scene.heard
-            assert heard.method == ("GET" if kind == "check" else "POST")
+            assert heard.method == ("GET" if class_name == "check" else "POST")
             assert heard.target == "/api/7f3a?x=1"
             assert heard.body == body
             assert heard.headers["request-id"] == "9b1f03aa5c7e2d41"
-            assert heard.headers.get("idempotency-key") == ("5c0f" if kind == "amend" else None)
+            assert heard.headers.get("idempotency-key") == ("5c0f" if class_name == "amend" else None)
             assert 0.0 < float(heard.headers["request-timeout"]) <= 1.5
 
     play(work)
@@ -62,19 +62,19 @@
         request(Host="").replace(b"HTTP/1.1", b"HTTP/1.0"),
     ],
 )
-def test_bad_input_gets_400_and_reaches_no_server(raw: bytes) -> None:
+def test_request_is_rejected_with_400_when_malformed(raw: bytes) -> None:
     async def work() -> None:
         async with stage(OK) as scene:
             client = await scene.client()
             client.send(raw)
             assert (await client.answer()).status == 400
             assert scene.heard == []
-            assert (await scene.ask()).status == 200  # it lives on
+            assert (await scene.ask()).status == 200  # the sidecar serves on
 
     play(work)
 
 
-def test_requests_on_one_connection_are_answered_in_order_also_when_sent_ahead() -> None:
+def test_responses_come_in_order_when_requests_are_pipelined() -> None:
     async def work() -> None:
         async def echo(heard: Heard) -> bytes:
             return b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n" + heard.target[-2:].encode()
@@ -87,7 +87,7 @@
     play(work)
 
 
-def test_a_client_that_leaves_ends_the_attempt_and_the_sidecar_forgets_the_request() -> None:
+def test_attempt_ends_and_request_closes_when_the_client_disconnects() -> None:
     async def work() -> None:
         async with stage(None) as scene:
             client = await scene.client()
@@ -100,7 +100,7 @@
     play(work)
 
 
-def test_more_than_max_open_is_refused_at_once() -> None:
+def test_request_is_rejected_at_once_above_max_open_requests() -> None:
     async def work() -> None:
         release, hold = holding()
         async with stage(hold, bounds={"maxOpen": 2}) as scene:
@@ -116,8 +116,8 @@
     play(work)
 
 
-def test_the_connection_longest_at_rest_makes_room_for_a_new_one() -> None:
-    # Guards against running out of descriptors: 64 leave room for a handful of clients.
+def test_longest_idle_connection_is_evicted_for_a_new_one() -> None:
+    # With 64 descriptors there is room for a handful of clients.
     async def work() -> None:
         async with stage(OK, given={"limits": {"sockets": 64}}) as scene:
             clients = []
@@ -132,8 +132,8 @@
     play(work)
 
 
-def test_a_client_cannot_have_the_host_or_the_ids_taken_off() -> None:
-    # Guards against a request that can't be written to a server: its client would wait for the deadline.
+def test_connection_header_does_not_remove_host_and_ids() -> None:
+    # A request without them can't be written to a server, and its client would wait for the deadline.
     async def work() -> None:
         async with stage(OK) as scene:
             answer = await scene.ask("amend", Connection="host, request-id, idempotency-key, tenant")
@@ -145,8 +145,8 @@
     play(work)
 
 
-def test_requests_that_stall_half_sent_make_room_for_new_ones() -> None:
-    # Guards against clients that begin a body and never end it: each would hold its descriptor for good.
+def test_incomplete_request_is_evicted_for_a_new_connection() -> None:
+    # Clients that never complete a body must not hold their descriptors.
     async def work() -> None:
         async with stage(OK, given={"limits": {"sockets": 64}}) as scene:
             for _ in range(12):
@@ -158,20 +158,20 @@
     play(work)
 
 
-def test_letting_go_of_idle_connections_spares_one_with_a_request_unread() -> None:
-    # Guards against a reset that loses a request at the end of a drain, when nobody listens for a second try.
+def test_close_idle_spares_a_connection_with_an_unread_request() -> None:
+    # At the end of a drain nobody listens for a retry of a request that a reset loses.
     async def work() -> None:
         async with stage(OK) as scene:
             client = await scene.client()
             assert (await client.ask()).status == 200
-            client.send(request("lodge"))  # it is in the sidecar's socket now, and the event loop has not run
+            client.send(request("lodge"))  # unread in the sidecar's socket: the event loop has not run
             scene.sidecar.frontend.close_idle()
             assert (await client.answer()).status == 200
 
     play(work)
 
 
-def test_health_is_answered_here() -> None:
+def test_health_path_is_responded_to_without_a_server() -> None:
     async def work() -> None:
         async with stage(OK) as scene:
             client = await scene.client()
@@ -183,13 +183,13 @@
     play(work)
 
 
-SMUGGLED = request("lodge", target="/api/hidden")
+SMUGGLED_REQUEST = request("lodge", target="/api/hidden")
 
 
 @pytest.mark.parametrize(
     "raw",
     [
-        request("lodge", Content_Length="5", Transfer_Encoding="chunked") + b"0\r\n\r\n" + SMUGGLED,
+        request("lodge", Content_Length="5", Transfer_Encoding="chunked") + b"0\r\n\r\n" + SMUGGLED_REQUEST,
         request("lodge", Content_Length="5, 5") + b"12345",
         request("lodge", Content_Length="5\r\nContent-Length: 5") + b"12345",
         request("lodge", Content_Length="5\r\nContent-Length: 6") + b"12345",
@@ -198,12 +198,12 @@
         request("lodge", Content_Length="9" * 30) + b"12345",
         request("lodge", Host="x\r\n folded"),
         request().replace(b"\r\n", b"\n"),
-        request(Request_Class="odd") + SMUGGLED,
-        b"nonsense\r\n\r\n" + SMUGGLED,
+        request(Request_Class="odd") + SMUGGLED_REQUEST,
+        b"nonsense\r\n\r\n" + SMUGGLED_REQUEST,
     ],
 )
-def test_what_can_be_read_in_two_ways_is_turned_away_with_all_that_follows(raw: bytes) -> None:
-    # Guards against a request that hides in another's body, and against serving a client that sends nonsense.
+def test_ambiguous_request_is_rejected_with_all_that_follows(raw: bytes) -> None:
+    # Request smuggling: no server may get a request that is hidden in the body of another.
     async def work() -> None:
         async with stage(OK) as scene:
             client = await scene.client()
@@ -215,7 +215,7 @@
     play(work)
 
 
-SHORT = ClientLimits(
+SHORT_LIMITS = ClientLimits(
     header_timeout_s=0.15,
     stall_s=0.3,
     idle_timeout_s=0.15,
@@ -235,22 +235,22 @@
         (request("lodge", body=b"x" * 70_000)[:-1], 408),
     ],
 )
-def test_a_client_that_sends_no_whole_request_in_time_is_let_go(raw: bytes, status: int | None) -> None:
+def test_connection_is_closed_when_no_complete_request_comes_in_time(raw: bytes, status: int | None) -> None:
     async def work() -> None:
-        async with stage(OK, client_limits=SHORT) as scene:
+        async with stage(OK, client_limits=SHORT_LIMITS) as scene:
             client = await scene.client()
             client.send(raw)
             if status is not None:
                 assert (await client.answer()).status == status
             assert await soon(client.reader.read()) == b""
-            client.writer.write(b"more of it")  # a client that sends on and on is cut off all the same
+            client.writer.write(b"more of it")  # the linger time ends although the client sends on
             await until(lambda: scene.sidecar.frontend.open_connections == 0)
             assert scene.heard == []
 
     play(work)
 
 
-def test_a_connection_at_rest_is_closed_in_the_end_and_one_that_waits_is_not() -> None:
+def test_idle_connection_times_out_and_one_awaiting_a_response_does_not() -> None:
     async def work() -> None:
         release = asyncio.Event()
 
@@ -259,44 +259,43 @@
                 await release.wait()
             return OK
 
-        async with stage(hold, client_limits=SHORT) as scene:
-            resting, waiting = await scene.client(), await scene.client()
-            assert (await resting.ask("lodge")).status == 200
+        async with stage(hold, client_limits=SHORT_LIMITS) as scene:
+            idle, waiting = await scene.client(), await scene.client()
+            assert (await idle.ask("lodge")).status == 200
             waiting.send(request("lodge"))
-            assert await soon(resting.reader.read()) == b""
-            await asyncio.sleep(2 * SHORT.stall_s)
+            assert await soon(idle.reader.read()) == b""
+            await asyncio.sleep(2 * SHORT_LIMITS.stall_s)
             release.set()
             assert (await waiting.answer()).status == 200
 
     play(work)
 
 
-def test_hundreds_that_connect_and_say_nothing_leave_room_for_those_that_ask() -> None:
-    # Guards the limit on descriptors, also while many connect at once, and clients that have a request open.
+def test_silent_connections_leave_room_for_clients_with_requests() -> None:
+    # The limit holds while many connect at once, and clients with an open request keep their connections.
     async def work() -> None:
         release, hold = holding()
         async with stage(hold, given={"limits": {"sockets": 64}}) as scene:
             waiting = await scene.client()
             waiting.send(request("lodge"))
             await until(lambda: len(scene.heard) == 1)
-            most = 0
+            max_open = 0
             for _ in range(200):
                 await scene.client()
-                most = max(most, scene.sidecar.frontend.open_connections)
+                max_open = max(max_open, scene.sidecar.frontend.open_connections)
             release.set()
             assert (await scene.ask("lodge")).status == 200
             assert (await waiting.answer()).status == 200
-            assert most <= 8
+            assert max_open <= 8
 
     play(work)
 
 
-def test_when_every_connection_is_owed_an_answer_a_further_one_is_closed(
+def test_new_connection_is_closed_when_all_others_await_a_response(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(
-        concurrency_limit, "START_LIMIT", 1e9
-    )  # else the decisions refuse some of these first
+    # Else the balancer rejects some of the requests.
+    monkeypatch.setattr(concurrency_limit, "START_LIMIT", 1e9)
 
     async def work() -> None:
         async with stage(None, given={"limits": {"sockets": 64}}) as scene:
@@ -311,8 +310,8 @@
     play(work)
 
 
-def test_what_half_sent_requests_hold_in_memory_is_bounded() -> None:
-    # Guards against many clients that each send most of a body: together they would take all memory.
+def test_memory_for_incomplete_requests_is_bounded() -> None:
+    # Many clients that each send most of a body would take all memory.
     async def work() -> None:
         async with stage(OK, client_limits=ClientLimits(most_bytes=300_000)) as scene:
             clients = [await scene.client() for _ in range(6)]
@@ -324,21 +323,21 @@
     play(work)
 
 
-def test_what_comes_behind_an_open_request_is_left_in_the_socket() -> None:
-    # Guards against a flood of pipelined requests: none but the first is due, so none is read into memory.
+def test_pipelined_requests_stay_in_the_socket_while_one_is_open() -> None:
+    # Only the first is to be served yet, so no more than a read of the others is buffered.
     async def work() -> None:
         async with stage(None) as scene:
             client = await scene.client()
             client.send(request("lodge") * 1_000)
             await until(lambda: len(scene.heard) == 1)
             await asyncio.sleep(0.05)
-            (held,) = scene.sidecar.frontend.connections()
-            assert held.buffered_bytes < 70_000
+            (connection,) = scene.sidecar.frontend.connections()
+            assert connection.buffered_bytes < 70_000
 
     play(work)
 
 
-def test_the_id_of_an_open_request_is_not_taken_twice() -> None:
+def test_request_is_rejected_with_409_when_its_id_is_in_use() -> None:
     async def work() -> None:
         release, hold = holding()
         async with stage(hold) as scene:
@@ -354,8 +353,8 @@
     play(work)
 
 
-def test_what_a_client_that_was_turned_away_sent_is_freed_at_once() -> None:
-    # Guards against memory that waits for a collection of cycles, while bad clients come by hundreds.
+def test_buffers_are_freed_at_once_when_the_client_disconnects() -> None:
+    # Memory must not wait for a collection of cycles while such clients come by hundreds.
     async def work() -> None:
         async with stage(OK) as scene:
             client = await scene.client()
@@ -375,7 +374,7 @@
     play(work)
 
 
-def test_no_client_gets_more_time_than_its_class_has() -> None:
+def test_request_timeout_is_bounded_by_the_class() -> None:
     async def work() -> None:
         async with stage(OK) as scene:
             assert (await scene.ask("amend", timeout="99999")).status == 200
@@ -385,15 +384,15 @@
 
 
 @pytest.mark.parametrize("sockets", [64, 1_024, 65_536])
-def test_as_many_clients_may_wait_to_be_accepted_as_may_be_connected(sockets: int) -> None:
-    # Guards a burst of new connections: one that finds no place is dropped, and tried again 1 s later.
+def test_accept_queue_is_as_long_as_max_connections(sockets: int) -> None:
+    # A connection that finds the queue full is dropped, and tried again 1 s later.
     async def work() -> None:
         async with stage(OK, given={"limits": {"sockets": sockets}}) as scene:
             frontend = scene.sidecar.frontend
             assert frontend._acceptor is not None
             info = frontend._acceptor._listener.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 104)
-            places = struct.unpack_from("=I", info, 28)[0]  # of a listening socket: tcpi_sacked
+            backlog = struct.unpack_from("=I", info, 28)[0]  # tcpi_sacked: of a listening socket, its backlog
             system = int(Path("/proc/sys/net/core/somaxconn").read_text())
-            assert places == min(max(frontend.max_connections, 1_024), system)
+            assert backlog == min(max(frontend.max_connections, 1_024), system)
 
     play(work)
--- a/tulipnotch/sidecar/downstream/listener.py
+++ b/tulipnotch/sidecar/downstream/listener.py
@@ -128,7 +128,7 @@
     return listener
 
 
-async def left_waiting(listener: socket.socket, for_s: float) -> None:
+async def wait_until_unserved(listener: socket.socket, for_s: float) -> None:
     """Return once the accept queue was not empty for `for_s` seconds: no other process accepts from it.
 
     The queue is polled, since an empty one is reported by no event.
--- a/tulipnotch/sidecar/sidecar.py
+++ b/tulipnotch/sidecar/sidecar.py
@@ -60,7 +60,7 @@
 from tulipnotch.sidecar.downstream.client_limits import ClientLimits
 from tulipnotch.sidecar.downstream.connection import DownstreamConnection
 from tulipnotch.sidecar.downstream.incoming_request import BadRequestError, IncomingRequest
-from tulipnotch.sidecar.downstream.listener import left_waiting, listen, reserve_soon
+from tulipnotch.sidecar.downstream.listener import listen, reserve_soon, wait_until_unserved
 from tulipnotch.sidecar.downstream.server import DownstreamServer
 from tulipnotch.sidecar.http1.messages import Headers, Request, Response
 from tulipnotch.sidecar.logs import Log
@@ -237,7 +237,7 @@
         loop = asyncio.get_running_loop()
         began = loop.time()
         fresh = loop.create_task(self._has_fresh_list.wait())
-        alone = loop.create_task(left_waiting(inherited, _UNSERVED_S))
+        alone = loop.create_task(wait_until_unserved(inherited, _UNSERVED_S))
         try:
             await asyncio.wait(
                 (fresh, alone), timeout=_FRESH_WITHIN_TAKEOVER_S, return_when=asyncio.FIRST_COMPLETED
