--- a/tests/sidecar/discovery/test_change_propagation.py
+++ b/tests/sidecar/discovery/test_change_propagation.py
@@ -138,6 +138,7 @@
         monkeypatch.setattr(loop, "create_connection", connect, raising=False)
 
 
+ANOTHER_ADDRESS = "another address, and the first call hung"
 FAULT_CASES = [
     "watch hangs from its first moment",
     "silent in the middle",
@@ -148,10 +149,72 @@
     "hung, and the next connection attempt lost",
     "503, and the next connection attempt lost",
     "attempts hang",
-    "another address, and the first call hung",
+    ANOTHER_ADDRESS,
 ]
 
 
+async def _lose_calls(
+    case: str, scene: Stage, server: DrainingDiscovery, attempts: ConnectionAttempts
+) -> None:
+    """Lose calls as the case says, the last of them just before this returns."""
+
+    async def until_failed_often() -> None:
+        await until(lambda: _failures(scene, attempts) >= 4)
+
+    if case == ANOTHER_ADDRESS:
+        await server.start()
+        raw = {**dict(scene.sidecar.config.file), "discovery": server.address}
+        scene.sidecar.reload(parse(raw, raw))
+        await until(lambda: len(server.heard) >= 1)
+        return
+    port = int(scene.discovery.address.rpartition(":")[2])
+    scene.discovery.stop()
+    if case == "refused":
+        await until_failed_often()
+        await server.start(port)
+    elif case == "attempts hang":
+        attempts.to_hang = 1_000
+        await server.start(port)
+        await until_failed_often()
+        before = attempts.made
+        await until(lambda: attempts.made > before)
+        attempts.to_hang = 0
+    else:
+        await server.start(port)
+        if server.fault == "none":
+            await until(lambda: any("wait_ms=0" not in each.target for each in server.heard))
+        else:
+            await until_failed_often()
+            calls = len(server.heard)
+            await until(lambda: len(server.heard) > calls)
+        attempts.to_hang = 1 if "lost" in case else 0
+    if case == "silent in the middle":
+        await asyncio.sleep(SCHEDULE.max_watch_s / 2)
+
+
+async def _propagation_s(case: str, mode: str, monkeypatch: pytest.MonkeyPatch) -> float:
+    """Measure from the instant in which discovery has a drain and can be reached until it is known."""
+    slow = SlowToAccept()
+    await slow.fill()
+    loop = asyncio.get_running_loop()
+    guarantees = {"askWithinUs": int(10e6 * SCHEDULE.max_propagation_s / PollSchedule().max_propagation_s)}
+    async with stage(OK, OK, discovery=mode, guarantees=guarantees) as scene:
+        drained = _draining(scene)
+        await until(lambda: len(scene.discovery.heard) >= 2)  # the watch is open
+        server = DrainingDiscovery("503" if "503" in case else "hung" if "hung" in case else "none")
+        server.servers, server.truncates = scene.discovery.servers, "half" in case
+        attempts = ConnectionAttempts(monkeypatch, scene.discovery.address, slow.address)
+        await _lose_calls(case, scene, server, attempts)
+        server.drain(drained)
+        reachable_at = loop.time()
+        await until(lambda: scene.sidecar._balancer.members() == (2, 1))
+        elapsed_s = loop.time() - reachable_at
+        await _assert_drained(scene)
+        server.stop()
+    slow.close()
+    return elapsed_s
+
+
 @pytest.mark.alone
 @pytest.mark.parametrize("mode", ["pushed", "on_request"])
 def test_drain_is_known_within_the_propagation_bound_in_the_worst_case(
@@ -162,72 +225,14 @@
     monkeypatch.setattr(discovery, "_SCHEDULE", SCHEDULE)
     longest_ms = int(1_000 * SCHEDULE.max_watch_s)
     monkeypatch.setattr(PollSchedule, "wait_ms", lambda *_, **__: longest_ms)
-    guarantees = {"askWithinUs": int(10e6 * SCHEDULE.max_propagation_s / PollSchedule().max_propagation_s)}
-
-    async def known_after(case: str) -> float:
-        slow = SlowToAccept()
-        await slow.fill()
-        loop = asyncio.get_running_loop()
-        async with stage(OK, OK, discovery=mode, guarantees=guarantees) as scene:
-            drained, first = _draining(scene), scene.discovery
-            await until(lambda: len(first.heard) >= 2)  # its watch is open
-            server = DrainingDiscovery("503" if "503" in case else "hung" if "hung" in case else "none")
-            server.servers, server.truncates = first.servers, "half" in case
-            port = 0 if "another address" in case else int(first.address.rpartition(":")[2])
-            attempts = ConnectionAttempts(monkeypatch, first.address, slow.address)
-            if case != "another address, and the first call hung":
-                first.stop()
-
-            async def failed_often() -> None:
-                await until(lambda: _failures(scene, attempts) >= 4)
-
-            async def next_calls(count: int) -> None:
-                before = len(server.heard)
-                await until(lambda: len(server.heard) >= before + count)
-
-            if case == "refused":
-                await failed_often()
-                await server.start(port)
-            elif case == "attempts hang":
-                attempts.to_hang = 1_000
-                await server.start(port)
-                await failed_often()
-                before = attempts.made
-                await until(lambda: attempts.made > before)
-                attempts.to_hang = 0
-            elif case == "another address, and the first call hung":
-                await server.start()
-                raw = {**dict(scene.sidecar.config.file), "discovery": server.address}
-                scene.sidecar.reload(parse(raw, raw))
-                await until(lambda: len(server.heard) >= 1)
-            else:
-                await server.start(port)
-                if server.fault == "none":
-                    await until(lambda: any("wait_ms=0" not in each.target for each in server.heard))
-                else:
-                    await failed_often()
-                    await next_calls(1)
-                attempts.to_hang = 1 if "lost" in case else 0
-            if case == "silent in the middle":
-                await asyncio.sleep(SCHEDULE.max_watch_s / 2)
-            server.drain(drained)
-            reachable_at = loop.time()
-            await until(lambda: scene.sidecar._balancer.members() == (2, 1))
-            elapsed_s = loop.time() - reachable_at
-            await _assert_drained(scene)
-            server.stop()
-        slow.close()
-        return elapsed_s
 
     async def work() -> list[float]:
-        return await asyncio.gather(*map(known_after, FAULT_CASES))  # each has its own servers
+        # Each case has its own servers, so they run concurrently.
+        return await asyncio.gather(*(_propagation_s(case, mode, monkeypatch) for case in FAULT_CASES))
 
     elapsed_s = dict(zip(FAULT_CASES, play(work), strict=True))
     bound_s = SCHEDULE.max_propagation_s
-    print(
-        *(f"{case}, {mode}: {each:.3f} of {bound_s}" for case, each in elapsed_s.items()),
-        sep="\n",
-    )
+    print(*(f"{case}, {mode}: {each:.3f} of {bound_s}" for case, each in elapsed_s.items()), sep="\n")
     max_s = bound_s - SCHEDULE.response_timeout_s  # the stand-in has no queue, so its part is left over
     assert {case: each for case, each in elapsed_s.items() if each >= max_s} == {}
 
@@ -236,7 +241,7 @@
     # The number of the instance keeps the fleet from calling in step.
     received: list[tuple[int, int, bool]] = []
 
-    def wait_ms(schedule: PollSchedule, now_us: int, instance: int, *, after_event: bool) -> int:
+    def wait_ms(_: PollSchedule, now_us: int, instance: int, *, after_event: bool) -> int:
         received.append((now_us, instance, after_event))
         return 2_000
 
@@ -376,7 +381,7 @@
                 client.sendall(request("lodge"))  # the event loop has not run since
                 assert scene.sidecar.frontend.accept_pending()
                 scene.sidecar.frontend.stop_listening()
-                client.setblocking(False)
+                client.settimeout(0.0)
                 received = await asyncio.get_running_loop().sock_recv(client, 1_000)
             assert received.startswith(b"HTTP/1.1 200 ")
 
@@ -385,7 +390,7 @@
 
 def test_reported_cores_are_forgotten_when_a_reload_drops_the_report() -> None:
     async def work() -> None:
-        async def reports(heard: Heard) -> bytes:
+        async def reports(_: Heard) -> bytes:
             return OK.replace(b"\r\n\r\n", b"\r\nServer-Load: TEXT util=0.2\r\n\r\n")
 
         async with stage(await ScriptedServer(reports).start()) as scene:
--- a/tests/sidecar/discovery/test_discovery_client.py
+++ b/tests/sidecar/discovery/test_discovery_client.py
@@ -79,7 +79,9 @@
         recorder = Recorder(server)
         recorder.client.subscribe()
         first = await recorder.next()
-        assert first is not None and first.is_complete and first.version == 1
+        assert first is not None
+        assert first.is_complete
+        assert first.version == 1
         await until(lambda: len(server.heard) == 2)
         assert server.heard[0].target == "/catalog/members?after=41&wait_ms=0"
         path, _, wait_ms = server.heard[1].target.rpartition("=")
@@ -87,7 +89,9 @@
         assert 0 < int(wait_ms) <= 1_000 * PollSchedule().max_watch_s
         server.tell(line("s-1", "127.0.0.2:80", state="leaving"))
         event = await recorder.next()
-        assert event is not None and not event.is_complete and event.version == 2
+        assert event is not None
+        assert not event.is_complete
+        assert event.version == 2
         await until(lambda: len(server.heard) == 3)
         recorder.client.unsubscribe()
         await until(lambda: len(server.closed) == 0 or server.closed == [0])
@@ -139,7 +143,8 @@
         assert recorder.events.empty()
         call()
         received = await recorder.next()
-        assert received is not None and received.version == 7
+        assert received is not None
+        assert received.version == 7
         recorder.client.close()
         server.stop()
 
@@ -159,7 +164,8 @@
         recorder.client.change_address(parse_address(new.address))
         old.tell(line("s-9", "127.0.0.2:80"))  # dropped: nobody is connected
         received = await recorder.next()
-        assert received is not None and received.version == 5
+        assert received is not None
+        assert received.version == 5
         await until(lambda: old.closed == [0])
         await until(lambda: len(new.heard) == 2)
         assert new.heard[0].target == "/catalog/members"
@@ -190,10 +196,11 @@
         await until(lambda: len(server.heard) == 1)
         recorder.client.subscribe()
         event = await recorder.next()
-        assert event is not None and event.version == 42
+        assert event is not None
+        assert event.version == 42
         release.set()
         late = await recorder.next()
-        assert late == DiscoveryResponse(42, False, ())
+        assert late == DiscoveryResponse(42, is_complete=False, endpoints=())
         recorder.client.close()
         server.stop()
 
@@ -218,7 +225,7 @@
     async def work() -> None:
         release = asyncio.Event()
 
-        async def slow(heard: Heard) -> bytes:
+        async def slow(_: Heard) -> bytes:
             await release.wait()
             return reply(json.dumps(GOOD).encode())
 
@@ -252,7 +259,8 @@
         await restarted.start(port)
         restarted.tell(line("s-2", f"{HOST}:80"))
         received = await recorder.next()
-        assert received is not None and received.version == 10
+        assert received is not None
+        assert received.version == 10
         assert recorder.events.empty()
         recorder.client.close()
         restarted.stop()
@@ -265,7 +273,8 @@
     recorder = Recorder(server, pushed=True, schedule=NEVER)
     recorder.client.start()
     received = await recorder.next()
-    assert received is not None and received.version == 7
+    assert received is not None
+    assert received.version == 7
     recorder.client.close()
     server.stop()
 
@@ -281,7 +290,8 @@
         assert await recorder.next() is not None
         server.version, server.servers = 2, [line("s-1", f"{HOST}:80", state="leaving")]
         received = await recorder.next()
-        assert received is not None and received.version == 2
+        assert received is not None
+        assert received.version == 2
         assert server.connections >= 2
         recorder.client.close()
         server.stop()
@@ -295,7 +305,7 @@
     schedule = PollSchedule(1.2)
 
     async def work() -> None:
-        async def answer(heard: Heard) -> bytes | None:
+        async def answer(_: Heard) -> bytes | None:
             started.append(asyncio.get_running_loop().time())
             return reply(json.dumps(GOOD).encode()) if len(started) == 1 else None
 
@@ -335,7 +345,9 @@
         recorder = Recorder(server, schedule=PollSchedule(4.8))
         recorder.client.subscribe()
         received = await recorder.next()
-        assert received is not None and received.version == 7 and recorder.faults == []
+        assert received is not None
+        assert received.version == 7
+        assert recorder.faults == []
         recorder.client.close()
         server.stop()
         slow.close()
@@ -377,7 +389,7 @@
     async def work() -> None:
         started: list[float] = []
 
-        async def hang(heard: Heard) -> None:
+        async def hang(_: Heard) -> None:
             started.append(asyncio.get_running_loop().time())
 
         server = await ScriptedServer(hang).start()
@@ -431,7 +443,7 @@
     ids=["truncated", "connection lost", "rejected", "unknown state"],
 )
 @pytest.mark.parametrize("pushed", [True, False])
-def test_unusable_list_is_reported_once_and_retried(answer: bytes, cause: str, pushed: bool) -> None:
+def test_unusable_list_is_reported_once_and_retried(answer: bytes, cause: str, *, pushed: bool) -> None:
     async def work() -> None:
         async def script(heard: Heard) -> bytes:
             if len(server.heard) > 3:
@@ -447,8 +459,10 @@
         while received is None:
             recorder.client.subscribe()  # without effect where lists are pushed
             received = await recorder.next()
-        assert received.version == 7 and [each.description.name for each in received.endpoints] == ["s-1"]
-        assert len(recorder.faults) == 1 and cause in recorder.faults[0]
+        assert received.version == 7
+        assert [each.description.name for each in received.endpoints] == ["s-1"]
+        assert len(recorder.faults) == 1
+        assert cause in recorder.faults[0]
         recorder.client.close()
         server.stop()
 
--- a/tests/sidecar/discovery/test_large_endpoint_lists.py
+++ b/tests/sidecar/discovery/test_large_endpoint_lists.py
@@ -112,7 +112,8 @@
         await _until_shown(running, members=count, members_unavailable=0)
         connections_before = _connections(before)
         await _assert_serving(running)
-        assert _connections(after) > 0 and _connections(before) == connections_before
+        assert _connections(after) > 0
+        assert _connections(before) == connections_before
         memory = resident_bytes(running)
         discovery.tell(*_lines(count, after, state="left"))
         await _until_shown(running, members=0)
@@ -145,14 +146,14 @@
         for _ in range(16):  # so that no receive buffer overflows
             receiver = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
             receiver.bind(("0.0.0.0", 0))
-            receiver.setblocking(False)
+            receiver.settimeout(0.0)
             sockets.append(receiver)
         ports = [each.getsockname()[1] for each in sockets]
         addresses: tuple[Address, ...] = tuple(
             (f"127.1.{number >> 8}.{number & 255}", ports[number % len(ports)]) for number in range(MANY)
         )
         senders: asyncio.Queue[int] = asyncio.Queue()
-        peers = PeerMessenger(addresses, None, 0, lambda sender, payload: senders.put_nowait(sender))
+        peers = PeerMessenger(addresses, None, 0, lambda sender, _: senders.put_nowait(sender))
         try:
             await peers.listen((HOST, 0))
             assert peers.send(None, b"to all")
@@ -162,7 +163,8 @@
             with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as last:
                 last.bind((addresses[-1][0], 0))
                 peers.set_addresses((*addresses[:-1], last.getsockname()), None)
-                assert peers.send(MANY - 1, b"to the last") and not peers.send(MANY, b"nobody")
+                assert peers.send(MANY - 1, b"to the last")
+                assert not peers.send(MANY, b"nobody")
                 data, sidecar = last.recvfrom(256)
                 assert data == b"to the last"
                 last.sendto(b"from the last", sidecar)
--- a/tests/sidecar/discovery/test_peer_messenger.py
+++ b/tests/sidecar/discovery/test_peer_messenger.py
@@ -37,7 +37,9 @@
         assert await soon(received.get()) == (1, 0, b"to one")
         assert second.send(None, b"to all")
         assert await soon(received.get()) == (0, 1, b"to all")
-        assert first.send(1, b"x" * 256) and not first.send(1, b"x" * 257) and not first.send(2, b"nobody")
+        assert first.send(1, b"x" * 256)
+        assert not first.send(1, b"x" * 257)
+        assert not first.send(2, b"nobody")
         assert await soon(received.get()) == (1, 0, b"x" * 256)
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
             stranger.sendto(b"from a stranger", addresses[1])
--- a/tests/sidecar/discovery/test_poll_schedule.py
+++ b/tests/sidecar/discovery/test_poll_schedule.py
@@ -39,8 +39,10 @@
 def test_schedule_has_the_specified_times() -> None:
     # As the specification and discovery's own timeout give them.
     assert SCHEDULE.max_propagation_s == 6.0
-    assert SCHEDULE.scheduling_margin_s >= 0.3 and SCHEDULE.response_timeout_s >= 2.0
-    assert SCHEDULE.call_interval_s == pytest.approx(3.45) and SCHEDULE.max_watch_s == pytest.approx(3.05)
+    assert SCHEDULE.scheduling_margin_s >= 0.3
+    assert SCHEDULE.response_timeout_s >= 2.0
+    assert SCHEDULE.call_interval_s == pytest.approx(3.45)
+    assert SCHEDULE.max_watch_s == pytest.approx(3.05)
 
 
 def test_call_ends_before_the_next_and_watch_before_the_next_but_one() -> None:
@@ -52,7 +54,7 @@
 @pytest.mark.parametrize("max_propagation_s", [0.6, 1.2, 6.0])
 @pytest.mark.parametrize("after_event", [False, True])
 def test_wait_ends_at_a_slot_of_the_instance_within_the_max_watch(
-    max_propagation_s: float, after_event: bool
+    max_propagation_s: float, *, after_event: bool
 ) -> None:
     schedule = PollSchedule(max_propagation_s)
     min_s = schedule.max_watch_s - schedule.slot_interval_s / (2 if after_event else 1)
@@ -82,7 +84,7 @@
 
 
 @pytest.mark.parametrize(("after_event", "max_ratio"), [(False, 1.25), (True, 2.5)])
-def test_fleet_spreads_its_calls_when_all_ended_at_once(after_event: bool, max_ratio: float) -> None:
+def test_fleet_spreads_its_calls_when_all_ended_at_once(*, after_event: bool, max_ratio: float) -> None:
     # After a restart, the return of discovery or a watch event.
     ends = [SCHEDULE.wait_ms(1_764_000_000_000_000, each, after_event=after_event) for each in range(FLEET)]
     mean = FLEET / SCHEDULE.slot_interval_s * 0.25
@@ -110,7 +112,8 @@
         assert PollIntervals.when_polled(schedule, max_poll_interval_us) == unbounded
     for allowed_s in (0.75, 1.0, 2.0, 3.5):
         intervals = PollIntervals.when_polled(schedule, int(allowed_s * 1e6))
-        assert intervals.max_retry_delay_s <= allowed_s and intervals.hedge_delay_s <= allowed_s
+        assert intervals.max_retry_delay_s <= allowed_s
+        assert intervals.hedge_delay_s <= allowed_s
         if allowed_s >= 1.1:  # else the half of it: a longer part would leave nothing to wait for
             margins_s = schedule.scheduling_margin_s + schedule.connection_attempt_delay_s
             assert intervals.hedge_delay_s + margins_s == pytest.approx(allowed_s)
--- a/tests/sidecar/downstream/test_acceptor.py
+++ b/tests/sidecar/downstream/test_acceptor.py
@@ -42,7 +42,7 @@
 def _listener(*faults: int) -> _FaultyListener:
     plain = bind((HOST, 0))
     listener = _FaultyListener(fileno=plain.detach())
-    listener.setblocking(False)
+    listener.settimeout(0.0)
     listener.faults = list(faults)
     return listener
 
@@ -78,7 +78,7 @@
 
 @pytest.mark.parametrize("fault", [errno.EMFILE, errno.ENFILE], ids=errno.errorcode.__getitem__)
 def test_accept_is_retried_after_a_delay_when_resources_are_short(
-    fault: int, monkeypatch: pytest.MonkeyPatch
+    fault: int,
 ) -> None:
     # The queue keeps the listener readable, so calls in each round would take the whole core.
     async def work() -> None:
@@ -120,7 +120,7 @@
             assert acceptor is not None
             plain = acceptor._listener
             failing = _FaultyListener(fileno=os.dup(plain.fileno()))
-            failing.setblocking(False)
+            failing.settimeout(0.0)
             failing.faults = [errno.ENFILE]
             acceptor._listener = failing
             acceptor._accept()
--- a/tests/sidecar/downstream/test_descriptor_limits.py
+++ b/tests/sidecar/downstream/test_descriptor_limits.py
@@ -10,7 +10,7 @@
 import socket
 import time
 from collections.abc import AsyncIterator
-from contextlib import asynccontextmanager
+from contextlib import asynccontextmanager, suppress
 from pathlib import Path
 
 import pytest
@@ -43,6 +43,10 @@
 MAX_POLL_INTERVAL_S = 40.0  # so the first delay after a failed call is 1 s at least
 
 
+def _ignore_log(_: str, /, **_fields: object) -> None:
+    """Log nothing."""
+
+
 @asynccontextmanager
 async def idle_clients(port: int) -> AsyncIterator[None]:
     """Clients that connect and send nothing, and reconnect when they are closed."""
@@ -84,10 +88,8 @@
     pid = running.process.pid
     sockets = set()
     for each in Path(f"/proc/{pid}/fd").iterdir():
-        try:
+        with suppress(FileNotFoundError):  # closed meanwhile
             sockets.add(os.readlink(each))
-        except FileNotFoundError:
-            pass  # closed meanwhile
     rows = [each.split() for each in Path(f"/proc/{pid}/net/tcp").read_text().splitlines()[1:]]
     local = f":{running.port:04X}"
     return sum(row[1].endswith(local) and row[3] == "01" and f"socket:[{row[9]}]" in sockets for row in rows)
@@ -119,7 +121,7 @@
     """
     plain = socket.create_connection((HOST, running.port), timeout=10.0)
     plain.sendall(raw)
-    plain.setblocking(False)
+    plain.settimeout(0.0)
     client = Client(*await asyncio.open_connection(sock=plain))
     status = (await client.answer()).status
     client.close()
@@ -177,7 +179,8 @@
                 running.process.kill()
                 assert running.process.stderr is not None
                 log = (await soon(running.process.stderr.read())).decode()
-                assert "internal error" not in log and "Errno 24" not in log
+                assert "internal error" not in log
+                assert "Errno 24" not in log
         finally:
             discovery.stop()
             server.stop()
@@ -231,7 +234,7 @@
 
     async def work() -> None:
         config = parse(given, given)
-        sidecar = Sidecar(config, lambda event, /, **fields: None, operators=operators)
+        sidecar = Sidecar(config, _ignore_log, operators=operators)
         shares = sidecar.frontend.max_connections, sidecar._upstream.max_connections, sidecar.operators
         assert min(shares) >= 1
         assert sum(shares) + RESERVED <= sockets
@@ -251,7 +254,7 @@
     given = {**GOOD, "limits": {"sockets": sockets, "memory_mb": memory_mb}}
 
     async def work() -> None:
-        sidecar = Sidecar(parse(given, given), lambda event, /, **fields: None)
+        sidecar = Sidecar(parse(given, given), _ignore_log)
         assert sidecar.frontend.max_connections + sidecar._upstream.max_connections == connections
         assert connections * MAX_BYTES_PER_CONNECTION <= memory_mb * (1 << 20) / 4
         sidecar.close()
--- a/tests/sidecar/downstream/test_downstream_server.py
+++ b/tests/sidecar/downstream/test_downstream_server.py
@@ -139,8 +139,10 @@
             answer = await scene.ask("amend", Connection="host, request-id, idempotency-key, tenant")
             assert answer.status == 200
             headers = scene.heard[0].headers
-            assert headers["host"] == "origin.svc" and headers["idempotency-key"] == "5c0f"
-            assert "request-id" in headers and "tenant" not in headers
+            assert headers["host"] == "origin.svc"
+            assert headers["idempotency-key"] == "5c0f"
+            assert "request-id" in headers
+            assert "tenant" not in headers
 
     play(work)
 
@@ -254,7 +256,7 @@
     async def work() -> None:
         release = asyncio.Event()
 
-        async def hold(heard: Heard) -> bytes:
+        async def hold(_: Heard) -> bytes:
             if len(scene.heard) == 2:
                 await release.wait()
             return OK
--- a/tests/sidecar/downstream/test_transfer_progress.py
+++ b/tests/sidecar/downstream/test_transfer_progress.py
@@ -20,12 +20,12 @@
 
 
 @pytest.mark.parametrize(("now", "is_stalled"), [(2.9, False), (3.0, True)])
-def test_transfer_is_stalled_when_nothing_came_for_the_stall_time(now: float, is_stalled: bool) -> None:
+def test_transfer_is_stalled_when_nothing_came_for_the_stall_time(now: float, *, is_stalled: bool) -> None:
     assert _received((1.0, 1_000)).is_stalled(now, LIMITS) is is_stalled
 
 
 @pytest.mark.parametrize(("nbytes", "is_stalled"), [(99, True), (100, False)])
-def test_transfer_is_stalled_when_too_little_came_in_a_window(nbytes: int, is_stalled: bool) -> None:
+def test_transfer_is_stalled_when_too_little_came_in_a_window(nbytes: int, *, is_stalled: bool) -> None:
     progress = _received((3.5, nbytes))
     assert not progress.is_stalled(3.9, LIMITS)  # the window is not over
     assert progress.is_stalled(4.0, LIMITS) is is_stalled
--- a/tests/slow_to_accept.py
+++ b/tests/slow_to_accept.py
@@ -24,7 +24,7 @@
     async def fill(self) -> None:
         for _ in range(3):
             filler = socket.socket()
-            filler.setblocking(False)
+            filler.settimeout(0.0)
             filler.connect_ex(self.listener.getsockname())
             self.fillers.append(filler)
         await asyncio.sleep(0.05)
@@ -32,7 +32,7 @@
     async def let_go(self) -> socket.socket:
         """Accept until the connection of the sidecar comes up; return it."""
         fillers = {each.getsockname() for each in self.fillers}
-        self.listener.setblocking(False)
+        self.listener.settimeout(0.0)
         loop = asyncio.get_running_loop()
         while True:
             accepted, address = await loop.sock_accept(self.listener)
