--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""A small stage for scripted events: it plays them and keeps what comes out."""
+"""A balancer under scripted events: plays them and records the actions."""
 
 from __future__ import annotations
 
@@ -73,6 +73,7 @@
 
 
 def names(count: int) -> list[str]:
+    """The names of so many endpoints."""
     return [f"10.0.0.{number}:80" for number in range(1, count + 1)]
 
 
@@ -80,6 +81,7 @@
     """Plays events to one balancer; timers fire by themselves as time moves on."""
 
     def __init__(self, given: Settings | None = None, seed: int = 7, now: int = START) -> None:
+        """Begin at clock time `now` with no endpoint."""
         self.now = now
         self.balancer = Balancer(given or settings(), seed)
         self.log: list[tuple[int, Action]] = []
@@ -87,6 +89,7 @@
         self._next = 1
 
     def play(self, event: Event) -> list[Action]:
+        """Play one event; record and return its actions."""
         actions = self.balancer.handle(self.now, event)
         for action in actions:
             self.log.append((self.now, action))
@@ -99,13 +102,16 @@
         listed: Iterable[str | EndpointDescription],
         kind: EndpointUpdateKind = EndpointUpdateKind.COMPLETE,
     ) -> list[Action]:
+        """Announce endpoints; a name stands for a ready one in the own zone."""
         lines = [EndpointDescription(each, zone="east") if isinstance(each, str) else each for each in listed]
         return self.play(EndpointsUpdated(kind, lines, 1))
 
     def drain(self, server: str, state: EndpointState = EndpointState.DRAINING) -> list[Action]:
+        """Announce one endpoint as draining, or in another state."""
         return self.servers([EndpointDescription(server, zone="east", state=state)], EndpointUpdateKind.DELTA)
 
     def request(self, name: str = "look", remaining_us: int = 2 * S, cost_us: int | None = None) -> int:
+        """Let a request arrive; return its number."""
         number, self._next = self._next, self._next + 1
         self.play(RequestArrived(number, name, None, None, remaining_us, cost_us))
         return number
@@ -115,9 +121,11 @@
         request: int,
         outcome: Outcome = Outcome.DELIVERED,
         attempt: int | None = None,
+        *,
         answered: bool | None = None,
         report: dict[str, float] | None = None,
     ) -> list[Action]:
+        """End an attempt of a request, by default its last one."""
         sends = self.sends(request)
         index = len(sends) - 1 if attempt is None else attempt
         sent_at, send = sends[index]
@@ -138,6 +146,7 @@
         self.now = until
 
     def sends(self, request: int | None = None) -> list[tuple[int, StartAttempt]]:
+        """The attempts so far, of one request or of all, with the times of their start."""
         return [
             (at, each)
             for at, each in self.log
@@ -145,15 +154,17 @@
         ]
 
     def target(self, request: int) -> str:
+        """The endpoint of a request's last attempt."""
         return self.sends(request)[-1][1].endpoint
 
     def said(self, kind: type[_Kind]) -> list[_Kind]:
+        """The actions of this type so far."""
         return [each for _, each in self.log if isinstance(each, kind)]
 
     def serve(
         self, count: int, every_us: int = 20 * MS, taking_us: int = 50 * MS, name: str = "look"
     ) -> None:
-        """Traffic in good health: a request every so often, each answered after the same time."""
+        """Steady traffic: a request every `every_us`, each with a response after `taking_us`."""
         pending: list[tuple[int, int]] = []
         for _ in range(count):
             self.wait(every_us)
@@ -166,3 +177,12 @@
             self.wait(every_us)
             if self.sends(done):
                 self.end(done)
+
+    def serve_singly(self, count: int, taking_us: int = 50 * MS, every_us: int = 400 * MS) -> None:
+        """Traffic of a small balancer: each request gets its response before the next arrives."""
+        for _ in range(count):
+            request = self.request()
+            self.wait(taking_us)
+            if self.sends(request):
+                self.end(request)
+            self.wait(every_us - taking_us)
--- a/tests/test_least_limit.py
+++ b/tests/load_balancing/admission/test_concurrency_limit.py
@@ -67,7 +67,7 @@
 
 @pytest.mark.parametrize("instance_count", [1, SERVERS])
 @pytest.mark.parametrize("every_ms", [20, 50, 100])
-def test_nobody_is_refused_for_long_with_nothing_in_flight(every_ms: int, instance_count: int) -> None:
+def test_concurrency_limit_admits_request_after_idle_time(every_ms: int, instance_count: int) -> None:
     traffic = Traffic(every_ms * MS, instance_count)
     traffic.run(5 * S, Outcome.DELIVERED)
     began = traffic.stage.now
@@ -81,7 +81,7 @@
     assert len(traffic.attempts) - attempts >= 0.8 * (traffic.asked - asked)
 
 
-def test_where_instances_are_many_for_the_servers_each_rests_the_longer() -> None:
+def test_concurrency_limit_idles_longer_with_many_instances_per_endpoint() -> None:
     traffic = Traffic(50 * MS, 10 * SERVERS)
     traffic.run(5 * S, Outcome.DELIVERED)
     began = traffic.stage.now
--- a/tests/overload/test_levels.py
+++ b/tests/load_balancing/admission/test_service_levels.py
@@ -46,23 +46,22 @@
     return changes
 
 
-def test_a_calm_fleet_stays_at_full_service() -> None:
+def test_service_levels_stay_at_full_service_at_low_load() -> None:
     assert played(lambda _: 0.7, 600) == []
 
 
-def test_a_busy_thursday_climbs_and_comes_back() -> None:
+def test_service_levels_rise_under_overload_and_return() -> None:
     changes = played(lambda second: 1.9 if second < 300 else 0.4, 600)
     assert [change.current for _, change in changes] == ["spare", "orders-only", "spare", "full"]
     first, _ = changes[0]
     assert first <= 25  # twenty seconds of refusing are enough
-    assert (
-        changes[1][1].effect.rejected_classes == {"consulter"}
-        and changes[-1][1].effect.rejected_classes == frozenset()
-    )
-    assert "refused over" in changes[0][1].reason and "of the window" in changes[-1][1].reason
+    assert changes[1][1].effect.rejected_classes == {"consulter"}
+    assert changes[-1][1].effect.rejected_classes == frozenset()
+    assert "refused over" in changes[0][1].reason
+    assert "of the window" in changes[-1][1].reason
 
 
-def test_no_two_changes_within_half_a_minute() -> None:
+def test_service_levels_hold_for_the_minimum_time() -> None:
     seconds = [second for second, _ in played(lambda second: 2.5 if second % 80 < 40 else 0.1, 1200)]
     assert len(seconds) >= 4
     assert all(later - sooner >= HOLD_S for sooner, later in pairwise(seconds))
@@ -72,11 +71,11 @@
     return 1.15 + 0.35 * math.sin(second / 11.0)
 
 
-def test_load_that_hovers_at_the_threshold_does_not_move_the_level_to_and_fro() -> None:
+def test_service_levels_change_little_for_load_at_the_threshold() -> None:
     assert len(played(hovering, 600)) <= 2
 
 
-def test_leaving_by_what_is_refused_alone_would_go_to_and_fro(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_service_levels_change_often_when_left_by_rejections_alone(monkeypatch: pytest.MonkeyPatch) -> None:
     # Under a level the limit rejects little, since the level removed the load; hence `leave_utilization`.
     def leaves(self: ServiceLevelController, now: int, level: levels.ServiceLevel) -> str | None:
         rejected_part = self._summary(now, level.enter_us).rejected_part
@@ -92,19 +91,19 @@
     return 1.17 if second % 90 < 45 else 0.5
 
 
-def test_a_level_left_too_early_is_left_later_the_next_time(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_service_levels_are_left_later_after_early_return(monkeypatch: pytest.MonkeyPatch) -> None:
     patient = len(played(early, 1800))
     monkeypatch.setattr(levels, "MAX_LEAVE_FACTOR", 1)
     assert len(played(early, 1800)) > 2 * patient
 
 
-def test_a_sidecar_with_hardly_any_traffic_stays_at_full_service(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_service_levels_stay_at_full_service_with_few_requests(monkeypatch: pytest.MonkeyPatch) -> None:
     assert played(lambda _: 2.5, 300, rate=1) == []
     monkeypatch.setattr(levels, "MIN_OFFERED", 0)
     assert played(lambda _: 2.5, 300, rate=1) != []
 
 
-def test_a_process_that_stood_still_judges_anew() -> None:
+def test_service_levels_drop_observations_after_a_gap() -> None:
     ladder = ServiceLevelController(standard("consulter"), HOLD_S * 1_000_000, 0)
     for second in range(20):
         assert ladder.observe(second * 1_000_000, Pressure(400 * second, 200 * second, 2.0)) is None
@@ -114,7 +113,7 @@
     assert ladder.name == "full"
 
 
-def test_readings_are_bounded() -> None:
+def test_service_levels_bound_their_observations() -> None:
     ladder = ServiceLevelController(standard("consulter"), HOLD_S * 1_000_000, 0)
     for second in range(5_000):
         ladder.observe(second * 1_000_000, Pressure(10 * second, 0, 0.1))
--- a/tests/overload/test_levels_in_force.py
+++ b/tests/load_balancing/admission/test_service_levels_in_force.py
@@ -38,20 +38,21 @@
     return let_in
 
 
-def test_a_closed_class_is_refused_at_once_and_the_other_is_not() -> None:
+def test_level_rejects_its_class_at_once_and_no_other() -> None:
     given = Stage(settings(limits=PATIENT))
     given.servers(names(6))
     given.play(CLOSED)
     assert served(given, "look", None, 50) == 0
     assert served(given, "pay", None, 50) == 50
     waits = [each.retry_after_us for each in given.said(RejectRequest)]
-    assert len(waits) == 50 and len(set(waits)) > 40  # spread, so that they do not come back together
+    assert len(waits) == 50
+    assert len(set(waits)) > 40
     assert all(1_000 * MS <= each <= 2_000 * MS for each in waits)
     given.play(FULL)
     assert served(given, "look", None, 50) == 50
 
 
-def test_traffic_over_its_share_goes_first() -> None:
+def test_level_rejects_traffic_over_quota_first() -> None:
     tenants = [{"name": "big", "weight": 0.5}, {"name": "small", "weight": 0.5}]
     given = Stage(settings(classes=[SAFE, UNSAFE], tenants=tenants, limits=PATIENT))
     given.servers(names(6))
@@ -80,23 +81,24 @@
     return given.balancer.pressure().utilization
 
 
-def test_a_window_that_had_shrunk_grows_under_a_level_so_that_it_can_be_left() -> None:
+def test_concurrency_limit_grows_under_a_level() -> None:
     assert shrunk_under_a_level(Stage()) < 0.6
 
 
-def test_without_that_the_level_would_never_be_left(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_level_is_never_left_unless_the_limit_grows(monkeypatch: pytest.MonkeyPatch) -> None:
     never = property(lambda _: False, lambda *_: None)
     monkeypatch.setattr(ConcurrencyLimit, "has_rejected", never, raising=False)
     assert shrunk_under_a_level(Stage()) > 0.6
 
 
-def test_what_no_server_was_there_for_is_no_sign_of_overload() -> None:
+def test_pressure_ignores_requests_without_endpoints() -> None:
     given = Stage()
     served(given, "look", None, 50)  # there is no list yet: all are refused, and not by the window
-    assert given.balancer.pressure().rejected == 0 and len(given.said(RejectRequest)) == 50
+    assert given.balancer.pressure().rejected == 0
+    assert len(given.said(RejectRequest)) == 50
 
 
-def test_the_door_shows_the_level_and_the_log_names_each_change(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_level_shows_at_control_endpoint_and_in_log(monkeypatch: pytest.MonkeyPatch) -> None:
     async def work() -> None:
         monkeypatch.setattr("tulipnotch.sidecar.sidecar.READ_EVERY_US", 10_000)
         change = levels.ServiceLevelTransition(
@@ -111,7 +113,8 @@
             assert (await client.ask()).status == 503
             assert (await client.ask("lodge")).status == 200
             calls = scene.sidecar.calls()
-            assert "app.level=0" in calls["telemetry"]() and "app.level_changes=0" in calls["telemetry"]()
+            assert "app.level=0" in calls["telemetry"]()
+            assert "app.level_changes=0" in calls["telemetry"]()
             assert calls["level"]() == ["full for 0 s; refused 0.0%, wanted 0% of the window"]
 
     play(work)
@@ -145,9 +148,7 @@
     ],
     ids=lambda each: each if isinstance(each, str) else "",
 )
-def test_nonsense_in_levels_is_named_with_its_line(
-    change: tuple[str, str], fault: str, tmp_path: Path
-) -> None:
+def test_level_file_errors_name_their_line(change: tuple[str, str], fault: str, tmp_path: Path) -> None:
     path = tmp_path / "operator.toml"
     path.write_text(GOOD_LEVELS)
     assert [each.name for each in load(path).overload.levels] == ["spare", "orders-only"]
@@ -157,6 +158,6 @@
     assert fault in str(found.value)
 
 
-def test_a_level_for_a_class_that_is_not_there_stops_the_start(tmp_path: Path) -> None:
+def test_level_of_unknown_class_stops_the_start(tmp_path: Path) -> None:
     said = started_in_vain(tmp_path, json.dumps(GOOD), GOOD_LEVELS.replace("check", "chek"))
     assert "overload.levels[0]: no class 'chek'; known are check, amend, lodge" in said
--- /dev/null
+++ b/tests/load_balancing/health/test_outlier_detection.py
@@ -0,0 +1,104 @@
+"""Outlier detection: which endpoints are ejected, and how they are readmitted."""
+
+from __future__ import annotations
+
+from helpers import MS, S, Stage, names
+
+from tulipnotch.load_balancing.actions import LogEvent
+from tulipnotch.load_balancing.events import EndpointDescription, EndpointUpdateKind
+from tulipnotch.load_balancing.outcomes import Outcome
+
+
+def _with_one_unresponsive(stage: Stage, rounds: int) -> tuple[str, list[int]]:
+    """Good traffic, except that one server answers nothing from some moment on."""
+    stage.servers(names(6))
+    stage.serve(120)
+    first = stage.request()
+    hung = stage.target(first)
+    stuck = [first]
+    for _ in range(rounds):
+        stage.wait(10 * MS)
+        request = stage.request()
+        if stage.target(request) == hung:
+            stuck.append(request)
+        else:
+            stage.wait(30 * MS)
+            stage.end(request)
+    return hung, stuck
+
+
+def test_outlier_detection_ejects_unresponsive_endpoint_and_its_requests_are_hedged() -> None:
+    stage = Stage()
+    hung, stuck = _with_one_unresponsive(stage, 20)
+    assert any(each.text.startswith(f"ejected {hung}") for each in stage.said(LogEvent))
+    copies = [each.endpoint for _, each in stage.sends(stuck[0])]
+    assert len(copies) > 1
+    assert hung not in copies[1:]
+
+
+def test_outlier_detection_readmits_by_one_probation_attempt() -> None:
+    stage = Stage()
+    hung, stuck = _with_one_unresponsive(stage, 20)
+    before = len([1 for _, each in stage.sends() if each.endpoint == hung])
+    for request in stuck:
+        stage.end(request, Outcome.TIMED_OUT, attempt=0, answered=False)
+    for _ in range(60):
+        stage.wait(60 * MS)
+        request = stage.request()
+        if stage.target(request) != hung:
+            stage.end(request)
+    trials = len([1 for _, each in stage.sends() if each.endpoint == hung]) - before
+    assert trials == 1
+    trial = next(each.request for _, each in reversed(stage.sends()) if each.endpoint == hung)
+    stage.end(trial, attempt=0)
+    assert stage.said(LogEvent)[-1].text == f"readmitted {hung}"
+
+
+def test_outlier_detection_ejects_few_where_all_are_unresponsive() -> None:
+    stage = Stage()
+    stage.servers(names(6))
+    stage.serve(120)
+    for _ in range(200):
+        stage.request("pay")
+        stage.wait(15 * MS)
+    ejected = [each for each in stage.balancer._context.endpoints.values() if each.ejection is not None]
+    assert len(ejected) <= 2
+
+
+def test_outlier_detection_keeps_requests_from_endpoint_with_quick_errors() -> None:
+    stage = Stage()
+    stage.servers(names(6))
+    bad = names(6)[2]
+    for _ in range(300):
+        stage.wait(10 * MS)
+        request = stage.request("pay")
+        if stage.target(request) == bad:
+            stage.end(request, Outcome.SERVER_ERROR)
+        else:
+            stage.wait(40 * MS)
+            stage.end(request)
+    assert sum(1 for _, each in stage.sends() if each.endpoint == bad) < 300 / 6
+
+
+def test_outlier_detection_ignores_timeout_of_endpoint_that_responds_to_others() -> None:
+    stage = Stage()
+    stage.servers(names(1))
+    for _ in range(6):
+        stage.serve(60)
+        old = stage.request("pay", remaining_us=S)
+        stage.wait(900 * MS)
+        new = stage.request("pay")
+        stage.wait(50 * MS)
+        stage.end(new)
+        stage.wait(30 * MS)
+        stage.end(old, Outcome.TIMED_OUT, answered=False)
+    assert not any("ejected" in each.text for each in stage.said(LogEvent))
+
+
+def test_outlier_detection_readmits_restarted_process_that_warms_up() -> None:
+    stage = Stage()
+    hung, _ = _with_one_unresponsive(stage, 20)
+    stage.servers([EndpointDescription(hung, "east", started_at=stage.now)], EndpointUpdateKind.DELTA)
+    server = stage.balancer._context.endpoints[hung]
+    assert server.ejection is None
+    assert stage.balancer._components.slow_start.is_warming_up(server)
--- a/tests/test_overdue.py
+++ b/tests/load_balancing/retries/test_attempt_timeouts.py
@@ -5,7 +5,7 @@
 from helpers import SAFE, Stage, names, settings
 
 
-def test_a_wait_that_ends_between_two_microseconds_ends() -> None:
+def test_attempt_timeouts_end_between_two_microseconds() -> None:
     # Guards against an entry of the agenda that is due at once, again and again, within one event.
     given = settings(classes=[{**SAFE, "latency_objective_us": 500_001}])
     stage = Stage(given)
--- /dev/null
+++ b/tests/load_balancing/selection/test_subset.py
@@ -0,0 +1,36 @@
+"""The subset of endpoints that a balancer sends to."""
+
+from __future__ import annotations
+
+from helpers import MS, Stage, names
+
+
+def test_subset_of_small_balancer_is_small_and_replaced_when_it_drains() -> None:
+    stage = Stage()
+    stage.servers(names(60))
+    stage.serve_singly(200)
+    met = {each.endpoint for _, each in stage.sends()}
+    assert 2 <= len(met) <= 8
+    for gone in met:
+        stage.drain(gone)
+    stage.serve_singly(50)
+    later = {each.endpoint for _, each in stage.sends()[200:]}
+    assert later
+    assert not later & met
+
+
+def test_subset_of_busy_balancer_has_all_endpoints() -> None:
+    stage = Stage()
+    stage.servers(names(30))
+    stage.serve(2_000, every_us=5 * MS, taking_us=250 * MS)
+    assert len({each.endpoint for _, each in stage.sends()}) == 30
+
+
+def test_subset_differs_between_small_balancers() -> None:
+    first: set[str] = set()
+    for seed in range(12):
+        stage = Stage(seed=seed)
+        stage.servers(names(60))
+        stage.serve_singly(20)
+        first |= {each.endpoint for _, each in stage.sends()}
+    assert len(first) > 25
--- /dev/null
+++ b/tests/load_balancing/slow_start/test_slow_start_load.py
@@ -0,0 +1,71 @@
+"""Slow start, by the load of endpoints that warm up."""
+
+from __future__ import annotations
+
+import pytest
+from helpers import MS, S, Stage, names
+
+from tulipnotch.load_balancing.events import EndpointDescription, EndpointUpdateKind
+
+
+@pytest.mark.parametrize(("every_us", "burst"), [(10 * MS, 1), (200 * MS, 20), (500 * MS, 1)])
+def test_slow_start_limits_load_of_endpoint_that_warms_up(every_us: int, burst: int) -> None:
+    stage = Stage()
+    stage.servers(names(6))
+    stage.serve(300, every_us=10 * MS)
+    warm_per_s = 100 / 6
+    began = stage.now
+    cold = EndpointDescription("10.0.0.6:80", zone="east", started_at=began)
+    stage.servers([cold], EndpointUpdateKind.DELTA)
+    while stage.now < began + 10 * S:
+        requests = [stage.request() for _ in range(burst)]
+        stage.wait(every_us)
+        for each in requests:
+            if stage.sends(each):
+                stage.end(each)
+    times = [at for at, each in stage.sends() if each.endpoint == "10.0.0.6:80" and at >= began]
+    for end in times:
+        warmth = 0.2 + 0.8 * max(end - 2 * S - began, 0) / (10 * S)
+        inside = sum(1 for at in times if end - 2 * S < at <= end)
+        assert inside <= max(1.0, 3 * warmth * warm_per_s * 2)
+    assert times or burst == 1  # singly, the quickest known server takes all
+
+
+def test_slow_start_does_not_limit_warm_endpoints() -> None:
+    stage = Stage()
+    stage.servers(names(2))
+    for _ in range(50):
+        stage.request()
+    assert len({each.endpoint for _, each in stage.sends()}) == 2
+
+
+def test_slow_start_spreads_first_requests_of_small_balancers() -> None:
+    first: list[int] = []
+    for seed in range(120):
+        stage = Stage(seed=seed)
+        stage.servers(names(2))
+        stage.serve(20, every_us=200 * MS)
+        began = stage.now
+        cold = [EndpointDescription(name, zone="east", started_at=began) for name in names(2)[:1]]
+        stage.servers(cold, EndpointUpdateKind.DELTA)
+        while stage.now < began + 4 * S and not first[seed:]:
+            stage.serve(1, every_us=200 * MS)
+            first += [at - began for at, each in stage.sends()[-1:] if each.endpoint == cold[0].name]
+        first += [] if first[seed:] else [4 * S]
+    early = sum(1 for each in first if each < 1 * S)
+    assert 3 < early < 80  # some within the first second, and by no means all
+
+
+def test_warm_capacity_fades_slowly_while_nothing_is_served() -> None:
+    # Guards against a loop: less served, so smaller budgets for cold servers, so more refused.
+    stage = Stage()
+    stage.servers(names(4))
+    stage.serve(200)
+    bore = stage.balancer._components.warm_capacity.per_us()
+    assert bore > 0.0
+    stage.wait(5 * S)  # half of the time to warm up, and nothing is served in it
+    stage.request()
+    assert bore / 4 < stage.balancer._components.warm_capacity.per_us() < bore / 2
+    stage.wait(60 * S)
+    stage.request()
+    assert stage.balancer._components.warm_capacity.per_us() < bore / 1_000
--- a/tests/test_slow_start.py
+++ b/tests/load_balancing/slow_start/test_warm_up_budget.py
@@ -23,14 +23,15 @@
 
 
 @pytest.mark.parametrize("size", [2, 5, 30, 200])
-def test_phases_are_evenly_spread_over_the_group(size: int) -> None:
+def test_phase_is_evenly_spread_over_the_group(size: int) -> None:
     found = phases(size)
     gaps = [b - a for a, b in itertools.pairwise(found)]
     assert all(math.isclose(gap, 1.0 / size, rel_tol=1e-6) for gap in gaps)
-    assert 0.0 <= found[0] and found[-1] < 1.0
+    assert found[0] >= 0.0
+    assert found[-1] < 1.0
 
 
-def test_each_start_of_each_server_has_another_order() -> None:
+def test_phase_differs_for_each_start_of_each_server() -> None:
     first = slow_start.phase("s-1", START, 3, 30, 0.5)
     again = slow_start.phase("s-1", START + 4 * S, 3, 30, 0.5)  # restarted
     twice = slow_start.phase("s-1", START + 8 * S, 3, 30, 0.5)  # and once more
@@ -42,20 +43,20 @@
 @pytest.mark.parametrize(
     ("started_at", "instance_index", "size"), [(None, 3, 30), (START, -1, 30), (START, 30, 30), (START, 0, 1)]
 )
-def test_chance_takes_the_place_of_what_is_not_known(
+def test_phase_is_random_without_start_or_instance_index(
     started_at: int | None, instance_index: int, size: int
 ) -> None:
     assert slow_start.phase("s-1", started_at, instance_index, size, 0.73) == 0.73
 
 
-def test_an_instance_that_is_not_told_its_number_does_not_take_the_first() -> None:
+def test_settings_reader_leaves_absent_instance_index_unset() -> None:
     told = {"classes": [{"name": "look", "deadline_us": 1_000}], "instance_count": 30}
     assert settings_from_mapping(told).instance_index == -1
     assert settings_from_mapping({**told, "instance_index": 0}).instance_index == 0
     assert settings().instance_index == -1
 
 
-def test_warmth_rises_evenly_and_a_clock_that_is_behind_counts_as_the_start() -> None:
+def test_warm_up_factor_rises_evenly_also_for_a_clock_that_is_behind() -> None:
     assert slow_start.warm_up_factor(RULES, None, START) == 1.0
     assert (
         slow_start.warm_up_factor(RULES, START, START - 200 * MS) == 0.2
@@ -77,7 +78,7 @@
 
 
 @pytest.mark.parametrize("apart", [0, 200 * MS])
-def test_the_turns_of_all_ripen_one_after_another(apart: int) -> None:
+def test_warm_up_budget_releases_requests_of_all_instances_evenly(apart: int) -> None:
     # Thirty instances, each asking all the time: together a quarter of N = 8 in each second, never a burst.
     # Their clocks may be apart, every other one behind.
     limit = 8.0 / S / 30
@@ -92,7 +93,7 @@
     assert most <= 4
 
 
-def test_a_turn_that_is_not_used_lapses() -> None:
+def test_warm_up_budget_lapses_unless_used() -> None:
     limit = 0.2 / S  # a turn fills in 20 s, and stays open for 4
     assert turns(0.0, limit, [19 * S]) == []
     assert turns(0.0, limit, [21 * S]) == [21 * S]
@@ -107,7 +108,7 @@
     assert turns(0.0, 0.0, [10_000 * S]) == []
 
 
-def test_after_a_quiet_stretch_no_more_than_one_budget_is_open() -> None:
+def test_warm_up_budget_of_all_instances_is_bounded_after_quiet_time() -> None:
     # Two hundred instances ask nothing for 60 s, then all at once; N is 3.
     limit = 3.0 / S / 200
     open_at_once = sum(
@@ -116,11 +117,11 @@
     assert 1 <= open_at_once <= 4
 
 
-def test_a_busy_instance_has_always_a_turn() -> None:
+def test_warm_up_budget_always_admits_one_request_of_busy_instance() -> None:
     assert turns(0.0, 8.0 / S, [60 * S, 60 * S, 61 * S]) == [60 * S, 61 * S]
 
 
-def test_a_heavy_request_is_paid_back_before_the_next() -> None:
+def test_warm_up_budget_recovers_from_heavy_request_before_the_next() -> None:
     bucket = LapsingBucket(0, 1.0)
     assert slow_start.has_budget(bucket, 0, 1.0 / S, 1 * S, 1.5)
     bucket.spend(1.5)
@@ -128,16 +129,17 @@
     assert slow_start.has_budget(bucket, 6 * S + 1, 1.0 / S, 1 * S, 1.0)
 
 
-def test_the_heaviest_request_grows_with_the_budget_far_slower_than_it() -> None:
+def test_max_cost_grows_slower_than_the_budget() -> None:
     assert slow_start.max_cost(0.0) == 1.0
     for budget in (1.0, 3.0, 12.0, 50.0):
         chance = 2.0 * math.sqrt(budget) + 2.0
         assert 1.0 < slow_start.max_cost(budget) < chance / 2
 
 
-def test_work_is_relative_to_the_mean_of_all_before_it() -> None:
+def test_mean_work_compares_with_all_requests_before() -> None:
     mean = costs.MeanWork()
-    assert mean.relative(None, 10_000.0) == 1.0 and mean.relative(0, 10_000.0) == 1.0  # no hint
+    assert mean.relative(None, 10_000.0) == 1.0
+    assert mean.relative(0, 10_000.0) == 1.0
     assert mean.relative(400_000, 10_000.0) == 40.0  # the first is compared with what is likely
     for _ in range(200):
         mean.relative(10_000, 10_000.0)
--- a/tests/test_any_sequence.py
+++ b/tests/load_balancing/test_balancer_any_sequence.py
@@ -46,16 +46,17 @@
 class Referee:
     """Keeps what a client, the servers and the list know, and checks every action against the rules."""
 
-    def __init__(self, second_copies: bool, attempts: int, rng_seed: int, strict: bool) -> None:
+    def __init__(self, attempts: int, seed: int, *, hedged_requests: bool, strict: bool) -> None:
+        """`strict`: overloaded responses prove nothing, and idle connections must be closed in time."""
         further = {"overloaded_may_have_run": True, "close_idle_within_us": CLOSE_WITHIN} if strict else {}
         self.settings = settings(
             classes=CLASSES,
-            limits={"hedged_requests": second_copies, "max_attempts": attempts},
+            limits={"hedged_requests": hedged_requests, "max_attempts": attempts},
             rules=further,
         )
         self.never_ran = [Outcome.CONNECT_FAILED, Outcome.NOT_SENT, *([] if strict else [Outcome.OVERLOADED])]
         self.to_close: dict[str, int] = {}  # by when idle connections to a leaving server must be closed
-        self.balancer = Balancer(self.settings, rng_seed)
+        self.balancer = Balancer(self.settings, seed)
         self.kinds = {each.name: each for each in self.settings.classes}
         self.now = START
         self.timers: list[tuple[int, str]] = []
@@ -238,16 +239,16 @@
 
 @how(max_examples=500, deadline=None, derandomize=True, suppress_health_check=list(HealthCheck))
 @given(
-    st.booleans(),
-    st.booleans(),
-    st.integers(0, 4),
-    st.integers(0, 1_000),
-    st.lists(steps, min_size=5, max_size=60),
+    strict=st.booleans(),
+    hedged_requests=st.booleans(),
+    attempts=st.integers(0, 4),
+    seed=st.integers(0, 1_000),
+    script=st.lists(steps, min_size=5, max_size=60),
 )
-def test_no_sequence_breaks_a_rule(
-    strict: bool, copies: bool, attempts: int, rng: int, script: list[Any]
+def test_balancer_breaks_no_rule_in_any_sequence(
+    *, strict: bool, hedged_requests: bool, attempts: int, seed: int, script: list[Any]
 ) -> None:
-    referee = Referee(copies, attempts, rng, strict)
+    referee = Referee(attempts, seed, hedged_requests=hedged_requests, strict=strict)
     ready = [EndpointDescription(name, "east", "box", index % 3) for index, name in enumerate(SERVERS)]
     referee.list(EndpointUpdateKind.CACHED, ready)
     for step in script:
--- a/tests/test_settings.py
+++ b/tests/load_balancing/test_settings_reader.py
@@ -1,4 +1,4 @@
-"""Settings: what is skipped, what gets a default, and what is nonsense."""
+"""Reading settings: ignored keys, defaults, and errors."""
 
 from __future__ import annotations
 
@@ -11,22 +11,24 @@
 
 from tulipnotch.load_balancing import Balancer
 from tulipnotch.load_balancing.events import RequestArrived
+from tulipnotch.load_balancing.mapping_reader import SettingsError
 from tulipnotch.load_balancing.settings import DiscoveryMode, Idempotency
 from tulipnotch.load_balancing.settings_reader import settings_from_mapping
 
 LEAST = {"classes": [{"name": "a", "deadline_us": 1_000_000}]}
 
 
-def test_absent_keys_get_the_cautious_default() -> None:
+def test_settings_reader_uses_defaults_for_absent_keys() -> None:
     given = settings_from_mapping(LEAST)
     assert given.classes[0].idempotency is Idempotency.NON_IDEMPOTENT
     assert given.classes[0].latency_objective_us == 1_000_000
     assert given.discovery_mode is DiscoveryMode.POLLED
-    assert not given.limits.hedged_requests and given.limits.max_attempts == 1
+    assert not given.limits.hedged_requests
+    assert given.limits.max_attempts == 1
     assert given.rules.drain_grace_us == 0
 
 
-def test_unknown_keys_are_skipped_and_null_counts_as_absent() -> None:
+def test_settings_reader_ignores_unknown_keys_and_null() -> None:
     assert settings_from_mapping(
         {**LEAST, "news": 1, "limits": {"x": 2}, "rules": None}
     ) == settings_from_mapping(LEAST)
@@ -52,10 +54,11 @@
         ({**LEAST, "cost_weights": []}, "cost_weights"),
     ],
 )
-def test_nonsense_is_named(given: dict[str, Any], key: str) -> None:
-    with pytest.raises(ValueError) as complaint:
+def test_settings_reader_names_path_of_invalid_value(given: dict[str, Any], key: str) -> None:
+    with pytest.raises(SettingsError) as error:
         settings_from_mapping(given)
-    assert str(complaint.value).startswith(key + ":")
+    assert error.value.path == key
+    assert str(error.value) == f"{key}: {error.value.problem}"
 
 
 values = (
@@ -97,12 +100,10 @@
         values,
     ),
 )
-def test_any_settings_give_a_working_balancer_or_a_complaint(
-    kind: dict[str, Any], rest: dict[str, Any]
-) -> None:
+def test_settings_reader_yields_working_balancer_or_error(kind: dict[str, Any], rest: dict[str, Any]) -> None:
     try:
         given = settings_from_mapping({"classes": [{"name": "a", **kind}], "limits": rest, "rules": rest})
-    except ValueError:
+    except SettingsError:
         return
     balancer = Balancer(given, 1)
     assert len(balancer.handle(5_000_000, RequestArrived(1, "a", None, None, 500_000))) > 0
--- a/tests/test_adapter.py
+++ b/tests/simulator_wire/test_adapter.py
@@ -52,23 +52,21 @@
     return code, [json.loads(each) for each in out.getvalue().splitlines()], err.getvalue()
 
 
-def test_an_empty_batch_is_answered_by_done() -> None:
+def test_adapter_replies_done_to_empty_batch() -> None:
     assert play([]) == (0, [["DONE"]], "")
 
 
-def test_a_request_is_assigned() -> None:
+def test_adapter_starts_attempt_for_request() -> None:
     work = ["WORK_ITEM", "sidecar-1", 5, "look", 0, None, 900_000, 12_000, 1, "a field to come"]
     code, reply, _ = play(begin(), [work])
     sends = [each for each in reply if each[0] == "ASSIGN"]
     assert code == 0
-    assert (
-        len(sends) == 1
-        and sends[0][1:3] == ["sidecar-1", 5]
-        and sends[0][3] in ("10.0.0.1:80", "10.0.0.2:80")
-    )
+    assert len(sends) == 1
+    assert sends[0][1:3] == ["sidecar-1", 5]
+    assert sends[0][3] in ("10.0.0.1:80", "10.0.0.2:80")
 
 
-def test_a_killed_instance_forgets_all_and_may_begin_again_in_the_same_batch() -> None:
+def test_adapter_restarts_stopped_instance_within_a_batch() -> None:
     work = ["WORK_ITEM", "sidecar-1", 5, "look", None, None, 900_000, None, 0]
     end = ["ATTEMPT_END", "sidecar-1", 5, 0, "10.0.0.1:80", "delivered", 100, True, {"util": 0.5}]
     code, reply, _ = play(begin(), [work, ["EXIT", "sidecar-1"], *begin()], [end])
@@ -76,7 +74,7 @@
     assert [each[0] for each in reply].count("FOLLOW") == 2
 
 
-def test_a_page_number_may_be_used_again_within_a_batch() -> None:
+def test_adapter_uses_latest_endpoint_list_of_a_number() -> None:
     other = ["PAGE", 0, [["10.0.0.9:80", "east", "box", 0, "ready", 1, None]]]
     work = [["WORK_ITEM", f"sidecar-{n}", n, "look", None, None, 900_000, None, 0] for n in (1, 2)]
     batch = [
@@ -88,7 +86,8 @@
     ]
     _, reply, _ = play(batch)
     targets = {each[1]: each[3] for each in reply if each[0] == "ASSIGN"}
-    assert targets["sidecar-2"] == "10.0.0.9:80" and targets["sidecar-1"] != "10.0.0.9:80"
+    assert targets["sidecar-2"] == "10.0.0.9:80"
+    assert targets["sidecar-1"] != "10.0.0.9:80"
 
 
 @pytest.mark.parametrize(
@@ -112,11 +111,13 @@
         ('["BEGIN","sidecar-2",1,{"lanes":[{"name":"a","giveUpUs":-1}]}]', "settings: lanes[0].giveUpUs: "),
     ],
 )
-def test_bad_input_is_named_with_its_line_and_ends_the_run(line: str, complaint: str) -> None:
+def test_adapter_ends_with_line_and_problem_of_invalid_input(line: str, complaint: str) -> None:
     good = "".join(json.dumps(each) + "\n" for each in (["FRAME", 1], *begin()))
     code, _, err = play_text(good + line + "\n")
     assert code != 0
-    assert err.startswith("line 5: ") and complaint in err and err.count("\n") == 1
+    assert err.startswith("line 5: ")
+    assert complaint in err
+    assert err.count("\n") == 1
 
 
 @how(max_examples=150, deadline=None, derandomize=True)
@@ -145,14 +146,14 @@
         max_size=5,
     )
 )
-def test_no_line_makes_a_traceback(lines: list[str]) -> None:
+def test_adapter_survives_any_line(lines: list[str]) -> None:
     start = "".join(json.dumps(each) + "\n" for each in (["FRAME", 1], *begin()))
     body = "".join(each.replace("\n", " ").replace("\r", " ") + "\n" for each in lines)
     code, _, err = play_text(start + body + '["COMMIT"]\n')
     assert (code == 0) == (err == "")
 
 
-def test_the_same_events_give_the_same_actions_whatever_the_hash_seed() -> None:
+def test_adapter_output_is_independent_of_hash_seed() -> None:
     script = [["FRAME", 1_000_000], *begin(), ["COMMIT"]]
     for number in range(60):
         work = ["WORK_ITEM", "sidecar-1", number, "look", None, None, 900_000, None, 0]
@@ -165,13 +166,14 @@
             capture_output=True,
             text=True,
             check=True,
-            cwd=Path(__file__).parent.parent,
+            cwd=Path(__file__).parent.parent.parent,
             env={**os.environ, "PYTHONHASHSEED": hash_seed},
         ).stdout
         for hash_seed in ("1", "2")
     ]
     assert replies[0] == replies[1]
-    assert replies[0].count("ASSIGN") >= 5 and replies[0].count("ASSIGN") + replies[0].count("NOT_NOW") == 60
+    assert replies[0].count("ASSIGN") >= 5
+    assert replies[0].count("ASSIGN") + replies[0].count("NOT_NOW") == 60
 
 
 def _guarded(guarantees: dict[str, Any]) -> Any:
@@ -181,7 +183,7 @@
 
 
 @pytest.mark.parametrize(("late", "answer"), [(True, "SURRENDER"), (False, "ASSIGN"), (None, "ASSIGN")])
-def test_late_shedding_reaches_the_decision(late: bool | None, answer: str) -> None:
+def test_adapter_applies_late_shedding(*, late: bool | None, answer: str) -> None:
     boot = _guarded({} if late is None else {"lateShedding": late})
     work = ["WORK_ITEM", "sidecar-1", 5, "pay", None, None, 900_000, None, 0]
     _, reply, _ = play(begin(boot=boot), [work])
@@ -191,7 +193,7 @@
     assert answer in [each[0] for each in again[len(reply) :]]
 
 
-def test_let_go_reaches_the_decision() -> None:
+def test_adapter_applies_rule_on_idle_connections() -> None:
     drain = ["PAGE", 1, [["10.0.0.1:80", "east", "box", 0, "draining", 1]]]
     told = [drain, ["TARGETS", "sidecar-1", "delta", 1, 2]]
     _, reply, _ = play(begin(boot=_guarded({"letGoInUs": 500_000})), told)
@@ -200,7 +202,7 @@
     assert "SHUT_IDLE" not in [each[0] for each in reply]
 
 
-def test_every_setting_of_the_wire_that_is_carried_arrives() -> None:
+def test_settings_from_wire_reads_every_setting() -> None:
     given = settings_from_wire(
         {
             **BOOT,
@@ -218,13 +220,17 @@
         8,
         0.5,
     )
-    assert given.rules.close_idle_within_us == 7 and given.rules.overloaded_may_have_run
-    assert given.rules.drain_grace_us == 50_000 and given.rules.overload_multiple == 1.5
-    assert given.cost_weights.late_failure == 0.05 and given.cost_weights.discovery == 0.01
-    assert given.cost_weights.connection == 0.02 and given.cost_weights.handshake == 0.03
-    assert (
-        given.objective_weights.tail == 0.2
-        and given.objective_weights.tail_slack == 0.02
-        and given.objective_weights.worst_tenant == 0.1
-    )
-    assert given.machine_types == ("a", "b") and given.clients_mark_retries and given.has_key_affinity
+    assert given.rules.close_idle_within_us == 7
+    assert given.rules.overloaded_may_have_run
+    assert given.rules.drain_grace_us == 50_000
+    assert given.rules.overload_multiple == 1.5
+    assert given.cost_weights.late_failure == 0.05
+    assert given.cost_weights.discovery == 0.01
+    assert given.cost_weights.connection == 0.02
+    assert given.cost_weights.handshake == 0.03
+    assert given.objective_weights.tail == 0.2
+    assert given.objective_weights.tail_slack == 0.02
+    assert given.objective_weights.worst_tenant == 0.1
+    assert given.machine_types == ("a", "b")
+    assert given.clients_mark_retries
+    assert given.has_key_affinity
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -62,39 +62,46 @@
     return call(folder, "-m", selected, "--ran-before=ran.txt")
 
 
-def test_two_calls_that_leave_no_test_out_pass_and_say_how_many_ran(folder: Path) -> None:
+def test_calls_that_run_each_test_once_pass(folder: Path) -> None:
     workers = ("-n", "1", "--dist", "loadgroup", "-m", "not alone and not later")
     assert call(folder, *workers, "--ran-to=ran.txt")[0] == pytest.ExitCode.OK
     assert (folder / "ran.txt").read_text().splitlines() == RAN_TOGETHER
     code, told = call(folder, "-m", "alone or later", "--ran-before=ran.txt")
-    assert code == pytest.ExitCode.OK and "all 4 tests ran, in two calls" in told, told
+    assert code == pytest.ExitCode.OK, told
+    assert "all 4 tests ran, in two calls" in told, told
     assert not (folder / "ran.txt").exists()  # so that no later call compares itself with this one
 
 
-def test_a_test_that_ran_in_neither_call_or_in_both_is_named_and_fails_the_second(folder: Path) -> None:
+def test_calls_that_run_a_test_never_or_twice_fail(folder: Path) -> None:
     code, told = ran_before(
         folder, "alone", [*RAN_TOGETHER, "test_it.py::test_alone", "test_it.py::test_gone"]
     )
-    assert code == pytest.ExitCode.TESTS_FAILED and "tests ran, in two calls" not in told
-    assert told.count("never ran: ") == 1 and "never ran: test_it.py::test_later" in told
-    assert told.count("ran in both calls: ") == 1 and "ran in both calls: test_it.py::test_alone" in told
+    assert code == pytest.ExitCode.TESTS_FAILED
+    assert "tests ran, in two calls" not in told
+    assert told.count("never ran: ") == 1
+    assert "never ran: test_it.py::test_later" in told
+    assert told.count("ran in both calls: ") == 1
+    assert "ran in both calls: test_it.py::test_alone" in told
     assert "ran but was not collected: test_it.py::test_gone" in told
 
 
-def test_a_second_call_without_a_first_fails(folder: Path) -> None:
+def test_calls_without_a_first_one_fail(folder: Path) -> None:
     code, told = call(folder, "--ran-before=ran.txt")
-    assert code == pytest.ExitCode.TESTS_FAILED and "ran.txt is missing" in told
+    assert code == pytest.ExitCode.TESTS_FAILED
+    assert "ran.txt is missing" in told
 
 
-def test_a_call_that_selects_nothing_fails(folder: Path) -> None:
+def test_calls_that_select_nothing_fail(folder: Path) -> None:
     assert ran_before(folder, "alone and later", RAN_TOGETHER)[0] == pytest.ExitCode.NO_TESTS_COLLECTED
     assert call(folder, "-n", "1", "-m", "alone and later")[0] == pytest.ExitCode.NO_TESTS_COLLECTED
 
 
-def test_a_test_marked_alone_is_run_by_no_worker(folder: Path) -> None:
+def test_calls_run_no_test_marked_alone_in_a_worker(folder: Path) -> None:
     code, told = call(folder, "-n", "1")
     assert code == pytest.ExitCode.TESTS_FAILED, told
-    assert "add -m 'not alone'" in told and "1 error" in told and "3 passed" in told
+    assert "add -m 'not alone'" in told
+    assert "1 error" in told
+    assert "3 passed" in told
 
 
 def _run_with_known(folder: Path, known: str) -> subprocess.CompletedProcess[str]:
@@ -112,19 +119,19 @@
     return subprocess.run(command, cwd=folder, capture_output=True, text=True, timeout=60, check=False)
 
 
-def test_a_test_that_is_known_to_fail_is_printed_and_fails_nothing(folder: Path) -> None:
+def test_known_failure_is_printed_and_passes(folder: Path) -> None:
     (folder / "test_it.py").write_text(TESTS.replace("    pass\n", "    assert False\n", 1))
     done = _run_with_known(folder, "test_it.py::test_together | a cause | issue 1\n")
     assert done.returncode == pytest.ExitCode.OK, done.stdout
     assert "known red: test_it.py::test_together: a cause (issue 1)" in done.stdout
 
 
-def test_a_test_that_is_known_to_fail_and_passes_fails_the_run(folder: Path) -> None:
+def test_known_failure_that_passes_fails(folder: Path) -> None:
     done = _run_with_known(folder, "test_it.py::test_together | a cause | issue 1\n")
     assert done.returncode == pytest.ExitCode.TESTS_FAILED, done.stdout
 
 
 @pytest.mark.parametrize("known", ["test_it.py::test_together | a cause\n", "a | b | c\n" * 4])
-def test_a_list_of_known_failures_that_is_nonsense_or_too_long_runs_nothing(folder: Path, known: str) -> None:
+def test_known_failures_that_are_malformed_or_too_many_run_nothing(folder: Path, known: str) -> None:
     done = _run_with_known(folder, known)
     assert done.returncode not in (pytest.ExitCode.OK, pytest.ExitCode.TESTS_FAILED)
--- a/tests/test_on_call.py
+++ b/tests/test_on_call.py
@@ -28,7 +28,8 @@
     assert sorted(set(written)) == ["ejected", "readmitted"]
     assert source.count("LogEvent(") == len(written)
     for word in written:
-        assert word in EVENTS and f"`{word} SERVER" in page
+        assert word in EVENTS
+        assert f"`{word} SERVER" in page
     for reason in [UNRESPONSIVE, Outcome.MALFORMED_RESPONSE.value, *(each.value for each in FAILURES)]:
         assert f"`ejected S: {reason}`" in page
 
--- a/tulipnotch/load_balancing/admission/service_levels.py
+++ b/tulipnotch/load_balancing/admission/service_levels.py
@@ -12,6 +12,7 @@
 
 from collections import deque
 from dataclasses import dataclass
+from typing import NamedTuple
 
 from tulipnotch.load_balancing.admission.pressure import Pressure
 from tulipnotch.load_balancing.events import ServiceLevelChanged
@@ -51,8 +52,7 @@
     effect: ServiceLevelChanged
 
 
-@dataclass(frozen=True, slots=True)
-class _Observation:
+class _Observation(NamedTuple):
     at: int
     duration_us: int
     offered: int
@@ -60,8 +60,7 @@
     utilization: float
 
 
-@dataclass(frozen=True, slots=True)
-class _Summary:
+class _Summary(NamedTuple):
     """Observations over a span of time."""
 
     rejected_part: float
