--- a/tulipnotch/sidecar/downstream/connection.py
+++ b/tulipnotch/sidecar/downstream/connection.py
@@ -9,6 +9,7 @@
 from __future__ import annotations
 
 import asyncio
+import select
 import socket
 import struct
 from collections.abc import Mapping
@@ -19,19 +20,18 @@
 from tulipnotch.sidecar.control.lifecycle import Lifecycle
 from tulipnotch.sidecar.downstream.client_limits import ClientLimits
 from tulipnotch.sidecar.downstream.incoming_request import BadRequestError, IncomingRequest
+from tulipnotch.sidecar.downstream.response_stream import ResponseProducer, ResponseStream
 from tulipnotch.sidecar.downstream.transfer_progress import TransferProgress
 from tulipnotch.sidecar.http1.messages import (
     CONTINUE,
     KEPT,
-    LAST_CHUNK,
     Headers,
     Request,
     RequestReader,
     Response,
-    chunk,
 )
 from tulipnotch.sidecar.requests.invariants import CloseReason, InvariantChecker
-from tulipnotch.sidecar.sockets import SocketPoll, own_socket
+from tulipnotch.sidecar.sockets import has_ended, has_input, own_socket, watch_input
 
 _MAX_PENDING_BODY_BYTES = 32 << 10  # of a streamed body, before reading pauses until the server takes some
 _HEALTH_PATH = b"/_health"
@@ -50,18 +50,6 @@
     AWAITING_RESPONSE = "awaiting response"  # never closed to make room
 
 
-class ResponseProducer(Protocol):
-    """The source of a response that is streamed."""
-
-    def pause(self) -> None:
-        """Read no more of it: the client does not take it as fast."""
-        ...
-
-    def resume(self) -> None:
-        """Read on."""
-        ...
-
-
 class RequestHandler(Protocol):
     """Whoever responds to requests; notified by the connections of a server."""
 
@@ -138,16 +126,15 @@
     __slots__ = (
         "_classes",
         "_close_reason",
-        "_is_chunked",
         "_is_writing_paused",
         "_owner",
         "_poll",
-        "_producer",
         "_progress",
         "_queued_s",
         "_reader",
         "_request",
         "_request_number",
+        "_stream",
         "_transport",
         "buffered_bytes",
         "is_reading_paused",
@@ -166,12 +153,11 @@
         self._queued_s = queued_s
         self._reader = RequestReader()
         self._transport: asyncio.Transport | None = None
-        self._poll = SocketPoll()
+        self._poll = select.poll()
         self._request: Request | None = None  # the one that is being responded to
         self._classes: Mapping[str, ServiceClass] = {}  # as they were at the first byte of the request
         self._request_number: int | None = None  # while its response is pending
-        self._producer: ResponseProducer | None = None  # while a response is streamed
-        self._is_chunked = False  # that response
+        self._stream: ResponseStream | None = None  # the response, while it is streamed
         self._is_writing_paused = False
         self.is_reading_paused = False
         self._progress = TransferProgress()
@@ -193,7 +179,7 @@
     @property
     def has_unread_input(self) -> bool:
         """Whether bytes, perhaps the last of a request, or the end of the stream are unread in the socket."""
-        return self._poll.has_input()
+        return has_input(self._poll)
 
     @property
     def has_unsent_output(self) -> bool:
@@ -224,7 +210,7 @@
         Its end may be in the socket before the event loop has seen it, and is never seen while reading is
         paused.
         """
-        if self._request_number is not None and self._poll.has_ended():
+        if self._request_number is not None and has_ended(self._poll):
             self._client_disconnected()
             self.abort(CloseReason.CLIENT_LEFT)
 
@@ -266,34 +252,27 @@
         if transport is None:
             return
         request = self._request
-        self._producer = producer
-        self._is_chunked = length is None and request is not None and request.knows_chunks
-        if length is None and request is not None and not request.knows_chunks:
-            request.keep_alive = False  # only the end of the connection tells where the body ends
+        self._stream = ResponseStream(request, length, producer)
         if self._closes_after(request):
             headers = [*headers, (b"connection", b"close")]
-        framing: Headers = []
-        if length is not None:
-            framing.append((b"content-length", b"%d" % length))
-        elif self._is_chunked:
-            framing.append((b"transfer-encoding", b"chunked"))
-        transport.write(Response(status, headers).head(framing))
+        transport.write(Response(status, headers).head(self._stream.framing()))
 
     def write_body(self, piece: bytes) -> None:
         """Write a piece of the body of a response that is streamed."""
         transport = self._open_transport
         if transport is not None:
             self._progress.last_at = asyncio.get_running_loop().time()
-            transport.write(chunk(piece) if self._is_chunked else piece)
+            transport.write(piece if self._stream is None else self._stream.encode(piece))
 
     def finish_response(self) -> None:
         """End a response that is streamed: its body is complete."""
-        self._request_number = self._producer = None
+        stream = self._stream
+        self._request_number = self._stream = None
         transport = self._open_transport
         if transport is None:
             return
-        if self._is_chunked:
-            transport.write(LAST_CHUNK)
+        if stream is not None and (end := stream.encode_end()):
+            transport.write(end)
         self._response_written(closing=self._closes_after(self._request))
 
     @property
@@ -363,7 +342,7 @@
         if self._transport is None:
             return
         self._record_close(reason)
-        if self._producer is not None:  # so the transport is open
+        if self._stream is not None:  # so the transport is open
             with own_socket(self._transport) as own:
                 own.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET)
         self._transport.abort()
@@ -393,7 +372,7 @@
 
     def _client_disconnected(self) -> None:
         number, self._request_number = self._request_number, None
-        self._producer = None
+        self._stream = None
         if number is not None:
             self._owner.handler.client_disconnected(number)
 
@@ -403,7 +382,7 @@
         """Begin to serve the client."""
         # The class of uvloop does not derive from asyncio's, so it can't be checked.
         self._transport = cast("asyncio.Transport", transport)
-        self._poll.register(transport)
+        watch_input(self._poll, transport)
         self._owner.connections_by_state.add(self)
 
     def get_buffer(self, _sizehint: int) -> memoryview:
@@ -441,8 +420,8 @@
         """The client does not read as fast as it is written to."""
         self._is_writing_paused = True
         self._progress.last_at = asyncio.get_running_loop().time()
-        if self._producer is not None:
-            self._producer.pause()
+        if self._stream is not None:
+            self._stream.producer.pause()
         elif self._request_number is None and self.state is not ConnectionState.CLOSING:
             self._pause_reading()
 
@@ -450,8 +429,8 @@
         """The client has read on."""
         self._is_writing_paused = False
         self._progress.last_at = asyncio.get_running_loop().time()
-        if self._producer is not None:
-            self._producer.resume()
+        if self._stream is not None:
+            self._stream.producer.resume()
         self._process_input()
 
     def eof_received(self) -> None:
@@ -493,7 +472,7 @@
             lifecycle = self._owner.lifecycle
             self.send_response(200 if lifecycle.is_ready else 503, [], f"{lifecycle.phase.value}\n".encode())
             return
-        if self._poll.has_ended():
+        if has_ended(self._poll):
             self.abort(CloseReason.CLIENT_LEFT)  # it sent this ahead, and did not wait for the response
             return
         try:
--- a/tulipnotch/sidecar/sockets.py
+++ b/tulipnotch/sidecar/sockets.py
@@ -28,24 +28,17 @@
         plain.detach()
 
 
-class SocketPoll:
-    """Looks at a socket for what the event loop has not seen yet, such as its end behind bytes unread."""
+def watch_input(poll: select.poll, transport: asyncio.BaseTransport) -> None:
+    """Have `poll` look at the socket of an open transport, for `has_input` and `has_ended`."""
+    descriptor = transport.get_extra_info("socket").fileno()
+    poll.register(descriptor, select.POLLIN | select.POLLRDHUP)
 
-    __slots__ = ("_poll",)
 
-    def __init__(self) -> None:
-        """Look at no socket before `register`."""
-        self._poll = select.poll()
+def has_input(poll: select.poll) -> bool:
+    """Return whether bytes or the end of the stream are unread, also if the event loop has not seen them."""
+    return bool(poll.poll(0))
 
-    def register(self, transport: asyncio.BaseTransport) -> None:
-        """Look at the socket of this transport, which must be open."""
-        descriptor = transport.get_extra_info("socket").fileno()
-        self._poll.register(descriptor, select.POLLIN | select.POLLRDHUP)
 
-    def has_input(self) -> bool:
-        """Return whether bytes or the end of the stream are unread."""
-        return bool(self._poll.poll(0))
-
-    def has_ended(self) -> bool:
-        """Return whether the peer has closed or reset the connection; there may be bytes unread."""
-        return any(events & _DISCONNECT_EVENTS for _, events in self._poll.poll(0))
+def has_ended(poll: select.poll) -> bool:
+    """Return whether the peer has closed or reset the connection; bytes before its end may be unread."""
+    return any(events & _DISCONNECT_EVENTS for _, events in poll.poll(0))
