--- a/tulipnotch/sidecar/upstream/connection.py
+++ b/tulipnotch/sidecar/upstream/connection.py
@@ -227,10 +227,10 @@
 
     def buffer_updated(self, nbytes: int) -> None:
         """Read a part of a response; close the connection where none is due."""
-        if isinstance(self._state, (_Unused, Closed)):
+        if isinstance(self._state, (AwaitingResponse, Streaming, Writing)):
+            self._read(bytes(_READ_BUFFER[:nbytes]))
+        else:
             self.close()
-            return
-        self._read(bytes(_READ_BUFFER[:nbytes]))
 
     def eof_received(self) -> None:
         """End the response where only the connection's end delimits it; else the exchange fails."""
@@ -325,7 +325,7 @@
             data = reader.pop_buffered()
             if data:
                 state.consumer.write_body(data)
-        if isinstance(self._state, (Closed, _Unused)):
+        if not isinstance(self._state, (AwaitingResponse, Streaming, Writing)):
             return  # the observer or the consumer has closed it meanwhile
         response = reader.response
         if response is not None:
--- a/tulipnotch/sidecar/upstream/write_gate.py
+++ b/tulipnotch/sidecar/upstream/write_gate.py
@@ -37,17 +37,17 @@
             now = request.last_allowed_at = self._clock.now()
             if now >= request.observer.latest_start():
                 self._stop(request, Outcome.NOT_SENT)  # a retry later than this could have a double effect
-            elif now >= request.deadline or self._is_head_stale(request, now):
+            elif now >= request.deadline or self._is_head_stale(request.head_written_at, now):
                 self._stop(request, Outcome.CONNECT_FAILED)
         return not request.has_ended
 
-    def _is_head_stale(self, request: UpstreamRequest, now: int) -> bool:
+    @staticmethod
+    def _is_head_stale(written_at: int | None, now: int) -> bool:
         """Whether the head announced more time than the client has left now.
 
         A server that accepts the request slowly would work past the client's deadline; it cannot have begun
         yet, and the next server's head announces what is left then.
         """
-        written_at = request.head_written_at
         return written_at is not None and now > written_at + _TIMEOUT_HEADER_STALE_AFTER_US
 
     def set_deadline(self, request: UpstreamRequest, deadline: int) -> None:
