--- a/tests/sidecar/upstream/event_interleavings.py
+++ b/tests/sidecar/upstream/event_interleavings.py
@@ -22,11 +22,11 @@
 )
 
 from tulipnotch.load_balancing.health import outlier_detection
-from tulipnotch.load_balancing.retries import attempt_timeouts as overdue
+from tulipnotch.load_balancing.retries import attempt_timeouts
 from tulipnotch.sidecar import clock
 from tulipnotch.sidecar.http1 import body
-from tulipnotch.sidecar.upstream import connection as client
-from tulipnotch.sidecar.upstream import pool as upstream
+from tulipnotch.sidecar.upstream import connection as connection_module
+from tulipnotch.sidecar.upstream import pool as pool_module
 
 
 @dataclass
@@ -76,11 +76,13 @@
     """Patch the clock, the socket calls and the constants of the program."""
     with ExitStack() as stack:
         stack.enter_context(mock.patch.object(clock.Clock, "now", _virtual_now))
-        stack.enter_context(mock.patch.object(client, "os", Kernel(lambda: _loop().network), create=True))
+        stack.enter_context(
+            mock.patch.object(connection_module, "os", Kernel(lambda: _loop().network), create=True)
+        )
         stack.enter_context(mock.patch.object(body, "MAX_BUFFERED_BODY_BYTES", BUFFERED_BYTES))
-        stack.enter_context(mock.patch.object(upstream, "_REUSE_DELAY_US", reuse_delay_us))
+        stack.enter_context(mock.patch.object(pool_module, "_REUSE_DELAY_US", reuse_delay_us))
         # There is no other traffic: an attempt is hedged by its own time alone, also on several servers.
-        stack.enter_context(mock.patch.object(overdue, "OTHER_ANSWERS", 0))
+        stack.enter_context(mock.patch.object(attempt_timeouts, "OTHER_ANSWERS", 0))
         stack.enter_context(mock.patch.object(outlier_detection, "SILENT_MOST", 1.0))
         yield
 
--- a/tests/sidecar/upstream/test_retry_bounds.py
+++ b/tests/sidecar/upstream/test_retry_bounds.py
@@ -33,8 +33,8 @@
 
 from tulipnotch.load_balancing.events import TimerFired
 from tulipnotch.sidecar.http1.body import MAX_BUFFERED_BODY_BYTES
-from tulipnotch.sidecar.upstream import connection as client
-from tulipnotch.sidecar.upstream import pool as upstream
+from tulipnotch.sidecar.upstream import connection as connection_module
+from tulipnotch.sidecar.upstream import pool as pool_module
 from tulipnotch.sidecar.upstream import write_gate
 
 # A connection that is established late
@@ -190,7 +190,7 @@
         async with stage(OK, listed=False) as other_stage:
             late_server = other_stage.servers[0]
             held_dials.hold(late_server.address)
-            monkeypatch.setattr(client, "os", SimpleNamespace(write=write))
+            monkeypatch.setattr(connection_module, "os", SimpleNamespace(write=write))
             async with overtaken(
                 clock, late_server.address, "reset", first_is_late=until_dial_is_held(held_dials)
             ) as seen:
@@ -335,7 +335,7 @@
     when: str, end: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     clock = ManualClock(monkeypatch)
-    monkeypatch.setattr(upstream, "_REUSE_DELAY_US", 400 * MS)
+    monkeypatch.setattr(pool_module, "_REUSE_DELAY_US", 400 * MS)
 
     async def first_is_late(scene: Stage) -> None:
         await until(lambda: len(scene.sidecar._upstream._reuse_timers) == 1)
--- a/tests/sidecar/upstream/test_unexecuted_requests.py
+++ b/tests/sidecar/upstream/test_unexecuted_requests.py
@@ -11,7 +11,7 @@
 from barriers import Fate, HeldDials, Kernel, NarrowServer, narrow_connections, reset, server_line, tell
 from loopback import FULL, HOST, OK, Client, Heard, Stage, play, request, stage, until
 
-from tulipnotch.sidecar.upstream import pool as upstream
+from tulipnotch.sidecar.upstream import pool as pool_module
 from tulipnotch.sidecar.upstream.connection import UpstreamConnection
 
 _BODY = b"x" * 60_000 + b"the end"
@@ -42,7 +42,7 @@
 ) -> None:
     # It is retried, and its first server never gets the last byte.
     narrow_connections(monkeypatch)
-    monkeypatch.setattr(upstream, "_REUSE_DELAY_US", 0)
+    monkeypatch.setattr(pool_module, "_REUSE_DELAY_US", 0)
 
     async def work() -> None:
         server = NarrowServer()
