--- a/tests/sidecar/discovery/test_change_propagation.py
+++ b/tests/sidecar/discovery/test_change_propagation.py
@@ -53,12 +53,12 @@
 
 
 @pytest.mark.parametrize("mode", ["pushed", "on_request"])
-@pytest.mark.parametrize("how", ["silent", "reset", "503", "nonsense", "half", "away"])
+@pytest.mark.parametrize("fault", ["hung", "reset", "503", "malformed", "truncated", "restarted"])
 def test_drain_is_received_when_the_watch_before_it_was_lost(
-    how: str, mode: str, monkeypatch: pytest.MonkeyPatch
+    fault: str, mode: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # The watch is lost with its event; the change counts as announced all the same.
-    if how == "silent":
+    if fault == "hung":
         monkeypatch.setattr(discovery, "_SCHEDULE", SCHEDULE)
 
     async def work() -> None:
@@ -67,17 +67,17 @@
             await until(lambda: len(server.heard) >= 2)  # the watch is open
             server.servers[0] = _draining(scene)
             server.version = 2
-            if how == "reset":
+            if fault == "reset":
                 server.hang_up()
-            elif how == "503":
+            elif fault == "503":
                 server.news.put_nowait(reply(b"", "503 Busy"))
-            elif how == "nonsense":
+            elif fault == "malformed":
                 server.news.put_nowait(reply(b'{"version": 2, "full": false, "servers": [{"id": 7}]}'))
-            elif how == "half":
+            elif fault == "truncated":
                 complete = reply(json.dumps({"version": 2, "full": True, "servers": server.servers}).encode())
                 server.heard[-1].writer.write(complete[:-20])
                 await server.heard[-1].writer.drain()
-            elif how == "away":
+            elif fault == "restarted":
                 port = int(server.address.rpartition(":")[2])
                 server.stop()
                 restarted = ScriptedDiscovery()
@@ -85,7 +85,7 @@
                 await until(lambda: any("no list" in each for each in scene.log))
                 await restarted.start(port)
             await _assert_drained(scene)
-            if how == "away":
+            if fault == "restarted":
                 restarted.stop()
 
     play(work)
--- a/tulipnotch/sidecar/downstream/connection.py
+++ b/tulipnotch/sidecar/downstream/connection.py
@@ -47,7 +47,7 @@
     IDLE = "idle"  # all its requests have a response
     READING = "reading"  # a part of a request has come
     STREAMING_BODY = "streaming body"  # a part of a request has come, and is forwarded as it comes
-    AWAITING_RESPONSE = "awaiting response"  # never closed to make room
+    AWAITING_RESPONSE = "awaiting response"  # never evicted
 
 
 class RequestHandler(Protocol):
@@ -77,7 +77,7 @@
     """Counts the connections by state."""
 
     def add(self, connection: DownstreamConnection) -> None:
-        """Count a connection that was made; may abort it, or another one to make room."""
+        """Count a connection that was made; may abort it, or evict another one."""
         ...
 
     def move(self, connection: DownstreamConnection, state: ConnectionState) -> None:
@@ -448,13 +448,13 @@
     # Reading
 
     def _process_input(self) -> None:
-        """Take the next request, if there is one and it may be taken now."""
+        """Dispatch the next request, if there is one and none before it is open."""
         while self._request_number is None and self.state is not ConnectionState.CLOSING:
             transport = self._open_transport
             if transport is None or self._is_writing_paused:
                 return  # a client that does not read its responses gets no more of them
             if self._reader.requests:
-                self._take(self._reader.requests.pop(0))
+                self._dispatch(self._reader.requests.pop(0))
             elif self._reader.fault is not None:
                 self.reject(self._reader.fault)
             else:
@@ -464,7 +464,7 @@
                 self._resume_reading()
                 return
 
-    def _take(self, request: Request) -> None:
+    def _dispatch(self, request: Request) -> None:
         self._request = request
         is_complete = request.body.is_complete
         self._move(ConnectionState.AWAITING_RESPONSE if is_complete else ConnectionState.STREAMING_BODY)
