--- a/tests/sidecar/upstream/event_interleavings.py
+++ b/tests/sidecar/upstream/event_interleavings.py
@@ -154,7 +154,7 @@
     with _patched_program(start.reuse_delay_us):
         seed = _find_seed(case, start)
         while True:
-            accepted = _play(case, start, seed, depth, prefix, seen, explored)
+            accepted = _apply(case, start, seed, depth, prefix, seen, explored)
             if stop_at is not None and any(map(stop_at, explored.violations.values())):
                 return explored
             while accepted and accepted[-1][0] + 1 == accepted[-1][1]:
@@ -165,7 +165,7 @@
             prefix[-1] += 1
 
 
-def _play(
+def _apply(
     case: Case,
     start: Start,
     seed: int,
@@ -182,11 +182,11 @@
         while len(accepted) < depth and not world.rule.violations:
             if len(accepted) >= len(prefix):
                 key = world.fingerprint()
-                left = depth - len(accepted)
-                if seen.get(key, 0) >= left:
+                remaining_depth = depth - len(accepted)
+                if seen.get(key, 0) >= remaining_depth:
                     is_cut = True
                     break
-                seen[key] = left
+                seen[key] = remaining_depth
             choices = world.choices()
             if not choices:
                 break
--- a/tests/sidecar/upstream/interleaving_cases.py
+++ b/tests/sidecar/upstream/interleaving_cases.py
@@ -84,7 +84,7 @@
 def config_for(
     case: Case, seed: int, *, effect: str = "", group: str = "", window_us: int = WINDOW, hedging: bool = True
 ) -> Config:
-    kind: dict[str, Any] = {
+    request_class: dict[str, Any] = {
         "name": "work",
         "giveUpUs": DEADLINE,
         "promiseUs": LATENCY_OBJECTIVE,
@@ -106,7 +106,7 @@
             ],
         },
         "settings": {
-            "lanes": [kind, {**kind, "name": "before", "repeat": "read_like"}],
+            "lanes": [request_class, {**request_class, "name": "before", "repeat": "read_like"}],
             "zone": "a",
             "quantumUs": 5_000,
             "discovery": "pushed",
--- a/tests/sidecar/upstream/interleaving_world.py
+++ b/tests/sidecar/upstream/interleaving_world.py
@@ -185,7 +185,7 @@
                 f"dial {number} ({server}) is established, and the network blocks what is written",
                 lambda: self._connect_dial(number, True),
             ),
-            Step(f"dial {number} ({server}) is refused", lambda: self._refuse_dial(number)),
+            Step(f"dial {number} ({server}) is refused", lambda: self._reject_dial(number)),
         ]
 
     def _connection_choices(self, number: int, each: Connection) -> list[Step]:
@@ -204,8 +204,8 @@
         if last.index > 0 and last.first_response is None and not each.is_partly_written:
             late = each.exchanges[0].own_response
             assert late is not None
-            kind = "200" if late == SERVED else "503 Not-Started"
-            label = f"a late duplicate of the {kind} before on {name}"
+            duplicated = "200" if late == SERVED else "503 Not-Started"
+            label = f"a late duplicate of the {duplicated} before on {name}"
             found.append(Step(label, lambda: self._respond(number, late, False)))
         found.append(Step(f"reset of {name}", lambda: self._reset(number)))
         return found
@@ -213,7 +213,7 @@
     def _blocked_choices(self, number: int, each: Connection) -> list[Step]:
         label = f"the network accepts what it blocked on {self._name(number)}"
         found = [Step(label, lambda: self._accept(number, False), is_notified_late=True)]
-        if not each.was_blocked_again:
+        if not each.has_blocked_rest:
             label += ", and blocks what follows"
             found.append(Step(label, lambda: self._accept(number, True), is_notified_late=True))
         return found
@@ -288,13 +288,13 @@
         self._record(f"dial {number}", f"up {is_blocked}")
         self.network.dials[number].end.set_result(is_blocked)
 
-    def _refuse_dial(self, number: int) -> None:
+    def _reject_dial(self, number: int) -> None:
         self._record(f"dial {number}", "refused")
         self.network.dials[number].end.set_exception(ConnectionRefusedError())
 
-    def _accept(self, number: int, blocks_again: bool) -> None:
-        self._record(f"connection {number}", f"accepts {blocks_again}")
-        self.network.connections[number].unblock(blocks_again=blocks_again)
+    def _accept(self, number: int, blocks_rest: bool) -> None:
+        self._record(f"connection {number}", f"accepts {blocks_rest}")
+        self.network.connections[number].unblock(blocks_rest=blocks_rest)
 
     def _respond(self, number: int, data: bytes, is_own: bool) -> None:
         self._record(f"connection {number}", f"answer {data!r} {is_own}")
@@ -342,8 +342,8 @@
         if self._completed_at is None:
             return None
         due = self._completed_at + DEADLINE + SLACK
-        for begin, end in self._delays:
-            due = max(due, end) if begin <= due else due
+        for start, end in self._delays:
+            due = max(due, end) if start <= due else due
         return due
 
     # For the exploration
@@ -379,11 +379,11 @@
         )
 
 
-def _request(kind: str, method: str, request_id: str, **headers: str) -> bytes:
+def _request(request_class: str, method: str, request_id: str, **headers: str) -> bytes:
     given = {
         "Host": "origin.svc",
         "Request-Id": request_id,
-        "Request-Class": kind,
+        "Request-Class": request_class,
         "Request-Timeout": f"{DEADLINE / 1e6:.3f}",
         **headers,
     }
--- a/tests/sidecar/upstream/overtaken.py
+++ b/tests/sidecar/upstream/overtaken.py
@@ -69,17 +69,17 @@
     received: list[Heard] = []
     let_finish = asyncio.Event()
 
-    async def other(heard: Heard) -> bytes | None:
-        if heard.method == "GET":
+    async def other(incoming: Heard) -> bytes | None:
+        if incoming.method == "GET":
             return _SERVED_AND_CLOSED  # so that each attempt opens a connection: a rejection is proof there
         if len(received) == len(ends):
             return FULL
         how = ends[len(received)]
-        received.append(heard)
+        received.append(incoming)
         if how == "full":
             return FULL
         if how == "reset":
-            reset(heard)
+            reset(incoming)
             return None
         await let_finish.wait()
         return OK
@@ -113,15 +113,15 @@
         yield seen
 
 
-async def assert_is_over(seen: Overtaken, group: str, *ends: str) -> None:
+async def assert_has_ended(seen: Overtaken, group: str, *ends: str) -> None:
     """The client has a response that the rules permit."""
     seen.let_finish.set()
-    answer = await seen.client.answer()
+    response = await seen.client.answer()
     if "runs on" in ends:
-        assert answer.status == 200
+        assert response.status == 200
     else:
         # It may have executed; where every server discards the retry, a rejection is harmless.
-        assert answer.status in ((502, 503, 504) if group == "all" else (502, 504))
+        assert response.status in ((502, 503, 504) if group == "all" else (502, 504))
     await until(lambda: seen.scene.sidecar.open_requests == 0)
 
 
@@ -132,10 +132,10 @@
     assert late_server.heard == []
 
 
-def until_dial_is_held(held_dials: HeldDials) -> Callable[[Stage], Awaitable[None]]:
+def until_dial_is_delayed(delayed_dials: HeldDials) -> Callable[[Stage], Awaitable[None]]:
     """For `first_is_late`: the first attempt waits for its connection."""
 
     async def first_is_late(scene: Stage) -> None:
-        await until(lambda: held_dials.waiting == 1)
+        await until(lambda: delayed_dials.waiting == 1)
 
     return first_is_late
--- a/tests/sidecar/upstream/test_connection_accounting.py
+++ b/tests/sidecar/upstream/test_connection_accounting.py
@@ -109,8 +109,8 @@
 
 def test_connection_is_reusable_when_last_part_of_response_paused_reading() -> None:
     async def work() -> None:
-        async def script(heard: Heard) -> bytes:
-            return reply(_LARGE) if heard.target == "/large" else OK
+        async def script(incoming: Heard) -> bytes:
+            return reply(_LARGE) if incoming.target == "/large" else OK
 
         server = await ScriptedServer(script).start()
         owner = _Owner()
--- a/tests/sidecar/upstream/test_connection_reuse.py
+++ b/tests/sidecar/upstream/test_connection_reuse.py
@@ -21,12 +21,12 @@
 def test_connection_is_not_reused_after_excess_data(late: bool) -> None:
     # The next request must not get a duplicate of this response.
     async def work() -> None:
-        async def twice(heard: Heard) -> bytes:
-            body = heard.target.rpartition("/")[2].encode()
+        async def twice(incoming: Heard) -> bytes:
+            body = incoming.target.rpartition("/")[2].encode()
             response = HEAD + b"Content-Length: %d\r\n\r\n%s" % (len(body), body)
             if late:
-                heard.writer.write(response)
-                await heard.writer.drain()
+                incoming.writer.write(response)
+                await incoming.writer.drain()
                 await asyncio.sleep(0.02)
                 return response
             return response + response
@@ -48,10 +48,10 @@
     async def work() -> None:
         send_duplicate = asyncio.Event()
 
-        async def echo(heard: Heard) -> bytes:
+        async def echo(incoming: Heard) -> bytes:
             if len(scene.heard) > 1:
                 await send_duplicate.wait()
-            body = heard.target.rpartition("/")[2].encode()
+            body = incoming.target.rpartition("/")[2].encode()
             return HEAD + b"Content-Length: %d\r\n\r\n%s" % (len(body), body)
 
         async with stage(echo) as scene:
--- a/tests/sidecar/upstream/test_duplicate_responses.py
+++ b/tests/sidecar/upstream/test_duplicate_responses.py
@@ -25,7 +25,7 @@
 
 @asynccontextmanager
 async def _duplicate_response(
-    kind: str, clock: ManualClock | None = None, after_us: int = 0, group: str = "cell", **other: Any
+    request_class: str, clock: ManualClock | None = None, after_us: int = 0, group: str = "cell", **other: Any
 ) -> AsyncIterator[DuplicateResponse]:
     """Send a request to a server that rejected one before; repeat that rejection once this one is read.
 
@@ -34,22 +34,22 @@
     read = asyncio.Event()
     send_duplicate = asyncio.Event()
 
-    async def twice(heard: Heard) -> bytes:
+    async def twice(incoming: Heard) -> bytes:
         if len(scene.servers[0].heard) == 1:
             return FULL
         read.set()
         await send_duplicate.wait()
         before = scene.servers[0].heard[0]
-        if heard.connection == before.connection:
+        if incoming.connection == before.connection:
             return FULL  # the same response again
         before.writer.write(FULL)
         return OK
 
     async with stage(twice, OK, listed=False, lanes=service_classes(group)) as scene:
         await tell(scene, server_line(0, scene.servers[0].address))
-        assert (await scene.ask(kind)).status == 503
+        assert (await scene.ask(request_class)).status == 503
         client = await scene.client()
-        client.send(request(kind, timeout="4.0"))
+        client.send(request(request_class, timeout="4.0"))
         await until(read.is_set)
         await tell(scene, server_line(1, scene.servers[1].address, **other))
         if clock is not None:
@@ -63,10 +63,10 @@
     async def work() -> None:
         loop = asyncio.get_running_loop()
         async with _duplicate_response("lodge") as seen:
-            began = loop.time()
-            answer = await seen.client.answer()
-            assert answer.status == (502 if seen.is_shared else 200)
-            assert loop.time() - began < 1.0  # at once, not at its deadline
+            started_at = loop.time()
+            response = await seen.client.answer()
+            assert response.status == (502 if seen.is_shared else 200)
+            assert loop.time() - started_at < 1.0  # at once, not at its deadline
             assert seen.scene.servers[1].heard == []
             await until(lambda: seen.scene.sidecar.open_requests == 0)
 
@@ -77,7 +77,7 @@
     async def work() -> None:
         release = asyncio.Event()
 
-        async def full(heard: Heard) -> bytes:
+        async def full(incoming: Heard) -> bytes:
             await release.wait()
             return FULL
 
@@ -108,8 +108,8 @@
 ) -> None:
     async def work() -> None:
         async with _duplicate_response("amend", group=group, **other) as seen:
-            answer = await seen.client.answer()
-            assert answer.status == (502 if seen.is_shared else 200)
+            response = await seen.client.answer()
+            assert response.status == (502 if seen.is_shared else 200)
             assert seen.scene.servers[1].heard == []
 
     play(work)
@@ -123,9 +123,9 @@
 
     async def work() -> None:
         async with _duplicate_response("amend", clock, WINDOW_US, group) as seen:
-            answer = await seen.client.answer()
+            response = await seen.client.answer()
             refused = (503,) if group == "all" else ()
-            assert answer.status in ((502, *refused) if seen.is_shared else (200,))
+            assert response.status in ((502, *refused) if seen.is_shared else (200,))
             assert seen.scene.servers[1].heard == []
 
     play(work)
--- a/tests/sidecar/upstream/test_pool.py
+++ b/tests/sidecar/upstream/test_pool.py
@@ -45,9 +45,9 @@
 @pytest.mark.parametrize("part", [b"", b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"])
 def test_pool_sends_non_idempotent_request_once_when_its_connection_breaks(part: bytes) -> None:
     async def work() -> None:
-        async def close_connection(heard: Heard) -> None:
-            heard.writer.write(part)
-            heard.writer.close()
+        async def close_connection(incoming: Heard) -> None:
+            incoming.writer.write(part)
+            incoming.writer.close()
 
         async with stage(close_connection, close_connection) as scene:
             assert (await scene.ask("lodge")).status == 502
@@ -79,7 +79,7 @@
 def test_pool_retries_idempotent_request_soon_after_malformed_response(malformed: bytes) -> None:
     # Not at the deadline of a connection that stays open, and without a guess at the response.
     async def work() -> None:
-        async def once(heard: Heard) -> bytes:
+        async def once(incoming: Heard) -> bytes:
             return malformed if len(scene.heard) == 1 else OK
 
         async with stage(once, once) as scene:
@@ -104,7 +104,7 @@
     monkeypatch.setattr(timeouts, "_MIN_STALL_TIMEOUT_S", 2.0)
 
     async def work() -> None:
-        async def once(heard: Heard) -> bytes:
+        async def once(incoming: Heard) -> bytes:
             return HEAD + b"Content-Length: 9\r\n\r\nhalf" if len(scene.heard) == 1 else OK
 
         service_class = {**CLASSES[0], "promiseUs": 200_000, "giveUpUs": 2_000_000}
@@ -117,8 +117,8 @@
 
 def test_pool_counts_request_as_unexecuted_only_when_reset_before_its_last_byte() -> None:
     async def work() -> None:
-        async def reset(heard: Heard) -> None:
-            heard.writer.transport.abort()
+        async def reset(incoming: Heard) -> None:
+            incoming.writer.transport.abort()
 
         async with stage(reset, reset) as scene:
             client = await scene.client()
--- a/tests/sidecar/upstream/test_rejection_proofs.py
+++ b/tests/sidecar/upstream/test_rejection_proofs.py
@@ -24,10 +24,10 @@
     """A stage whose first server has read a non-idempotent request; the second is listed only then."""
     release = asyncio.Event()
 
-    async def script(heard: Heard) -> bytes | None:
+    async def script(incoming: Heard) -> bytes | None:
         await release.wait()
-        answer: bytes | None = await first(heard)
-        return answer
+        response: bytes | None = await first(incoming)
+        return response
 
     async with stage(script, OK, listed=False) as scene:
         await tell(scene, server_line(0, scene.servers[0].address))
@@ -47,15 +47,15 @@
 @pytest.mark.parametrize("cut", [FULL[:at] for at in _CUTS] + [_WITH_BODY[:-10], _WITH_BODY[:-1]], ids=repr)
 def test_rejection_proves_nothing_when_truncated(cut: bytes, end: str) -> None:
     async def work() -> None:
-        async def first(heard: Heard) -> bytes | None:
+        async def first(incoming: Heard) -> bytes | None:
             if end == "silence":
                 return cut
-            heard.writer.write(cut)
-            await heard.writer.drain()
+            incoming.writer.write(cut)
+            await incoming.writer.drain()
             if end == "fin":
-                heard.writer.close()
+                incoming.writer.close()
             else:
-                reset(heard)
+                reset(incoming)
             return None
 
         async with _two_servers(first) as (scene, client):
@@ -66,7 +66,7 @@
 
 
 @pytest.mark.parametrize(
-    "answer",
+    "response",
     [
         b"HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n",
         b"HTTP/1.1 503 Full\r\nNot-Started: 0\r\nContent-Length: 0\r\n\r\n",
@@ -83,10 +83,10 @@
     ],
     ids=repr,
 )
-def test_response_proves_nothing_when_it_is_no_rejection_by_protocol(answer: bytes) -> None:
+def test_response_proves_nothing_when_it_is_no_rejection_by_protocol(response: bytes) -> None:
     async def work() -> None:
-        async def first(heard: Heard) -> bytes:
-            return answer
+        async def first(incoming: Heard) -> bytes:
+            return response
 
         async with _two_servers(first) as (scene, client):
             assert (await client.answer()).status not in (200, *_REJECTED)
@@ -99,7 +99,7 @@
 @pytest.mark.parametrize("name", [b"Not-Started", b"not-started", b"NOT-STARTED"])
 def test_rejection_is_proof_once_when_received_twice_on_new_connection(name: bytes, status: bytes) -> None:
     async def work() -> None:
-        async def first(heard: Heard) -> bytes:
+        async def first(incoming: Heard) -> bytes:
             return 2 * (b"HTTP/1.1 %s\r\n%s: 1\r\nContent-Length: 0\r\n\r\n" % (status, name))
 
         async with _two_servers(first) as (scene, client):
@@ -110,26 +110,26 @@
     play(work)
 
 
-@pytest.mark.parametrize("kind", ["check", "lodge"])
+@pytest.mark.parametrize("request_class", ["check", "lodge"])
 def test_connection_is_not_reused_when_response_may_belong_to_another_request(
-    kind: str,
+    request_class: str,
 ) -> None:
     # The first request is rejected twice.  The second rejection is taken for the response to the second
     # request, whose own comes when the third request is written: it must not be the third one's.
     async def work() -> None:
-        async def script(heard: Heard) -> bytes:
+        async def script(incoming: Heard) -> bytes:
             before = scene.heard[:-1]
             if len(before) < 2:
                 return FULL
-            is_shared = before[0].connection == before[1].connection == heard.connection
+            is_shared = before[0].connection == before[1].connection == incoming.connection
             return reply(b"second" if is_shared else b"third")
 
         async with stage(script) as scene:
             client = await scene.client()
-            assert (await client.ask(kind)).status == 503
-            assert (await client.ask(kind)).status != 200
-            answer = await client.ask(kind)
-            assert (answer.status, answer.body) == (200, b"third")
+            assert (await client.ask(request_class)).status == 503
+            assert (await client.ask(request_class)).status != 200
+            response = await client.ask(request_class)
+            assert (response.status, response.body) == (200, b"third")
 
     play(work)
 
@@ -137,14 +137,14 @@
 # The response to the client
 
 
-@pytest.mark.parametrize("kind", ["lodge", "amend"])
+@pytest.mark.parametrize("request_class", ["lodge", "amend"])
 @pytest.mark.parametrize("may_cancel", [True, False], ids=["may cancel", ""])
 def test_request_is_failed_and_not_rejected_at_deadline_when_possibly_executed(
-    kind: str, may_cancel: bool
+    request_class: str, may_cancel: bool
 ) -> None:
     async def work() -> None:
         async with stage(None, bounds={"mayCancel": may_cancel}) as scene:
-            assert (await scene.ask(kind, timeout="0.2")).status == 504
+            assert (await scene.ask(request_class, timeout="0.2")).status == 504
             assert len(scene.heard) == 1
 
     play(work)
@@ -159,7 +159,7 @@
     async def work() -> None:
         release = asyncio.Event()
 
-        async def holds(heard: Heard) -> bytes:
+        async def holds(incoming: Heard) -> bytes:
             await release.wait()
             return OK
 
@@ -175,7 +175,7 @@
             client.send(raw[-16_000:] + behind)
             await until(lambda: not open_request.calls[0].is_unwritten)
             release.set()
-            answer = await client.answer()
-            assert answer.status not in _REJECTED
+            response = await client.answer()
+            assert response.status not in _REJECTED
 
     play(work)
--- a/tests/sidecar/upstream/test_reload_bounds.py
+++ b/tests/sidecar/upstream/test_reload_bounds.py
@@ -10,11 +10,11 @@
 from loopback import OK, Heard, Stage, play, request, stage, until
 from overtaken import (
     WINDOW_US,
-    assert_is_over,
+    assert_has_ended,
     assert_received_nothing,
     overtaken,
     service_classes,
-    until_dial_is_held,
+    until_dial_is_delayed,
 )
 
 from tulipnotch.sidecar.configuration.configuration import parse
@@ -45,20 +45,20 @@
 def test_reload_does_not_relax_bounds_of_started_request(
     changes: dict[str, Any], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    clock, held_dials = ManualClock(monkeypatch), HeldDials(monkeypatch)
+    clock, delayed_dials = ManualClock(monkeypatch), HeldDials(monkeypatch)
 
     async def work() -> None:
         async with stage(OK, listed=False) as other_stage:
             late_server = other_stage.servers[0]
-            held_dials.hold(late_server.address)
+            delayed_dials.hold(late_server.address)
             async with overtaken(
-                clock, late_server.address, "reset", first_is_late=until_dial_is_held(held_dials)
+                clock, late_server.address, "reset", first_is_late=until_dial_is_delayed(delayed_dials)
             ) as seen:
                 _reload(seen.scene, **changes)
                 clock.advance(WINDOW_US)
-                held_dials.release(late_server.address)
+                delayed_dials.release(late_server.address)
                 await until(lambda: seen.scene.sidecar._upstream._dials_in_flight == 0)
-                await assert_is_over(seen, "cell", "reset")
+                await assert_has_ended(seen, "cell", "reset")
                 await assert_received_nothing(seen, late_server)
 
     play(work)
@@ -67,40 +67,40 @@
 def test_reload_without_hedging_applies_to_unwritten_attempt(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    clock, held_dials = ManualClock(monkeypatch), HeldDials(monkeypatch)
+    clock, delayed_dials = ManualClock(monkeypatch), HeldDials(monkeypatch)
 
     async def work() -> None:
         async with stage(OK, listed=False) as other_stage:
             late_server = other_stage.servers[0]
-            held_dials.hold(late_server.address)
+            delayed_dials.hold(late_server.address)
             async with overtaken(
-                clock, late_server.address, "runs on", first_is_late=until_dial_is_held(held_dials)
+                clock, late_server.address, "runs on", first_is_late=until_dial_is_delayed(delayed_dials)
             ) as seen:
                 bounds = seen.scene.sidecar.config.file["settings"]["bounds"]
                 _reload(seen.scene, bounds={**bounds, "secondCopies": False})
-                held_dials.release(late_server.address)
+                delayed_dials.release(late_server.address)
                 await until(lambda: seen.scene.sidecar._upstream._dials_in_flight == 0)
-                await assert_is_over(seen, "cell", "runs on")
+                await assert_has_ended(seen, "cell", "runs on")
                 await assert_received_nothing(seen, late_server)
 
     play(work)
 
 
-@pytest.mark.parametrize("kind", ["lodge", "amend"])
-def test_reload_permits_no_retry_of_possibly_executed_request(kind: str) -> None:
+@pytest.mark.parametrize("request_class", ["lodge", "amend"])
+def test_reload_permits_no_retry_of_possibly_executed_request(request_class: str) -> None:
     # By its class as it was there may be no retry: non-idempotent, or keyed with no other server in the
     # group.
     async def work() -> None:
         release = asyncio.Event()
 
-        async def first(heard: Heard) -> None:
+        async def first(incoming: Heard) -> None:
             await release.wait()
-            reset(heard)
+            reset(incoming)
 
         async with stage(first, OK, listed=False, lanes=service_classes("cell")) as scene:
             await tell(scene, server_line(0, scene.servers[0].address))
             client = await scene.client()
-            client.send(request(kind, timeout="4.0"))
+            client.send(request(request_class, timeout="4.0"))
             await until(lambda: len(scene.heard) == 1)
             keyed = {"repeat": "idempotency_key", "group": "all", "memorySpanUs": 3_000_000}
             free = [service_classes()[0], *({**each, **keyed} for each in service_classes()[1:])]
@@ -113,16 +113,16 @@
     play(work)
 
 
-@pytest.mark.parametrize("kind", ["check", "amend"])
-def test_request_is_sent_once_when_its_class_was_removed(kind: str) -> None:
+@pytest.mark.parametrize("request_class", ["check", "amend"])
+def test_request_is_sent_once_when_its_class_was_removed(request_class: str) -> None:
     # Requests of it are in flight; a class that the settings do not name counts as non-idempotent.
     async def work() -> None:
-        async def resets(heard: Heard) -> None:
-            reset(heard)
+        async def resets(incoming: Heard) -> None:
+            reset(incoming)
 
         async with stage(resets, resets, lanes=service_classes()) as scene:
             _reload(scene, lanes=[service_classes()[2]])
-            assert (await scene.ask(kind)).status == 502
+            assert (await scene.ask(request_class)).status == 502
             assert len(scene.heard) == 1
 
     play(work)
--- a/tests/sidecar/upstream/test_repeated_requests.py
+++ b/tests/sidecar/upstream/test_repeated_requests.py
@@ -21,7 +21,7 @@
     async def work() -> None:
         release = asyncio.Event()
 
-        async def holds(heard: Heard) -> bytes:
+        async def holds(incoming: Heard) -> bytes:
             await release.wait()
             return OK
 
@@ -30,8 +30,8 @@
             first = await _send(scene, raw)
             await until(lambda: len(scene.heard) == 1)
             second = await _send(scene, raw)
-            answer = await second.answer()
-            assert answer.status == 409
+            response = await second.answer()
+            assert response.status == 409
             release.set()
             assert (await first.answer()).status == 200
             assert len(scene.heard) == 1
@@ -48,10 +48,10 @@
     async def work() -> None:
         release = asyncio.Event()
 
-        async def holds(heard: Heard) -> bytes | None:
+        async def holds(incoming: Heard) -> bytes | None:
             await release.wait()
             if when == "reset":
-                reset(heard)
+                reset(incoming)
                 return None
             return OK
 
@@ -66,8 +66,8 @@
                 await until(lambda: scene.sidecar.open_requests == 0)
             second = await _send(scene, raw)
             release.set()
-            answer = await second.answer()
-            assert answer.status not in (200, *_REJECTED)
+            response = await second.answer()
+            assert response.status not in (200, *_REJECTED)
             assert len(scene.heard) == 1
 
     play(work)
@@ -76,17 +76,17 @@
 def test_non_idempotent_request_is_served_again_when_no_server_had_its_last_byte(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    held_dials = HeldDials(monkeypatch)
+    delayed_dials = HeldDials(monkeypatch)
 
     async def work() -> None:
         async with stage(OK, bounds={"mayCancel": False}) as scene:
-            held_dials.hold(scene.servers[0].address)
+            delayed_dials.hold(scene.servers[0].address)
             raw = request("lodge", timeout="4.0")
             first = await _send(scene, raw)
-            await until(lambda: held_dials.waiting == 1)
+            await until(lambda: delayed_dials.waiting == 1)
             first.close()
             await until(lambda: scene.sidecar.open_requests == 0)
-            held_dials.release(scene.servers[0].address)
+            delayed_dials.release(scene.servers[0].address)
             second = await _send(scene, raw)
             assert (await second.answer()).status == 200
             assert len(scene.heard) == 1
--- a/tests/sidecar/upstream/test_retry_bounds.py
+++ b/tests/sidecar/upstream/test_retry_bounds.py
@@ -23,11 +23,11 @@
     OVERDUE_US,
     WINDOW_US,
     Overtaken,
-    assert_is_over,
+    assert_has_ended,
     assert_received_nothing,
     overtaken,
     service_classes,
-    until_dial_is_held,
+    until_dial_is_delayed,
 )
 from slow_to_accept import SlowToAccept
 
@@ -54,21 +54,25 @@
 def test_attempt_is_not_written_when_connected_after_deduplication_window(
     group: str, may_cancel: bool, ends: tuple[str, ...], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    clock, held_dials = ManualClock(monkeypatch), HeldDials(monkeypatch)
+    clock, delayed_dials = ManualClock(monkeypatch), HeldDials(monkeypatch)
 
     async def work() -> None:
         async with stage(OK, listed=False) as other_stage:
             late_server = other_stage.servers[0]
-            held_dials.hold(late_server.address)
+            delayed_dials.hold(late_server.address)
             options: dict[str, Any] = {"group": group, "may_cancel": may_cancel}
             async with overtaken(
-                clock, late_server.address, *ends, first_is_late=until_dial_is_held(held_dials), **options
+                clock,
+                late_server.address,
+                *ends,
+                first_is_late=until_dial_is_delayed(delayed_dials),
+                **options,
             ) as seen:
                 pool = seen.scene.sidecar._upstream
                 clock.advance(WINDOW_US)
-                held_dials.release(late_server.address)
+                delayed_dials.release(late_server.address)
                 await until(lambda: pool._dials_in_flight == 0)
-                await assert_is_over(seen, group, *ends)
+                await assert_has_ended(seen, group, *ends)
                 assert len(seen.received) == len(ends)
                 seen.scene.sidecar.close()
                 await until(lambda: len(late_server.closed) == late_server.connections)
@@ -82,20 +86,24 @@
     window_us: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # All are shorter than the connect timeout; the first is as long as a first attempt waits.
-    clock, held_dials = ManualClock(monkeypatch), HeldDials(monkeypatch)
+    clock, delayed_dials = ManualClock(monkeypatch), HeldDials(monkeypatch)
 
     async def work() -> None:
         async with stage(OK, listed=False) as other_stage:
             late_server = other_stage.servers[0]
-            held_dials.hold(late_server.address)
+            delayed_dials.hold(late_server.address)
             options: dict[str, Any] = {"window_us": window_us + OVERDUE_US}
             async with overtaken(
-                clock, late_server.address, "reset", first_is_late=until_dial_is_held(held_dials), **options
+                clock,
+                late_server.address,
+                "reset",
+                first_is_late=until_dial_is_delayed(delayed_dials),
+                **options,
             ) as seen:
                 clock.advance(window_us + OVERDUE_US)
-                held_dials.release(late_server.address)
+                delayed_dials.release(late_server.address)
                 await until(lambda: seen.scene.sidecar._upstream._dials_in_flight == 0)
-                await assert_is_over(seen, "cell", "reset")
+                await assert_has_ended(seen, "cell", "reset")
                 await assert_received_nothing(seen, late_server)
 
     play(work)
@@ -106,17 +114,21 @@
 def test_attempt_is_written_when_connected_within_deduplication_window(
     group: str, ends: tuple[str, ...], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    clock, held_dials = ManualClock(monkeypatch), HeldDials(monkeypatch)
+    clock, delayed_dials = ManualClock(monkeypatch), HeldDials(monkeypatch)
 
     async def work() -> None:
         async with stage(OK, listed=False) as other_stage:
             late_server = other_stage.servers[0]
-            held_dials.hold(late_server.address)
+            delayed_dials.hold(late_server.address)
             async with overtaken(
-                clock, late_server.address, *ends, group=group, first_is_late=until_dial_is_held(held_dials)
+                clock,
+                late_server.address,
+                *ends,
+                group=group,
+                first_is_late=until_dial_is_delayed(delayed_dials),
             ) as seen:
                 clock.advance(WINDOW_US - 50 * MS)
-                held_dials.release(late_server.address)
+                delayed_dials.release(late_server.address)
                 assert (await seen.client.answer()).status == 200
                 assert len(late_server.heard) == 1 and len(seen.received) == len(ends)
                 seen.let_finish.set()
@@ -130,36 +142,36 @@
     end: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # The first attempt is written meanwhile, and bounds those that were to replace it.
-    clock, held_dials = ManualClock(monkeypatch), HeldDials(monkeypatch)
+    clock, delayed_dials = ManualClock(monkeypatch), HeldDials(monkeypatch)
 
     async def work() -> None:
         release = asyncio.Event()
 
-        async def first(heard: Heard) -> bytes | None:
+        async def first(incoming: Heard) -> bytes | None:
             if end == "reset":
-                reset(heard)
+                reset(incoming)
                 return None
             await release.wait()
             return OK
 
         async with stage(first, listed=False) as other_stage:
             late_server = other_stage.servers[0]
-            held_dials.hold(late_server.address)
+            delayed_dials.hold(late_server.address)
             async with overtaken(
                 clock,
                 late_server.address,
-                first_is_late=until_dial_is_held(held_dials),
-                hold_others=held_dials,
+                first_is_late=until_dial_is_delayed(delayed_dials),
+                hold_others=delayed_dials,
             ) as seen:
                 pool = seen.scene.sidecar._upstream
-                await until(lambda: held_dials.waiting == 2)
-                held_dials.release(late_server.address)
+                await until(lambda: delayed_dials.waiting == 2)
+                delayed_dials.release(late_server.address)
                 await until(lambda: len(late_server.heard) == 1)
                 if end == "reset":
                     await until(lambda: seen.attempts()[0].has_ended)
                 clock.advance(WINDOW_US)
                 for each in seen.scene.servers:
-                    held_dials.release(each.address)
+                    delayed_dials.release(each.address)
                 await until(lambda: pool._dials_in_flight == 0)
                 release.set()
                 assert (await seen.client.answer()).status == (200 if end == "runs on" else 502)
@@ -174,7 +186,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # The process is delayed after its call for the write: its server has the complete request meanwhile.
-    clock, held_dials = ManualClock(monkeypatch), HeldDials(monkeypatch)
+    clock, delayed_dials = ManualClock(monkeypatch), HeldDials(monkeypatch)
     delay_us = 100 * MS
     posts: list[bytes] = []
 
@@ -189,15 +201,15 @@
     async def work() -> None:
         async with stage(OK, listed=False) as other_stage:
             late_server = other_stage.servers[0]
-            held_dials.hold(late_server.address)
+            delayed_dials.hold(late_server.address)
             monkeypatch.setattr(connection_module, "os", SimpleNamespace(write=write))
             async with overtaken(
-                clock, late_server.address, "reset", first_is_late=until_dial_is_held(held_dials)
+                clock, late_server.address, "reset", first_is_late=until_dial_is_delayed(delayed_dials)
             ) as seen:
                 clock.advance(WINDOW_US - delay_us)
-                held_dials.release(late_server.address)
+                delayed_dials.release(late_server.address)
                 await until(lambda: seen.scene.sidecar._upstream._dials_in_flight == 0)
-                await assert_is_over(seen, "cell", "reset")
+                await assert_has_ended(seen, "cell", "reset")
                 await assert_received_nothing(seen, late_server)
 
     play(work)
@@ -227,7 +239,7 @@
             accepted = await slow.let_go()
             assert loop.time() - ran_at > WINDOW_US / 1e6, "the connection came up too early to show anything"
             await until(lambda: pool._dials_in_flight == 0)
-            await assert_is_over(seen, "cell", end)
+            await assert_has_ended(seen, "cell", end)
             seen.scene.sidecar.close()
             assert await loop.sock_recv(accepted, 1_000) == b""
             accepted.close()
@@ -278,7 +290,7 @@
             clock.advance(WINDOW_US)
             got = await server.read_to(_BODY)
             assert got and not got.endswith(_BODY)
-            await assert_is_over(seen, group, end)
+            await assert_has_ended(seen, group, end)
 
     play(work)
 
@@ -295,14 +307,14 @@
         async with _partly_written(clock, end, group="cell") as (seen, server):
             first = seen.attempts()[0]
             loop = asyncio.get_running_loop()
-            began, clock_began = loop.time(), clock.now_us
-            while loop.time() - began < WINDOW_US / 1e6 + 0.1:
+            started_at, clock_started_at = loop.time(), clock.now_us
+            while loop.time() - started_at < WINDOW_US / 1e6 + 0.1:
                 await asyncio.sleep(0.01)
-                clock.now_us = clock_began + int((loop.time() - began) * 1e6)
+                clock.now_us = clock_started_at + int((loop.time() - started_at) * 1e6)
             assert first.has_ended
             got = await server.read_to(_BODY)
             assert not got.endswith(_BODY)
-            await assert_is_over(seen, "cell", end)
+            await assert_has_ended(seen, "cell", end)
 
     play(work)
 
@@ -349,7 +361,7 @@
                 clock.advance(WINDOW_US if when == "after it" else WINDOW_US - 50 * MS)
                 await until(lambda: not seen.scene.sidecar._upstream._reuse_timers)
                 if when == "after it":
-                    await assert_is_over(seen, "cell", end)
+                    await assert_has_ended(seen, "cell", end)
                     seen.scene.sidecar.close()
                     await until(lambda: len(first.closed) == first.connections)
                     assert [each.method for each in first.heard] == ["GET"]
@@ -368,7 +380,7 @@
     first: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # What exceeds the buffer is streamed to one server, and its last byte follows once it is received.
-    clock, held_dials = ManualClock(monkeypatch), HeldDials(monkeypatch)
+    clock, delayed_dials = ManualClock(monkeypatch), HeldDials(monkeypatch)
     bounds = {"dialTimeoutUs": CONNECT_TIMEOUT_US, "secondCopies": True}
     body = b"x" * (
         MAX_BUFFERED_BODY_BYTES + 2
@@ -378,13 +390,13 @@
         async with stage(OK, OK, OK, listed=False, bounds=bounds, lanes=service_classes()) as scene:
             late_server = scene.servers[0]
             if first == "held back":
-                held_dials.hold(late_server.address)
+                delayed_dials.hold(late_server.address)
             await tell(scene, server_line(0, late_server.address))
             client = await scene.client()
             raw = request("amend", timeout="4.0", body=body)
             client.send(raw[:-1])
             if first == "held back":
-                await until(lambda: held_dials.waiting == 1)
+                await until(lambda: delayed_dials.waiting == 1)
             else:
                 await until(lambda: late_server.connections == 1)
             await tell(scene, *(server_line(n, each.address) for n, each in enumerate(scene.servers) if n))
@@ -400,7 +412,7 @@
             if first == "held back":
                 scene.sidecar._post(TimerFired("due"))
                 clock.advance(WINDOW_US)
-                held_dials.release(late_server.address)
+                delayed_dials.release(late_server.address)
             assert (await client.answer()).status == 200
             (post,) = [each for each in scene.heard if each.method == "POST"]
             assert post.body == body and post in late_server.heard
--- a/tests/sidecar/upstream/test_unexecuted_requests.py
+++ b/tests/sidecar/upstream/test_unexecuted_requests.py
@@ -101,13 +101,13 @@
     """Send a non-idempotent request whose first attempt goes to the first server; then list the second."""
     first, second = scene.servers
     await tell(scene, server_line(0, first.address))
-    held_dials = HeldDials(patch)
-    held_dials.hold(first.address)
+    delayed_dials = HeldDials(patch)
+    delayed_dials.hold(first.address)
     client = await scene.client()
     client.send(request("lodge", timeout="4.0", body=b"body"))
-    await until(lambda: held_dials.waiting == 1)
+    await until(lambda: delayed_dials.waiting == 1)
     await tell(scene, server_line(1, second.address))
-    held_dials.release(first.address)
+    delayed_dials.release(first.address)
     return client
 
 
@@ -166,8 +166,8 @@
     fates: tuple[Fate, ...], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def work() -> None:
-        async def first(heard: Heard) -> None:
-            reset(heard)
+        async def first(incoming: Heard) -> None:
+            reset(incoming)
 
         async with stage(first, OK, listed=False) as scene:
             kernel = Kernel(monkeypatch, scene.servers[0].address, fates)
@@ -188,7 +188,7 @@
 def test_non_idempotent_request_is_retried_when_connection_was_unusable(
     how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    held_dials = HeldDials(monkeypatch)
+    delayed_dials = HeldDials(monkeypatch)
 
     async def work() -> None:
         async with stage(OK, listed=False, bounds={"dialTimeoutUs": 200_000}) as scene:
@@ -198,10 +198,10 @@
                     listener.listen()
                 address = f"{HOST}:{listener.getsockname()[1]}"
                 await tell(scene, server_line(0, address))
-                held_dials.hold(address)
+                delayed_dials.hold(address)
                 client = await scene.client()
                 client.send(request("lodge", timeout="4.0"))
-                await until(lambda: held_dials.waiting == 1)
+                await until(lambda: delayed_dials.waiting == 1)
                 await tell(scene, server_line(1, scene.servers[0].address))
                 if how == "ends when established" or how == "server writes first":
                     made = UpstreamConnection.connection_made
@@ -219,7 +219,7 @@
 
                     monkeypatch.setattr(UpstreamConnection, "connection_made", connection_made)
                 if how != "never established":
-                    held_dials.release(address)
+                    delayed_dials.release(address)
                 assert (await client.answer()).status == 200
                 assert len(scene.heard) == 1
                 if how == "server writes first":
--- a/tests/sidecar/upstream/virtual_network.py
+++ b/tests/sidecar/upstream/virtual_network.py
@@ -197,7 +197,7 @@
         self.opened_at = loop.now_us
         self.exchanges: list[Exchange] = []
         self.was_reset = False
-        self.was_blocked_again = False
+        self.has_blocked_rest = False
 
     @property
     def exchange(self) -> Exchange | None:
@@ -274,9 +274,9 @@
 
     # What the script does
 
-    def unblock(self, *, blocks_again: bool) -> None:
+    def unblock(self, *, blocks_rest: bool) -> None:
         """The network accepts what it blocked, and all that follows, unless it blocks that again."""
-        self.is_blocked = self.was_blocked_again = blocks_again
+        self.is_blocked = self.has_blocked_rest = blocks_rest
         data, self.transport_buffer = self.transport_buffer, b""
         if data:
             last = self.exchange
