--- a/tests/external_names/outside.py
+++ b/tests/external_names/outside.py
@@ -168,19 +168,19 @@
 def door(scene: Stage, call: str) -> str:
     """What an operator would be told by a sidecar in this process: the answer's first line."""
     try:
-        return f"+OK {scene.sidecar.calls()[call]()[0]}"
+        return f"+OK {scene.sidecar.command_handlers()[call]()[0]}"
     except CommandRejectedError as reason:
         return f"-ERR {reason}"
 
 
 def figures(scene: Stage) -> list[str]:
     """The figures of a sidecar in this process, as an operator gets them."""
-    return list(scene.sidecar.calls()["telemetry"]())
+    return list(scene.sidecar.command_handlers()["telemetry"]())
 
 
 def listen(scene: Stage) -> None:
     """Let a sidecar in this process take clients before it is ready."""
-    scene.sidecar.frontend.listen(bind((HOST, 0)))
+    scene.sidecar.downstream.listen(bind((HOST, 0)))
 
 
 def stop(scene: Stage) -> None:
--- a/tests/load_balancing/admission/test_service_levels_in_force.py
+++ b/tests/load_balancing/admission/test_service_levels_in_force.py
@@ -100,7 +100,7 @@
 
 def test_level_shows_at_control_endpoint_and_in_log(monkeypatch: pytest.MonkeyPatch) -> None:
     async def work() -> None:
-        monkeypatch.setattr("tulipnotch.sidecar.service_level_monitor.READ_EVERY_US", 10_000)
+        monkeypatch.setattr("tulipnotch.sidecar.service_level_monitor.OBSERVATION_INTERVAL_US", 10_000)
         change = levels.ServiceLevelTransition(
             "full", "shut", 41_000_000, "too much", ServiceLevelChanged(frozenset(), frozenset({"check"}))
         )
@@ -116,7 +116,7 @@
             client = await scene.client()
             assert (await client.ask()).status == 503
             assert (await client.ask("lodge")).status == 200
-            calls = scene.sidecar.calls()
+            calls = scene.sidecar.command_handlers()
             assert "app.level=0" in calls["telemetry"]()
             assert "app.level_changes=0" in calls["telemetry"]()
             assert calls["level"]() == ["full for 0 s; refused 0.0%, wanted 0% of the window"]
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -280,7 +280,7 @@
 
     async def client(self) -> Client:
         """Returns a further connection to the sidecar."""
-        client = Client(*await asyncio.open_connection(HOST, self.sidecar.frontend.port))
+        client = Client(*await asyncio.open_connection(HOST, self.sidecar.downstream.port))
         self.clients.append(client)
         return client
 
--- a/tests/sidecar/control/test_lifecycle.py
+++ b/tests/sidecar/control/test_lifecycle.py
@@ -69,7 +69,7 @@
             return OK
 
         async with stage(hold) as scene:
-            commands = scene.sidecar.calls()
+            commands = scene.sidecar.command_handlers()
             idle, silent, working = [await scene.client() for _ in range(3)]
             assert (await idle.ask()).status == 200
             working.send(request("lodge", target="/hold"))
@@ -86,7 +86,7 @@
             release.set()
             response = await working.answer()
             assert (response.status, response.headers["connection"]) == (200, "close")
-            await until(lambda: scene.sidecar.frontend.open_connections == 0)
+            await until(lambda: scene.sidecar.downstream.open_connections == 0)
             for _ in range(2):
                 assert commands["activate"]() == ["serving"]
             assert commands["readyz"]() == ["ready"]
@@ -103,7 +103,7 @@
         async with stage(OK) as scene:
             client = await scene.client()
             assert (await client.ask()).status == 200
-            scene.sidecar.calls()["evacuate"]()
+            scene.sidecar.command_handlers()["evacuate"]()
             response = await client.ask()
             assert (response.status, response.headers["connection"]) == (200, "close")
             assert await soon(client.reader.read()) == b""
--- a/tests/sidecar/control/test_telemetry.py
+++ b/tests/sidecar/control/test_telemetry.py
@@ -124,7 +124,7 @@
         async with stage(script, bounds={"maxOpen": 2}) as scene:
 
             def metrics() -> dict[str, int]:
-                return metrics_of(list(scene.sidecar.calls()["telemetry"]()))
+                return metrics_of(list(scene.sidecar.command_handlers()["telemetry"]()))
 
             assert metrics()["app.downstream_requests.amend.completed"] == 0
             assert (await scene.ask("check")).status == 200
--- a/tests/sidecar/discovery/test_change_propagation.py
+++ b/tests/sidecar/discovery/test_change_propagation.py
@@ -277,7 +277,7 @@
             scene.discovery.version = 2
             starting = asyncio.ensure_future(scene.sidecar.start())
             await until(lambda: len(scene.discovery.heard) == 1)
-            assert scene.sidecar.frontend._acceptor is None
+            assert scene.sidecar.downstream._acceptor is None
             scene.discovery.speak()
             await starting
             await _assert_drained(scene)
@@ -377,10 +377,10 @@
     # Closing the listener would reset these connections, with the requests written to them.
     async def work() -> None:
         async with stage(OK) as scene:
-            with socket.create_connection((HOST, scene.sidecar.frontend.port)) as client:
+            with socket.create_connection((HOST, scene.sidecar.downstream.port)) as client:
                 client.sendall(request("lodge"))  # the event loop has not run since
-                assert scene.sidecar.frontend.accept_pending()
-                scene.sidecar.frontend.stop_listening()
+                assert scene.sidecar.downstream.accept_pending()
+                scene.sidecar.downstream.stop_listening()
                 client.settimeout(0.0)
                 received = await asyncio.get_running_loop().sock_recv(client, 1_000)
             assert received.startswith(b"HTTP/1.1 200 ")
--- a/tests/sidecar/downstream/test_acceptor.py
+++ b/tests/sidecar/downstream/test_acceptor.py
@@ -116,7 +116,7 @@
     # The client's time runs from when it sent the request, and so does the timeout for its server.
     async def work() -> None:
         async with stage(OK) as scene:
-            acceptor = scene.sidecar.frontend._acceptor
+            acceptor = scene.sidecar.downstream._acceptor
             assert acceptor is not None
             plain = acceptor._listener
             failing = _FaultyListener(fileno=os.dup(plain.fileno()))
--- a/tests/sidecar/downstream/test_descriptor_limits.py
+++ b/tests/sidecar/downstream/test_descriptor_limits.py
@@ -235,8 +235,12 @@
 
     async def work() -> None:
         config = parse(given, given)
-        sidecar = Sidecar(config, _ignore_log, operators=operators)
-        shares = sidecar.frontend.max_connections, sidecar._upstream.max_connections, sidecar.operators
+        sidecar = Sidecar(config, _ignore_log, control_connections=operators)
+        shares = (
+            sidecar.downstream.max_connections,
+            sidecar._upstream.max_connections,
+            sidecar.max_control_connections,
+        )
         assert min(shares) >= 1
         assert sum(shares) + RESERVED_DESCRIPTORS <= sockets
         if operators == 16:
@@ -256,7 +260,7 @@
 
     async def work() -> None:
         sidecar = Sidecar(parse(given, given), _ignore_log)
-        assert sidecar.frontend.max_connections + sidecar._upstream.max_connections == connections
+        assert sidecar.downstream.max_connections + sidecar._upstream.max_connections == connections
         assert connections * MAX_BYTES_PER_CONNECTION <= memory_mb * (1 << 20) / 4
         sidecar.close()
 
--- a/tests/sidecar/downstream/test_downstream_server.py
+++ b/tests/sidecar/downstream/test_downstream_server.py
@@ -127,7 +127,7 @@
                 clients.append(client)
             assert await clients[0].reader.read() == b""
             assert (await clients[-1].ask()).status == 200
-            await until(lambda: scene.sidecar.frontend.open_connections <= 8)
+            await until(lambda: scene.sidecar.downstream.open_connections <= 8)
 
     play(work)
 
@@ -155,7 +155,7 @@
                 stalled = await scene.client()
                 stalled.send(request("lodge", body=b"x" * 10)[:-1])
             assert (await scene.ask()).status == 200
-            await until(lambda: scene.sidecar.frontend.open_connections <= 8)
+            await until(lambda: scene.sidecar.downstream.open_connections <= 8)
 
     play(work)
 
@@ -167,7 +167,7 @@
             client = await scene.client()
             assert (await client.ask()).status == 200
             client.send(request("lodge"))  # unread in the sidecar's socket: the event loop has not run
-            scene.sidecar.frontend.close_idle()
+            scene.sidecar.downstream.close_idle()
             assert (await client.answer()).status == 200
 
     play(work)
@@ -246,7 +246,7 @@
                 assert (await client.answer()).status == status
             assert await soon(client.reader.read()) == b""
             client.writer.write(b"more of it")  # the linger time ends although the client sends on
-            await until(lambda: scene.sidecar.frontend.open_connections == 0)
+            await until(lambda: scene.sidecar.downstream.open_connections == 0)
             assert scene.heard == []
 
     play(work)
@@ -284,7 +284,7 @@
             max_open = 0
             for _ in range(200):
                 await scene.client()
-                max_open = max(max_open, scene.sidecar.frontend.open_connections)
+                max_open = max(max_open, scene.sidecar.downstream.open_connections)
             release.set()
             assert (await scene.ask("lodge")).status == 200
             assert (await waiting.answer()).status == 200
@@ -333,7 +333,7 @@
             client.send(request("lodge") * 1_000)
             await until(lambda: len(scene.heard) == 1)
             await asyncio.sleep(0.05)
-            (connection,) = scene.sidecar.frontend.connections()
+            (connection,) = scene.sidecar.downstream.connections()
             assert connection.buffered_bytes < 70_000
 
     play(work)
@@ -361,13 +361,13 @@
         async with stage(OK) as scene:
             client = await scene.client()
             client.send(request("lodge", body=b"x" * 60_000)[:-1])
-            await until(lambda: any(each.has_head for each in scene.sidecar.frontend.connections()))
-            (connection,) = scene.sidecar.frontend.connections()
+            await until(lambda: any(each.has_head for each in scene.sidecar.downstream.connections()))
+            (connection,) = scene.sidecar.downstream.connections()
             reader = weakref.ref(connection._reader)
             gc.disable()
             try:
                 client.close()
-                await until(lambda: scene.sidecar.frontend.open_connections == 0)
+                await until(lambda: scene.sidecar.downstream.open_connections == 0)
                 del connection
                 await until(lambda: reader() is None)
             finally:
@@ -390,7 +390,7 @@
     # A connection that finds the queue full is dropped, and tried again 1 s later.
     async def work() -> None:
         async with stage(OK, given={"limits": {"sockets": sockets}}) as scene:
-            frontend = scene.sidecar.frontend
+            frontend = scene.sidecar.downstream
             assert frontend._acceptor is not None
             info = frontend._acceptor._listener.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 104)
             backlog = struct.unpack_from("=I", info, 28)[0]  # tcpi_sacked: of a listening socket, its backlog
--- a/tests/sidecar/requests/test_client_disconnects.py
+++ b/tests/sidecar/requests/test_client_disconnects.py
@@ -38,7 +38,7 @@
     """A client with a request open and a further one behind it, so that nothing is read of it any more."""
     client = await scene.client()
     client.send(request("lodge", timeout="15") + request("lodge", timeout="15"))
-    await until(lambda: any(each.is_reading_paused for each in scene.sidecar.frontend.connections()))
+    await until(lambda: any(each.is_reading_paused for each in scene.sidecar.downstream.connections()))
     return client
 
 
@@ -106,7 +106,7 @@
             await until(lambda: len(scene.heard) == 1)
             await _leave(client)
             release.set()
-            await until(lambda: scene.sidecar.frontend.open_connections == 0)
+            await until(lambda: scene.sidecar.downstream.open_connections == 0)
             assert scene.sidecar.open_requests == 0
             assert len(scene.heard) == 1
 
@@ -172,7 +172,7 @@
 @contextmanager
 def _application(scene: Stage) -> Iterator[socket.socket]:
     """A plain socket, whose calls take effect at once."""
-    with socket.create_connection((HOST, scene.sidecar.frontend.port)) as own:
+    with socket.create_connection((HOST, scene.sidecar.downstream.port)) as own:
         yield own
 
 
@@ -197,14 +197,14 @@
     """What operators see of it."""
     (found,) = (
         each
-        for each in scene.sidecar.calls()["telemetry"]()
+        for each in scene.sidecar.command_handlers()["telemetry"]()
         if each.startswith("app.upstream_requests_withheld=")
     )
     return int(found.partition("=")[2])
 
 
 def _only(scene: Stage) -> DownstreamConnection:
-    (found,) = scene.sidecar.frontend.connections()
+    (found,) = scene.sidecar.downstream.connections()
     return found
 
 
@@ -216,7 +216,7 @@
 async def _paused(scene: Stage, ahead: bytes) -> None:
     """Until what was sent ahead is read, and nothing more of this client is."""
     if ahead:
-        await until(lambda: all(each.is_reading_paused for each in scene.sidecar.frontend.connections()))
+        await until(lambda: all(each.is_reading_paused for each in scene.sidecar.downstream.connections()))
 
 
 class _Scripted:
@@ -242,7 +242,7 @@
     def attempt_written(self, request: int, attempt: int, now: int) -> None:
         """Nothing here bounds another attempt."""
 
-    def latest_start(self, _request: int, _attempt: int) -> int:
+    def write_deadline(self, _request: int, _attempt: int) -> int:
         return NEVER
 
     def members(self) -> tuple[int, int]:
@@ -321,7 +321,7 @@
         async with stage(OK, client_limits=_NEVER_SWEPT, bounds={"mayCancel": False}) as scene:
             assert (await scene.ask("check")).status == 200
             scene.clients[0].close()
-            await until(lambda: scene.sidecar.frontend.open_connections == 0)
+            await until(lambda: scene.sidecar.downstream.open_connections == 0)
             decisions = scene.sidecar._balancer
             listed = decisions._context.endpoints["s-0"]
             if is_trial:
@@ -365,7 +365,9 @@
                 cut = 20 if size == 0 else len(whole) - 20_000
                 application.sendall(whole[:cut])
                 state = ConnectionState.STREAMING_BODY if size > 100_000 else ConnectionState.READING
-                await until(lambda: [each.state for each in scene.sidecar.frontend.connections()] == [state])
+                await until(
+                    lambda: [each.state for each in scene.sidecar.downstream.connections()] == [state]
+                )
                 if state is ConnectionState.STREAMING_BODY:
                     await until(lambda: scene.servers[0].connections == 1)
                     (held,) = scene.sidecar._registry
@@ -376,7 +378,7 @@
                 if how == "stays":
                     await until(lambda: len(scene.heard) == 1 + bool(ahead))
                     return
-                await until(lambda: scene.sidecar.frontend.open_connections == 0)
+                await until(lambda: scene.sidecar.downstream.open_connections == 0)
                 await _is_over(scene)
                 assert scene.heard == []
                 if state is ConnectionState.STREAMING_BODY:
@@ -448,18 +450,18 @@
             await until(lambda: len(scene.discovery.heard) >= 2)
             scene.discovery.tell(line("s", slow.address))
             await until(lambda: len(scene.discovery.heard) >= 3)
-            applications = [socket.create_connection((HOST, scene.sidecar.frontend.port)) for _ in _LEAVING]
+            applications = [socket.create_connection((HOST, scene.sidecar.downstream.port)) for _ in _LEAVING]
             for each in applications:
                 each.send(request("lodge", timeout="15") + _AHEAD)
             await until(lambda: scene.sidecar.open_requests == 3)
-            await until(lambda: len(list(scene.sidecar.frontend.connections())) == 3)
+            await until(lambda: len(list(scene.sidecar.downstream.connections())) == 3)
             await _paused(scene, _AHEAD)
             assert scene.sidecar._upstream._dials_in_flight == 3
             for how, each in zip(_LEAVING, applications, strict=True):
                 name = each.getsockname()
                 (at_sidecar,) = (
                     one
-                    for one in scene.sidecar.frontend.connections()
+                    for one in scene.sidecar.downstream.connections()
                     if one._transport is not None and one._transport.get_extra_info("peername") == name
                 )
                 _go(each, how, at_sidecar)
--- a/tests/sidecar/requests/test_invariants.py
+++ b/tests/sidecar/requests/test_invariants.py
@@ -92,8 +92,8 @@
 
 
 def _repeats_anything(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(repeat_rule, "latest_start", lambda *_given: 2**62)
-    patch.setattr(repeat_rule, "is_in_group", lambda *_given: True)
+    patch.setattr(repeat_rule, "write_deadline", lambda *_given: 2**62)
+    patch.setattr(repeat_rule, "is_in_deduplication_scope", lambda *_given: True)
 
 
 def _refuses_anything(patch: pytest.MonkeyPatch) -> None:
@@ -127,7 +127,9 @@
             assert broken == ([] if invariant is None else [invariant])
             assert any("invariant broken" in each for each in scene.log) == (invariant is not None)
             (figure,) = [
-                each for each in scene.sidecar.calls()["telemetry"]() if "invariant_violations" in each
+                each
+                for each in scene.sidecar.command_handlers()["telemetry"]()
+                if "invariant_violations" in each
             ]
             assert figure == f"app.invariant_violations={len(broken)}"
 
@@ -144,7 +146,7 @@
     async def work() -> None:
         async with stage(OK) as scene:
             client = await scene.client()
-            monkeypatch.setattr(Balancer, "latest_start", lambda *_given: 2**62)
+            monkeypatch.setattr(Balancer, "write_deadline", lambda *_given: 2**62)
             held: list[Any] = []
             exchange = scene.sidecar._upstream._write
 
@@ -197,7 +199,7 @@
             client = await scene.client()
             client.send(request("check"))
             await until(lambda: len(scene.heard) == 1)
-            (side,) = scene.sidecar.frontend.connections()
+            (side,) = scene.sidecar.downstream.connections()
             assert isinstance(side, DownstreamConnection)
             side.close(CloseReason.IDLE)
             assert scene.sidecar._context.invariants.broken[Invariant.CLOSE_WITHOUT_PENDING_RESPONSE] == 1
@@ -217,8 +219,10 @@
             client = await scene.client()
             assert (await client.ask("check")).status == 200
             client.close()
-            await until(lambda: not scene.sidecar.frontend.open_connections)
-            figures = dict(each.partition("=")[::2] for each in scene.sidecar.calls()["telemetry"]())
+            await until(lambda: not scene.sidecar.downstream.open_connections)
+            figures = dict(
+                each.partition("=")[::2] for each in scene.sidecar.command_handlers()["telemetry"]()
+            )
             assert figures["app.retries.full"] == figures["app.retries.error"] == "1"
             assert figures["app.client_closes.client_left"] == "1"
             assert figures["app.invariant_violations"] == "0"
@@ -291,7 +295,7 @@
             client.send(request("check", timeout="0.2"))
             await until(lambda: len(scene.heard) == 1)
             monkeypatch.setattr(scene.sidecar._responses, "respond", lambda *_given: None)
-            await scene.sidecar.drain()
+            await scene.sidecar.shut_down()
             assert scene.sidecar._context.invariants.broken[Invariant.STOP_WITHOUT_PENDING_RESPONSE] == 1
 
     play(work)
--- a/tests/sidecar/requests/test_streamed_bodies.py
+++ b/tests/sidecar/requests/test_streamed_bodies.py
@@ -56,7 +56,7 @@
 
 
 def figure(sidecar: Sidecar, name: str) -> int:
-    (found,) = [each for each in sidecar.calls()["telemetry"]() if each.startswith(f"{name}=")]
+    (found,) = [each for each in sidecar.command_handlers()["telemetry"]() if each.startswith(f"{name}=")]
     return int(found.partition("=")[2])
 
 
@@ -205,7 +205,7 @@
             client.writer.transport.abort()
             await until(lambda: scene.servers[0].closed == [0])
             await until(lambda: scene.sidecar.open_requests == 0)
-            assert scene.sidecar.frontend.open_connections == 0
+            assert scene.sidecar.downstream.open_connections == 0
 
     play(work)
 
@@ -273,7 +273,7 @@
                     trickle.cancel()
             await until(lambda: scene.sidecar.open_requests == 0)
             assert server.digests == []
-            await until(lambda: scene.sidecar.frontend.open_connections == 0)
+            await until(lambda: scene.sidecar.downstream.open_connections == 0)
             assert (await scene.ask("lodge")).status == 200
 
     play(work)
--- a/tests/sidecar/test_event_queue.py
+++ b/tests/sidecar/test_event_queue.py
@@ -67,7 +67,7 @@
     def attempt_written(self, request: int, attempt: int, now: int) -> None:
         """Nothing here bounds another attempt."""
 
-    def latest_start(self, _request: int, _attempt: int) -> int:
+    def write_deadline(self, _request: int, _attempt: int) -> int:
         return NEVER
 
     def heard(self, kind: type[T]) -> list[T]:
@@ -344,7 +344,7 @@
                 client.close()
             await until(lambda: scene.sidecar.open_requests == 0)
             scene.servers[0].script = scene.servers[1].script = scene.servers[2].script = OK
-            await until(lambda: scene.sidecar.frontend.open_connections == 0)
+            await until(lambda: scene.sidecar.downstream.open_connections == 0)
             assert not [each for each in scene.log if "internal" in each]
             client = await scene.client()
             client.send(b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
--- a/tests/sidecar/test_listener_handover.py
+++ b/tests/sidecar/test_listener_handover.py
@@ -146,10 +146,10 @@
         async with stage(OK, silent_discovery=True, started=False, given={"known": None}) as scene:
             starting = asyncio.ensure_future(scene.sidecar.start())
             await asyncio.sleep(0)
-            assert await health(scene.sidecar.frontend.port) == 503
+            assert await health(scene.sidecar.downstream.port) == 503
             assert not starting.done()
             await soon(starting)
-            assert await health(scene.sidecar.frontend.port) == 200
+            assert await health(scene.sidecar.downstream.port) == 200
             assert scene.log == ["no fresh endpoint list within 0.5 s, using the cached one"]
 
     play(work)
@@ -159,7 +159,7 @@
     # Guards against waiting for a discovery that is down, while clients wait for this process.
     async def work() -> None:
         async with stage(OK, silent_discovery=True) as scene:
-            assert await health(scene.sidecar.frontend.port) == 200
+            assert await health(scene.sidecar.downstream.port) == 200
             assert (await scene.ask()).status == 200
 
     play(work)
@@ -172,7 +172,7 @@
             client = await connected(listener)
             client.send(request("lodge"))
             await asyncio.sleep(0.1)
-            assert scene.sidecar.frontend.open_connections == 0
+            assert scene.sidecar.downstream.open_connections == 0
             assert scene.sidecar.lifecycle.phase.value == "starting"
             scene.discovery.speak()
             await soon(starting)
@@ -213,7 +213,7 @@
             await scene.sidecar.start(adopt(str(os.dup(listener.fileno()))))
             assert scene.sidecar._upstream.max_connections == whole // 2
             await until(lambda: scene.sidecar._upstream.max_connections == whole)
-            ending = asyncio.ensure_future(scene.sidecar.drain())
+            ending = asyncio.ensure_future(scene.sidecar.shut_down())
             await until(lambda: scene.sidecar._upstream.max_connections == whole // 2)
             await soon(ending)
 
--- a/tests/sidecar/test_race_conditions.py
+++ b/tests/sidecar/test_race_conditions.py
@@ -80,12 +80,12 @@
     with socket.socket() as plain:
         plain.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
         plain.setblocking(False)
-        await asyncio.get_running_loop().sock_connect(plain, (HOST, scene.sidecar.frontend.port))
+        await asyncio.get_running_loop().sock_connect(plain, (HOST, scene.sidecar.downstream.port))
         yield _Narrow(plain)
 
 
 def _states(scene: Stage) -> list[ConnectionState]:
-    return [each.state for each in scene.sidecar.frontend.connections()]
+    return [each.state for each in scene.sidecar.downstream.connections()]
 
 
 @pytest.mark.parametrize("how", ["asked to close", "emptying", "stopping", "passed through"])
@@ -103,14 +103,16 @@
             last = "" if how in ("emptying", "stopping") else "close"
             client.send(request("lodge", timeout="15", Connection=last) + request("lodge"))
             await until(lambda: len(scene.heard) == 1)
-            await until(lambda: all(each.is_reading_paused for each in scene.sidecar.frontend.connections()))
+            await until(
+                lambda: all(each.is_reading_paused for each in scene.sidecar.downstream.connections())
+            )
             client.send(request("lodge"))  # it stays in the socket
             if how == "emptying":
                 scene.sidecar.lifecycle.evacuate()
             elif how == "stopping":
                 scene.sidecar.lifecycle.stop()
             release.set()
-            await until(lambda: scene.sidecar.frontend.open_connections == 0)
+            await until(lambda: scene.sidecar.downstream.open_connections == 0)
             got, was_reset = await client.rest()
             assert got.endswith(b"\r\n\r\n" + body)
             assert not was_reset
@@ -128,7 +130,7 @@
     async def work() -> None:
         limits = ClientLimits(linger_s=0.05, sweep_s=600.0, idle_timeout_s=0.0, leaving_s=0.0)
         async with stage(_ANSWER, client_limits=limits) as scene, _narrow(scene) as client:
-            frontend = scene.sidecar.frontend
+            frontend = scene.sidecar.downstream
             client.send(request("lodge"))
             await until(lambda: _states(scene) == [ConnectionState.IDLE])
             await until(lambda: all(each.is_idle for each in frontend.connections()))
@@ -162,7 +164,7 @@
     async def work() -> None:
         limits = ClientLimits(greeting_s=0.0, sweep_s=600.0)
         async with stage(OK, client_limits=limits) as scene:
-            frontend = scene.sidecar.frontend
+            frontend = scene.sidecar.downstream
             silent = await scene.client()
             await until(lambda: _states(scene) == [ConnectionState.CONNECTED])
             resting = await scene.client()
@@ -189,7 +191,7 @@
                 lambda: _states(scene) == [ConnectionState.READING if sent else ConnectionState.CONNECTED]
             )
             client.send(whole[sent:])  # it lies in the sidecar's socket, and the event loop has not run
-            assert not scene.sidecar.frontend.connections_by_state.evict()
+            assert not scene.sidecar.downstream.connections_by_state.evict()
             assert (await client.answer()).status == 200
 
     play(work)
@@ -202,7 +204,7 @@
             client = await scene.client()
             await until(lambda: _states(scene) == [ConnectionState.CONNECTED])
             client.send(request("lodge"))  # it lies in the sidecar's socket, and the event loop has not run
-            scene.sidecar.frontend._timeouts.sweep()
+            scene.sidecar.downstream._timeouts.sweep()
             assert (await client.answer()).status == 200
 
     play(work)
@@ -220,7 +222,7 @@
             client.send(request("lodge", timeout="15", Connection="close"))
             await until(lambda: len(scene.heard) == 1)
             await asyncio.sleep(10 * _LIMITS.linger_s)
-            frontend = scene.sidecar.frontend
+            frontend = scene.sidecar.downstream
             assert frontend.open_connections == 1
             frontend.max_connections = 1
             assert not frontend.connections_by_state.evict()  # it is owed the rest
@@ -241,7 +243,7 @@
                 assert (await client.ask("lodge", Connection="close")).status == 200
                 assert await soon(client.reader.read()) == b""
                 client.send(request("lodge"))  # and it stays
-            await until(lambda: scene.sidecar.frontend.open_connections == 0)
+            await until(lambda: scene.sidecar.downstream.open_connections == 0)
             assert len(scene.heard) == 5
 
     play(work)
@@ -539,10 +541,10 @@
             await scene.sidecar.start()
             assert (await scene.ask()).status == 200
             inherited = listener.adopt(str(listener.bind((HOST, 0)).detach()))
-            scene.sidecar.frontend.stop_listening()
-            scene.sidecar.frontend.listen(inherited)
+            scene.sidecar.downstream.stop_listening()
+            scene.sidecar.downstream.listen(inherited)
             assert (await scene.ask()).status == 200
-            door = control.ControlEndpoint(scene.sidecar.calls())
+            door = control.ControlEndpoint(scene.sidecar.command_handlers())
             door.listen((HOST, 0))
             reader, writer = await asyncio.open_connection(HOST, door.port)
             writer.write(b"readyz\n")
@@ -651,7 +653,7 @@
         async def rush(number: int) -> None:
             with socket.socket() as plain:
                 plain.setblocking(False)
-                await loop.sock_connect(plain, (HOST, scene.sidecar.frontend.port))
+                await loop.sock_connect(plain, (HOST, scene.sidecar.downstream.port))
                 with suppress(OSError):
                     plain.send(_FLOODS[what])
                 if number % 2:
@@ -663,7 +665,7 @@
             for _ in range(10):
                 await asyncio.gather(*(rush(number) for number in range(30)))
                 assert (await steady.ask("lodge", timeout="2.0")).status == 200
-            frontend = scene.sidecar.frontend
+            frontend = scene.sidecar.downstream
             await until(lambda: frontend.open_connections == 1)
             await until(lambda: scene.sidecar.open_requests == 0)
             assert frontend.connections_by_state.buffered_bytes == 0
--- a/tests/sidecar/test_reload.py
+++ b/tests/sidecar/test_reload.py
@@ -189,7 +189,7 @@
             new = {**CLASSES[0], "name": "new", "giveUpUs": 1_000_000}
             bounds = {"sendCap": 1, "maxOpen": 1, "dialTimeoutUs": 123_000, "idleCloseUs": 1_000_000}
             sidecar.reload(changed(sidecar.config, lanes=[new], bounds=bounds))
-            shown = sidecar.calls()["telemetry"]()
+            shown = sidecar.command_handlers()["telemetry"]()
             assert "app.downstream_requests.new.rejected=0" in shown
             assert (await scene.ask("new")).status == 503  # one may be open, and one is
             release.set()
@@ -200,7 +200,7 @@
             assert sidecar._upstream._timeouts.response_stall_s == 0.4 * 0.75  # of the aim of the only class
             await asyncio.sleep(0.1)
             assert (await scene.ask("check")).status == 400  # it vanished, and has faded
-            assert "app.downstream_requests.check.completed=1" in sidecar.calls()["telemetry"]()
+            assert "app.downstream_requests.check.completed=1" in sidecar.command_handlers()["telemetry"]()
 
     play(work)
 
@@ -225,7 +225,7 @@
     async def work() -> None:
         release, hold = holding()
         async with stage(hold, OK) as scene:
-            frontend = scene.sidecar.frontend
+            frontend = scene.sidecar.downstream
             slow, raw = await scene.client(), request("check")
             if ahead:
                 slow.send(request("check"))
--- a/tests/sidecar/upstream/interleaving_world.py
+++ b/tests/sidecar/upstream/interleaving_world.py
@@ -95,7 +95,7 @@
             self.rule.on_completed(exchange)
 
     def _connect(self, on_response: Callable[[int], None]) -> ClientEnd:
-        client = ClientEnd(self.loop, DownstreamConnection(self.sidecar.frontend), on_response)
+        client = ClientEnd(self.loop, DownstreamConnection(self.sidecar.downstream), on_response)
         self._clients.append(client)
         return client
 
--- a/tests/sidecar/upstream/test_pool.py
+++ b/tests/sidecar/upstream/test_pool.py
@@ -10,7 +10,6 @@
 
 from tulipnotch.load_balancing.admission import concurrency_limit
 from tulipnotch.sidecar.upstream import timeouts
-from tulipnotch.simulator_wire.names import settings_from_wire
 
 
 def open_requests(scene: Stage) -> int:
@@ -202,7 +201,7 @@
     async def work() -> None:
         release, hold = holding()
         async with stage(hold, given={"limits": {"sockets": 80}}) as scene:
-            scene.sidecar.frontend.max_connections = 32
+            scene.sidecar.downstream.max_connections = 32
             clients = []
             for number in range(20):
                 clients.append(await scene.client())
--- a/tests/sidecar/upstream/test_repeated_requests.py
+++ b/tests/sidecar/upstream/test_repeated_requests.py
@@ -60,7 +60,7 @@
             first = await _send(scene, raw)
             await until(lambda: len(scene.heard) == 1)
             first.close()
-            await until(lambda: scene.sidecar.frontend.open_connections == 0)
+            await until(lambda: scene.sidecar.downstream.open_connections == 0)
             if when != "in flight":
                 release.set()
                 await until(lambda: scene.sidecar.open_requests == 0)
--- a/tests/sidecar/upstream/test_retry_interleavings.py
+++ b/tests/sidecar/upstream/test_retry_interleavings.py
@@ -93,14 +93,14 @@
     def without_bound(
         self: UpstreamPool, call: UpstreamRequest, server: Any, connection: UpstreamConnection
     ) -> bool:
-        bound = call.observer.latest_start
+        bound = call.observer.write_deadline
         has_carried = bool(cast(Connection, connection._transport).exchanges)
         if has_carried is not is_new:
-            call.observer.latest_start = lambda: NEVER  # type: ignore[method-assign]
+            call.observer.write_deadline = lambda: NEVER  # type: ignore[method-assign]
         try:
             return put_to_use(self, call, server, connection)
         finally:
-            call.observer.latest_start = bound  # type: ignore[method-assign]
+            call.observer.write_deadline = bound  # type: ignore[method-assign]
 
     with mock.patch.object(UpstreamPool, "_use_connection", without_bound):
         yield
--- a/tests/simulator_wire/test_names.py
+++ b/tests/simulator_wire/test_names.py
@@ -7,7 +7,12 @@
 import pytest
 
 from tulipnotch.load_balancing.mapping_reader import ChoiceError, SettingsError
-from tulipnotch.load_balancing.settings import DiscoveryMode, Idempotency, NominalCapacity, ReportSource
+from tulipnotch.load_balancing.settings import (
+    DiscoveryMode,
+    Idempotency,
+    NominalCapacityMeaning,
+    ReportSource,
+)
 from tulipnotch.load_balancing.settings_reader import settings_from_mapping
 from tulipnotch.simulator_wire import names
 from tulipnotch.simulator_wire.names import settings_from_wire, settings_to_wire, wire_path
@@ -54,7 +59,7 @@
     [
         (Idempotency, "idempotency"),
         (DiscoveryMode, "discovery_mode"),
-        (NominalCapacity, "nominal_capacity"),
+        (NominalCapacityMeaning, "nominal_capacity"),
         (ReportSource, "source"),
     ],
 )
--- a/tulipnotch/load_balancing/balancer.py
+++ b/tulipnotch/load_balancing/balancer.py
@@ -86,17 +86,17 @@
         """Note that an attempt's last byte was written at clock time `now`, which bounds later attempts."""
         written = self._attempt(request, attempt)
         if written is not None:
-            written.last_byte_at = now
+            written.request_written_at = now
             written.zone, written.cell = written.endpoint.zone, written.endpoint.cell
 
-    def latest_start(self, request: int, attempt: int) -> int:
+    def write_deadline(self, request: int, attempt: int) -> int:
         """Clock time from which on an attempt's last byte may not be written any more; NEVER: no bound.
 
         To be called in the instant in which it would be written: what held when the attempt was chosen may
         have changed since, as others that were chosen later have begun.
         """
         own = self._attempt(request, attempt)
-        return 0 if own is None else self._components.retries.latest_start(self._requests[request], own)
+        return 0 if own is None else self._components.retries.write_deadline(self._requests[request], own)
 
     def _attempt(self, request: int, attempt: int) -> Attempt | None:
         retained = self._requests.get(request)
@@ -153,7 +153,7 @@
         self._set_deadline(request, event.remaining_us)
         for attempt in request.attempts:
             if attempt.state in PENDING:
-                attempt.sent_at = self._context.now
+                attempt.started_at = self._context.now
                 attempt.responses_before = self._components.outlier_detection.response_count
                 self._attempt_in_flight(request, attempt)
 
@@ -172,7 +172,7 @@
         endpoint = self._components.selection.choose(request)
         if endpoint is not None and self._start_attempt(request, endpoint):
             return
-        if not request.is_pending():
+        if not request.has_pending_attempt:
             self._terminate(request, TerminationReason.NO_ENDPOINT)
 
     # The gate for attempts
@@ -200,11 +200,11 @@
             return False  # rule 1: nothing after the final response, nothing that can't be in time
         if len(request.attempts) >= limits.max_attempts:
             return False
-        if not limits.hedged_requests and request.is_pending():
+        if not limits.hedged_requests and request.has_pending_attempt:
             return False  # rule 2
-        if now >= self._components.retries.latest_attempt_start(request):
+        if now >= self._components.retries.retry_deadline(request):
             return False  # rule 2
-        if not idempotency_rule.is_in_group(request.service_class, endpoint, request.attempts):
+        if not idempotency_rule.is_in_deduplication_scope(request.service_class, endpoint, request.attempts):
             return False  # rule 2
         if endpoint.state is not EndpointState.READY:
             return False  # rule 3: from the update on, without use of the drain grace
@@ -241,7 +241,7 @@
         self._forget_if_ended(request)
 
     def _forget_if_ended(self, request: Request) -> None:
-        if request.is_responded and not request.is_pending():
+        if request.is_responded and not request.has_pending_attempt:
             self._requests.pop(request.request_id, None)
 
     # Ends of attempts
@@ -286,7 +286,7 @@
             if not is_redraw:
                 retries.spend()
             self._start_or_terminate(request)
-        elif not request.is_pending():
+        elif not request.has_pending_attempt:
             self._terminate(request, TerminationReason.NO_RETRY)
         if is_redraw and request.is_responded:
             # No redraw found an endpoint with capacity: the fleet is overloaded, not one server.
--- a/tulipnotch/load_balancing/health/outlier_detection.py
+++ b/tulipnotch/load_balancing/health/outlier_detection.py
@@ -90,7 +90,7 @@
     def _failed(self, attempt: Attempt, outcome: Outcome, *, was_probation: bool) -> None:
         endpoint = attempt.endpoint
         health = endpoint.health
-        if outcome is Outcome.TIMED_OUT and health.last_response_at > attempt.sent_at:
+        if outcome is Outcome.TIMED_OUT and health.last_response_at > attempt.started_at:
             return  # it is slow, and no outlier: it responded to others meanwhile
         if outcome in NO_RESPONSE and self._idle_connections.is_blamed_for(attempt) and not was_probation:
             return
--- a/tulipnotch/load_balancing/outcomes.py
+++ b/tulipnotch/load_balancing/outcomes.py
@@ -9,14 +9,14 @@
 class Outcome(Enum):
     """How an attempt ended.  Logs and telemetry show the values."""
 
-    DELIVERED = "delivered"
-    SERVER_ERROR = "error"
-    OVERLOADED = "full"
-    TIMED_OUT = "expired"
-    CONNECT_FAILED = "dial_failed"
-    CONNECTION_LOST = "dropped"
-    CANCELLED = "cancelled"
-    NOT_SENT = "unsent"
+    DELIVERED = "delivered"  # the client was served
+    SERVER_ERROR = "error"  # the server responded with an error, and may have executed the request
+    OVERLOADED = "full"  # the server rejected it unread: 503 or 504 with `Not-Started: 1`
+    TIMED_OUT = "expired"  # no response before its deadline; the server may still execute it
+    CONNECT_FAILED = "dial_failed"  # not connected, or not completely written, before its deadline
+    CONNECTION_LOST = "dropped"  # the connection broke after the request's last byte
+    CANCELLED = "cancelled"  # cancelled by this side after the last byte; the server may execute it
+    NOT_SENT = "unsent"  # withdrawn by this side before the last byte, so it was never executed
     MALFORMED_RESPONSE = "spoilt"  # a response that can't be used; it says nothing of the server's health
     CLIENT_ERROR = "rejected"  # the server is healthy and rejected the request as invalid
 
--- a/tulipnotch/load_balancing/requests.py
+++ b/tulipnotch/load_balancing/requests.py
@@ -15,7 +15,7 @@
 
 @unique
 class AttemptState(Enum):
-    """Where an attempt stands; it moves down this list only."""
+    """Progress of an attempt: awaiting its body, in flight, then one of the two ended states."""
 
     AWAITING_BODY = "awaiting_body"  # the request's last byte has not arrived: no work for a server yet
     IN_FLIGHT = "in_flight"  # the server has the complete request, or will in a moment
@@ -36,12 +36,12 @@
         "counted_late",
         "endpoint",
         "index",
-        "last_byte_at",
         "opens_connection",
+        "request_written_at",
         "response_started",
         "responses_before",
-        "sent_at",
         "silence_recorded",
+        "started_at",
         "state",
         "zone",
     )
@@ -53,8 +53,10 @@
         self.endpoint = endpoint
         self.zone = endpoint.zone  # as listed when its last byte was written; until then, when it was chosen
         self.cell = endpoint.cell
-        self.sent_at = sent_at
-        self.last_byte_at: int | None = None  # when its last byte was written; None: not yet, or not known
+        self.started_at = sent_at
+        self.request_written_at: int | None = (
+            None  # when its last byte was written; None: not yet, or not known
+        )
         self.state = AttemptState.AWAITING_BODY
         self.response_started = False  # whether its streamed response has begun
         self.connection_idle_us = 0  # how long its connection had been idle; 0: new or in steady use
@@ -75,7 +77,7 @@
     @property
     def may_run_from(self) -> int:
         """The earliest clock time at which its server may have begun it, as far as is known."""
-        return self.sent_at if self.last_byte_at is None else self.last_byte_at
+        return self.started_at if self.request_written_at is None else self.request_written_at
 
     @property
     def is_connection_suspect(self) -> bool:
@@ -114,6 +116,7 @@
         self.overloaded_responses = 0
         self.is_responded = False
 
-    def is_pending(self) -> bool:
+    @property
+    def has_pending_attempt(self) -> bool:
         """Whether an attempt has not ended yet."""
         return any(each.state in PENDING for each in self.attempts)
--- a/tulipnotch/load_balancing/retries/attempt_timeouts.py
+++ b/tulipnotch/load_balancing/retries/attempt_timeouts.py
@@ -54,9 +54,9 @@
     def is_unresponsive(self, request: Request, attempt: Attempt) -> bool:
         """Learn from an overdue attempt; return whether no response to it is to be expected any more."""
         endpoint = attempt.endpoint
-        elapsed_us = self._context.now - attempt.sent_at
+        elapsed_us = self._context.now - attempt.started_at
         self._count_if_late(request, attempt, elapsed_us)
-        if endpoint.health.last_response_at > attempt.sent_at:
+        if endpoint.health.last_response_at > attempt.started_at:
             return False
         unresponsive_after_us = int(
             max(
@@ -65,7 +65,9 @@
             )
         )
         if elapsed_us < unresponsive_after_us:
-            self._timers.schedule(attempt.sent_at + unresponsive_after_us, request.request_id, attempt.index)
+            self._timers.schedule(
+                attempt.started_at + unresponsive_after_us, request.request_id, attempt.index
+            )
         elif self._is_only_unresponsive(attempt) and not self._idle_connections.is_blamed_for(attempt):
             self._outlier_detection.eject_unresponsive(endpoint)
         return endpoint.ejection is not None or attempt.is_connection_suspect
@@ -75,7 +77,7 @@
         objective_us = request.service_class.latency_objective_us
         late_after_us = int(objective_us * (1.0 + HANDSHAKE_OBJECTIVES * attempt.opens_connection))
         if elapsed_us < late_after_us:
-            self._timers.schedule(attempt.sent_at + late_after_us, request.request_id, attempt.index)
+            self._timers.schedule(attempt.started_at + late_after_us, request.request_id, attempt.index)
         elif (
             not attempt.counted_late
             and attempt.endpoint.ejection is None
--- a/tulipnotch/load_balancing/retries/idempotency_rule.py
+++ b/tulipnotch/load_balancing/retries/idempotency_rule.py
@@ -41,7 +41,7 @@
         """The earliest clock time at which a server may have begun it."""
 
 
-def latest_start(
+def write_deadline(
     service_class: ServiceClass, clock_resolution_us: int, attempts: Iterable[PriorAttempt]
 ) -> int:
     """Clock time from which on no attempt may begin beside these; NEVER: no bound, 0: not at all.
@@ -58,7 +58,9 @@
     return first + service_class.deduplication_window_us - clock_resolution_us
 
 
-def is_in_group(service_class: ServiceClass, locality: Locality, attempts: Sequence[PriorAttempt]) -> bool:
+def is_in_deduplication_scope(
+    service_class: ServiceClass, locality: Locality, attempts: Sequence[PriorAttempt]
+) -> bool:
     """Whether servers at this locality deduplicate whatever may have run in these attempts."""
     if (
         service_class.idempotency is not Idempotency.IDEMPOTENT_WITH_KEY
@@ -71,7 +73,7 @@
     return all(each.cell == locality.cell for each in possibly_executed)
 
 
-def may_run_anywhere_again(service_class: ServiceClass) -> bool:
+def is_safe_to_resend(service_class: ServiceClass) -> bool:
     """Whether a request that may have run may also be sent as a new one, to any endpoint."""
     return service_class.idempotency is Idempotency.IDEMPOTENT or (
         service_class.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
--- a/tulipnotch/load_balancing/retries/retry_policy.py
+++ b/tulipnotch/load_balancing/retries/retry_policy.py
@@ -23,39 +23,38 @@
         """Add a request's part to the budget."""
         self.budget = min(self.budget + RETRIES_PER_REQUEST, MAX_RETRY_BUDGET)
 
-    def latest_attempt_start(self, request: Request) -> int:
+    def retry_deadline(self, request: Request) -> int:
         """Clock time from which on the request's class lets no further attempt begin."""
-        return idempotency_rule.latest_start(
+        return idempotency_rule.write_deadline(
             request.service_class, self._context.settings.clock_resolution_us, request.attempts
         )
 
-    def latest_start(self, request: Request, own: Attempt) -> int:
+    def write_deadline(self, request: Request, own: Attempt) -> int:
         """Clock time from which on the last byte of an attempt may not be written; NEVER: no bound.
 
         Bounded by the attempts whose last byte was written; 0: it may not be written at all.
         """
         settings = self._context.settings
-        others = [each for each in request.attempts if each is not own and each.last_byte_at is not None]
+        others = [
+            each for each in request.attempts if each is not own and each.request_written_at is not None
+        ]
         if not settings.limits.hedged_requests and any(each.is_pending for each in others):
             return 0
-        if not idempotency_rule.is_in_group(request.service_class, own.endpoint, others):
+        if not idempotency_rule.is_in_deduplication_scope(request.service_class, own.endpoint, others):
             return 0
-        return idempotency_rule.latest_start(request.service_class, settings.clock_resolution_us, others)
+        return idempotency_rule.write_deadline(request.service_class, settings.clock_resolution_us, others)
 
     def may_retry(self, request: Request, *, is_redraw: bool) -> bool:
         """Whether to retry after an attempt that ended.
 
         A redraw after an overloaded response is a part of best-of-k and no retry, so it takes no budget.
         """
-        return self._context.now < self.latest_attempt_start(request) and (is_redraw or self.budget >= 1.0)
+        return self._context.now < self.retry_deadline(request) and (is_redraw or self.budget >= 1.0)
 
     def may_hedge(self, request: Request) -> bool:
         """Whether to try another endpoint than one that is unresponsive."""
         limits = self._context.settings.limits
-        if (
-            self._context.now >= self.latest_attempt_start(request)
-            or len(request.attempts) >= limits.max_attempts
-        ):
+        if self._context.now >= self.retry_deadline(request) or len(request.attempts) >= limits.max_attempts:
             return False
         return self.budget >= 1.0
 
@@ -66,4 +65,4 @@
     def is_rejection_harmless(self, request: Request) -> bool:
         """Whether a client may be notified that sending the request again is harmless."""
         may_have_run = any(each.may_have_run for each in request.attempts)
-        return not may_have_run or idempotency_rule.may_run_anywhere_again(request.service_class)
+        return not may_have_run or idempotency_rule.is_safe_to_resend(request.service_class)
--- a/tulipnotch/load_balancing/selection/best_of_k.py
+++ b/tulipnotch/load_balancing/selection/best_of_k.py
@@ -142,7 +142,7 @@
         if endpoint.ejection is not None:
             return False
         if request.attempts:
-            if endpoint in request.failed_endpoints or not idempotency_rule.is_in_group(
+            if endpoint in request.failed_endpoints or not idempotency_rule.is_in_deduplication_scope(
                 request.service_class, endpoint, request.attempts
             ):
                 return False
--- a/tulipnotch/load_balancing/settings.py
+++ b/tulipnotch/load_balancing/settings.py
@@ -42,7 +42,7 @@
 
 
 @unique
-class NominalCapacity(Enum):
+class NominalCapacityMeaning(Enum):
     """What the nominal capacity of an endpoint means."""
 
     UNSPECIFIED = "unspecified"
@@ -114,7 +114,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """The figures of the rules; the defaults are the most cautious ones."""
+    """Parameters of the four rules; the defaults are the most cautious values."""
 
     response_slack_us: int = 0
     max_poll_interval_us: int = 10_000_000
@@ -173,7 +173,7 @@
     instance_count: int = 1
     clock_resolution_us: int = 1_000
     discovery_mode: DiscoveryMode = DiscoveryMode.POLLED
-    nominal_capacity: NominalCapacity = NominalCapacity.UNSPECIFIED
+    nominal_capacity: NominalCapacityMeaning = NominalCapacityMeaning.UNSPECIFIED
     priority_weight_basis: PriorityWeightBasis = PriorityWeightBasis.REQUEST
     over_quota_weight: float = 1.0
     report_source: ReportSource = ReportSource.NONE
--- a/tulipnotch/sidecar/configuration/validation.py
+++ b/tulipnotch/sidecar/configuration/validation.py
@@ -7,8 +7,8 @@
 
 from tulipnotch.load_balancing import Settings
 from tulipnotch.load_balancing.mapping_reader import ROOT, SettingsError
-from tulipnotch.sidecar.configuration.errors import ConfigError
 from tulipnotch.sidecar.addresses import Address, parse_address
+from tulipnotch.sidecar.configuration.errors import ConfigError
 from tulipnotch.sidecar.discovery.endpoint_list_codec import DiscoveryResponse, parse_endpoint_list
 from tulipnotch.simulator_wire.names import settings_from_wire
 
--- a/tulipnotch/sidecar/discovery/client.py
+++ b/tulipnotch/sidecar/discovery/client.py
@@ -93,7 +93,7 @@
             return
         self._is_subscribed = True
         if self._watch is not None and not self._watch.has_ended:
-            if self._watch.is_response_pending:
+            if self._watch.is_initial_response_pending:
                 return
             self._watch.task.cancel()
         self._start_watch()
--- a/tulipnotch/sidecar/discovery/poll_schedule.py
+++ b/tulipnotch/sidecar/discovery/poll_schedule.py
@@ -9,11 +9,11 @@
 import math
 from typing import NamedTuple
 
-_GOLDEN = 0.618033988749895  # its multiples fall evenly between 0 and 1, however many instances there are
+_GOLDEN = 0.618033988749895  # spreads any number of instances evenly: the fractional parts of its multiples
 _SLOTS_AFTER_EVENT = 2  # in a slot interval: the wait after a watch event is half of the longest at least
 _MAX_EARLY_HEDGES = 2  # before hedged calls slow down to the schedule's own interval
 # Where lists are pushed, all that discovery has counts as announced, also while no watch is open.  So a call
-# that failed is retried, and one without a response hedged, after these parts of the grace that a drain has.
+# that failed is retried, and one without a response hedged, after these parts of the drain grace.
 _PUSHED_RETRY = 0.2
 _PUSHED_HEDGE = 0.4
 _PUSHED_CONNECT = 0.8
@@ -31,7 +31,7 @@
     made a second time.
     """
 
-    max_propagation_s: float = 6.0  # the users' term
+    max_propagation_s: float = 6.0  # required by the users, see docs/design.md
 
     @property
     def scheduling_margin_s(self) -> float:
--- a/tulipnotch/sidecar/discovery/watch.py
+++ b/tulipnotch/sidecar/discovery/watch.py
@@ -64,7 +64,7 @@
 
     @property
     def has_endpoint_list(self) -> bool:
-        """Whether any endpoint is known; while none is, calls begin closer together."""
+        """Whether an endpoint is cached or discovery has responded; until then, calls are more frequent."""
         ...
 
     def start_call(self, connection: DiscoveryConnection | None, wait_ms: int) -> DiscoveryCall:
@@ -90,7 +90,9 @@
         self._schedule = slots.schedule
         self._call_started_at = 0.0  # the last one, in the event loop's time (s)
         self._until_initial_slot_s = 0.0  # as it was then
-        self.is_response_pending = True  # whether a response is due whether or not the list has changed
+        self.is_initial_response_pending = (
+            True  # whether a response is due whether or not the list has changed
+        )
         self.task = asyncio.create_task(self._run())
 
     @property
@@ -100,11 +102,11 @@
 
     async def _run(self) -> None:
         while True:
-            self.is_response_pending = True
+            self.is_initial_response_pending = True
             try:
                 await self._watch()
             except DiscoveryError as error:
-                self.is_response_pending = False
+                self.is_initial_response_pending = False
                 self._owner.watch_failed(error)
             next_call_s = self._until_next_call_s(self._schedule.call_interval_s)
             await asyncio.sleep(min(self._owner.intervals.max_retry_delay_s, next_call_s))
@@ -122,9 +124,9 @@
                 call = await self._call(connection, wait_ms)
                 connection, response = call.connection, call.task.result()
                 has_event = response.is_complete or bool(response.endpoints)
-                is_update = has_event or self.is_response_pending
+                is_update = has_event or self.is_initial_response_pending
                 if is_update:
-                    self.is_response_pending = False
+                    self.is_initial_response_pending = False
                 self._owner.watch_responded(call, response, is_update=is_update)
                 wait_ms = self._slots.wait_ms(after_event=has_event and wait_ms > 0)
         finally:
--- a/tulipnotch/sidecar/downstream/connection.py
+++ b/tulipnotch/sidecar/downstream/connection.py
@@ -23,13 +23,13 @@
 from tulipnotch.sidecar.downstream.response_stream import ResponseProducer, ResponseStream
 from tulipnotch.sidecar.downstream.transfer_progress import TransferProgress
 from tulipnotch.sidecar.http1.body import MAX_BUFFERED_BODY_BYTES
-from tulipnotch.sidecar.http1.request_reader import RequestReader
 from tulipnotch.sidecar.http1.messages import (
     CONTINUE,
     Headers,
     Request,
     Response,
 )
+from tulipnotch.sidecar.http1.request_reader import RequestReader
 from tulipnotch.sidecar.requests.invariants import CloseReason, InvariantChecker
 from tulipnotch.sidecar.sockets import has_ended, has_input, own_socket, watch_input
 
@@ -366,7 +366,7 @@
         self.reject(status)
 
     def _record_close(self, reason: CloseReason) -> None:
-        self._owner.invariants.check_close(reason, is_owed=self._request_number is not None)
+        self._owner.invariants.check_close(reason, has_pending_response=self._request_number is not None)
         if self._close_reason is None:
             self._close_reason = reason
 
--- a/tulipnotch/sidecar/logs.py
+++ b/tulipnotch/sidecar/logs.py
@@ -105,7 +105,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogLimits:
-    """Rate limit of the log, which protects the disk that it is kept on."""
+    """Rate limit of the log, so that it can't fill the disk that it is written to."""
 
     lines_per_s: float = 20.0
     burst_lines: float = 200.0
--- a/tulipnotch/sidecar/program.py
+++ b/tulipnotch/sidecar/program.py
@@ -17,8 +17,8 @@
 import uvloop
 
 from tulipnotch.sidecar import BEGAN
-from tulipnotch.sidecar.configuration.configuration import Config, ConfigError, load
 from tulipnotch.sidecar.addresses import Address
+from tulipnotch.sidecar.configuration.configuration import Config, ConfigError, load
 from tulipnotch.sidecar.configuration.reload import reload_configuration
 from tulipnotch.sidecar.control.endpoint import ControlEndpoint
 from tulipnotch.sidecar.descriptor_budget import client_limits
@@ -86,13 +86,14 @@
     loop.add_signal_handler(signal.SIGHUP, reload_configuration, sidecar, os.environ, log)
     signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})  # `__main__` blocks it until here
     control = ControlEndpoint(
-        sidecar.calls(), replace(options.control_limits, max_connections=sidecar.operators)
+        sidecar.command_handlers(),
+        replace(options.control_limits, max_connections=sidecar.max_control_connections),
     )
     if config.control is not None:
         await _listen_for_commands(control, config.control, log)
     await _start_and_wait(sidecar, inherited, stop_requested, log)
     log("draining")
-    await sidecar.drain()
+    await sidecar.shut_down()
     control.close()
     log("drained")
 
@@ -125,7 +126,7 @@
         return
     starting.result()  # raises the error of the start, if any
     config = sidecar.config
-    address = f"{config.listen[0]}:{sidecar.frontend.port}"
+    address = f"{config.listen[0]}:{sidecar.downstream.port}"
     log("serving", name=config.name, address=address, after_ms=int((time.monotonic() - BEGAN) * 1e3))
     gc.freeze()  # objects that exist by now mostly stay, so the garbage collector need not visit them
     await stopping
--- a/tulipnotch/sidecar/requests/attempts.py
+++ b/tulipnotch/sidecar/requests/attempts.py
@@ -6,9 +6,9 @@
 from tulipnotch.load_balancing.actions import CancelAttempt, StartAttempt
 from tulipnotch.load_balancing.events import AttemptEnded
 from tulipnotch.load_balancing.outcomes import Outcome
+from tulipnotch.sidecar.control.telemetry import retry_cause_name
 from tulipnotch.sidecar.event_queue import EventQueue
 from tulipnotch.sidecar.http1.messages import Response
-from tulipnotch.sidecar.control.telemetry import retry_cause_name
 from tulipnotch.sidecar.requests.context import SidecarContext
 from tulipnotch.sidecar.requests.invariants import WrittenAttempt
 from tulipnotch.sidecar.requests.open_request import Disconnected, OpenRequest, WaitingForResponse
@@ -46,11 +46,11 @@
         attempt = Attempt(self, request, number, action.endpoint, context.clock.now())
         # A body that is streamed goes to one server at a time, and to none once a part of it is lost.
         body = request.incoming.body
-        is_sendable = body.is_replayable and (not request.attempts_in_flight or not body.is_streamed)
+        is_sendable = body.is_replayable and (not request.open_attempts or not body.is_streamed)
         deadline = action.deadline if is_sendable else 0
 
         # None: an earlier attempt is in flight, or has no outcome.
-        previous_outcome = None if request.attempts_in_flight else request.last_outcome
+        previous_outcome = None if request.open_attempts else request.last_outcome
         if number:
             context.telemetry.request_retried(previous_outcome)
         if context.trace is not None:
@@ -61,7 +61,7 @@
             action.endpoint, deadline, request.incoming.upstream_message, attempt
         )
         request.upstream_requests.append(upstream_request)
-        request.attempts_in_flight += 1
+        request.open_attempts += 1
         context.upstream.start(upstream_request)
 
     def cancel(self, action: CancelAttempt) -> None:
@@ -99,9 +99,9 @@
         waiting.client.check_disconnected()
         return type(request.response) is WaitingForResponse
 
-    def latest_start(self) -> int:
+    def write_deadline(self) -> int:
         """Clock time (us) from which on its last byte may not be written, by its class's deduplication."""
-        return self._starter.balancer.latest_start(self._request.number, self._number)
+        return self._starter.balancer.write_deadline(self._request.number, self._number)
 
     def request_written(self, request: UpstreamRequest) -> None:
         """Its last byte is written in this instant: checks whether the rules allow it."""
@@ -111,7 +111,7 @@
         starter.balancer.attempt_written(self._request.number, self._number, request.last_allowed_at)
         for other in self._request.upstream_requests:
             if other is not request:
-                starter.context.upstream.latest_start_changed(other)
+                starter.context.upstream.write_deadline_changed(other)
 
     def _check_written(self, upstream_request: UpstreamRequest) -> None:
         request = self._request
@@ -154,7 +154,7 @@
         request = self._request
         starter = self._starter
         context = starter.context
-        request.attempts_in_flight -= 1
+        request.open_attempts -= 1
         if context.trace is not None:
             context.trace.attempt_ended(request.name, self._number, outcome)
         if self._is_reported:
--- a/tulipnotch/sidecar/requests/invariants.py
+++ b/tulipnotch/sidecar/requests/invariants.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from enum import Enum, unique
 
-from tulipnotch.load_balancing.retries.idempotency_rule import may_run_anywhere_again
+from tulipnotch.load_balancing.retries.idempotency_rule import is_safe_to_resend
 from tulipnotch.load_balancing.settings import DeduplicationScope, Idempotency, ServiceClass
 
 
@@ -42,7 +42,7 @@
 
     CLIENT_LEFT = "client_left"
     ANSWERED = "answered"  # the response announced `connection: close`
-    IDLE = "idle"  # for too long, or while clients are to leave
+    IDLE = "idle"  # for too long, or while the process drains
     SILENT = "silent"  # no request came on it
     REJECTED = "rejected"  # what came can't be served, or stopped coming
     UNREAD = "unread"  # the client reads no more of its response
@@ -112,14 +112,14 @@
         self, request_id: bytes, service_class: ServiceClass, attempts: Iterable[WrittenAttempt]
     ) -> None:
         """A request is rejected, so that its client may retry it."""
-        has_no_effect = may_run_anywhere_again(service_class) or not any(
+        has_no_effect = is_safe_to_resend(service_class) or not any(
             attempt.may_have_run for attempt in attempts
         )
         self.check(Invariant.REJECTION_WITHOUT_EFFECT, request_id, holds=has_no_effect)
 
-    def check_close(self, reason: CloseReason, *, is_owed: bool) -> None:
-        """This side ends a client's connection; `is_owed`: with a pending response."""
-        holds = not is_owed or reason in _WITH_PENDING_RESPONSE
+    def check_close(self, reason: CloseReason, *, has_pending_response: bool) -> None:
+        """This side ends a client's connection."""
+        holds = not has_pending_response or reason in _WITH_PENDING_RESPONSE
         self.check(Invariant.CLOSE_WITHOUT_PENDING_RESPONSE, reason.value, holds=holds)
 
 
--- a/tulipnotch/sidecar/requests/open_request.py
+++ b/tulipnotch/sidecar/requests/open_request.py
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Disconnected:
-    """The client disconnected before its response had ended, or its body was abandoned."""
+    """The client disconnected before its response had ended, or its request body was rejected midway."""
 
 
 RESPONSE_ENDED = ResponseEnded()
@@ -48,11 +48,11 @@
     """A request, the state of its response, and its attempts."""
 
     __slots__ = (
-        "attempts_in_flight",
         "body_completed_at",
         "incoming",
         "last_outcome",
         "number",
+        "open_attempts",
         "response",
         "upstream_requests",
         "written_attempts",
@@ -67,7 +67,7 @@
         self.body_completed_at = 0
         self.upstream_requests: list[UpstreamRequest] = []  # one for each attempt, by number
         self.written_attempts: list[WrittenAttempt] = []  # those whose last byte was written
-        self.attempts_in_flight = 0
+        self.open_attempts = 0
         self.last_outcome: Outcome | None = None  # of the attempt that ended last
 
     @property
@@ -88,4 +88,4 @@
     @property
     def has_ended(self) -> bool:
         """Whether no response is pending and no attempt is in flight."""
-        return self.attempts_in_flight == 0 and not self.has_pending_response
+        return self.open_attempts == 0 and not self.has_pending_response
--- a/tulipnotch/sidecar/requests/request_receiver.py
+++ b/tulipnotch/sidecar/requests/request_receiver.py
@@ -4,8 +4,8 @@
 
 from tulipnotch.load_balancing.events import ClientDisconnected, RequestArrived, RequestBodyCompleted
 from tulipnotch.sidecar.control.telemetry import Result
-from tulipnotch.sidecar.downstream.incoming_request import BadRequestError, IncomingRequest
 from tulipnotch.sidecar.downstream.connection import DownstreamConnection
+from tulipnotch.sidecar.downstream.incoming_request import BadRequestError, IncomingRequest
 from tulipnotch.sidecar.event_queue import EventQueue
 from tulipnotch.sidecar.requests.context import SidecarContext
 from tulipnotch.sidecar.requests.invariants import CloseReason
@@ -41,7 +41,7 @@
         """
         context = self._context
         registry = self._registry
-        if registry.is_pending(incoming.request_id):
+        if registry.is_id_in_use(incoming.request_id):
             # Rejects an id that is already in use, since servers deduplicate by it.
             raise BadRequestError("request-id is that of an open request", 409)
         max_open_requests = context.settings.limits.max_open_requests
@@ -92,10 +92,10 @@
             if isinstance(request.response, StreamingResponse):
                 self._responses.cancel_stream(request, request.response)
                 return
-            self._registry.client_disconnected(request, self._context.clock.now())
+            self._registry.retain_if_possibly_executed(request, self._context.clock.now())
             if self._context.trace is not None:
                 self._context.trace.request_ended(request.name, 0)
-            self._responses.client_disconnected(request)
+            self._responses.mark_disconnected(request)
         self._events.post(ClientDisconnected(number))
         if request is not None:
             self._registry.remove_if_ended(request)
--- a/tulipnotch/sidecar/requests/request_registry.py
+++ b/tulipnotch/sidecar/requests/request_registry.py
@@ -4,9 +4,9 @@
 
 from collections.abc import Iterator
 
-from tulipnotch.load_balancing.retries.idempotency_rule import may_run_anywhere_again
-from tulipnotch.sidecar.downstream.incoming_request import IncomingRequest
+from tulipnotch.load_balancing.retries.idempotency_rule import is_safe_to_resend
 from tulipnotch.sidecar.downstream.connection import DownstreamConnection
+from tulipnotch.sidecar.downstream.incoming_request import IncomingRequest
 from tulipnotch.sidecar.requests.open_request import OpenRequest
 from tulipnotch.sidecar.requests.possibly_executed import PossiblyExecutedRequests
 
@@ -77,7 +77,7 @@
         """How many requests have a pending response."""
         return len(self._pending_ids)
 
-    def is_pending(self, request_id: bytes) -> bool:
+    def is_id_in_use(self, request_id: bytes) -> bool:
         """Whether the response to a request with this id is pending."""
         return request_id in self._pending_ids
 
@@ -89,7 +89,7 @@
         """Whether a request with this id may have been executed, and must not be executed once more."""
         return self._possibly_executed.contains(request_id, now)
 
-    def client_disconnected(self, request: OpenRequest, now: int) -> None:
+    def retain_if_possibly_executed(self, request: OpenRequest, now: int) -> None:
         """Rejects the id of a request from now on that may have been executed and must not be twice.
 
         Args:
@@ -97,8 +97,6 @@
             now: Clock time (us).
         """
         service_class = request.incoming.service_class
-        if may_run_anywhere_again(service_class) or all(
-            each.is_unwritten for each in request.upstream_requests
-        ):
+        if is_safe_to_resend(service_class) or all(each.is_unwritten for each in request.upstream_requests):
             return
         self._possibly_executed.add(request.incoming.request_id, now, now + service_class.deadline_us)
--- a/tulipnotch/sidecar/requests/responses.py
+++ b/tulipnotch/sidecar/requests/responses.py
@@ -58,7 +58,7 @@
             self._context.upstream.cancel_unwritten(upstream_request)
         return waiting.client
 
-    def client_disconnected(self, request: OpenRequest) -> None:
+    def mark_disconnected(self, request: OpenRequest) -> None:
         """The client disconnected; where a streamed response broke off before, only the state changes."""
         self.stop_waiting(request, DISCONNECTED)
         request.response = DISCONNECTED
--- a/tulipnotch/sidecar/service_level_monitor.py
+++ b/tulipnotch/sidecar/service_level_monitor.py
@@ -7,7 +7,7 @@
 
 from tulipnotch.load_balancing import Balancer
 from tulipnotch.load_balancing.admission.service_levels import (
-    READ_EVERY_US,
+    OBSERVATION_INTERVAL_US,
     ServiceLevel,
     ServiceLevelController,
 )
@@ -65,4 +65,4 @@
             )
             self._events.post(change.effect)
         if lifecycle.phase is not Phase.STOPPING:
-            asyncio.get_running_loop().call_later(READ_EVERY_US / 1e6, self.start, lifecycle)
+            asyncio.get_running_loop().call_later(OBSERVATION_INTERVAL_US / 1e6, self.start, lifecycle)
--- a/tulipnotch/sidecar/shutdown.py
+++ b/tulipnotch/sidecar/shutdown.py
@@ -1,4 +1,4 @@
-"""The way out of service: every request that was read is responded before the process ends."""
+"""Graceful shutdown: every request that was read gets its response before the process ends."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 _QUIET_PERIOD_S = 0.05  # how long none must have connected before the listener closes
 _KILL_DELAY_S = 0.7  # SIGKILL comes no sooner after SIGTERM than this and the longest deadline
 _MAX_DEADLINE_S = 3.0  # a longer deadline counts as this
-_FINAL_WRITE_S = 0.1  # of that time, reserved for writing the last responses
+_FINAL_WRITE_S = 0.1  # before SIGKILL, reserved for writing the last responses
 _POLL_INTERVAL_S = 0.01  # also gives the event loop time to write what is pending
 
 
@@ -32,7 +32,7 @@
         registry: RequestRegistry,
         responses: ResponseSender,
     ) -> None:
-        """Nothing changes before one of the two ways out is taken."""
+        """Nothing changes before `run` is called."""
         self._context = context
         self._downstream = downstream
         self._budget = budget
--- a/tulipnotch/sidecar/sidecar.py
+++ b/tulipnotch/sidecar/sidecar.py
@@ -57,7 +57,7 @@
         log: Log,
         limits: ClientLimits | None = None,
         levels: ServiceLevels | None = None,
-        operators: int | None = None,
+        control_connections: int | None = None,
         trace: Trace | None = None,
     ) -> None:
         """Connects the components; nothing listens before `start`.
@@ -67,14 +67,14 @@
             log: Takes each log event.
             limits: What clients may take; None: the defaults.
             levels: The service levels; None: there are none.
-            operators: How many connections the control endpoint allows; None: its default.
+            control_connections: How many connections the control endpoint allows; None: its default.
             trace: Logs the course of each request; None: it is not logged.
         """
         self.config = config
-        if operators is None:
-            operators = ControlLimits().max_connections
+        if control_connections is None:
+            control_connections = ControlLimits().max_connections
         # Fixed at the start, like the control endpoint itself.
-        self.operators = max_control_connections(config.sockets, operators)
+        self.max_control_connections = max_control_connections(config.sockets, control_connections)
         clock = Clock()
         self.lifecycle = Lifecycle()
         if trace is not None:
@@ -92,14 +92,14 @@
         self._responses = ResponseSender(self._context, self._registry)
         self._events = EventQueue(self._balancer, self._context, self._registry, self._responses)
         receiver = RequestReceiver(self._context, self._registry, self._responses, self._events)
-        self.frontend = DownstreamServer(
+        self.downstream = DownstreamServer(
             config.settings,
             limits or client_limits(config),
             self.lifecycle,
             receiver,
             invariants,
         )
-        self._budget = DescriptorBudget(config, self.operators, self.frontend, self._upstream)
+        self._budget = DescriptorBudget(config, self.max_control_connections, self.downstream, self._upstream)
         self._endpoints = _EndpointUpdates(self._context, self._events)
         self._discovery = DiscoveryClient(
             config.discovery, config.settings, config.known, observer=self._endpoints
@@ -123,9 +123,11 @@
             self._context, self.lifecycle, self._balancer, self._registry, self._levels
         )
         self._startup = Startup(
-            log, self.frontend, self._budget, self._discovery.first_call_ended, self._endpoints.received
+            log, self.downstream, self._budget, self._discovery.first_call_ended, self._endpoints.received
+        )
+        self._shutdown = Shutdown(
+            self._context, self.downstream, self._budget, self._registry, self._responses
         )
-        self._shutdown = Shutdown(self._context, self.frontend, self._budget, self._registry, self._responses)
         self._has_inherited_listener = False  # whether other processes hold the listening socket too
 
     async def start(self, inherited: socket.socket | None = None) -> None:
@@ -150,12 +152,12 @@
             await self._startup.listen(reserved, self._context.settings.discovery_mode)
             if not self.config.known.endpoints:
                 await self._startup.wait_for_endpoints()
-        self._check_ready()
+        self._check_readiness_invariant()
         self.lifecycle.started()
         if self._levels is not None:
             self._levels.start(self.lifecycle)
 
-    def _check_ready(self) -> None:
+    def _check_readiness_invariant(self) -> None:
         """Checks that this process has waited for an endpoint list, or that the cached one is sufficient."""
         needs_fresh_list = (
             self._has_inherited_listener or self._context.settings.discovery_mode is DiscoveryMode.PUSHED
@@ -164,7 +166,7 @@
         self._context.invariants.check(
             Invariant.READY_AFTER_DISCOVERY,
             self.config.name,
-            holds=is_cache_sufficient or self._startup.has_waited,
+            holds=is_cache_sufficient or self._startup.has_discovery_result,
         )
 
     @property
@@ -172,7 +174,7 @@
         """How many requests have a pending response or an attempt in flight."""
         return len(self._registry)
 
-    def calls(self) -> Mapping[str, CommandHandler]:
+    def command_handlers(self) -> Mapping[str, CommandHandler]:
         """The commands of the control endpoint by name."""
         return self._commands.handlers()
 
@@ -203,10 +205,10 @@
         self.telemetry.add_classes(each.name for each in settings.classes)
         self._upstream.apply_settings(settings)
         self._discovery.apply_settings(settings)
-        self.frontend.apply_settings(settings)
+        self.downstream.apply_settings(settings)
         self._events.post(SettingsChanged(settings))
 
-    async def drain(self) -> None:
+    async def shut_down(self) -> None:
         """Responds to all requests that were read or are still coming, then closes everything."""
         await self._shutdown.run(hands_over_listener=self._has_inherited_listener)
         self.close()
@@ -216,7 +218,7 @@
         self._discovery.close()
         self._peers.close()
         self._upstream.close()
-        self.frontend.close()
+        self.downstream.close()
 
 
 class _EndpointUpdates:
--- a/tulipnotch/sidecar/startup.py
+++ b/tulipnotch/sidecar/startup.py
@@ -1,4 +1,4 @@
-"""The way into service: the listener, and the wait for an endpoint list that is fresh enough."""
+"""Startup: opens or takes over the listener, and waits for an endpoint list that is recent enough."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from tulipnotch.load_balancing.settings import DiscoveryMode
 from tulipnotch.sidecar.control.lifecycle import Phase
 from tulipnotch.sidecar.descriptor_budget import DescriptorBudget
-from tulipnotch.sidecar.downstream.listener import wait_until_unserved, listen
+from tulipnotch.sidecar.downstream.listener import listen, wait_until_unserved
 from tulipnotch.sidecar.downstream.server import DownstreamServer
 from tulipnotch.sidecar.logs import Log
 
@@ -33,7 +33,7 @@
         """Waits for two events of discovery.
 
         Args:
-            log: Takes the event that a wait was in vain.
+            log: Takes the event that no endpoint list came in time.
             downstream: Accepts from the listener.
             budget: Divides the descriptors with the previous process at a takeover.
             first_call_ended: Set when the first call to discovery has ended in any way.
@@ -68,7 +68,7 @@
         await self._wait(self._endpoints_received, _ENDPOINT_LIST_TIMEOUT_S)
 
     @property
-    def has_waited(self) -> bool:
+    def has_discovery_result(self) -> bool:
         """Whether discovery was called, and has responded, failed or exceeded the time allowed."""
         return self._has_timed_out or self._endpoints_received.is_set() or self._first_call_ended.is_set()
 
--- a/tulipnotch/sidecar/upstream/pool.py
+++ b/tulipnotch/sidecar/upstream/pool.py
@@ -105,9 +105,9 @@
         """End the request at this time (us); it had no deadline before."""
         self._gate.set_deadline(request, until)
 
-    def latest_start_changed(self, request: UpstreamRequest) -> None:
+    def write_deadline_changed(self, request: UpstreamRequest) -> None:
         """Read the request's latest start again, since another attempt was written."""
-        self._gate.latest_start_changed(request)
+        self._gate.write_deadline_changed(request)
 
     def cancel(self, request: UpstreamRequest) -> None:
         """End the request from this side; its observer is notified later, not within this call."""
--- a/tulipnotch/sidecar/upstream/request.py
+++ b/tulipnotch/sidecar/upstream/request.py
@@ -25,7 +25,7 @@
         """Whether the request is still to be sent; it may be cancelled within this call."""
         ...
 
-    def latest_start(self) -> int:
+    def write_deadline(self) -> int:
         """Clock time (us) from which on the last byte may not be written any more; NEVER: no bound."""
         ...
 
@@ -51,7 +51,7 @@
         """Always, since the request is sent for its own sake."""
         return True
 
-    def latest_start(self) -> int:
+    def write_deadline(self) -> int:
         """There is no bound: the request has no effect."""
         return NEVER
 
--- a/tulipnotch/sidecar/upstream/write_gate.py
+++ b/tulipnotch/sidecar/upstream/write_gate.py
@@ -35,7 +35,7 @@
         if not request.has_ended:
             # Read before the write, so that a delay of the process within the write counts as time passed.
             now = request.last_allowed_at = self._clock.now()
-            if now >= request.observer.latest_start():
+            if now >= request.observer.write_deadline():
                 self._stop(request, Outcome.NOT_SENT)  # a retry later than this could have a double effect
             elif now >= request.deadline or self._is_head_stale(request.head_written_at, now):
                 self._stop(request, Outcome.CONNECT_FAILED)
@@ -60,7 +60,7 @@
                 )  # its head announced all the time of a complete one
             self.start_timer(request)
 
-    def latest_start_changed(self, request: UpstreamRequest) -> None:
+    def write_deadline_changed(self, request: UpstreamRequest) -> None:
         """Read the request's latest start again, since another attempt was written."""
         if not request.has_ended and request.is_unwritten:
             self.start_timer(request)
@@ -71,7 +71,7 @@
             request.timer.cancel()
         due = request.deadline
         if request.is_unwritten:
-            due = min(due, request.observer.latest_start())
+            due = min(due, request.observer.write_deadline())
         if due < NEVER:
             delay_s = max(due - self._clock.now(), _MIN_TIMER_US) / 1e6
             request.timer = asyncio.get_running_loop().call_later(delay_s, self._timer_fired, request)
@@ -82,8 +82,8 @@
         outcome = Outcome.TIMED_OUT
         if request.is_unwritten:
             # A latest start that is over says nothing about the server.
-            is_past_latest_start = now >= request.observer.latest_start()
-            outcome = Outcome.NOT_SENT if is_past_latest_start else Outcome.CONNECT_FAILED
+            is_past_write_deadline = now >= request.observer.write_deadline()
+            outcome = Outcome.NOT_SENT if is_past_write_deadline else Outcome.CONNECT_FAILED
         if outcome is not Outcome.NOT_SENT and now < request.deadline:
             self.start_timer(request)  # it was written in time, or its latest start was moved
             return
