--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,8 +1,8 @@
 """Tests that fail for a known fault, as `KNOWN-RED.txt` at the root lists them.
 
-One entry a line, `TEST | COMMAND AND SEED | OBSERVED | ISSUE`; a test that is named without its parameters means
-all of its cases.  Listed tests run and are printed, and no other test may fail.  A listed test that passes
-fails the run, so that its entry is removed together with the fault.
+One entry a line, `TEST | COMMAND AND SEED | OBSERVED | ISSUE`; a test that is named without its parameters
+means all of its cases.  Listed tests run and are printed, and no other test may fail.  A listed test that
+passes fails the run, so that its entry is removed together with the fault.
 """
 
 from __future__ import annotations
--- a/tests/test_lint_exemptions.py
+++ b/tests/test_lint_exemptions.py
@@ -1,4 +1,4 @@
-"""The exemptions from the stricter rule sets: each one is still needed, and no `noqa` stands without a reason."""
+"""The exemptions from the stricter rule sets: each is still needed, and no `noqa` stands without a reason."""
 
 from __future__ import annotations
 
