--- a/tulipnotch/lab/real/play.py
+++ b/tulipnotch/lab/real/play.py
@@ -26,7 +26,7 @@
 from tulipnotch.lab.real import backend, generator
 from tulipnotch.lab.recorder import Recorder
 from tulipnotch.lab.results import Result, Run
-from tulipnotch.lab.scenario import Scenario, wire_settings
+from tulipnotch.lab.scenario import Scenario, tenant_quotas_per_s, wire_settings
 
 LATE_MS = 10.0  # a generator later than this at its 99th percentile makes a run not valid
 _READY_WITHIN_S = 20.0
@@ -265,8 +265,7 @@
         replay(ledger, given, at, what, rest)
     end = int((given.seconds + 60.0) * 1e6)
     ledger.close(end)
-    quotas = {each["name"]: each["quotaRps"] for each in wire_settings(given, 0, capacity)["realms"]}
-    recorder = Recorder(given, quotas)
+    recorder = Recorder(given, tenant_quotas_per_s(given, capacity))
     ended: list[generator.Ended] = sorted(left["ended"], key=lambda each: (each.ask.at, each.ask.number))
     kinds = {each.name: each for each in given.classes}
     for each in ended:
--- a/tulipnotch/lab/scenario.py
+++ b/tulipnotch/lab/scenario.py
@@ -408,17 +408,28 @@
     return settings_to_wire(_plain_settings(given, sidecar, capacity))
 
 
+def tenant_quotas_per_s(given: Scenario, capacity: float) -> dict[str, float]:
+    """The requests a second that each tenant may send; `capacity` as for `wire_settings`."""
+    max_rate_per_s = capacity / given.mean_work_s * given.rules.quota_of_capacity
+    total_share = _total_share(given)
+    return {each.name: max_rate_per_s * each.share / total_share for each in given.tenants}
+
+
+def _total_share(given: Scenario) -> float:
+    return sum(each.share for each in given.tenants) or 1.0
+
+
 def _plain_settings(given: Scenario, sidecar: int, capacity: float) -> dict[str, Any]:
     rules, fleet, network = given.rules, given.fleet, given.network
-    total_share = sum(each.share for each in given.tenants) or 1.0
-    max_rate_per_s = capacity / given.mean_work_s * rules.quota_of_capacity
+    total_share = _total_share(given)
+    quotas_per_s = tenant_quotas_per_s(given, capacity)
     return {
         "classes": [_plain_class(each) for each in given.classes],
         "tenants": [
             {
                 "name": each.name,
                 "weight": each.share / total_share,
-                "quota_per_s": max_rate_per_s * each.share / total_share,
+                "quota_per_s": quotas_per_s[each.name],
             }
             for each in given.tenants
         ],
--- a/tulipnotch/lab/virtual.py
+++ b/tulipnotch/lab/virtual.py
@@ -18,7 +18,7 @@
 from tulipnotch.lab.ledger import Ledger
 from tulipnotch.lab.load import Ask, Ending, arrivals, comes_again, rates, stream, try_wait_us
 from tulipnotch.lab.recorder import Recorder
-from tulipnotch.lab.scenario import Scenario, wire_settings
+from tulipnotch.lab.scenario import Scenario, tenant_quotas_per_s, wire_settings
 from tulipnotch.lab.server import Job, OrderServer, Stage, Verdict
 from tulipnotch.load_balancing.actions import (
     Action,
@@ -80,8 +80,7 @@
         self.by_name = {each.name: each for each in self.servers}
         self.capacity = fleet.capacity(self.servers)
         settings = [wire_settings(given, place, self.capacity) for place in range(given.fleet.sidecars)]
-        quotas = {each["name"]: each["quotaRps"] for each in settings[0]["realms"]}
-        self.recorder = Recorder(given, quotas)
+        self.recorder = Recorder(given, tenant_quotas_per_s(given, self.capacity))
         self.network = given.network
         self._net, self._noise = stream(seed, "net"), stream(seed, "noise")
         self._clients = stream(seed, "clients")
--- a/tulipnotch/load_balancing/health/outlier_detection.py
+++ b/tulipnotch/load_balancing/health/outlier_detection.py
@@ -24,9 +24,7 @@
 CONSECUTIVE_FAILURES = 2  # that eject an endpoint, with no response in between
 CONSECUTIVE_LOST_CONNECTIONS = 3  # or so many ending in a lost connection, which may be the network's fault
 CONSECUTIVE_MALFORMED = 6  # or so many malformed responses: fewer may be the network's fault
-EJECTION_OBJECTIVES = (
-    2.0  # length of the first ejection, in longest objectives; it doubles at each further one
-)
+EJECTION_OBJECTIVES = 2.0  # first ejection, in longest objectives; it doubles at each further one
 MAX_EJECTION_OBJECTIVES = 16.0  # its maximum: a server that has recovered is found again
 MAX_COUNTED_EJECTIONS = 8  # the length is at its maximum long before
 MAX_EJECTED_PART = 0.6  # of the list, at most: more would overload the rest
--- a/tulipnotch/load_balancing/metrics/cost_estimates.py
+++ b/tulipnotch/load_balancing/metrics/cost_estimates.py
@@ -8,9 +8,7 @@
 
 CLASS_STEP = 0.02  # the mean cost of a class follows its last fifty estimates or so
 MEAN_STEP = 0.02  # and so does the mean work of all
-MAX_MEANS = (
-    2.0  # one estimate counts for at most so many means: a heavy request may be retried again and again
-)
+MAX_MEANS = 2.0  # one estimate counts for at most so many: a heavy request may be retried many times
 PRIOR_HINTS = 2.0  # estimates that the likely mean counts for, before there are any
 
 
--- a/tulipnotch/load_balancing/selection/best_of_k.py
+++ b/tulipnotch/load_balancing/selection/best_of_k.py
@@ -23,9 +23,7 @@
 
 CHOICE_COUNT = 4  # k: counts are mostly small here, where two choices find too little
 REMOTE_SLOWNESS = 2.0  # of endpoints as busy, one in a zone that is drawn less counts as this much slower
-MAX_SLOWNESS_POWER = (
-    3.0  # of the latency ratio, in the weight for a request of four times the mean cost or more
-)
+MAX_SLOWNESS_POWER = 3.0  # of the latency ratio, for a request of four times the mean cost or more
 BACK_OFF_OBJECTIVES = 0.5  # of the longest objective: back-off of a class after an overloaded response
 MAX_BACK_OFF_OBJECTIVES = 4.0  # it doubles at each further one in a row, up to this
 
