--- a/tulipnotch/sidecar/action_executor.py
+++ b/tulipnotch/sidecar/action_executor.py
@@ -4,7 +4,6 @@
 
 import asyncio
 from collections.abc import Callable
-from dataclasses import dataclass
 from typing import Any
 
 from tulipnotch.load_balancing.actions import (
@@ -37,14 +36,23 @@
 _HEALTH_CHECK_TIMEOUT_US = 1_000_000
 
 
-@dataclass(frozen=True, slots=True)
 class ActionTargets:
     """Who executes the actions that are not executed by the event loop or the upstream pool."""
 
-    attempts: AttemptStarter
-    responses: ResponseSender
-    discovery: DiscoveryClient
-    peers: PeerMessenger
+    __slots__ = ("attempts", "discovery", "peers", "responses")
+
+    def __init__(
+        self,
+        attempts: AttemptStarter,
+        responses: ResponseSender,
+        discovery: DiscoveryClient,
+        peers: PeerMessenger,
+    ) -> None:
+        """Each executes the actions that its type has a method for."""
+        self.attempts = attempts
+        self.responses = responses
+        self.discovery = discovery
+        self.peers = peers
 
 
 class ActionExecutor:
--- a/tulipnotch/sidecar/requests/context.py
+++ b/tulipnotch/sidecar/requests/context.py
@@ -2,8 +2,6 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
-
 from tulipnotch.load_balancing import Settings
 from tulipnotch.sidecar.clock import Clock
 from tulipnotch.sidecar.control.telemetry import Telemetry
@@ -13,14 +11,27 @@
 from tulipnotch.sidecar.upstream.pool import UpstreamPool
 
 
-@dataclass(slots=True)
 class SidecarContext:
     """The settings in force, and where effects go; only a reload replaces a field."""
 
-    settings: Settings
-    clock: Clock
-    upstream: UpstreamPool
-    log: Log
-    telemetry: Telemetry
-    invariants: InvariantChecker
-    trace: Trace | None  # None: requests are not traced
+    __slots__ = ("clock", "invariants", "log", "settings", "telemetry", "trace", "upstream")
+
+    def __init__(
+        self,
+        settings: Settings,
+        clock: Clock,
+        upstream: UpstreamPool,
+        *,
+        log: Log,
+        telemetry: Telemetry,
+        invariants: InvariantChecker,
+        trace: Trace | None,
+    ) -> None:
+        """`trace` is None where requests are not traced."""
+        self.settings = settings
+        self.clock = clock
+        self.upstream = upstream
+        self.log = log
+        self.telemetry = telemetry
+        self.invariants = invariants
+        self.trace = trace
--- a/tulipnotch/sidecar/requests/open_request.py
+++ b/tulipnotch/sidecar/requests/open_request.py
@@ -2,39 +2,47 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
-
 from tulipnotch.load_balancing.outcomes import Outcome
 from tulipnotch.sidecar.downstream.incoming_request import IncomingRequest
 from tulipnotch.sidecar.downstream.server import DownstreamConnection
 from tulipnotch.sidecar.requests.invariants import WrittenAttempt
 from tulipnotch.sidecar.upstream.request import UpstreamRequest
 
+# The states are plain classes: each dataclass would take about a millisecond of every start.
+
 
-@dataclass(frozen=True, slots=True)
 class WaitingForResponse:
     """The client waits, and no part of a response was written to it."""
 
-    client: DownstreamConnection
+    __slots__ = ("client",)
+
+    def __init__(self, client: DownstreamConnection) -> None:
+        """This client waits."""
+        self.client = client
 
 
-@dataclass(frozen=True, slots=True)
 class StreamingResponse:
     """The response of one attempt is passed on to the client piece by piece."""
 
-    client: DownstreamConnection
-    attempt: int  # by number
+    __slots__ = ("attempt", "client")
+
+    def __init__(self, client: DownstreamConnection, attempt: int) -> None:
+        """The attempt is given by its number."""
+        self.client = client
+        self.attempt = attempt
 
 
-@dataclass(frozen=True, slots=True)
 class ResponseEnded:
     """The client has its response, or a response that was streamed broke off."""
 
+    __slots__ = ()
+
 
-@dataclass(frozen=True, slots=True)
 class Disconnected:
     """The client disconnected before its response had ended, or its body was abandoned."""
 
+    __slots__ = ()
+
 
 RESPONSE_ENDED = ResponseEnded()
 DISCONNECTED = Disconnected()
--- a/tulipnotch/sidecar/sidecar.py
+++ b/tulipnotch/sidecar/sidecar.py
@@ -83,7 +83,13 @@
         )
         self._upstream = UpstreamPool(clock, config.settings, invariants)
         self._context = SidecarContext(
-            config.settings, clock, self._upstream, log, self.telemetry, invariants, trace
+            config.settings,
+            clock,
+            self._upstream,
+            log=log,
+            telemetry=self.telemetry,
+            invariants=invariants,
+            trace=trace,
         )
         self._balancer = Balancer(config.settings, config.seed)
         self._registry = RequestRegistry()
