--- a/tulipnotch/sidecar/requests/open_request.py
+++ b/tulipnotch/sidecar/requests/open_request.py
@@ -96,4 +96,4 @@
     @property
     def has_ended(self) -> bool:
         """Whether no response is pending and no attempt is in flight."""
-        return self.attempts_in_flight == 0 and not self.has_pending_response
+        return not (self.attempts_in_flight or type(self.response) in (WaitingForResponse, StreamingResponse))
--- a/tulipnotch/sidecar/requests/responses.py
+++ b/tulipnotch/sidecar/requests/responses.py
@@ -52,7 +52,7 @@
             return None
         request.response = state
         request.incoming.body.on_complete = None
-        if not request.has_pending_response:
+        if type(state) is not StreamingResponse:
             self._registry.response_ended(request)
         for upstream_request in request.upstream_requests:
             self._context.upstream.cancel_unwritten(upstream_request)
