--- a/tests/external_names/test_configuration_names.py
+++ b/tests/external_names/test_configuration_names.py
@@ -175,7 +175,8 @@
     done = command("check", str(good))
     assert (done.returncode, done.stdout) == (0, f"{good}: a good configuration\n")
     done = command("check", str(bad))
-    assert done.returncode == 2 and done.stderr.startswith(f"{bad}: line 2: log.nothing: ")
+    assert done.returncode == 2
+    assert done.stderr.startswith(f"{bad}: line 2: log.nothing: ")
     (told,) = command("check", "--json", str(bad)).stdout.splitlines()
     assert json.loads(told).keys() == {"file", "kind", "faults"}
     assert json.loads(told)["faults"][0].keys() == {"line", "key", "text"}
@@ -218,4 +219,5 @@
 
 def test_address_in_use_is_exit_code_1(shut_out: subprocess.Popen[str]) -> None:
     _, told = shut_out.communicate(timeout=60)
-    assert shut_out.returncode == 1 and "tulipnotch: can't listen: " in told
+    assert shut_out.returncode == 1
+    assert "tulipnotch: can't listen: " in told
--- a/tests/external_names/test_deployment_names.py
+++ b/tests/external_names/test_deployment_names.py
@@ -50,15 +50,18 @@
 
 def test_run_is_one_exec_and_names_the_sidecar() -> None:
     assert DEPLOY["run"] == "exec .venv/bin/python -m tulipnotch.sidecar"
-    assert DEPLOY["run"].split().count("exec") == 1 and not set(DEPLOY["run"]) & set(";&|$`()<>\n")
+    assert DEPLOY["run"].split().count("exec") == 1
+    assert not set(DEPLOY["run"]) & set(";&|$`()<>\n")
 
 
 def test_build_compiles_what_is_there() -> None:
     compiled = DEPLOY["build"].partition("compileall -q ")[2].split()
-    assert compiled and all((ROOT / each).exists() for each in compiled)
+    assert compiled
+    assert all((ROOT / each).exists() for each in compiled)
     files = {file for each in compiled for file in [ROOT / each, *(ROOT / each).rglob("*.py")]}
     assert covered("policy") | covered("node") <= files
-    assert (ROOT / "requirements.txt").exists() and "install -r requirements.txt" in DEPLOY["build"]
+    assert (ROOT / "requirements.txt").exists()
+    assert "install -r requirements.txt" in DEPLOY["build"]
 
 
 def test_sim_answers_from_the_root_through_the_shell() -> None:
@@ -81,11 +84,13 @@
     )
     folders = {ROOT / each.replace(".", "/") for each in loaded}
     files = {file for folder in folders if folder.is_dir() for file in folder.glob("*.py")}
-    assert len(files) > 10 and files == policy | node
+    assert len(files) > 10
+    assert files == policy | node
 
 
 @pytest.mark.parametrize(("name", "target"), [("tulipnotch", "tulipnotch.cli:main")])
 def test_command_is_installed_by_its_name(name: str, target: str) -> None:
     project = tomllib.loads((ROOT / "pyproject.toml").read_text())["project"]
-    assert project["name"] == "tulipnotch" and project["scripts"] == {name: target}
+    assert project["name"] == "tulipnotch"
+    assert project["scripts"] == {name: target}
     assert set(project["optional-dependencies"]) == {"operator", "cli", "lab", "dev"}
--- a/tests/external_names/test_discovery_names.py
+++ b/tests/external_names/test_discovery_names.py
@@ -49,7 +49,8 @@
 @pytest.mark.parametrize(("place", "text"), list(enumerate(each[2] for each in NONSENSE)))
 def test_fault_of_a_listing_names_its_key(place: int, text: str, found: list[dict[str, str]]) -> None:
     place += len(STATES)
-    assert found[place].keys() == {"known"} and found[place]["known"].startswith(text)
+    assert found[place].keys() == {"known"}
+    assert found[place]["known"].startswith(text)
 
 
 @pytest.mark.parametrize(("place", "state"), list(enumerate(STATES)))
@@ -79,7 +80,10 @@
     hows = [["TARGETS", "sidecar-1", how, 0, 1] for how in ("cached", "delta")]
     adapter([["BEGIN", "sidecar-1", 7, settings], ["PAGE", 0, [entry]], *hows])
     cached, delta = wire
-    assert kind is cached[0] and change[0] is delta[0] and state is cached[5] and isinstance(state, Enum)
+    assert kind is cached[0]
+    assert change[0] is delta[0]
+    assert state is cached[5]
+    assert isinstance(state, Enum)
 
 
 @pytest.mark.parametrize(
@@ -96,7 +100,8 @@
                 await until(lambda: len(scene.discovery.heard) > 2)
             for _ in range(30):
                 assert (await scene.ask()).status == 200
-            assert (len(scene.servers[1].heard) > 0) == is_used and len(scene.servers[0].heard) > 0
+            assert (len(scene.servers[1].heard) > 0) == is_used
+            assert len(scene.servers[0].heard) > 0
 
     play(work)
 
--- a/tests/external_names/test_http_names.py
+++ b/tests/external_names/test_http_names.py
@@ -59,7 +59,8 @@
             assert (heard.method, heard.target) == ("POST", "/api/7f3a9c21e0b4d655?x=1")
             assert heard.body == b"body"
             told = heard.headers.pop("request-timeout")
-            assert re.fullmatch(r"[01]\.[0-9]{3}", told) and 0 < float(told) <= 1.98
+            assert re.fullmatch(r"[01]\.[0-9]{3}", told)
+            assert 0 < float(told) <= 1.98
             assert heard.headers == {
                 "host": "origin.svc",
                 "request-id": "9b1f03aa5c7e2d41",
@@ -111,7 +112,8 @@
 def test_headers_of_a_request_reach_the_decisions(monkeypatch: pytest.MonkeyPatch) -> None:
     name, tenant, key, left_us, cost_us, is_retry, is_write, _ = arrival(REQUEST, monkeypatch)
     assert (name, tenant, cost_us, is_retry, is_write) == ("amend", "acme", 12_000, True, True)
-    assert type(key) is int and 0 < left_us <= 1_980_000
+    assert type(key) is int
+    assert 0 < left_us <= 1_980_000
 
 
 @pytest.mark.parametrize(
@@ -159,7 +161,8 @@
     async def work() -> None:
         async with stage(OK) as scene:
             answer = await ask(scene, REQUEST.replace(was, now))
-            assert answer.startswith(b"HTTP/1.1 400 ") and answer.endswith(b"\r\n\r\n" + text)
+            assert answer.startswith(b"HTTP/1.1 400 ")
+            assert answer.endswith(b"\r\n\r\n" + text)
             assert scene.heard == []
 
     play(work)
@@ -196,7 +199,8 @@
             assert answer.startswith(b"HTTP/1.1 200 ")
             (heard,) = scene.heard
             assert heard.headers.keys() >= {"host", "request-id", "idempotency-key"}
-            assert "x-hop" not in heard.headers and "connection" not in heard.headers
+            assert "x-hop" not in heard.headers
+            assert "connection" not in heard.headers
 
     play(work)
 
@@ -235,7 +239,8 @@
             assert 0 < float(refused.headers["retry-after"]) <= 2
         async with stage(listed=False, bounds={"retryAfter": False}) as scene:
             refused = await scene.ask()
-            assert refused.status == 503 and "retry-after" not in refused.headers
+            assert refused.status == 503
+            assert "retry-after" not in refused.headers
 
     play(work)
 
@@ -278,7 +283,8 @@
                 with suppress(ConnectionResetError):
                     answer = await ask(scene, HEALTH)
             head, _, told = answer.partition(b"\r\n\r\n")
-            assert head.startswith(b"HTTP/1.1 " + status + b" ") and told == body
+            assert head.startswith(b"HTTP/1.1 " + status + b" ")
+            assert told == body
 
     play(work)
 
@@ -333,7 +339,8 @@
             assert await soon(client.reader.readline()) == b"HTTP/1.1 100 Continue\r\n"
             client.send(b"4\r\nbody\r\n0\r\n\r\n")
             answer = await soon(client.reader.read())
-            assert answer.startswith(b"\r\nHTTP/1.1 200 OK\r\n") and answer.endswith(b"\r\n\r\nbody")
+            assert answer.startswith(b"\r\nHTTP/1.1 200 OK\r\n")
+            assert answer.endswith(b"\r\n\r\nbody")
             (heard,) = scene.heard
             assert (heard.headers["content-length"], heard.body) == ("4", b"body")
             assert "expect" not in heard.headers
--- a/tests/external_names/test_operator_file_names.py
+++ b/tests/external_names/test_operator_file_names.py
@@ -73,7 +73,8 @@
 @pytest.mark.parametrize(("place", "table"), list(enumerate(TABLES)))
 def test_unknown_key_is_turned_down(place: int, table: str, found: list[dict[str, str]]) -> None:
     ((key, told),) = found[2 * len(KEYS) + place].items()
-    assert key == path(table, "nothing") and told.startswith("unknown key; known are ")
+    assert key == path(table, "nothing")
+    assert told.startswith("unknown key; known are ")
 
 
 def test_unknown_table_is_turned_down(found: list[dict[str, str]]) -> None:
@@ -90,7 +91,8 @@
     file.write_text(text(table, key, good))
     after = set_by_operator(file)
     changed = [one for one, other in zip(after, before, strict=False) if repr(one) != repr(other)]
-    assert repr(made) in map(repr, changed) and made not in [each for each in before if each is not False]
+    assert repr(made) in map(repr, changed)
+    assert made not in [each for each in before if each is not False]
 
 
 def test_full_is_no_name_of_a_level(tmp_path: Path) -> None:
--- a/tests/external_names/test_simulator_names.py
+++ b/tests/external_names/test_simulator_names.py
@@ -42,20 +42,24 @@
 def test_first_batch_asks_for_changes_and_a_timer() -> None:
     first, second, third = adapter([BEGIN, page("10.0.0.1:80"), TARGETS])
     assert first == ["FOLLOW", "sidecar-1", True]
-    assert second[:2] == ["REMIND", "sidecar-1"] and type(second[2]) is int and type(second[3]) is str
+    assert second[:2] == ["REMIND", "sidecar-1"]
+    assert type(second[2]) is int
+    assert type(second[3]) is str
     assert third == ["DONE"]
 
 
 def test_request_is_assigned_with_a_clock_time() -> None:
     reply = adapter([BEGIN, page("10.0.0.1:80"), TARGETS], [work(5)])
     (assigned,) = [each for each in reply if each[0] == "ASSIGN"]
-    assert assigned[:4] == ["ASSIGN", "sidecar-1", 5, "10.0.0.1:80"] and len(assigned) == 5
+    assert assigned[:4] == ["ASSIGN", "sidecar-1", 5, "10.0.0.1:80"]
+    assert len(assigned) == 5
     assert 1_005_000 < assigned[4] <= 1_905_000
 
 
 def test_request_without_a_server_is_refused_with_advice() -> None:
     (refused,) = [each for each in adapter([BEGIN, work(4)]) if each[0] == "NOT_NOW"]
-    assert refused[:3] == ["NOT_NOW", "sidecar-1", 4] and 0 < refused[3] <= 2_000_000
+    assert refused[:3] == ["NOT_NOW", "sidecar-1", 4]
+    assert 0 < refused[3] <= 2_000_000
 
 
 @pytest.mark.parametrize(
@@ -175,13 +179,16 @@
     told = [page("10.0.0.1:80", state=state), ["TARGETS", "sidecar-1", "delta", 0, 2]]
     both = [BEGIN, page("10.0.0.1:80", "10.0.0.2:80"), TARGETS]
     reply = adapter(both, told, [work(number) for number in range(30)])
-    assert ("10.0.0.1:80" in targets(reply)) == is_used and "10.0.0.2:80" in targets(reply)
+    assert ("10.0.0.1:80" in targets(reply)) == is_used
+    assert "10.0.0.2:80" in targets(reply)
 
 
 def test_exit_forgets_an_instance() -> None:
     lines = [["FRAME", 1], BEGIN, ["EXIT", "sidecar-1"], ["WAKE", "sidecar-1", "x"]]
     code, out, err = adapter_text("".join(json.dumps(each) + "\n" for each in lines))
-    assert (code, out) == (2, "") and err.startswith("line 4: ") and err.count("\n") == 1
+    assert (code, out) == (2, "")
+    assert err.startswith("line 4: ")
+    assert err.count("\n") == 1
 
 
 # Each action, its values in the simulator's order, and its line.
--- a/tests/lab/test_ledger.py
+++ b/tests/lab/test_ledger.py
@@ -119,7 +119,8 @@
 
     monkeypatch.setattr(VirtualSidecar, "listed", deaf)
     ledger = played(LeastOfTwo, faults=DRAINS)
-    assert ledger.counts["drains"] > 0 and "after it was told" in ledger.breaches["drains"][0]
+    assert ledger.counts["drains"] > 0
+    assert "after it was told" in ledger.breaches["drains"][0]
 
 
 def test_a_sidecar_that_never_asks_counts_as_told() -> None:
@@ -133,7 +134,8 @@
     slow = [{**SAFE, "deadline_ms": 5_000.0}]  # so that a server that leaves stays up for long
     assert played(LeastOfTwo, faults=drains, rules=rules, classes=slow).counts["drains"] == 0
     ledger = played(Hermit, faults=drains, rules=rules, classes=slow)
-    assert ledger.counts["drains"] > 0 and "had not asked for too long" in ledger.breaches["drains"][0]
+    assert ledger.counts["drains"] > 0
+    assert "had not asked for too long" in ledger.breaches["drains"][0]
 
 
 # The ledger by itself: the edges of its figures
@@ -150,7 +152,8 @@
         ledger.taken(request, 0, kind, 0, 1_000_000)
         ledger.answered(request, 1_000_000 + late_us)
     ledger.close(10_000_000)
-    assert ledger.counts["answers"] == 1 and "request 2" in ledger.breaches["answers"][0]
+    assert ledger.counts["answers"] == 1
+    assert "request 2" in ledger.breaches["answers"][0]
 
 
 def test_repeats_of_a_keyed_request_are_dropped_in_its_zone_and_window_only() -> None:
--- a/tests/lab/test_model.py
+++ b/tests/lab/test_model.py
@@ -110,7 +110,8 @@
     one.cancelled(10, jobs[2])
     assert one.offer(10, job(7), 1.0)[0] is Verdict.TAKEN
     begun = one.finished(100_000, jobs[0])
-    assert begun == [jobs[3]] and jobs[2].stage is Stage.OVER  # first come, first served
+    assert begun == [jobs[3]]
+    assert jobs[2].stage is Stage.OVER
 
 
 def test_a_crowded_server_chokes_and_gets_well_only_when_it_rests() -> None:
@@ -127,7 +128,8 @@
     one.offer(1_999_999, job(20), 1.0)
     assert not one.is_choked
     one.offer(2_000_000, job(21), 1.0)
-    assert one.is_choked and one.pace(2_000_000) == pytest.approx(one.speed / 3.0)
+    assert one.is_choked
+    assert one.pace(2_000_000) == pytest.approx(one.speed / 3.0)
     for each in [*one._running, *one._queue]:
         one.cancelled(3_000_000, each)
     busy = job(30)
@@ -136,7 +138,8 @@
     one.report(4_799_999)
     assert one.is_choked
     one.report(4_800_000)
-    assert not one.is_choked and one.choked_us == 2_800_000
+    assert not one.is_choked
+    assert one.choked_us == 2_800_000
 
 
 def test_a_cold_server_warms_evenly_and_falls_over_when_pushed() -> None:
@@ -152,7 +155,8 @@
         one.offer(1_000_000, job(number), 1.0)
     assert not one.has_fallen
     one.offer(1_000_000, job(50), 1.0)
-    assert one.has_fallen and fallen[0][0] == pytest.approx(44 * 20_000)
+    assert one.has_fallen
+    assert fallen[0][0] == pytest.approx(44 * 20_000)
     assert one.offer(1_000_001, job(51), 1.0)[0] is Verdict.SILENT
 
 
@@ -175,5 +179,7 @@
     one.hang(10)
     assert one.offer(20, second, 1.0) == (Verdict.SILENT, [])
     one.unhang(30)
-    assert second.stage is Stage.OVER and first.stage is Stage.RUNNING
-    assert one.crash(40) == [first] and not one.is_up
+    assert second.stage is Stage.OVER
+    assert first.stage is Stage.RUNNING
+    assert one.crash(40) == [first]
+    assert not one.is_up
--- a/tests/lab/test_real.py
+++ b/tests/lab/test_real.py
@@ -101,7 +101,8 @@
     result = results.Result(
         scenario="x", about="", time="real", policy="module", seconds=1.0, warmup_s=0.0, runs=[run]
     )
-    assert Expectation.parse("rules.broken = 0").holds(run.metrics) and not result.holds
+    assert Expectation.parse("rules.broken = 0").holds(run.metrics)
+    assert not result.holds
     late["p99"] = play.LATE_MS
     assert play._run(given, 1, 1.0, left, seen, [], "").invalid == ""
 
@@ -140,4 +141,6 @@
 
 def test_the_forwarder_serves_and_its_cost_is_seen() -> None:
     cost = measure(light(100.0, 1.5), 1, FORWARDER)
-    assert cost.requests > 80 and cost.cpu_us >= 0.0 and cost.p50_ms > 0.5
+    assert cost.requests > 80
+    assert cost.cpu_us >= 0.0
+    assert cost.p50_ms > 0.5
--- a/tests/lab/test_scenarios.py
+++ b/tests/lab/test_scenarios.py
@@ -90,7 +90,8 @@
     assert [each.wait(100) for each in runs] == [0, 0]
     told = [((out / "result.json").read_bytes(), (out / "report.html").read_bytes()) for out in outs]
     assert told[0] == told[1]
-    assert told[0][0].count(b'"seed": ') == 2 and b"<svg" in told[0][1]
+    assert told[0][0].count(b'"seed": ') == 2
+    assert b"<svg" in told[0][1]
 
 
 def test_a_run_ends_with_1_if_an_expectation_fails_and_with_2_on_a_bad_file(tmp_path: Path) -> None:
@@ -111,7 +112,8 @@
     again = list(load.arrivals(given, 3, 0, 50.0))
     assert [(a.at, a.key, a.work_us) for a in asks] == [(a.at, a.key, a.work_us) for a in again]
     early = sum(each.at < 100_000_000 for each in asks)
-    assert early == pytest.approx(5_000, rel=0.05) and len(asks) - early == pytest.approx(10_000, rel=0.05)
+    assert early == pytest.approx(5_000, rel=0.05)
+    assert len(asks) - early == pytest.approx(10_000, rel=0.05)
 
 
 @pytest.mark.parametrize("dist", ["lognormal", "exponential", "pareto", "constant"])
@@ -150,9 +152,11 @@
 def test_a_difference_is_told_from_noise_seed_by_seed() -> None:
     seeds = [0.1, 0.5, 0.9, 0.3, 0.7, 0.2]  # far apart, so that only pairing shows a small difference
     (real,) = compare.differences(_result(seeds), _result([each + 0.01 for each in seeds]))
-    assert real.says == "higher" and real.low == pytest.approx(0.01)
+    assert real.says == "higher"
+    assert real.low == pytest.approx(0.01)
     noisy = [each + 0.01 * (-1) ** number for number, each in enumerate(seeds)]
     (noise,) = compare.differences(_result(seeds), _result(noisy))
     assert noise.says == "noise"
     (few,) = compare.differences(_result(seeds[:4]), _result(seeds[:4]))
-    assert few.low is None and "fewer than" in few.says
+    assert few.low is None
+    assert "fewer than" in few.says
--- a/tests/running.py
+++ b/tests/running.py
@@ -92,7 +92,8 @@
         check=False,
     )
     assert done.returncode == 2
-    assert done.stdout == "" and done.stderr.count("\n") == 1
+    assert done.stdout == ""
+    assert done.stderr.count("\n") == 1
     return done.stderr
 
 
--- a/tests/sidecar/upstream/test_retry_bounds.py
+++ b/tests/sidecar/upstream/test_retry_bounds.py
@@ -130,7 +130,8 @@
                 clock.advance(WINDOW_US - 50 * MS)
                 delayed_dials.release(late_server.address)
                 assert (await seen.client.answer()).status == 200
-                assert len(late_server.heard) == 1 and len(seen.received) == len(ends)
+                assert len(late_server.heard) == 1
+                assert len(seen.received) == len(ends)
                 seen.let_finish.set()
                 await until(lambda: seen.scene.sidecar.open_requests == 0)
 
@@ -289,7 +290,8 @@
         async with _partly_written(clock, end, group=group) as (seen, server):
             clock.advance(WINDOW_US)
             got = await server.read_to(_BODY)
-            assert got and not got.endswith(_BODY)
+            assert got
+            assert not got.endswith(_BODY)
             await assert_has_ended(seen, group, end)
 
     play(work)
@@ -415,6 +417,7 @@
                 delayed_dials.release(late_server.address)
             assert (await client.answer()).status == 200
             (post,) = [each for each in scene.heard if each.method == "POST"]
-            assert post.body == body and post in late_server.heard
+            assert post.body == body
+            assert post in late_server.heard
 
     play(work)
--- a/tests/sidecar/upstream/test_unexecuted_requests.py
+++ b/tests/sidecar/upstream/test_unexecuted_requests.py
@@ -153,7 +153,8 @@
             client = await _send_to_first(scene, monkeypatch)
             assert (await client.answer()).status == 200
             await until(lambda: scene.servers[0].closed == [0])
-            assert [len(each.heard) for each in scene.servers] == [0, 1] and not kernel.left
+            assert [len(each.heard) for each in scene.servers] == [0, 1]
+            assert not kernel.left
 
     play(work)
 
@@ -174,7 +175,8 @@
             client = await _send_to_first(scene, monkeypatch)
             assert (await client.answer()).status == 502
             assert [len(each.heard) for each in scene.servers] == [1, 0]
-            assert scene.heard[0].body == b"body" and not kernel.left
+            assert scene.heard[0].body == b"body"
+            assert not kernel.left
 
     play(work)
 
--- a/tests/soak/sidecars.py
+++ b/tests/soak/sidecars.py
@@ -113,7 +113,8 @@
 
     async def stop(self) -> None:
         """SIGTERM, and SIGKILL no sooner than the platform's page allows."""
-        assert self.process is not None and self.life is not None
+        assert self.process is not None
+        assert self.life is not None
         process, life = self.process, self.life
         if process.returncode is not None:
             return  # it has ended by itself, which its record tells
@@ -130,7 +131,8 @@
             await process.wait()
 
     def kill(self) -> None:
-        assert self.process is not None and self.life is not None
+        assert self.process is not None
+        assert self.life is not None
         self.life.killed_at = now()
         if self.process.returncode is None:
             self.process.kill()
--- a/tulipnotch/sidecar/requests/open_request.py
+++ b/tulipnotch/sidecar/requests/open_request.py
@@ -96,4 +96,4 @@
     @property
     def has_ended(self) -> bool:
         """Whether no response is pending and no attempt is in flight."""
-        return self.open_attempts == 0 and not self.has_pending_response
+        return not (self.open_attempts or type(self.response) in (WaitingForResponse, StreamingResponse))
