--- a/tests/load_balancing/admission/test_service_levels_in_force.py
+++ b/tests/load_balancing/admission/test_service_levels_in_force.py
@@ -100,7 +100,7 @@
 
 def test_level_shows_at_control_endpoint_and_in_log(monkeypatch: pytest.MonkeyPatch) -> None:
     async def work() -> None:
-        monkeypatch.setattr("tulipnotch.sidecar.sidecar.READ_EVERY_US", 10_000)
+        monkeypatch.setattr("tulipnotch.sidecar.sidecar.OBSERVATION_INTERVAL_US", 10_000)
         change = levels.ServiceLevelTransition(
             "full", "shut", 41_000_000, "too much", ServiceLevelChanged(frozenset(), frozenset({"check"}))
         )
--- a/tulipnotch/lab/policies.py
+++ b/tulipnotch/lab/policies.py
@@ -35,8 +35,8 @@
     Subscribe,
 )
 from tulipnotch.load_balancing.admission.service_levels import (
-    LEAST_HOLD_US,
-    READ_EVERY_US,
+    MIN_HOLD_US,
+    OBSERVATION_INTERVAL_US,
     ServiceLevelController,
     standard,
 )
@@ -288,14 +288,14 @@
     def __init__(self, settings: Settings, seed: int, world: World) -> None:
         self._balancer = Balancer(settings, seed)
         least = min(settings.classes, key=lambda each: each.priority_weight).name
-        self._ladder = ServiceLevelController(standard(least), LEAST_HOLD_US, world.engine.now)
+        self._ladder = ServiceLevelController(standard(least), MIN_HOLD_US, world.engine.now)
         self._read_at = world.engine.now
 
     def handle(self, now: int, event: Event) -> Sequence[Action]:
         actions = self._balancer.handle(now, event)
         if now < self._read_at:
             return actions
-        self._read_at = now + READ_EVERY_US
+        self._read_at = now + OBSERVATION_INTERVAL_US
         change = self._ladder.observe(now, self._balancer.pressure())
         if change is not None:
             actions = [*actions, *self._balancer.handle(now, change.effect)]
--- a/tulipnotch/load_balancing/admission/service_levels.py
+++ b/tulipnotch/load_balancing/admission/service_levels.py
@@ -17,8 +17,8 @@
 from tulipnotch.load_balancing.admission.pressure import Pressure
 from tulipnotch.load_balancing.events import ServiceLevelChanged
 
-READ_EVERY_US = 1_000_000
-LEAST_HOLD_US = 30_000_000
+OBSERVATION_INTERVAL_US = 1_000_000
+MIN_HOLD_US = 30_000_000
 MIN_OFFERED = 50  # requests within the time to enter: with fewer, a trend can't be told from chance
 EARLY_RETURN_HOLDS = 4  # a level entered again within so many minimum times was left too early
 MAX_LEAVE_FACTOR = 8  # the time to leave is at most this many times the configured one
@@ -76,11 +76,11 @@
 
         Args:
             levels: The levels, from the first that is entered.
-            hold_us: The minimum time between changes; at least `LEAST_HOLD_US` applies.
+            hold_us: The minimum time between changes; at least `MIN_HOLD_US` applies.
             started_at: Clock time now, in microseconds.
         """
         self._levels = levels
-        self._hold_us = max(hold_us, LEAST_HOLD_US)
+        self._hold_us = max(hold_us, MIN_HOLD_US)
         self._index = 0  # of the level in force, from 1; 0: full service
         self._entered_at = started_at
         self._changes = 0
@@ -89,7 +89,7 @@
         self._leave_factor = 1
         self._left_at: dict[int, int] = {}  # when each level was last left
         longest = max((max(each.enter_us, MAX_LEAVE_FACTOR * each.leave_us) for each in levels), default=0)
-        self._retain_us = longest + 2 * READ_EVERY_US
+        self._retain_us = longest + 2 * OBSERVATION_INTERVAL_US
 
     @property
     def index(self) -> int:
@@ -141,10 +141,10 @@
             return False
         last_at, last = self._last
         elapsed_us = now - last_at
-        if elapsed_us < READ_EVERY_US:
+        if elapsed_us < OBSERVATION_INTERVAL_US:
             return False
         self._last = now, pressure
-        if elapsed_us > MAX_OBSERVATION_GAP * READ_EVERY_US:
+        if elapsed_us > MAX_OBSERVATION_GAP * OBSERVATION_INTERVAL_US:
             self._observations.clear()
             return False
         offered = pressure.offered - last.offered
--- a/tulipnotch/sidecar/sidecar.py
+++ b/tulipnotch/sidecar/sidecar.py
@@ -29,7 +29,7 @@
     Subscribe,
 )
 from tulipnotch.load_balancing.admission.service_levels import (
-    READ_EVERY_US,
+    OBSERVATION_INTERVAL_US,
     ServiceLevel,
     ServiceLevelController,
 )
@@ -233,7 +233,7 @@
             )
             self._post(change.effect)
         if self.lifecycle.phase is not Phase.STOPPING:
-            asyncio.get_running_loop().call_later(READ_EVERY_US / 1e6, self._read_pressure, ladder)
+            asyncio.get_running_loop().call_later(OBSERVATION_INTERVAL_US / 1e6, self._read_pressure, ladder)
 
     async def _freshly_listed(self, within_s: float) -> None:
         await self._until(self._has_fresh_list, within_s)
