--- a/tulipnotch/load_balancing/admission/service_levels.py
+++ b/tulipnotch/load_balancing/admission/service_levels.py
@@ -76,7 +76,7 @@
 
         Args:
             levels: The levels, from the first that is entered.
-            hold_us: The minimum time between changes; at least `LEAST_HOLD_US` applies.
+            hold_us: The minimum time between changes; at least `MIN_HOLD_US` applies.
             started_at: Clock time now, in microseconds.
         """
         self._levels = levels
