--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -8,7 +8,7 @@
 import socket
 from collections.abc import AsyncIterator, Awaitable, Callable, Coroutine
 from contextlib import asynccontextmanager
-from dataclasses import dataclass, field
+from dataclasses import asdict, dataclass, field
 from typing import Any, TypeVar
 
 import uvloop
@@ -16,6 +16,7 @@
 from tulipnotch.sidecar import logs
 from tulipnotch.sidecar.configuration.configuration import parse
 from tulipnotch.sidecar.downstream.client_limits import ClientLimits
+from tulipnotch.sidecar.operator_file import OperatorOptions
 from tulipnotch.sidecar.service_level_monitor import ServiceLevels
 from tulipnotch.sidecar.sidecar import Sidecar
 
@@ -340,7 +341,12 @@
         assert fields.keys() == logs.EVENTS[event].fields
         log.append(logs.line(event, fields))
 
-    sidecar = Sidecar(parse(config, config), note, client_limits, levels)
+    options = OperatorOptions(
+        log=note,
+        client_limits=asdict(client_limits) if client_limits is not None else {},
+        service_levels=levels,
+    )
+    sidecar = Sidecar(parse(config, config), options)
     if started:
         await sidecar.start()
     scene = Stage(sidecar, discovery, servers, log)
--- a/tests/sidecar/downstream/test_descriptor_limits.py
+++ b/tests/sidecar/downstream/test_descriptor_limits.py
@@ -30,7 +30,9 @@
 from unavailable_discovery import FAULTS, UnavailableDiscovery
 
 from tulipnotch.sidecar.configuration.configuration import parse
+from tulipnotch.sidecar.control.endpoint import ControlLimits
 from tulipnotch.sidecar.descriptor_budget import RESERVED_DESCRIPTORS
+from tulipnotch.sidecar.operator_file import OperatorOptions
 from tulipnotch.sidecar.sidecar import Sidecar
 
 pytestmark = pytest.mark.alone
@@ -235,7 +237,10 @@
 
     async def work() -> None:
         config = parse(given, given)
-        sidecar = Sidecar(config, _ignore_log, control_connections=operators)
+        sidecar = Sidecar(
+            config,
+            OperatorOptions(log=_ignore_log, control_limits=ControlLimits(max_connections=operators)),
+        )
         shares = (
             sidecar.downstream.max_connections,
             sidecar._upstream.max_connections,
@@ -259,7 +264,7 @@
     given = {**GOOD, "limits": {"sockets": sockets, "memory_mb": memory_mb}}
 
     async def work() -> None:
-        sidecar = Sidecar(parse(given, given), _ignore_log)
+        sidecar = Sidecar(parse(given, given), OperatorOptions(log=_ignore_log))
         assert sidecar.downstream.max_connections + sidecar._upstream.max_connections == connections
         assert connections * MAX_BYTES_PER_CONNECTION <= memory_mb * (1 << 20) / 4
         sidecar.close()
--- a/tests/sidecar/upstream/interleaving_world.py
+++ b/tests/sidecar/upstream/interleaving_world.py
@@ -42,6 +42,7 @@
 
 from tulipnotch.load_balancing.events import EndpointUpdateKind
 from tulipnotch.sidecar.downstream.connection import DownstreamConnection
+from tulipnotch.sidecar.operator_file import OperatorOptions
 from tulipnotch.sidecar.sidecar import Sidecar
 
 
@@ -77,7 +78,7 @@
         self._clients: list[ClientEnd] = []
         self._faults: list[str] = []
         config = config_for(case, seed)
-        self.sidecar = Sidecar(config, self._log)
+        self.sidecar = Sidecar(config, OperatorOptions(log=self._log))
         self.sidecar._upstream.endpoints_updated(config.known)
         self.sidecar._events.post(config.known.event(EndpointUpdateKind.CACHED))
         self.sidecar.lifecycle.started()
--- a/tulipnotch/sidecar/program.py
+++ b/tulipnotch/sidecar/program.py
@@ -21,11 +21,9 @@
 from tulipnotch.sidecar.configuration.configuration import Config, ConfigError, load
 from tulipnotch.sidecar.configuration.reload import reload_configuration
 from tulipnotch.sidecar.control.endpoint import ControlEndpoint
-from tulipnotch.sidecar.descriptor_budget import client_limits
 from tulipnotch.sidecar.downstream.listener import adopt, listen, reserve_soon
 from tulipnotch.sidecar.logs import Log
 from tulipnotch.sidecar.operator_file import OPERATOR_VARIABLE, OperatorOptions, load_operator_options
-from tulipnotch.sidecar.requests.trace import Trace
 from tulipnotch.sidecar.sidecar import Sidecar
 
 _INHERITED_VARIABLE = "BALANCER_INHERITED_FD"  # of the environment: descriptor of a listening socket
@@ -75,14 +73,7 @@
     stop_requested = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop_requested.set)
-    sidecar = Sidecar(
-        config,
-        log,
-        client_limits(config, options.client_limits),
-        options.service_levels,
-        options.control_limits.max_connections,
-        Trace(log) if options.traces_requests else None,
-    )
+    sidecar = Sidecar(config, options)
     loop.add_signal_handler(signal.SIGHUP, reload_configuration, sidecar, os.environ, log)
     signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})  # `__main__` blocks it until here
     control = ControlEndpoint(
--- a/tulipnotch/sidecar/shutdown.py
+++ b/tulipnotch/sidecar/shutdown.py
@@ -95,6 +95,6 @@
 async def _poll(condition: Callable[[], bool], interval_s: float, until: float) -> None:
     """Returns once the condition holds, or at this time of the event loop."""
     loop = asyncio.get_running_loop()
-    while not condition() and loop.time() < until:
-        # No event: nothing reports an empty listen queue, and the interval lets the event loop finish writes.
+    # Nothing reports an empty listen queue, and the interval lets the event loop finish writes.
+    while not condition() and loop.time() < until:  # noqa: ASYNC110 - there is no event to wait for
         await asyncio.sleep(interval_s)
--- a/tulipnotch/sidecar/sidecar.py
+++ b/tulipnotch/sidecar/sidecar.py
@@ -18,7 +18,7 @@
 from tulipnotch.sidecar.action_executor import ActionExecutor, ActionTargets
 from tulipnotch.sidecar.clock import Clock
 from tulipnotch.sidecar.configuration.configuration import Config
-from tulipnotch.sidecar.control.endpoint import CommandHandler, ControlLimits
+from tulipnotch.sidecar.control.endpoint import CommandHandler
 from tulipnotch.sidecar.control.lifecycle import Lifecycle
 from tulipnotch.sidecar.control.telemetry import Telemetry
 from tulipnotch.sidecar.control_commands import ControlCommands
@@ -26,11 +26,10 @@
 from tulipnotch.sidecar.discovery.client import DiscoveryClient
 from tulipnotch.sidecar.discovery.endpoint_list_codec import DiscoveryResponse
 from tulipnotch.sidecar.discovery.peers import PeerMessenger
-from tulipnotch.sidecar.downstream.client_limits import ClientLimits
 from tulipnotch.sidecar.downstream.listener import reserve_soon
 from tulipnotch.sidecar.downstream.server import DownstreamServer
 from tulipnotch.sidecar.event_queue import EventQueue
-from tulipnotch.sidecar.logs import Log
+from tulipnotch.sidecar.operator_file import OperatorOptions
 from tulipnotch.sidecar.requests.attempts import AttemptStarter
 from tulipnotch.sidecar.requests.context import SidecarContext
 from tulipnotch.sidecar.requests.invariants import Invariant, InvariantChecker
@@ -51,85 +50,81 @@
 class Sidecar:
     """One sidecar from its start to its end."""
 
-    def __init__(
-        self,
-        config: Config,
-        log: Log,
-        limits: ClientLimits | None = None,
-        levels: ServiceLevels | None = None,
-        control_connections: int | None = None,
-        trace: Trace | None = None,
-    ) -> None:
+    def __init__(self, config: Config, options: OperatorOptions) -> None:
         """Connects the components; nothing listens before `start`.
 
         Args:
             config: The configuration, until `reload` replaces it.
-            log: Takes each log event.
-            limits: What clients may take; None: the defaults.
-            levels: The service levels; None: there are none.
-            control_connections: How many connections the control endpoint allows; None: its default.
-            trace: Logs the course of each request; None: it is not logged.
+            options: What operators have set, and the log.
         """
         self.config = config
-        if control_connections is None:
-            control_connections = ControlLimits().max_connections
-        # Fixed at the start, like the control endpoint itself.
-        self.max_control_connections = max_control_connections(config.sockets, control_connections)
-        clock = Clock()
         self.lifecycle = Lifecycle()
-        if trace is not None:
-            self.lifecycle.on_change(lambda: trace.phase_changed(self.lifecycle.phase.value))
-        self.telemetry = Telemetry(each.name for each in config.settings.classes)
-        invariants = InvariantChecker(
-            lambda invariant, about: log("invariant_broken", invariant=invariant.value, about=about)
-        )
-        self._upstream = UpstreamPool(clock, config.settings, invariants)
-        self._context = SidecarContext(
-            config.settings,
-            clock,
-            self._upstream,
-            log=log,
-            telemetry=self.telemetry,
-            invariants=invariants,
-            trace=trace,
-        )
+        self._context = _create_context(config, options, self.lifecycle)
+        self.telemetry = self._context.telemetry
+        self._upstream = self._context.upstream
         self._balancer = Balancer(config.settings, config.seed)
-        self._registry = RequestRegistry()
-        self._responses = ResponseSender(self._context, self._registry)
-        self._events = EventQueue(self._balancer, self._context, self._registry, self._responses)
-        receiver = RequestReceiver(self._context, self._registry, self._responses, self._events)
+        self._create_request_handling()
+        self._create_discovery()
         self.downstream = DownstreamServer(
             config.settings,
-            limits or client_limits(config),
+            client_limits(config, options.client_limits),
             self.lifecycle,
-            receiver,
-            invariants,
+            RequestReceiver(self._context, self._registry, self._responses, self._events),
+            self._context.invariants,
+        )
+        # Fixed at the start, like the control endpoint itself.
+        self.max_control_connections = max_control_connections(
+            config.sockets, options.control_limits.max_connections
         )
         self._budget = DescriptorBudget(config, self.max_control_connections, self.downstream, self._upstream)
+        self._create_executor()
+        self._create_control(options.service_levels)
+        self._create_lifecycle_steps()
+
+    def _create_request_handling(self) -> None:
+        self._registry = RequestRegistry()
+        self._responses = ResponseSender(self._context, self._registry)
+        self._events = EventQueue(self._balancer, self._context, self._registry, self._responses)
+
+    def _create_discovery(self) -> None:
+        config = self.config
         self._endpoints = _EndpointUpdates(self._context, self._events)
         self._discovery = DiscoveryClient(
             config.discovery, config.settings, config.known, observer=self._endpoints
         )
-        self._levels = (
-            ServiceLevelMonitor(levels, clock, self._balancer, self._events, log) if levels else None
-        )
         self._peers = PeerMessenger(
             config.peers,
             config.peers_all,
             config.settings.instance_index,
             lambda sender, payload: self._events.post(PeerMessageReceived(sender, payload)),
         )
+
+    def _create_executor(self) -> None:
         attempts = AttemptStarter(
             self._context, self._registry, self._responses, self._balancer, self._events
         )
         targets = ActionTargets(attempts, self._responses, self._discovery, self._peers)
         self._executor = ActionExecutor(self._context, self._events, targets)
         self._events.connect(self._executor.execute)
+
+    def _create_control(self, levels: ServiceLevels | None) -> None:
+        context = self._context
+        self._levels = (
+            ServiceLevelMonitor(levels, context.clock, self._balancer, self._events, context.log)
+            if levels
+            else None
+        )
         self._commands = ControlCommands(
-            self._context, self.lifecycle, self._balancer, self._registry, self._levels
+            context, self.lifecycle, self._balancer, self._registry, self._levels
         )
+
+    def _create_lifecycle_steps(self) -> None:
         self._startup = Startup(
-            log, self.downstream, self._budget, self._discovery.first_call_ended, self._endpoints.received
+            self._context.log,
+            self.downstream,
+            self._budget,
+            self._discovery.first_call_ended,
+            self._endpoints.received,
         )
         self._shutdown = Shutdown(
             self._context, self.downstream, self._budget, self._registry, self._responses
@@ -227,6 +222,26 @@
         self.downstream.close()
 
 
+def _create_context(config: Config, options: OperatorOptions, lifecycle: Lifecycle) -> SidecarContext:
+    log = options.log
+    clock = Clock()
+    trace = Trace(log) if options.traces_requests else None
+    if trace is not None:
+        lifecycle.on_change(lambda: trace.phase_changed(lifecycle.phase.value))
+    invariants = InvariantChecker(
+        lambda invariant, about: log("invariant_broken", invariant=invariant.value, about=about)
+    )
+    return SidecarContext(
+        config.settings,
+        clock,
+        UpstreamPool(clock, config.settings, invariants),
+        log=log,
+        telemetry=Telemetry(each.name for each in config.settings.classes),
+        invariants=invariants,
+        trace=trace,
+    )
+
+
 class _EndpointUpdates:
     """Brings what discovery reports to the upstream pool and to the balancer."""
 
