--- a/tests/external_names/outside.py
+++ b/tests/external_names/outside.py
@@ -39,7 +39,7 @@
 from tulipnotch.sidecar.configuration.configuration import parse
 from tulipnotch.sidecar.control.endpoint import CommandRejectedError
 from tulipnotch.sidecar.discovery.peers import PeerMessenger
-from tulipnotch.sidecar.downstream.listener import bind
+from tulipnotch.sidecar.downstream.listener import bind_and_listen
 from tulipnotch.sidecar.operator_file import load_operator_options
 from tulipnotch.simulator_wire.adapter import run
 from tulipnotch.simulator_wire.names import settings_from_wire
@@ -180,7 +180,7 @@
 
 def listen(scene: Stage) -> None:
     """Let a sidecar in this process take clients before it is ready."""
-    scene.sidecar.downstream.listen(bind((HOST, 0)))
+    scene.sidecar.downstream.listen(bind_and_listen((HOST, 0)))
 
 
 def stop(scene: Stage) -> None:
--- a/tests/load_balancing/slow_start/test_warm_up_budget.py
+++ b/tests/load_balancing/slow_start/test_warm_up_budget.py
@@ -10,7 +10,7 @@
 
 from tulipnotch.load_balancing.settings import Rules
 from tulipnotch.load_balancing.slow_start import warm_up_budget as slow_start
-from tulipnotch.load_balancing.slow_start.token_bucket import LapsingBucket
+from tulipnotch.load_balancing.slow_start.token_bucket import ExpiringTokenBucket
 
 RULES = Rules(initial_capacity=0.2, warm_up_us=10 * S, overload_multiple=2.5, overload_window_us=1 * S)
 START = 1_700_000_000 * S
@@ -59,11 +59,11 @@
 
 def admitted_at(begins_with: float, limit: float, arrivals: list[int]) -> list[int]:
     """When requests of mean cost, asked for at these times, were let through."""
-    bucket = LapsingBucket(0, begins_with)
+    bucket = ExpiringTokenBucket(0, begins_with)
     admitted = []
     for at in arrivals:
         if slow_start.has_budget(bucket, at, limit, 1 * S, 1.0):
-            bucket.spend(1.0)
+            bucket.consume(1.0)
             admitted.append(at)
     return admitted
 
@@ -115,9 +115,9 @@
 
 
 def test_warm_up_budget_recovers_from_heavy_request_before_the_next() -> None:
-    bucket = LapsingBucket(0, 1.0)
+    bucket = ExpiringTokenBucket(0, 1.0)
     assert slow_start.has_budget(bucket, 0, 1.0 / S, 1 * S, 1.5)
-    bucket.spend(1.5)
+    bucket.consume(1.5)
     assert not slow_start.has_budget(bucket, 5 * S, 1.0 / S, 1 * S, 1.0)
     assert slow_start.has_budget(bucket, 6 * S + 1, 1.0 / S, 1 * S, 1.0)
 
--- a/tests/sidecar/discovery/test_change_propagation.py
+++ b/tests/sidecar/discovery/test_change_propagation.py
@@ -395,9 +395,9 @@
 
         async with stage(await ScriptedServer(reports).start()) as scene:
             assert (await scene.ask()).status == 200
-            assert scene.sidecar._balancer._components.response_times.cores is not None
+            assert scene.sidecar._balancer._components.response_times.cpu_utilization is not None
             raw = _raw(scene.sidecar.config.name, scene.discovery.address)
             scene.sidecar.reload(parse(raw, raw))
-            assert scene.sidecar._balancer._components.response_times.cores is None
+            assert scene.sidecar._balancer._components.response_times.cpu_utilization is None
 
     play(work)
--- a/tests/sidecar/downstream/test_acceptor.py
+++ b/tests/sidecar/downstream/test_acceptor.py
@@ -10,7 +10,7 @@
 import pytest
 from loopback import HOST, OK, play, request, soon, stage, until
 
-from tulipnotch.sidecar.downstream.listener import Acceptor, bind
+from tulipnotch.sidecar.downstream.listener import Acceptor, bind_and_listen
 
 _CLIENTS = 3
 _QUEUED_S = 0.5
@@ -40,7 +40,7 @@
 
 
 def _listener(*faults: int) -> _FaultyListener:
-    plain = bind((HOST, 0))
+    plain = bind_and_listen((HOST, 0))
     listener = _FaultyListener(fileno=plain.detach())
     listener.settimeout(0.0)
     listener.faults = list(faults)
--- a/tests/sidecar/http1/test_request_reader.py
+++ b/tests/sidecar/http1/test_request_reader.py
@@ -28,7 +28,7 @@
 def test_request_reader_sets_fault_when_message_is_unacceptable(message: bytes, status: int) -> None:
     reader = RequestReader(max_body_bytes=100)
     reader.feed(message)
-    assert reader.fault == status
+    assert reader.error_status == status
     assert reader.requests == []
 
 
@@ -65,4 +65,4 @@
     reader.release()
     reader.feed(_message(b"Content-Length: 3", body=b"one"))
     assert reader.requests == []
-    assert reader.fault == 400
+    assert reader.error_status == 400
--- a/tests/sidecar/test_listener_handover.py
+++ b/tests/sidecar/test_listener_handover.py
@@ -14,14 +14,14 @@
 from loopback import HOST, OK, Client, Heard, play, request, soon, stage, until
 from running import Program, running_on, started, until_says, world
 
-from tulipnotch.sidecar.downstream.listener import adopt, bind
+from tulipnotch.sidecar.downstream.listener import adopt, bind_and_listen
 from tulipnotch.sidecar.http1.messages import Request
 
 
 @pytest.fixture
 def listener() -> Iterator[socket.socket]:
     """The clients' listening socket, held by the platform."""
-    with bind((HOST, 0)) as held:
+    with bind_and_listen((HOST, 0)) as held:
         yield held
 
 
@@ -186,7 +186,7 @@
 ) -> None:
     async def work() -> None:
         async with world(OK, tmp_path) as (config, _):
-            with bind((HOST, 0)) as silent:
+            with bind_and_listen((HOST, 0)) as silent:
                 given = json.loads(config.read_text())
                 given["discovery"] = f"{HOST}:{silent.getsockname()[1]}"
                 config.write_text(json.dumps(given))
--- a/tests/sidecar/test_race_conditions.py
+++ b/tests/sidecar/test_race_conditions.py
@@ -133,7 +133,7 @@
             frontend = scene.sidecar.downstream
             client.send(request("lodge"))
             await until(lambda: _states(scene) == [ConnectionState.IDLE])
-            await until(lambda: all(each.is_idle for each in frontend.connections()))
+            await until(lambda: all(each.can_close_safely for each in frontend.connections()))
             if why == "drain":
                 frontend.close_idle()
             else:
@@ -540,7 +540,7 @@
             discovery_port = int(scene.discovery.address.rpartition(":")[2])
             await scene.sidecar.start()
             assert (await scene.ask()).status == 200
-            inherited = listener.adopt(str(listener.bind((HOST, 0)).detach()))
+            inherited = listener.adopt(str(listener.bind_and_listen((HOST, 0)).detach()))
             scene.sidecar.downstream.stop_listening()
             scene.sidecar.downstream.listen(inherited)
             assert (await scene.ask()).status == 200
--- a/tests/sidecar/test_readiness.py
+++ b/tests/sidecar/test_readiness.py
@@ -17,7 +17,7 @@
 
 from benchmarks import ready
 from tulipnotch.sidecar import logs
-from tulipnotch.sidecar.downstream.listener import bind
+from tulipnotch.sidecar.downstream.listener import bind_and_listen
 
 LATE_S = 1.0  # for a busy machine, beyond the waits
 
@@ -83,7 +83,7 @@
         }
         config.write_text(json.dumps(given))
         try:
-            with bind((HOST, 0)) as listener:
+            with bind_and_listen((HOST, 0)) as listener:
                 told = await _start(config, listener if takes_over else None)
         finally:
             agent.stop()
--- a/tulipnotch/cli/root.py
+++ b/tulipnotch/cli/root.py
@@ -41,12 +41,13 @@
             raise click.ClickException(
                 f"{cmd_name} needs {missing.name}, which is not installed: pip install 'tulipnotch[lab]'"
             ) from None
-        assert isinstance(command, click.Command)
+        if not isinstance(command, click.Command):
+            raise TypeError(f"{module}:{name} is no command")
         return command
 
 
 def examples(*lines: str) -> str:
-    """An epilog of examples and the exit codes, kept as it is laid out."""
+    """An epilog of examples and the exit codes; line breaks are kept."""
     shown = textwrap.indent("\n".join(lines), "  ")
     return f"\b\nExamples:\n{shown}\n\n{EXIT_CODES}"
 
--- a/tulipnotch/load_balancing/admission/concurrency_limit.py
+++ b/tulipnotch/load_balancing/admission/concurrency_limit.py
@@ -26,7 +26,7 @@
 TARGET_OF_IDLE = 2.0  # but never less than this many times what it takes when the fleet is idle
 MAX_TARGET_PART = 0.25  # and never more than this part, or overload would pass for the usual
 
-BUSY_CORES = 0.85  # while servers report a lower utilization of their cores, there is capacity
+BUSY_CPU_UTILIZATION = 0.85  # while servers report a lower utilization of their cores, there is capacity
 
 
 class ConcurrencyLimit:
@@ -38,7 +38,7 @@
         self._load = load
         self._response_times = response_times
         self.limit = math.inf
-        self.has_rejected = False  # whether it rejected anything since it was last resized
+        self.has_rejected = False  # whether it or a service level rejected anything since it was last resized
         self._served_objectives = Rate(context.max_latency_objective_us)  # objectives of what was served
         self._resized_at = 0
 
@@ -85,8 +85,9 @@
 
     def request_overdue(self) -> None:
         """Count an attempt as late before any response shows it, when a surge would be noticed too late."""
-        if self._response_times.cores is not None:
-            self._response_times.cores_reported(1.0)  # no response, no report: reports alone look too good
+        if self._response_times.cpu_utilization is not None:
+            # Without a response there is no report, so that the reports that do come look too good.
+            self._response_times.cpu_utilization_reported(1.0)
         self.request_lost()
 
     def response_took(self, part: float) -> None:
@@ -133,7 +134,7 @@
         balancer notices that by itself, and on crowded servers reports would show it too late.
         """
         excess = (self._response_times.typical - target) / target
-        cores = self._response_times.cores
+        cores = self._response_times.cpu_utilization
         if cores is not None and stretch > 1.0:
-            excess = min(excess, (cores - BUSY_CORES) / (1.0 - BUSY_CORES))
+            excess = min(excess, (cores - BUSY_CPU_UTILIZATION) / (1.0 - BUSY_CPU_UTILIZATION))
         return max(-1.0, min(excess, 1.0))
--- a/tulipnotch/load_balancing/balancer.py
+++ b/tulipnotch/load_balancing/balancer.py
@@ -154,7 +154,7 @@
         for attempt in request.attempts:
             if attempt.state in PENDING:
                 attempt.started_at = self._context.now
-                attempt.responses_before = self._components.outlier_detection.response_count
+                attempt.responses_before = self._components.outlier_detection.healthy_response_count
                 self._attempt_in_flight(request, attempt)
 
     def _client_disconnected(self, event: ClientDisconnected) -> None:
@@ -183,8 +183,10 @@
             return False
         components = self._components
         now = self._context.now
-        components.slow_start.spend(endpoint, request.work)
-        attempt = Attempt(len(request.attempts), endpoint, now, components.outlier_detection.response_count)
+        components.slow_start.consume(endpoint, request.work)
+        attempt = Attempt(
+            len(request.attempts), endpoint, now, components.outlier_detection.healthy_response_count
+        )
         attempt.connection_idle_us = components.idle_connections.reuse(endpoint)
         request.attempts.append(attempt)
         if endpoint.ejection is not None:
@@ -279,16 +281,16 @@
     def _retry_or_terminate(self, request: Request, attempt: Attempt, event: AttemptEnded) -> None:
         """Retry if that is permitted; else terminate the request, unless another attempt is pending."""
         retries = self._components.retries
-        is_redraw = event.outcome is Outcome.OVERLOADED
+        is_overload_retry = event.outcome is Outcome.OVERLOADED
         request.failed_endpoints.append(attempt.endpoint)
-        request.overloaded_responses += is_redraw
-        if event.is_retryable and retries.may_retry(request, is_redraw=is_redraw):
-            if not is_redraw:
-                retries.spend()
+        request.overloaded_responses += is_overload_retry
+        if event.is_retryable and retries.may_retry(request, is_overload_retry=is_overload_retry):
+            if not is_overload_retry:
+                retries.consume()
             self._start_or_terminate(request)
         elif not request.has_pending_attempt:
             self._terminate(request, TerminationReason.NO_RETRY)
-        if is_redraw and request.is_responded:
+        if is_overload_retry and request.is_responded:
             # No redraw found an endpoint with capacity: the fleet is overloaded, not one server.
             self._components.concurrency_limit.request_lost()
 
@@ -315,13 +317,13 @@
 
     def _attempt_overdue(self, request: Request, attempt: Attempt) -> None:
         """Start a hedged request, or cancel the attempt so that its end leads to a retry."""
-        if not self._components.attempt_timeouts.is_unresponsive(request, attempt):
+        if not self._components.attempt_timeouts.check_overdue(request, attempt):
             return
         if not self._components.retries.may_hedge(request):
             return
         limits = self._context.settings.limits
         if limits.hedged_requests:
-            self._components.retries.spend()
+            self._components.retries.consume()
             self._start_or_terminate(request)
         elif limits.may_cancel:
             self._context.actions.append(CancelAttempt(request.request_id, attempt.index))
--- a/tulipnotch/load_balancing/components.py
+++ b/tulipnotch/load_balancing/components.py
@@ -60,7 +60,7 @@
         self.latency.retain_classes(self.context.classes)
         self.class_costs.retain_classes(self.context.classes)
         if "util" not in settings.report_columns:
-            self.response_times.forget_cores()
+            self.response_times.forget_cpu_utilization()
         self.admission.settings_changed()
         self.warm_capacity.settings_changed()
         self.locality_weights.settings_changed()
--- a/tulipnotch/load_balancing/endpoints/endpoint.py
+++ b/tulipnotch/load_balancing/endpoints/endpoint.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from tulipnotch.load_balancing.events import EndpointState
-from tulipnotch.load_balancing.slow_start.token_bucket import LapsingBucket
+from tulipnotch.load_balancing.slow_start.token_bucket import ExpiringTokenBucket
 
 
 class WarmUp:
@@ -11,7 +11,7 @@
 
     __slots__ = ("budget", "is_start_announced", "started_at")
 
-    def __init__(self, started_at: int, budget: LapsingBucket, *, is_start_announced: bool) -> None:
+    def __init__(self, started_at: int, budget: ExpiringTokenBucket, *, is_start_announced: bool) -> None:
         """`started_at` is a clock time in microseconds; `is_start_announced`: discovery announced it."""
         self.started_at = started_at
         self.budget = budget
--- a/tulipnotch/load_balancing/health/attempt_feedback.py
+++ b/tulipnotch/load_balancing/health/attempt_feedback.py
@@ -41,7 +41,7 @@
         is_late = was_abandoned and event.elapsed_us >= request.service_class.latency_objective_us
         self._outlier_detection.attempt_ended(attempt, Outcome.TIMED_OUT if is_late else outcome)
         if event.report and "util" in event.report:
-            self._response_times.cores_reported(min(max(event.report["util"], 0.0), 1.0))
+            self._response_times.cpu_utilization_reported(min(max(event.report["util"], 0.0), 1.0))
         if was_abandoned:
             until = self._context.now + int(ABANDONED_PART * event.elapsed_us)
             self._load.attempt_abandoned(endpoint, until)
--- a/tulipnotch/load_balancing/health/outlier_detection.py
+++ b/tulipnotch/load_balancing/health/outlier_detection.py
@@ -50,7 +50,7 @@
         self._slow_start = slow_start
         self._idle_connections = idle_connections
         self._ejected: list[Endpoint] = []
-        self.response_count = 0  # responses so far, from all endpoints
+        self.healthy_response_count = 0  # responses so far, from all endpoints
 
     def attempt_ended(self, attempt: Attempt, outcome: Outcome) -> None:
         """Learn of an endpoint's health from the end of an attempt."""
@@ -71,7 +71,7 @@
         health.consecutive_failures = health.consecutive_malformed = 0
         health.last_response_at = self._context.now
         self._idle_connections.response_received(attempt)
-        self.response_count += 1
+        self.healthy_response_count += 1
         self._capacity.response_received(endpoint)
         if endpoint.ejection is not None:
             self.readmit(endpoint)
@@ -111,7 +111,7 @@
     def _eject(self, endpoint: Endpoint, reason: str, max_part: float = MAX_EJECTED_PART) -> None:
         """Eject an endpoint, or extend its ejection.
 
-        `max_part` of the known endpoints may be ejected (the panic threshold): more would overload the rest.
+        At most `max_part` of the endpoints in use is ejected at a time, since the rest would be overloaded.
         """
         context = self._context
         ejection = endpoint.ejection
--- a/tulipnotch/load_balancing/metrics/rate.py
+++ b/tulipnotch/load_balancing/metrics/rate.py
@@ -1,4 +1,4 @@
-"""Rates over a sliding window."""
+"""Rates with exponential decay."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Rate:
-    """A rate over a sliding window: a count that fades exponentially."""
+    """A rate whose past fades exponentially; the window is the time constant."""
 
     __slots__ = ("_count", "_updated_at", "_window_us")
 
--- a/tulipnotch/load_balancing/metrics/response_times.py
+++ b/tulipnotch/load_balancing/metrics/response_times.py
@@ -14,7 +14,7 @@
 IDLE_RISE = 0.0008  # the idle time may rise by this part of the objective at each response
 IDLE_RISE_LOADED = 0.00008  # and by this one while requests are rejected
 MIN_IDLE_PART = 0.04  # part of the objective below which idle times are treated alike
-CORES_STEP = 0.1  # of the last ten reports or so
+CPU_UTILIZATION_STEP = 0.1  # of the last ten reports or so
 
 
 class ResponseTimes:
@@ -27,17 +27,21 @@
         self.typical = 0.0  # the part of its objective that the typical response takes
         self.late = 0.0  # the part of the responses that come after their objective
         self.idle = 0.0  # the least that the typical response has lately taken
-        self.cores: float | None = None  # utilization of servers' cores, from 0 to 1; None: not reported
+        self.cpu_utilization: float | None = (
+            None  # utilization of servers' cores, from 0 to 1; None: not reported
+        )
         self._has_started = False
 
-    def forget_cores(self) -> None:
+    def forget_cpu_utilization(self) -> None:
         """Drop the last reports of core utilization, as servers send none any more."""
-        self.cores = None
+        self.cpu_utilization = None
 
-    def cores_reported(self, utilization: float) -> None:
+    def cpu_utilization_reported(self, utilization: float) -> None:
         """Follow a report of how busy a server's cores are, from 0 to 1."""
-        self.cores = (
-            utilization if self.cores is None else self.cores + CORES_STEP * (utilization - self.cores)
+        self.cpu_utilization = (
+            utilization
+            if self.cpu_utilization is None
+            else self.cpu_utilization + CPU_UTILIZATION_STEP * (utilization - self.cpu_utilization)
         )
 
     def response_took(self, part: float, *, is_unrestricted: bool) -> None:
--- a/tulipnotch/load_balancing/outcomes.py
+++ b/tulipnotch/load_balancing/outcomes.py
@@ -17,7 +17,9 @@
     CONNECTION_LOST = "dropped"  # the connection broke after the request's last byte
     CANCELLED = "cancelled"  # cancelled by this side after the last byte; the server may execute it
     NOT_SENT = "unsent"  # withdrawn by this side before the last byte, so it was never executed
-    MALFORMED_RESPONSE = "spoilt"  # a response that can't be used; it says nothing of the server's health
+    MALFORMED_RESPONSE = (
+        "spoilt"  # a response that is invalid, stalled or too large; only several in a row eject
+    )
     CLIENT_ERROR = "rejected"  # the server is healthy and rejected the request as invalid
 
 
--- a/tulipnotch/load_balancing/retries/attempt_timeouts.py
+++ b/tulipnotch/load_balancing/retries/attempt_timeouts.py
@@ -51,7 +51,7 @@
             )
         )
 
-    def is_unresponsive(self, request: Request, attempt: Attempt) -> bool:
+    def check_overdue(self, request: Request, attempt: Attempt) -> bool:
         """Learn from an overdue attempt; return whether no response to it is to be expected any more."""
         endpoint = attempt.endpoint
         elapsed_us = self._context.now - attempt.started_at
@@ -88,5 +88,5 @@
 
     def _is_only_unresponsive(self, attempt: Attempt) -> bool:
         """Whether others responded meanwhile, so that only this endpoint is unresponsive."""
-        responses = self._outlier_detection.response_count - attempt.responses_before
+        responses = self._outlier_detection.healthy_response_count - attempt.responses_before
         return attempt.endpoint.ejection is None and responses >= OTHER_RESPONSES
--- a/tulipnotch/load_balancing/retries/idempotency_rule.py
+++ b/tulipnotch/load_balancing/retries/idempotency_rule.py
@@ -1,4 +1,4 @@
-"""Rule 2, no double effects: until when and where an attempt may begin beside others that may have run.
+"""Rule 2, no double effects: until when and where an attempt may start while others may have been executed.
 
 Functions of a request's class and of its attempts, for both callers: the decision on a further attempt, and
 the instant in which the last byte of an attempt that was chosen earlier is about to be written.
@@ -44,7 +44,7 @@
 def write_deadline(
     service_class: ServiceClass, clock_resolution_us: int, attempts: Iterable[PriorAttempt]
 ) -> int:
-    """Clock time from which on no attempt may begin beside these; NEVER: no bound, 0: not at all.
+    """Clock time from which on no attempt may start concurrently with these; NEVER: no bound, 0: not at all.
 
     One clock tick less than the deduplication window, since a clock may be read once a tick.
     """
--- a/tulipnotch/load_balancing/retries/retry_policy.py
+++ b/tulipnotch/load_balancing/retries/retry_policy.py
@@ -44,12 +44,12 @@
             return 0
         return idempotency_rule.write_deadline(request.service_class, settings.clock_resolution_us, others)
 
-    def may_retry(self, request: Request, *, is_redraw: bool) -> bool:
+    def may_retry(self, request: Request, *, is_overload_retry: bool) -> bool:
         """Whether to retry after an attempt that ended.
 
         A redraw after an overloaded response is a part of best-of-k and no retry, so it takes no budget.
         """
-        return self._context.now < self.retry_deadline(request) and (is_redraw or self.budget >= 1.0)
+        return self._context.now < self.retry_deadline(request) and (is_overload_retry or self.budget >= 1.0)
 
     def may_hedge(self, request: Request) -> bool:
         """Whether to try another endpoint than one that is unresponsive."""
@@ -58,7 +58,7 @@
             return False
         return self.budget >= 1.0
 
-    def spend(self) -> None:
+    def consume(self) -> None:
         """Take one retry out of the budget."""
         self.budget -= 1.0
 
--- a/tulipnotch/load_balancing/slow_start/token_bucket.py
+++ b/tulipnotch/load_balancing/slow_start/token_bucket.py
@@ -5,7 +5,7 @@
 import math
 
 
-class LapsingBucket:
+class ExpiringTokenBucket:
     """Tokens that fill up to a capacity; a bucket that stays full for too long begins again, nearly empty."""
 
     __slots__ = ("_full_since", "_tokens", "_updated_at")
@@ -33,7 +33,7 @@
         """Whether there are so many tokens."""
         return self._tokens >= tokens
 
-    def spend(self, tokens: float) -> None:
+    def consume(self, tokens: float) -> None:
         """Take so many tokens out; the rest may become negative."""
         self._tokens -= tokens
         self._full_since = None
--- a/tulipnotch/load_balancing/slow_start/warm_up_budget.py
+++ b/tulipnotch/load_balancing/slow_start/warm_up_budget.py
@@ -20,13 +20,13 @@
 from tulipnotch.load_balancing.context import Context
 from tulipnotch.load_balancing.endpoints.endpoint import Endpoint, WarmUp
 from tulipnotch.load_balancing.settings import Rules
-from tulipnotch.load_balancing.slow_start.token_bucket import LapsingBucket
+from tulipnotch.load_balancing.slow_start.token_bucket import ExpiringTokenBucket
 from tulipnotch.load_balancing.slow_start.warm_capacity import WarmCapacity, is_warming_up
 
 FILL_PART = 0.25  # part of the overload rate that all buckets together fill at
 BURST_PART = 0.18  # part of that rate that may arrive at once
 LAPSE_WINDOWS = 1.0 / FILL_PART  # overload windows after which an unused token lapses: together one budget
-MAX_COST_ROOTS = 0.1  # roots of the endpoint's budget that a request may cost beyond the mean
+MAX_COST_ROOTS = 0.1  # a request may cost 1 + this x the square root of the budget, in means
 
 
 def phase(
@@ -56,7 +56,9 @@
     return 1.0 + MAX_COST_ROOTS * math.sqrt(max(budget, 0.0))
 
 
-def has_budget(bucket: LapsingBucket, now: int, rate: float, overload_window_us: int, cost: float) -> bool:
+def has_budget(
+    bucket: ExpiringTokenBucket, now: int, rate: float, overload_window_us: int, cost: float
+) -> bool:
     """Whether a request of this cost may pass; `rate` is the own part of the overload rate, per us."""
     capacity = max(1.0, BURST_PART * rate * overload_window_us)
     bucket.fill(now, FILL_PART * rate, capacity, LAPSE_WINDOWS * overload_window_us)
@@ -83,7 +85,7 @@
         )
         endpoint.warm_up = WarmUp(
             now if started_at is None else min(started_at, now),
-            LapsingBucket(now, tokens),
+            ExpiringTokenBucket(now, tokens),
             is_start_announced=started_at is not None,
         )
 
@@ -111,7 +113,7 @@
             return False
         return has_budget(warm_up.budget, now, rate, rules.overload_window_us, work)
 
-    def spend(self, endpoint: Endpoint, work: float) -> None:
+    def consume(self, endpoint: Endpoint, work: float) -> None:
         """Take a request of this much work out of the endpoint's warm-up budget."""
         if endpoint.warm_up is not None and self.is_warming_up(endpoint):
-            endpoint.warm_up.budget.spend(work)
+            endpoint.warm_up.budget.consume(work)
--- a/tulipnotch/sidecar/control/endpoint.py
+++ b/tulipnotch/sidecar/control/endpoint.py
@@ -13,7 +13,7 @@
 from typing import cast
 
 from tulipnotch.sidecar.addresses import Address
-from tulipnotch.sidecar.downstream.listener import Acceptor, bind
+from tulipnotch.sidecar.downstream.listener import Acceptor, bind_and_listen
 
 
 @dataclass(frozen=True, slots=True)
@@ -58,7 +58,7 @@
         Raises:
             OSError: The address cannot be bound.
         """
-        self.accept_from(bind(address))
+        self.accept_from(bind_and_listen(address))
 
     def accept_from(self, listener: socket.socket) -> None:
         """Accepts connections from a socket that already listens, and owns it from now on."""
--- a/tulipnotch/sidecar/downstream/client_limits.py
+++ b/tulipnotch/sidecar/downstream/client_limits.py
@@ -7,7 +7,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientLimits:
-    """Limits on clients' connections; the fields are keys of the operator file, times are in seconds."""
+    """Limits on clients' connections; times are in seconds.
+
+    `header_timeout_s`, `stall_s`, `reading_s` and `idle_timeout_s` are keys of the operator file too.
+    """
 
     # From the connection, or the first byte of a further request, to its complete head.
     header_timeout_s: float = 2.7
@@ -15,7 +18,7 @@
     stall_s: float = 2.0
     trickle_s: float = 4.0
     least_in_trickle: int = 16 << 10
-    reading_s: float = 20.0  # without reading any of the response
+    reading_s: float = 20.0  # how long a client may read nothing of its response
     idle_timeout_s: float = 5.0  # after a response
     leaving_s: float = 0.5  # idle, or before the first byte, while the sidecar is draining
     greeting_s: float = 0.25  # after the connection, before a client without a request may be evicted
--- a/tulipnotch/sidecar/downstream/connection.py
+++ b/tulipnotch/sidecar/downstream/connection.py
@@ -31,7 +31,7 @@
 )
 from tulipnotch.sidecar.http1.request_reader import RequestReader
 from tulipnotch.sidecar.requests.invariants import CloseReason, InvariantChecker
-from tulipnotch.sidecar.sockets import has_ended, has_input, own_socket, watch_input
+from tulipnotch.sidecar.sockets import has_input, is_peer_closed, own_socket, watch_input
 
 _MAX_PENDING_BODY_BYTES = 32 << 10  # of a streamed body, before reading pauses until the server takes some
 _HEALTH_PATH = b"/_health"
@@ -111,7 +111,7 @@
         """The service classes in force; never changed, only replaced."""
         ...
 
-    def read_request(self, request: Request, classes: Mapping[str, ServiceClass]) -> IncomingRequest:
+    def validate_request(self, request: Request, classes: Mapping[str, ServiceClass]) -> IncomingRequest:
         """Validate a request whose first byte came when there were these classes.
 
         Raises:
@@ -167,7 +167,7 @@
         self.buffered_bytes = 0  # of the request, and of what came behind it
 
     @property
-    def is_idle(self) -> bool:
+    def can_close_safely(self) -> bool:
         """Whether nothing is lost if it is closed now, not even a request that is unread in the socket."""
         return (
             self.state in (ConnectionState.IDLE, ConnectionState.CONNECTED)
@@ -210,7 +210,7 @@
         Its end may be in the socket before the event loop has seen it, and is never seen while reading is
         paused.
         """
-        if self._request_number is not None and has_ended(self._poll):
+        if self._request_number is not None and is_peer_closed(self._poll):
             self._client_disconnected()
             self.abort(CloseReason.CLIENT_LEFT)
 
@@ -308,7 +308,7 @@
     def _has_pending_input(self) -> bool:
         """Whether the reader has something of a further request, or an error in it."""
         reader = self._reader
-        return reader.is_mid_message or bool(reader.requests) or reader.fault is not None
+        return reader.is_mid_message or bool(reader.requests) or reader.error_status is not None
 
     # The end of the connection
 
@@ -361,7 +361,7 @@
         self.send_response(status, [], f"{text}\n".encode() if text else b"")
 
     def abandon_request(self, status: int) -> None:
-        """Reject a request of which a part has been forwarded: the rest of it is malformed or late."""
+        """Reject a request that is incomplete: its rest is malformed, late or more than may be buffered."""
         self._client_disconnected()
         self.reject(status)
 
@@ -455,8 +455,8 @@
                 return  # a client that does not read its responses gets no more of them
             if self._reader.requests:
                 self._dispatch(self._reader.requests.pop(0))
-            elif self._reader.fault is not None:
-                self.reject(self._reader.fault)
+            elif self._reader.error_status is not None:
+                self.reject(self._reader.error_status)
             else:
                 if self._reader.awaits_continue:
                     self._reader.awaits_continue = False
@@ -472,11 +472,11 @@
             lifecycle = self._owner.lifecycle
             self.send_response(200 if lifecycle.is_ready else 503, [], f"{lifecycle.phase.value}\n".encode())
             return
-        if has_ended(self._poll):
+        if is_peer_closed(self._poll):
             self.abort(CloseReason.CLIENT_LEFT)  # it sent this ahead, and did not wait for the response
             return
         try:
-            incoming = self._owner.read_request(request, self._classes)
+            incoming = self._owner.validate_request(request, self._classes)
             if is_complete:
                 # The client's time runs from when it sent the request.
                 incoming.remaining_us = max(incoming.remaining_us - int(self._queued_s * 1e6), 1)
@@ -493,8 +493,8 @@
         request = self._request
         if request is None:
             return
-        if self._reader.fault is not None:
-            self.abandon_request(self._reader.fault)
+        if self._reader.error_status is not None:
+            self.abandon_request(self._reader.error_status)
         elif request.body.is_complete:
             self._move(ConnectionState.AWAITING_RESPONSE)
         elif request.body.pending_bytes >= _MAX_PENDING_BODY_BYTES:
--- a/tulipnotch/sidecar/downstream/connection_table.py
+++ b/tulipnotch/sidecar/downstream/connection_table.py
@@ -102,9 +102,9 @@
         # on the way, and it would stay without a response.
         greeted_until = asyncio.get_running_loop().time() - self._limits.greeting_s
         for oldest in islice(by_state[ConnectionState.CONNECTED], 1):
-            if oldest.state_since <= greeted_until and oldest.is_idle:
+            if oldest.state_since <= greeted_until and oldest.can_close_safely:
                 yield oldest
-        yield from (each for each in by_state[ConnectionState.IDLE] if each.is_idle)
-        yield from (each for each in by_state[ConnectionState.CONNECTED] if each.is_idle)
+        yield from (each for each in by_state[ConnectionState.IDLE] if each.can_close_safely)
+        yield from (each for each in by_state[ConnectionState.CONNECTED] if each.can_close_safely)
         # Not if the last byte of the request may have come.
         yield from (each for each in by_state[ConnectionState.READING] if not each.has_unread_input)
--- a/tulipnotch/sidecar/downstream/incoming_request.py
+++ b/tulipnotch/sidecar/downstream/incoming_request.py
@@ -47,7 +47,7 @@
 
     service_class: ServiceClass  # as the settings had it when the first byte came
     tenant: str | None
-    key: int | None  # requests about one thing have the same
+    hash_key: int | None  # requests about one thing have the same
     remaining_us: int
     cost_us: int | None
     client_retry: bool
@@ -71,7 +71,7 @@
         )
 
 
-def read_request(
+def validate_request(
     request: Request, settings: Settings, classes: Mapping[str, ServiceClass]
 ) -> IncomingRequest:
     """Validate a request.
@@ -108,7 +108,7 @@
     return IncomingRequest(
         service_class=service_class,
         tenant=tenant if any(known.name == tenant for known in settings.tenants) else None,
-        key=_key(request.target),
+        hash_key=_key(request.target),
         # Each open request takes memory, so none may stay longer than its class allows.
         remaining_us=min(remaining_us, service_class.deadline_us),
         cost_us=int(hint) if hint is not None else None,
--- a/tulipnotch/sidecar/downstream/listener.py
+++ b/tulipnotch/sidecar/downstream/listener.py
@@ -38,7 +38,7 @@
 _QUEUE_POLL_S = 0.02  # between two looks at an accept queue that another process may serve
 
 
-def bind(address: Address, max_connections: int = 0) -> socket.socket:
+def bind_and_listen(address: Address, max_connections: int = 0) -> socket.socket:
     """Listen on this address.
 
     Args:
@@ -48,7 +48,7 @@
     Raises:
         OSError: If it can't be bound.
     """
-    reserved = reserve(address)
+    reserved = bind(address)
     try:
         listen(reserved, max_connections)
     except OSError:
@@ -57,7 +57,7 @@
     return reserved
 
 
-def reserve(address: Address) -> socket.socket:
+def bind(address: Address) -> socket.socket:
     """Bind this address without listening on it.
 
     Raises:
@@ -89,7 +89,7 @@
     reserved.listen(min(max(max_connections, _MIN_BACKLOG), _MAX_BACKLOG))
 
 
-async def reserve_soon(address: Address) -> socket.socket:
+async def bind_with_retry(address: Address) -> socket.socket:
     """Bind this address, and retry for a few seconds if it is in use.
 
     Raises:
@@ -99,7 +99,7 @@
     retry_until = loop.time() + _BIND_TIMEOUT_S
     while True:
         try:
-            return reserve(address)
+            return bind(address)
         except OSError as error:
             if error.errno not in _TEMPORARY_BIND_ERRORS or loop.time() >= retry_until:
                 raise
--- a/tulipnotch/sidecar/downstream/response_stream.py
+++ b/tulipnotch/sidecar/downstream/response_stream.py
@@ -34,8 +34,8 @@
         """
         self.producer = producer
         self._length = length
-        self._is_chunked = length is None and request is not None and request.knows_chunks
-        if length is None and request is not None and not request.knows_chunks:
+        self._is_chunked = length is None and request is not None and request.accepts_chunked
+        if length is None and request is not None and not request.accepts_chunked:
             request.keep_alive = False  # only the end of the connection tells where the body ends
 
     def framing(self) -> Headers:
--- a/tulipnotch/sidecar/downstream/server.py
+++ b/tulipnotch/sidecar/downstream/server.py
@@ -11,7 +11,7 @@
 from tulipnotch.sidecar.downstream.client_limits import ClientLimits
 from tulipnotch.sidecar.downstream.connection import DownstreamConnection, RequestHandler
 from tulipnotch.sidecar.downstream.connection_table import ConnectionTable
-from tulipnotch.sidecar.downstream.incoming_request import IncomingRequest, read_request
+from tulipnotch.sidecar.downstream.incoming_request import IncomingRequest, validate_request
 from tulipnotch.sidecar.downstream.listener import Acceptor
 from tulipnotch.sidecar.downstream.timeouts import TimeoutSweep
 from tulipnotch.sidecar.http1.messages import Request
@@ -99,7 +99,7 @@
 
     def close_idle(self) -> None:
         """Close all connections on which nothing is pending."""
-        for connection in [each for each in self.connections() if each.is_idle]:
+        for connection in [each for each in self.connections() if each.can_close_safely]:
             connection.close(CloseReason.IDLE)
 
     def accept_pending(self) -> bool:
@@ -133,11 +133,11 @@
         """Drop these classes, except those that were defined anew meanwhile."""
         self.classes = {name: each for name, each in self.classes.items() if dropped.get(name) is not each}
 
-    def read_request(self, request: Request, classes: Mapping[str, ServiceClass]) -> IncomingRequest:
+    def validate_request(self, request: Request, classes: Mapping[str, ServiceClass]) -> IncomingRequest:
         """Validate a request whose first byte came when there were these classes.
 
         Raises:
             BadRequestError: If it is invalid.
         """
         known = self.classes if classes is self.classes else {**classes, **self.classes}
-        return read_request(request, self._settings, known)
+        return validate_request(request, self._settings, known)
--- a/tulipnotch/sidecar/downstream/timeouts.py
+++ b/tulipnotch/sidecar/downstream/timeouts.py
@@ -12,7 +12,7 @@
 
 
 class TimeoutSweep:
-    """Checks all connections each `ClientLimits.sweep_s`: a descriptor that waits for nothing is needed.
+    """Checks all connections each `ClientLimits.sweep_s`: each open one holds a descriptor.
 
     While the sidecar drains, idle connections are closed soon, yet not at once: the next request of a client
     that is at work has its response, which says that the connection closes.
@@ -53,7 +53,7 @@
         idle_s = limits.leaving_s if self._lifecycle.is_draining else limits.idle_timeout_s
         timeout_s = min(limits.header_timeout_s, idle_s)
         for connection in self._connections.in_state(ConnectionState.CONNECTED):
-            if now - connection.state_since >= timeout_s and connection.is_idle:
+            if now - connection.state_since >= timeout_s and connection.can_close_safely:
                 connection.close(CloseReason.SILENT)
 
     def _sweep_reading(self, now: float) -> None:
@@ -87,7 +87,9 @@
         for connection in self._connections.in_state(ConnectionState.IDLE):
             if now - connection.state_since < timeout_s:
                 break  # those after it are idle for less time
-            if connection.is_idle:  # else its response is still being sent, or a further request has come
+            if (
+                connection.can_close_safely
+            ):  # else its response is still being sent, or a further request has come
                 connection.close(CloseReason.IDLE)
             elif connection.is_response_stalled(now, self._limits):
                 connection.abort(CloseReason.UNREAD)
--- a/tulipnotch/sidecar/http1/messages.py
+++ b/tulipnotch/sidecar/http1/messages.py
@@ -32,7 +32,7 @@
     body: Body = field(default_factory=Body)
     keep_alive: bool = True
     is_chunked: bool = False
-    knows_chunks: bool = True
+    accepts_chunked: bool = True
     length: int | None = None
 
     def encode_start(self) -> bytes:
--- a/tulipnotch/sidecar/http1/request_reader.py
+++ b/tulipnotch/sidecar/http1/request_reader.py
@@ -26,7 +26,7 @@
     def __init__(self, max_body_bytes: int = MAX_BODY_BYTES) -> None:
         """Reject requests whose bodies are longer than `max_body_bytes`."""
         self.requests: list[Request] = []  # a list, since an empty deque takes half a KiB
-        self.fault: int | None = None
+        self.error_status: int | None = None
         self.awaits_continue = False
         self._max_body_bytes = max_body_bytes
         self._part: PartialMessage | None = None
@@ -50,7 +50,7 @@
 
     def feed(self, data: bytes) -> None:
         """Read bytes that were received; sets `fault` where they are no acceptable request."""
-        if self.fault is not None:
+        if self.error_status is not None:
             return
         try:
             self._parser.feed_data(data)
@@ -65,8 +65,8 @@
                 self._reject(431)
 
     def _reject(self, status: int) -> None:
-        if self.fault is None:
-            self.fault = status
+        if self.error_status is None:
+            self.error_status = status
 
     def on_url(self, url: bytes) -> None:
         """Called by the parser for each part of the target."""
@@ -76,7 +76,7 @@
     def on_headers_complete(self) -> None:
         """Called by the parser at the end of a head; rejects what the head shows to be unacceptable."""
         part = self._part
-        if part is None or self.fault is not None:
+        if part is None or self.error_status is not None:
             return
         part.has_head = True
         self._body, self._is_queued = Body(is_complete=False), False
@@ -92,7 +92,7 @@
 
     def on_body(self, data: bytes) -> None:
         """Called by the parser for each part of a body."""
-        if self._part is None or self.fault is not None:
+        if self._part is None or self.error_status is not None:
             return
         if self._body.size + len(data) > self._max_body_bytes:
             self._reject(413)
@@ -105,7 +105,7 @@
         """Called by the parser at the last byte of a request."""
         part, self._part = self._part, None
         self.awaits_continue = False
-        if part is None or self.fault is not None:
+        if part is None or self.error_status is not None:
             return
         if not self._is_queued:
             self._body.is_complete = True
@@ -123,7 +123,7 @@
                 headers=part.headers,
                 body=self._body,
                 keep_alive=self._parser.should_keep_alive(),
-                knows_chunks=self._parser.get_http_version() == "1.1",
+                accepts_chunked=self._parser.get_http_version() == "1.1",
                 length=int(lengths[0]) if lengths else None,
             )
         )
--- a/tulipnotch/sidecar/program.py
+++ b/tulipnotch/sidecar/program.py
@@ -21,7 +21,7 @@
 from tulipnotch.sidecar.configuration.configuration import Config, ConfigError, load
 from tulipnotch.sidecar.configuration.reload import reload_configuration
 from tulipnotch.sidecar.control.endpoint import ControlEndpoint
-from tulipnotch.sidecar.downstream.listener import adopt, listen, reserve_soon
+from tulipnotch.sidecar.downstream.listener import adopt, bind_with_retry, listen
 from tulipnotch.sidecar.logs import Log
 from tulipnotch.sidecar.operator_file import OPERATOR_VARIABLE, OperatorOptions, load_operator_options
 from tulipnotch.sidecar.sidecar import Sidecar
@@ -95,7 +95,7 @@
     Raises:
         OSError: The address cannot be bound.
     """
-    listener = await reserve_soon(address)
+    listener = await bind_with_retry(address)
     listen(listener)
     control.accept_from(listener)
     log("control_endpoint_listening", address=f"{address[0]}:{control.port}")
--- a/tulipnotch/sidecar/requests/attempts.py
+++ b/tulipnotch/sidecar/requests/attempts.py
@@ -90,7 +90,7 @@
             False  # whether the balancer was notified of its outcome, since its response streams
         )
 
-    def is_client_waiting(self) -> bool:
+    def check_still_wanted(self) -> bool:
         """Looks at the client's socket too; where the client has left, the attempt is cancelled within."""
         request = self._request
         waiting = request.response
@@ -108,7 +108,7 @@
         starter = self._starter
         starter.context.telemetry.attempt_written()
         self._check_written(request)
-        starter.balancer.attempt_written(self._request.number, self._number, request.last_allowed_at)
+        starter.balancer.attempt_written(self._request.number, self._number, request.last_write_allowed_at)
         for other in self._request.upstream_requests:
             if other is not request:
                 starter.context.upstream.write_deadline_changed(other)
@@ -117,7 +117,7 @@
         request = self._request
         context = self._starter.context
         zone, cell = context.upstream.locality(self._endpoint)
-        written = WrittenAttempt(zone, cell, upstream_request.last_allowed_at)
+        written = WrittenAttempt(zone, cell, upstream_request.last_write_allowed_at)
         request_id = request.incoming.request_id
         context.invariants.check_attempt(
             request_id,
--- a/tulipnotch/sidecar/requests/request_receiver.py
+++ b/tulipnotch/sidecar/requests/request_receiver.py
@@ -65,7 +65,7 @@
                 request=request.number,
                 service_class=incoming.class_name,
                 tenant=incoming.tenant,
-                key=incoming.key,
+                key=incoming.hash_key,
                 remaining_us=incoming.remaining_us,
                 cost_us=incoming.cost_us,
                 client_retry=incoming.client_retry,
--- a/tulipnotch/sidecar/sidecar.py
+++ b/tulipnotch/sidecar/sidecar.py
@@ -26,7 +26,7 @@
 from tulipnotch.sidecar.discovery.client import DiscoveryClient
 from tulipnotch.sidecar.discovery.endpoint_list_codec import DiscoveryResponse
 from tulipnotch.sidecar.discovery.peers import PeerMessenger
-from tulipnotch.sidecar.downstream.listener import reserve_soon
+from tulipnotch.sidecar.downstream.listener import bind_with_retry
 from tulipnotch.sidecar.downstream.server import DownstreamServer
 from tulipnotch.sidecar.event_queue import EventQueue
 from tulipnotch.sidecar.operator_file import OperatorOptions
@@ -141,7 +141,7 @@
             OSError: An address can't be had.
         """
         self._has_inherited_listener = inherited is not None
-        reserved = await reserve_soon(self.config.listen) if inherited is None else None
+        reserved = await bind_with_retry(self.config.listen) if inherited is None else None
         if self._context.settings.limits.may_send_peer_messages and self.config.peer_listen is not None:
             await self._peers.listen(self.config.peer_listen)
         self._upstream.endpoints_updated(self.config.known)
--- a/tulipnotch/sidecar/sockets.py
+++ b/tulipnotch/sidecar/sockets.py
@@ -29,7 +29,7 @@
 
 
 def watch_input(poll: select.poll, transport: asyncio.BaseTransport) -> None:
-    """Have `poll` look at the socket of an open transport, for `has_input` and `has_ended`."""
+    """Have `poll` look at the socket of an open transport, for `has_input` and `is_peer_closed`."""
     descriptor = transport.get_extra_info("socket").fileno()
     poll.register(descriptor, select.POLLIN | select.POLLRDHUP)
 
@@ -39,6 +39,6 @@
     return bool(poll.poll(0))
 
 
-def has_ended(poll: select.poll) -> bool:
+def is_peer_closed(poll: select.poll) -> bool:
     """Return whether the peer has closed or reset the connection; bytes before its end may be unread."""
     return any(events & _DISCONNECT_EVENTS for _, events in poll.poll(0))
--- a/tulipnotch/sidecar/upstream/pool.py
+++ b/tulipnotch/sidecar/upstream/pool.py
@@ -200,7 +200,7 @@
         )
         request.connection = connection
         now = self._clock.now()
-        request.head_written_at = now if request.deadline < NEVER else None
+        request.timeout_runs_from = now if request.deadline < NEVER else None
         message = request.build_message(max(request.deadline - now, _MIN_ANNOUNCED_TIMEOUT_US))
         connection.exchange(message, RequestExchange(self._gate, request, connection))
 
--- a/tulipnotch/sidecar/upstream/request.py
+++ b/tulipnotch/sidecar/upstream/request.py
@@ -21,7 +21,7 @@
         """Whether a response too large to be buffered is passed on; if not, it is malformed."""
         ...
 
-    def is_client_waiting(self) -> bool:
+    def check_still_wanted(self) -> bool:
         """Whether the request is still to be sent; it may be cancelled within this call."""
         ...
 
@@ -47,7 +47,7 @@
 
     streams_responses = False
 
-    def is_client_waiting(self) -> bool:
+    def check_still_wanted(self) -> bool:
         """Always, since the request is sent for its own sake."""
         return True
 
@@ -75,10 +75,10 @@
         "deadline",
         "endpoint",
         "has_ended",
-        "head_written_at",
         "is_response_certain",
-        "last_allowed_at",
+        "last_write_allowed_at",
         "observer",
+        "timeout_runs_from",
         "timer",
     )
 
@@ -91,8 +91,8 @@
         self.build_message = build_message
         self.observer = observer
         self.has_ended = False
-        self.last_allowed_at = 0  # when a write was last allowed
-        self.head_written_at: int | None = None  # from when on the time that its head announces passes
+        self.last_write_allowed_at = 0  # when a write was last allowed
+        self.timeout_runs_from: int | None = None  # from when on the time that its head announces passes
         self.is_response_certain = True  # whether a response can belong to no other request
         self.connection: UpstreamConnection | None = None  # once it is being written
         self.timer: asyncio.TimerHandle | None = None
--- a/tulipnotch/sidecar/upstream/write_gate.py
+++ b/tulipnotch/sidecar/upstream/write_gate.py
@@ -30,14 +30,14 @@
         Every attempt has to pass here in the instant in which a connection is begun for it and in which a
         part of it is written: the first byte, each further part, and the last byte.
         """
-        if not request.has_ended and not request.observer.is_client_waiting():
+        if not request.has_ended and not request.observer.check_still_wanted():
             self.cancel(request)
         if not request.has_ended:
             # Read before the write, so that a delay of the process within the write counts as time passed.
-            now = request.last_allowed_at = self._clock.now()
+            now = request.last_write_allowed_at = self._clock.now()
             if now >= request.observer.write_deadline():
                 self._stop(request, Outcome.NOT_SENT)  # a retry later than this could have a double effect
-            elif now >= request.deadline or self._is_head_stale(request.head_written_at, now):
+            elif now >= request.deadline or self._is_head_stale(request.timeout_runs_from, now):
                 self._stop(request, Outcome.CONNECT_FAILED)
         return not request.has_ended
 
@@ -55,7 +55,7 @@
         if not request.has_ended and request.deadline >= NEVER:
             request.deadline = deadline
             if request.connection is not None:
-                request.head_written_at = (
+                request.timeout_runs_from = (
                     self._clock.now()
                 )  # its head announced all the time of a complete one
             self.start_timer(request)
--- a/tulipnotch/simulator_wire/adapter.py
+++ b/tulipnotch/simulator_wire/adapter.py
@@ -33,7 +33,7 @@
 _WIRE_ERROR_EXIT_CODE = 2
 
 
-class BatchHost:
+class BalancerHost:
     """Hosts independent balancers by name, and plays batches of messages to them."""
 
     def __init__(self) -> None:
@@ -136,7 +136,7 @@
 
 def run(lines: Iterable[str], output: TextIO, errors: TextIO) -> int:
     """Play all lines; return the exit code."""
-    host = BatchHost()
+    host = BalancerHost()
     for number, text in enumerate(lines, 1):
         try:
             reply = host.line_received(text)
