--- a/tests/sidecar/discovery/test_change_propagation.py
+++ b/tests/sidecar/discovery/test_change_propagation.py
@@ -45,7 +45,7 @@
 
 async def _assert_drained(scene: Stage) -> None:
     """Once the balancer knows of the drain, every request goes to the other server."""
-    await until(lambda: scene.sidecar._balancer.members() == (2, 1))
+    await until(lambda: scene.sidecar._balancer.endpoint_counts() == (2, 1))
     before = len(scene.servers[0].heard)
     for _ in range(12):
         assert (await scene.ask()).status == 200
@@ -207,7 +207,7 @@
         await _lose_calls(case, scene, server, attempts)
         server.drain(drained)
         reachable_at = loop.time()
-        await until(lambda: scene.sidecar._balancer.members() == (2, 1))
+        await until(lambda: scene.sidecar._balancer.endpoint_counts() == (2, 1))
         elapsed_s = loop.time() - reachable_at
         await _assert_drained(scene)
         server.stop()
--- a/tests/sidecar/requests/test_client_disconnects.py
+++ b/tests/sidecar/requests/test_client_disconnects.py
@@ -17,6 +17,7 @@
 from tulipnotch.load_balancing.actions import Action, StartAttempt
 from tulipnotch.load_balancing.clock_time import NEVER
 from tulipnotch.load_balancing.endpoints.endpoint import Ejection
+from tulipnotch.load_balancing.endpoints.endpoint_list import EndpointCounts
 from tulipnotch.load_balancing.events import AttemptEnded, Event, RequestArrived, TimerFired
 from tulipnotch.load_balancing.outcomes import Outcome
 from tulipnotch.sidecar.downstream.client_limits import ClientLimits
@@ -245,8 +246,8 @@
     def write_deadline(self, _request: int, _attempt: int) -> int:
         return NEVER
 
-    def members(self) -> tuple[int, int]:
-        return len(self._servers), 0
+    def endpoint_counts(self) -> EndpointCounts:
+        return EndpointCounts(len(self._servers), 0)
 
 
 @pytest.mark.parametrize("ahead", [b"", _AHEAD], ids=["", "pipelined"])
--- a/tests/sidecar/test_race_conditions.py
+++ b/tests/sidecar/test_race_conditions.py
@@ -412,11 +412,11 @@
             members = len(scene.sidecar._balancer._context.endpoints)
             if end == "fin":
                 await until(lambda: scene.sidecar._endpoints.received.is_set())
-                assert scene.sidecar._balancer.members()[0] == 0
+                assert scene.sidecar._balancer.endpoint_counts()[0] == 0
             else:
                 await until(lambda: answered >= 3)
                 assert not scene.sidecar._endpoints.received.is_set()
-                assert scene.sidecar._balancer.members()[0] == members == 1
+                assert scene.sidecar._balancer.endpoint_counts()[0] == members == 1
                 assert any("broke" in each for each in scene.log)
         discovery.stop()
 
--- a/tulipnotch/load_balancing/balancer.py
+++ b/tulipnotch/load_balancing/balancer.py
@@ -12,6 +12,7 @@
 from tulipnotch.load_balancing.admission.pressure import Pressure
 from tulipnotch.load_balancing.components import Components
 from tulipnotch.load_balancing.endpoints.endpoint import Endpoint
+from tulipnotch.load_balancing.endpoints.endpoint_list import EndpointCounts
 from tulipnotch.load_balancing.events import (
     AttemptEnded,
     ClientDisconnected,
@@ -74,9 +75,9 @@
             context.actions.append(timer)
         return context.actions
 
-    def members(self) -> tuple[int, int]:
+    def endpoint_counts(self) -> EndpointCounts:
         """The number of listed endpoints, and how many of these get no ordinary request now."""
-        return self._components.endpoint_list.members()
+        return self._components.endpoint_list.count()
 
     def pressure(self) -> Pressure:
         """What service levels are decided by."""
--- a/tulipnotch/load_balancing/endpoints/endpoint_list.py
+++ b/tulipnotch/load_balancing/endpoints/endpoint_list.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
+from typing import NamedTuple
 
 from tulipnotch.load_balancing.context import Context
 from tulipnotch.load_balancing.endpoints.endpoint import Endpoint
@@ -19,6 +20,13 @@
 UNSET_RATIO = 0.0  # a latency ratio that is to be set from the nominal capacity
 
 
+class EndpointCounts(NamedTuple):
+    """How many endpoints are listed, and how many of these get no ordinary request now."""
+
+    listed: int
+    unavailable: int
+
+
 @dataclass(eq=False)
 class EndpointList:
     """Applies updates to the endpoints that the balancer knows."""
@@ -45,8 +53,8 @@
         self._context.ready_endpoints = ready
         self._set_latency_ratios(ready)
 
-    def members(self) -> tuple[int, int]:
-        """The number of listed endpoints, and how many of these get no ordinary request now."""
+    def count(self) -> EndpointCounts:
+        """Count the endpoints as of the last event."""
         listed = [
             each for each in self._context.endpoints.values() if each.state is not EndpointState.REMOVED
         ]
@@ -58,7 +66,7 @@
             if each.state is not EndpointState.READY
             or (each.ejection is not None and now < each.ejection.until)
         ]
-        return len(listed), len(avoided)
+        return EndpointCounts(listed=len(listed), unavailable=len(avoided))
 
     def forget_if_removed(self, endpoint: Endpoint) -> None:
         """Retain nothing of a removed endpoint once its last attempt has ended.
--- a/tulipnotch/load_balancing/outcomes.py
+++ b/tulipnotch/load_balancing/outcomes.py
@@ -7,7 +7,7 @@
 
 @unique
 class Outcome(Enum):
-    """How an attempt ended.  Logs and telemetry show the values."""
+    """How an attempt ended."""
 
     DELIVERED = "delivered"  # the client was served
     SERVER_ERROR = "error"  # the server responded with an error, and may have executed the request
@@ -25,7 +25,7 @@
 
 @unique
 class TerminationReason(Enum):
-    """Why a request ends without a response from a server.  Logs and telemetry show the values."""
+    """Why a request ends without a response from a server."""
 
     ADMISSION = "admission"  # rejected by the concurrency limit or the service level
     NO_ENDPOINT = "no_server"  # no endpoint is eligible
--- a/tulipnotch/sidecar/control_commands.py
+++ b/tulipnotch/sidecar/control_commands.py
@@ -54,11 +54,11 @@
 
     def telemetry(self) -> Sequence[str]:
         """All counters and gauges, a line each, and a line with a full stop."""
-        endpoints, unavailable = self._balancer.members()
+        counts = self._balancer.endpoint_counts()
         gauges = {
             "pending": self._registry.pending_complete_requests,
-            "members": endpoints,
-            "members_unavailable": unavailable,
+            "members": counts.listed,
+            "members_unavailable": counts.unavailable,
             "invariant_violations": self._context.invariants.violations,
         }
         if self._levels is not None:
