--- a/benchmarks/cold.py
+++ b/benchmarks/cold.py
@@ -125,7 +125,7 @@
     def _falls(self, server: OrderServer, sent_us: float, bearable_us: float) -> bool:
         started_at = server.started_at or 0
         self.starts.add((server.name, started_at))
-        if not self.world.ledger.was_told(server.name, started_at, server.sent_by()):
+        if not self.world.history.was_notified(server.name, started_at, server.sent_by()):
             return False
         bears, sent = bearable_us / self._mean_us, sent_us / self._mean_us
         allowed = bears + 2.0 * math.sqrt(bears) + 2.0
@@ -144,7 +144,7 @@
     worth = 0.0
     for each in watches:
         each.world.run()
-        worth += each.world.recorder.metrics(each.world.ledger)["worth"]
+        worth += each.world.recorder.metrics(each.world.history)["worth"]
     return Found(
         case, processes, budget, len(seeds),
         starts=sum(len(each.starts) for each in watches),
--- /dev/null
+++ b/tests/lab/test_history_checker.py
@@ -0,0 +1,212 @@
+"""The history checker finds what a broken policy or sidecar violates, and nothing in a correct one."""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+from typing import Any
+
+import pytest
+from worlds import KEYED, SAFE, UNSAFE, world
+
+from tulipnotch.lab.history_checker import HistoryChecker
+from tulipnotch.lab.policies import LeastOfTwo
+from tulipnotch.lab.scenario import ServiceClass
+from tulipnotch.lab.virtual import VirtualSidecar, World
+from tulipnotch.load_balancing import Balancer
+from tulipnotch.load_balancing.actions import Action, FailRequest, RejectRequest
+from tulipnotch.load_balancing.events import EndpointsUpdated, Event, RequestArrived
+from tulipnotch.load_balancing.settings import Settings
+
+CRASHES = [{"kind": "crash", "at_s": 2.0, "for_s": 2.0, "part": 0.4}]
+DRAINS = [{"kind": "drain", "at_s": 1.0, "for_s": 3.0, "part": 1.0, "back_s": 0.5}]
+
+
+def run_scenario(make: Any, seed: int = 1, **changes: Any) -> HistoryChecker:
+    run = World(world(**changes), seed, make)
+    run.run()
+    return run.history
+
+
+def make_balancer(settings: Settings, seed: int, _: World) -> Balancer:
+    return Balancer(settings, seed)
+
+
+@pytest.mark.parametrize("faults", [CRASHES, DRAINS, [{"kind": "hang", "at_s": 2.0, "for_s": 3.0}]])
+def test_balancer_violates_no_rule_under_server_faults(faults: list[dict[str, Any]]) -> None:
+    checker = run_scenario(make_balancer, faults=faults)
+    assert checker.violated_rule_count == 0, checker.violations
+
+
+class _LosesRequests(LeastOfTwo):
+    """Does not respond to one request in fifty."""
+
+    def handle(self, now: int, event: Event) -> Sequence[Action]:
+        if isinstance(event, RequestArrived) and event.request % 50 == 0:
+            return []
+        return super().handle(now, event)
+
+
+class _RespondsTwice(LeastOfTwo):
+    """Rejects twice what it also sends."""
+
+    def handle(self, now: int, event: Event) -> Sequence[Action]:
+        actions = list(super().handle(now, event))
+        if isinstance(event, RequestArrived) and event.request % 50 == 0:
+            actions += [RejectRequest(event.request)] * 2
+        return actions
+
+
+class _AlwaysRetries(LeastOfTwo):
+    """Retries every failed request on any endpoint."""
+
+    def _allowed(self, held: Any) -> list[str]:
+        tried = {name for name, _ in held.sent}
+        return [name for name in self.ready if name not in tried]
+
+
+class _RejectsExecuted(LeastOfTwo):
+    """Rejects requests that may have executed."""
+
+    def _give_up(self, request: int) -> list[Action]:
+        return [
+            RejectRequest(request) if isinstance(each, FailRequest) else each
+            for each in super()._give_up(request)
+        ]
+
+
+class _PrefersNewest(LeastOfTwo):
+    """Sends all requests to the endpoint that started last."""
+
+    newest: str | None = None
+
+    def handle(self, now: int, event: Event) -> Sequence[Action]:
+        if isinstance(event, EndpointsUpdated):
+            started = [each for each in event.endpoints if each.started_at]
+            if started:
+                self.newest = max(started, key=lambda each: each.started_at or 0).name
+        return super().handle(now, event)
+
+    def choose(self, names: Sequence[str]) -> str:
+        return self.newest if self.newest is not None and self.newest in names else super().choose(names)
+
+
+@pytest.mark.parametrize(
+    ("broken", "rule", "changes"),
+    [
+        (_LosesRequests, "answers", {}),
+        (_RespondsTwice, "answers", {}),
+        (_AlwaysRetries, "effects", {"classes": [UNSAFE], "faults": CRASHES}),
+        (_AlwaysRetries, "effects", {"classes": [KEYED], "faults": CRASHES}),
+        (_RejectsExecuted, "effects", {"classes": [UNSAFE], "faults": CRASHES}),
+        (_PrefersNewest, "cold", {"classes": [SAFE], "faults": CRASHES, "load": {"utilisation": 0.6}}),
+    ],
+    ids=lambda each: each.__name__ if isinstance(each, type) else None,
+)
+def test_history_checker_finds_violation_of_broken_policy(
+    broken: Any, rule: str, changes: dict[str, Any]
+) -> None:
+    correct = run_scenario(LeastOfTwo, **changes)
+    assert correct.violation_counts[rule] == 0, correct.violations
+    checker = run_scenario(broken, **changes)
+    assert checker.violation_counts[rule] > 0
+    assert all(not count for name, count in checker.violation_counts.items() if name not in (rule, "effects"))
+
+
+def test_history_checker_finds_drain_violation_if_sidecar_ignores_draining(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    assert run_scenario(LeastOfTwo, faults=DRAINS).violation_counts["drains"] == 0
+    original_listed = VirtualSidecar.listed
+
+    def listed_active_only(self: Any, kind: Any, lines: Any, version: int, life: int) -> None:
+        original_listed(self, kind, [each for each in lines if each.state.value == "active"], version, life)
+
+    monkeypatch.setattr(VirtualSidecar, "listed", listed_active_only)
+    checker = run_scenario(LeastOfTwo, faults=DRAINS)
+    assert checker.violation_counts["drains"] > 0
+    assert "after it was told" in checker.violations["drains"][0]
+
+
+def test_history_checker_counts_sidecar_without_poll_as_notified() -> None:
+    class NeverPolls(LeastOfTwo):
+        def __init__(self, *given: Any) -> None:
+            super().__init__(*given)
+            self._begun = True
+
+    drains = [{"kind": "drain", "at_s": 1.0, "for_s": 1.0, "part": 0.4, "back_s": 30.0}]
+    rules = {"ask_within_s": 2.0}
+    slow = [{**SAFE, "deadline_ms": 5_000.0}]  # so that a draining server stays up for long
+    assert run_scenario(LeastOfTwo, faults=drains, rules=rules, classes=slow).violation_counts["drains"] == 0
+    checker = run_scenario(NeverPolls, faults=drains, rules=rules, classes=slow)
+    assert checker.violation_counts["drains"] > 0
+    assert "had not asked for too long" in checker.violations["drains"][0]
+
+
+# The checker by itself: the limits of its rules
+
+
+def _checker(**changes: Any) -> tuple[HistoryChecker, ServiceClass]:
+    given = world(classes=[{**KEYED, "window_ms": 4_000.0}], **changes)
+    return HistoryChecker(given), given.classes[0]
+
+
+def test_history_checker_accepts_late_response_within_slack_only() -> None:
+    checker, service_class = _checker()
+    for request, late_us in ((1, 50_000), (2, 50_001)):
+        checker.request_received(request, 0, service_class, now=0, timeout_us=1_000_000)
+        checker.response_received(request, 1_000_000 + late_us)
+    checker.close(10_000_000)
+    assert checker.violation_counts["answers"] == 1
+    assert "request 2" in checker.violations["answers"][0]
+
+
+def test_history_checker_deduplicates_within_zone_and_window_only() -> None:
+    checker, service_class = _checker()
+    checker.request_received(1, 0, service_class, now=0, timeout_us=9_000_000)
+    assert not checker.attempt_started(1, "a", 0, 0)
+    assert checker.attempt_started(1, "a", 1, 4_000_000)
+    assert checker.violation_counts["effects"] == 0
+    assert not checker.attempt_started(1, "a", 1, 4_000_001)
+    assert not checker.attempt_started(1, "b", 1, 5_000)
+    assert checker.violation_counts["effects"] == 2
+
+
+def test_history_checker_finds_violations_for_unknown_request() -> None:
+    checker, _ = _checker()
+    checker.attempt_started(9, "a", 0, 0)
+    checker.response_received(9, 5)
+    assert (checker.violation_counts["effects"], checker.violation_counts["answers"]) == (1, 1)
+
+
+def test_history_checker_reports_overload_if_two_thirds_came_from_notified() -> None:
+    for notified, violations in (((0,), 0), ((0, 1), 1)):
+        checker, _ = _checker()
+        for sidecar in notified:
+            checker.sidecar_notified(sidecar, "s", is_draining=False, started_at=500, now=600)
+        checker.server_overloaded("s", 500, {0: 1.0, 1: 1.0, 2: 1.0})
+        assert checker.violation_counts["cold"] == violations
+
+
+def test_history_checker_ends_drain_when_server_restarts() -> None:
+    checker, _ = _checker()
+    checker.sidecar_notified(0, "s", is_draining=True, started_at=None, now=0)
+    checker.attempt_sent(0, "s", 300_000)
+    assert checker.violation_counts["drains"] == 0
+    checker.attempt_sent(0, "s", 300_001)
+    assert checker.violation_counts["drains"] == 1
+    checker.sidecar_notified(0, "s", is_draining=False, started_at=400_000, now=400_000)
+    checker.attempt_sent(0, "s", 900_000)
+    assert checker.violation_counts["drains"] == 1
+
+
+def test_history_checker_expects_no_response_from_killed_sidecar() -> None:
+    checker, service_class = _checker()
+    checker.request_received(1, 0, service_class, now=0, timeout_us=1_000)
+    checker.request_received(2, 1, service_class, now=0, timeout_us=1_000)
+    checker.sidecar_killed(0)
+    # Written before the client noticed that the sidecar was killed.
+    checker.request_received(3, 0, service_class, now=10, timeout_us=1_000)
+    checker.sidecar_listening(0)
+    checker.request_received(4, 0, service_class, now=20, timeout_us=1_000)
+    checker.close(10_000_000)
+    assert checker.violations["answers"] == [f"request {number} was never answered" for number in (2, 4)]
--- a/tests/lab/test_model.py
+++ b/tests/lab/test_model.py
@@ -11,7 +11,7 @@
 from worlds import world
 
 from tulipnotch.lab import fleet
-from tulipnotch.lab.ledger import Ledger
+from tulipnotch.lab.history_checker import HistoryChecker
 from tulipnotch.lab.load import Ask
 from tulipnotch.lab.policies import POLICIES
 from tulipnotch.lab.scenario import Scenario
@@ -93,7 +93,7 @@
 
 def server(**fleet_changes: Any) -> OrderServer:
     given = world(fleet={"servers": 1, "kinds": [{"name": "k", "cores": 2}], **fleet_changes})
-    found = fleet.build(given, 1, Ledger(given))[0]
+    found = fleet.build(given, 1, HistoryChecker(given))[0]
     found._on_begin = lambda *_: False
     return found
 
--- a/tulipnotch/lab/fleet.py
+++ b/tulipnotch/lab/fleet.py
@@ -12,24 +12,26 @@
 from tulipnotch.lab.server import Job, OrderServer
 
 
-class Witness(Protocol):
-    """Who is told of begins and falls: the ledger, or whoever writes them down for it."""
+class ServerObserver(Protocol):
+    """Is notified by servers: the history checker, or what records for it."""
 
-    def begun(self, request: int, zone: str, cell: int, now: int) -> bool: ...
+    def attempt_started(self, request: int, zone: str, cell: int, now: int) -> bool:
+        """A server starts to execute an attempt; returns whether it drops it as a duplicate."""
 
-    def fell(self, server: str, started_at: int, work_by_sidecar: dict[int, float]) -> None: ...
+    def server_overloaded(self, server: str, started_at: int, work_by_sidecar: dict[int, float]) -> None:
+        """A server was overloaded while warming up, by this work."""
 
 
-def build(given: Scenario, seed: int, ledger: Witness) -> list[OrderServer]:
-    """All servers, warm; kinds by their shares, zones in turn, speeds drawn.  Begins go to the ledger."""
+def build(given: Scenario, seed: int, observer: ServerObserver) -> list[OrderServer]:
+    """All servers, warm; kinds by their shares, zones in turn, speeds drawn."""
     chance = stream(seed, "fleet")
     fleet = given.fleet
 
     def on_begin(server: OrderServer, job: Job, now: int) -> bool:
-        return ledger.begun(job.request, server.zone, server.cell, now)
+        return observer.attempt_started(job.request, server.zone, server.cell, now)
 
     def fell(server: OrderServer, started_at: int, by_sidecar: dict[int, float]) -> None:
-        ledger.fell(server.name, started_at, by_sidecar)
+        observer.server_overloaded(server.name, started_at, by_sidecar)
 
     kinds = [kind for kind in fleet.kinds for _ in range(round(1_000 * kind.share))]
     kinds = [kinds[int((place + 0.5) * len(kinds) / fleet.servers)] for place in range(fleet.servers)]
--- a/tulipnotch/lab/play.py
+++ b/tulipnotch/lab/play.py
@@ -32,8 +32,8 @@
     world.run(progress)
     return Run(
         seed=seed,
-        metrics=world.recorder.metrics(world.ledger),
-        breaches={rule: each for rule, each in world.ledger.breaches.items() if each},
+        metrics=world.recorder.metrics(world.history),
+        breaches={rule: each for rule, each in world.history.violations.items() if each},
         series=world.recorder.series(),
     )
 
--- a/tulipnotch/lab/real/backend.py
+++ b/tulipnotch/lab/real/backend.py
@@ -27,12 +27,12 @@
 from tulipnotch.lab import fleet
 from tulipnotch.lab.directory import Line, Listed, entry
 from tulipnotch.lab.faults import Deed, Incident, plan, strike
-from tulipnotch.lab.ledger import Ledger
+from tulipnotch.lab.history_checker import HistoryChecker
 from tulipnotch.lab.load import stream
 from tulipnotch.lab.scenario import Scenario
 from tulipnotch.lab.server import Job, OrderServer, Stage, Verdict
 
-Record = tuple[Any, ...]  # the time (us from the start), the ledger's method, and what it is given
+Record = tuple[Any, ...]  # the time (us from the start), the kind, and its fields
 
 _PATH = "/catalog/members"
 _MOST_WAIT_MS = 60_000
@@ -61,7 +61,7 @@
         self.counts = {"attempts": 0, "crossings": 0, "handshakes": 0, "probes": 0}
         self.chance = stream(seed, "backend")
         self.cut_zones: set[str] = set()
-        self.seen = Ledger(given)  # for dropping repeats; the judge reads the records
+        self.history = HistoryChecker(given)  # deduplicates; the rules are checked from the records
         self.servers = fleet.build(given, seed, self)
         self.zones = [
             given.fleet.zones[place % len(given.fleet.zones)] for place in range(given.fleet.sidecars)
@@ -119,7 +119,7 @@
         self.timeline.clear()
         for rows in self.rows.values():
             rows.clear()
-        self.seen.forget(self.now() - _REMEMBERED_US)
+        self.history.forget_executed_before(self.now() - _REMEMBERED_US)
 
     def entry(self, line: Line, sidecar: int) -> dict[str, Any]:
         place = int(line.name.removeprefix("s-"))
@@ -134,11 +134,11 @@
 
     # What the model's servers report
 
-    def begun(self, request: int, zone: str, cell: int, now: int) -> bool:
+    def attempt_started(self, request: int, zone: str, cell: int, now: int) -> bool:
         self.records.append((now, "begun", request, zone, cell))
-        return self.seen.begun(request, zone, cell, now)
+        return self.history.attempt_started(request, zone, cell, now)
 
-    def fell(self, server: str, started_at: int, work_by_sidecar: dict[int, float]) -> None:
+    def server_overloaded(self, server: str, started_at: int, work_by_sidecar: dict[int, float]) -> None:
         self.note("fell", server, started_at, dict(work_by_sidecar))
         self.timeline.append((self.now() / 1e6, f"{server} was pushed over"))
         self.loop.call_soon(self._gone, self.stands[int(server.removeprefix("s-"))])
@@ -355,8 +355,8 @@
         if backend.zones[self._sidecar] != server.zone:
             backend.counts["crossings"] += 1
         backend.note("sent", self._sidecar, server.name)
-        if request not in backend.seen:
-            backend.seen.taken(request, self._sidecar, kind, now, 1 << 60)
+        if request not in backend.history:
+            backend.history.request_received(request, self._sidecar, kind, now=now, timeout_us=1 << 60)
         work_us *= 0.9 + 0.2 * backend.chance.random()
         if self._is_new:
             self._is_new = False
--- a/tulipnotch/lab/real/play.py
+++ b/tulipnotch/lab/real/play.py
@@ -1,4 +1,4 @@
-"""Plays a scenario in real time: stand-ins, real sidecar processes, the generator; then the ledger judges."""
+"""Plays a scenario in real time (stand-ins, real sidecar processes, the generator) and checks its history."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 from tulipnotch.lab import fleet, play
 from tulipnotch.lab.faults import Deed, plan
-from tulipnotch.lab.ledger import Ledger
+from tulipnotch.lab.history_checker import HistoryChecker
 from tulipnotch.lab.real import backend, generator
 from tulipnotch.lab.recorder import Recorder
 from tulipnotch.lab.results import Result, Run
@@ -114,7 +114,7 @@
     ) -> None:
         self.given, self.seed, self._folder, self._command = given, seed, folder, command
         self._keeps = keeps
-        self.capacity = fleet.capacity(fleet.build(given, seed, Ledger(given)))
+        self.capacity = fleet.capacity(fleet.build(given, seed, HistoryChecker(given)))
         self.sidecars: list[SidecarProcess] = []
         self._context = multiprocessing.get_context("spawn")
         self._processes: list[Any] = []
@@ -259,12 +259,12 @@
     given: Scenario, seed: int, capacity: float, left: dict[str, Any], seen: dict[str, Any],
     kills: list[backend.Record], fault: str,
 ) -> Run:  # fmt: skip
-    ledger = Ledger(given)
+    history = HistoryChecker(given)
     merged = sorted([*left["records"], *seen["records"], *kills], key=lambda record: record[0])
     for at, what, *rest in merged:
-        replay(ledger, given, at, what, rest)
+        replay(history, given, at, what, rest)
     end = int((given.seconds + 60.0) * 1e6)
-    ledger.close(end)
+    history.close(end)
     recorder = Recorder(given, tenant_quotas_per_s(given, capacity))
     ended: list[generator.Ended] = sorted(left["ended"], key=lambda each: (each.ask.at, each.ask.number))
     kinds = {each.name: each for each in given.classes}
@@ -282,43 +282,43 @@
     invalid = (
         f"the generator was {late['p99']} ms late at its 99th percentile" if late["p99"] > LATE_MS else ""
     )
-    breaches = {rule: texts for rule, texts in ledger.breaches.items() if texts}
+    breaches = {rule: texts for rule, texts in history.violations.items() if texts}
     if fault:
-        ledger.counts["answers"] += 1
+        history.violation_counts["answers"] += 1
         breaches.setdefault("answers", []).insert(0, fault)
     return Run(
-        seed=seed, metrics=recorder.metrics(ledger), breaches=breaches, series=recorder.series(),
+        seed=seed, metrics=recorder.metrics(history), breaches=breaches, series=recorder.series(),
         invalid=invalid, lateness_ms=late,
     )  # fmt: skip
 
 
-def replay(ledger: Ledger, given: Scenario, at: int, what: str, rest: list[Any]) -> None:
+def replay(history: HistoryChecker, given: Scenario, at: int, what: str, rest: list[Any]) -> None:
     """Enter one record, as the clients or the stand-ins wrote it down."""
     match what, rest:
         case "taken", [request, sidecar, place, wait_us]:
-            ledger.taken(request, sidecar, given.classes[place], at, wait_us)
+            history.request_received(request, sidecar, given.classes[place], now=at, timeout_us=wait_us)
         case "answered", [request, refused]:
-            ledger.answered(request, at, refused=refused)
+            history.response_received(request, at, is_rejection=refused)
         case "wrong", [request]:
-            ledger.wrong(request)
+            history.foreign_response_received(request)
         case "excused", [request]:
-            ledger.excused(request)
+            history.client_disconnected(request)
         case "killed", [sidecar]:
-            ledger.killed(sidecar)
+            history.sidecar_killed(sidecar)
         case "back", [sidecar]:
-            ledger.back(sidecar)
+            history.sidecar_listening(sidecar)
         case "begun", [request, zone, cell]:
-            ledger.begun(request, zone, cell, at)
+            history.attempt_started(request, zone, cell, at)
         case "sent", [sidecar, server]:
-            ledger.sent(sidecar, server, at)
+            history.attempt_sent(sidecar, server, at)
         case "fell", [server, started_at, work]:
-            ledger.fell(server, started_at, work)
+            history.server_overloaded(server, started_at, work)
         case "published", [server, leaves]:
-            ledger.published(server, leaves, at)
+            history.endpoint_published(server, is_draining=leaves, now=at)
         case "asked", [sidecar, when]:
-            ledger.asked(sidecar, None if when is None else at)
+            history.endpoints_polled(sidecar, None if when is None else at)
         case "told", [sidecar, server, leaves, started_at]:
-            ledger.told(sidecar, server, leaves, started_at, at)
+            history.sidecar_notified(sidecar, server, is_draining=leaves, started_at=started_at, now=at)
         case _:
             raise ValueError(f"unknown record {what!r}")
 
--- a/tulipnotch/lab/recorder.py
+++ b/tulipnotch/lab/recorder.py
@@ -12,7 +12,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from tulipnotch.lab.ledger import Ledger
+from tulipnotch.lab.history_checker import HistoryChecker
 from tulipnotch.lab.load import Ask, Ending
 from tulipnotch.lab.scenario import Scenario
 
@@ -127,13 +127,13 @@
                 parts.append(sum(row[1] for row in rows[begin : begin + span]) / asked)
         return min(parts, default=0.0)
 
-    def metrics(self, ledger: Ledger) -> dict[str, float]:
+    def metrics(self, history: HistoryChecker) -> dict[str, float]:
         """Every metric of `scenario.metric_names`, rounded to six digits."""
         whole, count = self.all, max(self.all.asked, 1)
         first = max(self.first_tries, 1)
         found: dict[str, float] = {
-            "rules.broken": ledger.broken,
-            **{f"rules.{rule}": broken for rule, broken in ledger.counts.items()},
+            "rules.broken": history.violated_rule_count,
+            **{f"rules.{rule}": broken for rule, broken in history.violation_counts.items()},
             "worth": whole.worth_served / whole.worth_asked if whole.worth_asked else 0.0,
             "worst_10s": self.worst_10s(),
             "requests": whole.asked,
--- a/tulipnotch/lab/virtual.py
+++ b/tulipnotch/lab/virtual.py
@@ -15,7 +15,7 @@
 from tulipnotch.lab.directory import Line, Listed
 from tulipnotch.lab.engine import Engine
 from tulipnotch.lab.faults import Deed, Incident, plan, strike
-from tulipnotch.lab.ledger import Ledger
+from tulipnotch.lab.history_checker import HistoryChecker
 from tulipnotch.lab.load import Ask, Ending, arrivals, comes_again, rates, stream, try_wait_us
 from tulipnotch.lab.recorder import Recorder
 from tulipnotch.lab.scenario import Scenario, tenant_quotas_per_s, wire_settings
@@ -75,8 +75,8 @@
     def __init__(self, given: Scenario, seed: int, make: MakePolicy) -> None:
         self.given, self.seed, self.make = given, seed, make
         self.engine = Engine()
-        self.ledger = Ledger(given)
-        self.servers = fleet.build(given, seed, self.ledger)
+        self.history = HistoryChecker(given)
+        self.servers = fleet.build(given, seed, self.history)
         self.by_name = {each.name: each for each in self.servers}
         self.capacity = fleet.capacity(self.servers)
         settings = [wire_settings(given, place, self.capacity) for place in range(given.fleet.sidecars)]
@@ -116,7 +116,7 @@
         for server in self.servers:
             choked = engine.now - server.choked_at if server.choked_at is not None else 0
             self.recorder.choked_us += server.choked_us + choked
-        self.ledger.close(engine.now)
+        self.history.close(engine.now)
 
     def delay(self, a: str, b: str) -> int:
         """Microseconds one way."""
@@ -273,7 +273,7 @@
     def answer(self, how: Ending, retry_after_us: int) -> None:
         """The sidecar's answer reached the client."""
         world = self.world
-        world.ledger.answered(self.request, world.engine.now, refused=how is Ending.REFUSED)
+        world.history.response_received(self.request, world.engine.now, is_rejection=how is Ending.REFUSED)
         if not self.is_over:
             self.is_over = True
             late = how is Ending.SERVED and world.engine.now > self.until
@@ -294,7 +294,7 @@
     def leave(self) -> None:
         if not self.is_over:
             self.is_over = True
-            self.world.ledger.excused(self.request)
+            self.world.history.client_disconnected(self.request)
             self.world.sidecars[self.ask.sidecar].client_gone(self.request)
             self.world.over(self, Ending.GONE, 0)
 
@@ -367,8 +367,8 @@
             self.settings, stream(world.seed, "sidecar", self.place, self._life).getrandbits(48), world
         )
         known = world.discovery.directory.whole() if self._life == 0 else self._remembered()
-        world.ledger.back(self.place)
-        world.ledger.asked(self.place, self.engine.now)
+        world.history.sidecar_listening(self.place)
+        world.history.endpoints_polled(self.place, self.engine.now)
         self.version = world.discovery.directory.version if self._life == 0 else self.version
         self._listed = {each.name: _STATES[each.state] for each in known}
         self._post(
@@ -383,7 +383,7 @@
         """End at once and start anew after a while; what it held is lost."""
         self.is_up = False
         self._life += 1
-        self.world.ledger.killed(self.place)
+        self.world.history.sidecar_killed(self.place)
         self.world.discovery.forget(self)
         held, self._held = self._held, {}
         for each in held.values():
@@ -405,7 +405,9 @@
         if client.is_over:
             return
         now, ask = self.engine.now, client.ask
-        self.world.ledger.taken(client.request, self.place, ask.kind, now, client.until - now)
+        self.world.history.request_received(
+            client.request, self.place, ask.kind, now=now, timeout_us=client.until - now
+        )
         self._held[client.request] = _Held(client)
         left = max(client.until - now, 1)
         hint = int(ask.work_us) if self.world.given.load.hints else None
@@ -548,7 +550,7 @@
         world.recorder.attempts += 1
         if attempt.server.zone != self.zone:
             world.recorder.crossings += 1
-        world.ledger.sent(self.place, attempt.server.name, self.engine.now)
+        world.history.attempt_sent(self.place, attempt.server.name, self.engine.now)
         self.engine.after(world.delay(self.zone, attempt.server.zone), self._reach, attempt)
 
     def _reach(self, attempt: _Attempt) -> None:
@@ -670,7 +672,9 @@
 
     def publish(self, name: str, state: Listed, started_at: int | None) -> None:
         if self.directory.change(name, state, started_at):
-            self._world.ledger.published(name, state is not Listed.ACTIVE, self._world.engine.now)
+            self._world.history.endpoint_published(
+                name, is_draining=state is not Listed.ACTIVE, now=self._world.engine.now
+            )
             for sidecar in list(self._watching.values()):
                 self._call(sidecar, sidecar.version, is_watch=True)
 
@@ -678,7 +682,7 @@
         self.is_up = False
         watching, self._watching = self._watching, {}
         for sidecar in watching.values():
-            self._world.ledger.asked(sidecar.place, self._world.engine.now)
+            self._world.history.endpoints_polled(sidecar.place, self._world.engine.now)
             self._fails(sidecar, 0)
 
     def forget(self, sidecar: VirtualSidecar) -> None:
@@ -687,7 +691,7 @@
     def follow(self, sidecar: VirtualSidecar, wanted: bool) -> None:
         if not wanted:
             self.forget(sidecar)
-            self._world.ledger.asked(sidecar.place, self._world.engine.now)
+            self._world.history.endpoints_polled(sidecar.place, self._world.engine.now)
             return
         self._call(sidecar, sidecar.version, is_watch=True)
 
@@ -718,12 +722,14 @@
         lines = self.directory.whole() if after is None else self.directory.since(after)
         kind = EndpointUpdateKind.COMPLETE if after is None else EndpointUpdateKind.DELTA
         now = world.engine.now
-        world.ledger.asked(sidecar.place, None if is_watch else now)
+        world.history.endpoints_polled(sidecar.place, None if is_watch else now)
         if is_watch:
             self._watching[sidecar.place] = sidecar
         for each in lines if after is not None else self.directory.since(0):
             leaves = each.state is not Listed.ACTIVE
-            world.ledger.told(sidecar.place, each.name, leaves, each.started_at, now)
+            world.history.sidecar_notified(
+                sidecar.place, each.name, is_draining=leaves, started_at=each.started_at, now=now
+            )
         copies = [Line(e.name, e.zone, e.kind, e.cell, e.state, e.started_at, e.version) for e in lines]
         version = self.directory.version
         world.engine.after(world.delay("", ""), sidecar.listed, kind, copies, version, life)
