--- a/tests/lab/test_model.py
+++ b/tests/lab/test_model.py
@@ -48,7 +48,7 @@
     run.run()
     work_us = math.fsum(run.work_us) / len(run.work_us)
     busy = work_us * len(run.work_us) / (given.seconds * 1e6 * run.capacity)
-    assert run.recorder.all.asked == run.recorder.latency.get_total_count() > 0
+    assert run.recorder.total.request_count == run.recorder.latency.get_total_count() > 0
     return run.recorder.latency.get_mean_value() / work_us - 1.0, busy
 
 
--- a/tulipnotch/lab/play.py
+++ b/tulipnotch/lab/play.py
@@ -34,7 +34,7 @@
         seed=seed,
         metrics=world.recorder.metrics(world.history),
         breaches={rule: each for rule, each in world.history.violations.items() if each},
-        series=world.recorder.series(),
+        series=world.recorder.series.to_result(),
     )
 
 
--- a/tulipnotch/lab/real/play.py
+++ b/tulipnotch/lab/real/play.py
@@ -270,12 +270,15 @@
     kinds = {each.name: each for each in given.classes}
     for each in ended:
         each.ask.kind = kinds[each.ask.kind.name]
-        recorder.ended(each.ask, recorder.asked(each.ask), each.how, each.at)
-    for name, count in seen["counts"].items():
-        setattr(recorder, name, count)
-    recorder.servers = seen["rows"]
-    recorder.choked_us = seen["choked_us"]
-    recorder.timeline = sorted(
+        recorder.request_ended(each.ask, recorder.first_try_sent(each.ask), each.how, each.at)
+    counts = seen["counts"]
+    recorder.counters.attempts = counts["attempts"]
+    recorder.counters.cross_zone_attempts = counts["crossings"]
+    recorder.counters.handshakes = counts["handshakes"]
+    recorder.counters.health_checks = counts["probes"]
+    recorder.series.servers = seen["rows"]
+    recorder.counters.overloaded_us = seen["choked_us"]
+    recorder.series.timeline = sorted(
         [*seen["timeline"], *((round(at / 1e6, 3), f"{what} sidecar {place}") for at, what, place in kills)]
     )
     late = left["late"]
@@ -287,7 +290,7 @@
         history.violation_counts["answers"] += 1
         breaches.setdefault("answers", []).insert(0, fault)
     return Run(
-        seed=seed, metrics=recorder.metrics(history), breaches=breaches, series=recorder.series(),
+        seed=seed, metrics=recorder.metrics(history), breaches=breaches, series=recorder.series.to_result(),
         invalid=invalid, lateness_ms=late,
     )  # fmt: skip
 
--- a/tulipnotch/lab/recorder.py
+++ b/tulipnotch/lab/recorder.py
@@ -1,7 +1,8 @@
-"""What came of every request: histograms, rows a second, and the metrics that expectations name.
+"""Records how every request of a run ended: totals, latency histograms, time series, and the metrics.
 
 Latencies are HDR histograms (3 digits, 1 us to 10 minutes) and count from the intended send of the first try.
-Only requests whose intended send lies after the warm-up count.
+Only requests whose intended send is after the warm-up count.  The keys of metrics and series are the ones of
+result files and expectations.
 """
 
 from __future__ import annotations
@@ -18,167 +19,252 @@
 
 Number = TypeVar("Number", int, float)
 
-_LONGEST_US = 600_000_000
-PERCENTILES = {"p50_ms": 50.0, "p90_ms": 90.0, "p99_ms": 99.0, "p999_ms": 99.9}
+_MAX_LATENCY_US = 600_000_000
+_WORST_SPAN_S = 10
+_PERCENTILES = {"p50_ms": 50.0, "p90_ms": 90.0, "p99_ms": 99.0, "p999_ms": 99.9}
 
 
 def histogram() -> Any:
-    """An empty histogram of microseconds."""
-    return HdrHistogram(1, _LONGEST_US, 3)
+    """Return an empty histogram of microseconds."""
+    return HdrHistogram(1, _MAX_LATENCY_US, 3)
 
 
 @dataclass(slots=True)
-class Totals:
-    """Sums over some requests."""
+class RequestTotals:
+    """Sums over a group of requests.
 
-    asked: int = 0
-    worth_asked: float = 0.0
-    worth_served: float = 0.0
-    in_time: int = 0
+    Attributes:
+        request_count: The number of requests.
+        weight_requested: The sum of their priority weights.
+        weight_in_time: The sum over those that were served within their latency objective.
+        in_time_count: The number of these.
+        endings: The number of requests by how they ended.
+    """
+
+    request_count: int = 0
+    weight_requested: float = 0.0
+    weight_in_time: float = 0.0
+    in_time_count: int = 0
     endings: dict[Ending, int] = field(default_factory=lambda: dict.fromkeys(Ending, 0))
 
-    def part(self, how: Ending) -> float:
-        return self.endings[how] / self.asked if self.asked else 0.0
+    def add(self, ending: Ending, weight: float, *, is_in_time: bool) -> None:
+        """Count one request with its priority weight."""
+        self.request_count += 1
+        self.weight_requested += weight
+        self.endings[ending] += 1
+        if is_in_time:
+            self.in_time_count += 1
+            self.weight_in_time += weight
 
+    def ratio(self, ending: Ending) -> float:
+        """Return the ratio of requests that ended so, 0 without requests."""
+        return self.endings[ending] / self.request_count if self.request_count else 0.0
 
-class Recorder:
-    """One run's figures."""
-
-    def __init__(self, given: Scenario, quotas: dict[str, float]) -> None:
-        self._given = given
-        self._from = int(given.warmup_s * 1e6)
-        seconds = int(given.seconds) + 1
-        names = [each.name for each in given.classes]
-        self.all = Totals()
-        self.by_class = {name: Totals() for name in names}
-        self.by_tenant = {each.name: Totals() for each in given.tenants}
-        self.latency = histogram()
-        self.latency_by_class = {name: histogram() for name in names}
-        self.rows = [dict.fromkeys(("asked", *(each.value for each in Ending)), 0) for _ in range(seconds)]
-        self.worth_rows = [[0.0, 0.0] for _ in range(seconds)]
-        self._latencies: dict[str, list[list[int]]] = {name: [[] for _ in range(seconds)] for name in names}
-        self._buckets = {name: [quota, 0.0, quota] for name, quota in quotas.items()}  # left, at, rate
-        self.first_tries = 0  # these five count the warm-up too
-        self.tries = 0
-        self.attempts = 0
-        self.crossings = 0
-        self.handshakes = 0
-        self.probes = 0
-        self.servers: dict[str, list[tuple[int, int]]] = {}  # by server and second: done, most waiting
-        self.choked_us = 0
+    @property
+    def in_time_ratio(self) -> float:
+        """The ratio of requests that were served within their latency objective, 0 without requests."""
+        return self.in_time_count / max(self.request_count, 1)
+
+    @property
+    def weight_ratio(self) -> float:
+        """The ratio of the priority weight that was served in time, 0 without requests."""
+        return self.weight_in_time / self.weight_requested if self.weight_requested else 0.0
+
+
+@dataclass(slots=True)
+class RunCounters:
+    """Counters of the whole run, the warm-up included."""
+
+    first_tries: int = 0
+    tries: int = 0
+    attempts: int = 0
+    cross_zone_attempts: int = 0
+    handshakes: int = 0
+    health_checks: int = 0
+    overloaded_us: int = 0  # the time that servers were overloaded, summed over the servers
+
+
+@dataclass(slots=True)
+class _QuotaBucket:
+    """A token bucket that holds one second of a tenant's quota."""
+
+    rate_per_s: float
+    tokens: float
+    updated_at_s: float = 0.0
+
+    def take(self, now_s: float) -> bool:
+        """Take a token; return whether there was one."""
+        self.tokens = min(self.tokens + (now_s - self.updated_at_s) * self.rate_per_s, self.rate_per_s)
+        self.updated_at_s = now_s
+        if self.tokens < 1.0:
+            return False
+        self.tokens -= 1.0
+        return True
+
+
+class TimeSeries:
+    """Owns the rows a second of a run, by the second of the request's intended send.
+
+    Attributes:
+        servers: By server and second: the responses, and the maximum of waiting requests.
+        timeline: The incidents of the run: second and text.
+    """
+
+    def __init__(self, seconds: int, class_names: Sequence[str]) -> None:
+        """Start with empty rows for this many seconds."""
+        self._rows = [dict.fromkeys(("asked", *(each.value for each in Ending)), 0) for _ in range(seconds)]
+        self._weights = [[0.0, 0.0] for _ in range(seconds)]  # requested, served in time
+        self._latencies_us: dict[str, list[list[int]]] = {
+            name: [[] for _ in range(seconds)] for name in class_names
+        }
+        self.servers: dict[str, list[tuple[int, int]]] = {}
         self.timeline: list[tuple[float, str]] = []
 
-    def _worth(self, ask: Ask) -> float:
-        """What it is worth: beyond its tenant's quota (a bucket of one second of it) but a part."""
-        bucket = self._buckets.get(ask.tenant) if ask.tenant is not None else None
-        if bucket is None:
-            return ask.kind.worth
-        left, at, rate = bucket
-        now = ask.at / 1e6
-        left = min(left + (now - at) * rate, rate)
-        within = left >= 1.0
-        bucket[0], bucket[1] = left - 1.0 if within else left, now
-        return ask.kind.worth * (1.0 if within else self._given.rules.over_share_worth)
-
-    def asked(self, ask: Ask) -> float:
-        """A client means to send its first try; give what it is worth."""
-        self.first_tries += 1
-        return self._worth(ask)
-
-    def ended(self, ask: Ask, worth: float, how: Ending, now: int) -> None:
-        """The client has its last answer, or none will come."""
-        self.tries += ask.tries
-        if ask.at < self._from:
-            return
-        took = max(now - ask.at, 1)
-        in_time = how is Ending.SERVED and took <= ask.kind.aim_ms * 1e3
-        name = ask.kind.name
-        totals = [self.all, self.by_class[name]]
-        if ask.tenant is not None:
-            totals.append(self.by_tenant[ask.tenant])
-        for each in totals:
-            each.asked += 1
-            each.worth_asked += worth
-            each.endings[how] += 1
-            if in_time:
-                each.in_time += 1
-                each.worth_served += worth
-        second = ask.at // 1_000_000
-        row = self.rows[second]
+    def add(self, second: int, ending: Ending, weight: float, *, is_in_time: bool) -> None:
+        """Count one request with its priority weight."""
+        row = self._rows[second]
         row["asked"] += 1
-        row[how.value] += 1
-        self.worth_rows[second][0] += worth
-        if in_time:
-            self.worth_rows[second][1] += worth
-        if how is Ending.SERVED:
-            bounded = min(took, _LONGEST_US)
-            self.latency.record_value(bounded)
-            self.latency_by_class[name].record_value(bounded)
-            self._latencies[name][second].append(bounded)
-
-    def worst_10s(self) -> float:
-        """The least part of the worth that was served in time within any ten seconds."""
-        rows = self.worth_rows[int(self._given.warmup_s) : int(self._given.seconds)]
-        span = min(10, len(rows))
-        parts = []
-        for begin in range(len(rows) - span + 1):
-            asked = sum(row[0] for row in rows[begin : begin + span])
-            if asked > 0.0:
-                parts.append(sum(row[1] for row in rows[begin : begin + span]) / asked)
-        return min(parts, default=0.0)
+        row[ending.value] += 1
+        weights = self._weights[second]
+        weights[0] += weight
+        if is_in_time:
+            weights[1] += weight
 
-    def metrics(self, history: HistoryChecker) -> dict[str, float]:
-        """Every metric of `scenario.metric_names`, rounded to six digits."""
-        whole, count = self.all, max(self.all.asked, 1)
-        first = max(self.first_tries, 1)
-        found: dict[str, float] = {
-            "rules.broken": history.violated_rule_count,
-            **{f"rules.{rule}": broken for rule, broken in history.violation_counts.items()},
-            "worth": whole.worth_served / whole.worth_asked if whole.worth_asked else 0.0,
-            "worst_10s": self.worst_10s(),
-            "requests": whole.asked,
-            "choked_s": self.choked_us / 1e6,
-            "in_time": whole.in_time / count,
-            "served": whole.part(Ending.SERVED),
-            "refused": whole.part(Ending.REFUSED),
-            "failed": whole.part(Ending.FAILED),
-            "tries_per_request": self.tries / first,
-            "attempts_per_request": self.attempts / first,
-            "crossings_per_request": self.crossings / first,
-            "handshakes_per_request": self.handshakes / first,
-            "probes_per_request": self.probes / first,
-        }
-        for name, percentile in PERCENTILES.items():
-            found[f"latency.{name}"] = self.latency.get_value_at_percentile(percentile) / 1e3
-        for kind, totals in self.by_class.items():
-            found[f"class.{kind}.in_time"] = totals.in_time / max(totals.asked, 1)
-            for how in (Ending.SERVED, Ending.REFUSED, Ending.FAILED):
-                found[f"class.{kind}.{how.value}"] = totals.part(how)
-            for name, percentile in PERCENTILES.items():
-                value = self.latency_by_class[kind].get_value_at_percentile(percentile)
-                found[f"class.{kind}.{name}"] = value / 1e3
-        for tenant, totals in self.by_tenant.items():
-            found[f"tenant.{tenant}.in_time"] = totals.in_time / max(totals.asked, 1)
-        return {name: round(float(value), 6) for name, value in sorted(found.items())}
-
-    def series(self) -> dict[str, Any]:
-        """Rows a second, for plots."""
+    def add_latency(self, second: int, class_name: str, latency_us: int) -> None:
+        """Add the latency of a request that was served."""
+        self._latencies_us[class_name][second].append(latency_us)
+
+    def min_weight_ratio(self, start_s: int, end_s: int) -> float:
+        """Return the minimum ratio of priority weight served in time within any ten seconds of this span."""
+        weights = self._weights[start_s:end_s]
+        span = min(_WORST_SPAN_S, len(weights))
+        ratios = []
+        for start in range(len(weights) - span + 1):
+            requested = sum(row[0] for row in weights[start : start + span])
+            if requested > 0.0:
+                ratios.append(sum(row[1] for row in weights[start : start + span]) / requested)
+        return min(ratios, default=0.0)
+
+    def to_result(self) -> dict[str, Any]:
+        """Return the series in the form of result files."""
         percentiles: dict[str, dict[str, list[float | None]]] = {}
-        for name, seconds in self._latencies.items():
-            ordered = [sorted(each) for each in seconds]
+        for name, seconds in self._latencies_us.items():
+            ordered = [sorted(latencies) for latencies in seconds]
             percentiles[name] = {
-                label: [at_rank(each, part) / 1e3 if each else None for each in ordered]
-                for label, part in (("p50", 0.5), ("p90", 0.9), ("p99", 0.99))
+                label: [at_rank(latencies, fraction) / 1e3 if latencies else None for latencies in ordered]
+                for label, fraction in (("p50", 0.5), ("p90", 0.9), ("p99", 0.99))
             }
         return {
-            "rows": self.rows,
-            "worth": [[round(a, 3), round(b, 3)] for a, b in self.worth_rows],
+            "rows": self._rows,
+            "worth": [[round(requested, 3), round(served, 3)] for requested, served in self._weights],
             "latency_ms": percentiles,
             "servers": dict(sorted(self.servers.items())),
             "timeline": self.timeline,
         }
 
 
-def at_rank(ordered: Sequence[Number], part: float) -> Number:
-    """The quantile by rank, without interpolation; `ordered` ascends and is not empty."""
-    return ordered[min(int(part * len(ordered)), len(ordered) - 1)]
+class Recorder:
+    """Owns the figures of one run."""
+
+    def __init__(self, scenario: Scenario, quotas: dict[str, float]) -> None:
+        """Start with no requests.
+
+        Args:
+            scenario: Gives the classes, the tenants and the length of the run.
+            quotas: Requests a second, by tenant with a quota.
+        """
+        class_names = [each.name for each in scenario.classes]
+        self._scenario = scenario
+        self._warmup_end = int(scenario.warmup_s * 1e6)
+        self._quotas = {name: _QuotaBucket(rate_per_s=quota, tokens=quota) for name, quota in quotas.items()}
+        self.total = RequestTotals()
+        self._by_class = {name: RequestTotals() for name in class_names}
+        self._by_tenant = {each.name: RequestTotals() for each in scenario.tenants}
+        self.latency = histogram()
+        self._latency_by_class = {name: histogram() for name in class_names}
+        self.counters = RunCounters()
+        self.series = TimeSeries(int(scenario.seconds) + 1, class_names)
+
+    def first_try_sent(self, ask: Ask) -> float:
+        """Record that a client sends its first try.
+
+        Returns:
+            The request's priority weight, which is reduced beyond its tenant's quota.
+        """
+        self.counters.first_tries += 1
+        bucket = self._quotas.get(ask.tenant) if ask.tenant is not None else None
+        if bucket is None or bucket.take(ask.at / 1e6):
+            return ask.kind.worth
+        return ask.kind.worth * self._scenario.rules.over_share_worth
+
+    def request_ended(self, ask: Ask, weight: float, ending: Ending, now: int) -> None:
+        """Record that the client received its last response, or that none will follow.
+
+        Args:
+            ask: The request.
+            weight: Its priority weight, from `first_try_sent`.
+            ending: How it ended.
+            now: When, microseconds.
+        """
+        self.counters.tries += ask.tries
+        if ask.at < self._warmup_end:
+            return
+        latency_us = max(now - ask.at, 1)
+        is_served = ending is Ending.SERVED
+        is_in_time = is_served and latency_us <= ask.kind.aim_ms * 1e3
+        class_name = ask.kind.name
+        self.total.add(ending, weight, is_in_time=is_in_time)
+        self._by_class[class_name].add(ending, weight, is_in_time=is_in_time)
+        if ask.tenant is not None:
+            self._by_tenant[ask.tenant].add(ending, weight, is_in_time=is_in_time)
+        second = ask.at // 1_000_000
+        self.series.add(second, ending, weight, is_in_time=is_in_time)
+        if is_served:
+            bounded_us = min(latency_us, _MAX_LATENCY_US)
+            self.latency.record_value(bounded_us)
+            self._latency_by_class[class_name].record_value(bounded_us)
+            self.series.add_latency(second, class_name, bounded_us)
+
+    def metrics(self, history: HistoryChecker) -> dict[str, float]:
+        """Return every metric of `scenario.metric_names`, rounded to six digits."""
+        total, counters, scenario = self.total, self.counters, self._scenario
+        first_tries = max(counters.first_tries, 1)
+        metrics: dict[str, float] = {
+            "rules.broken": history.violated_rule_count,
+            **{f"rules.{rule}": count for rule, count in history.violation_counts.items()},
+            "worth": total.weight_ratio,
+            "worst_10s": self.series.min_weight_ratio(int(scenario.warmup_s), int(scenario.seconds)),
+            "requests": total.request_count,
+            "choked_s": counters.overloaded_us / 1e6,
+            "in_time": total.in_time_ratio,
+            "served": total.ratio(Ending.SERVED),
+            "refused": total.ratio(Ending.REFUSED),
+            "failed": total.ratio(Ending.FAILED),
+            "tries_per_request": counters.tries / first_tries,
+            "attempts_per_request": counters.attempts / first_tries,
+            "crossings_per_request": counters.cross_zone_attempts / first_tries,
+            "handshakes_per_request": counters.handshakes / first_tries,
+            "probes_per_request": counters.health_checks / first_tries,
+            **_latency_metrics("latency", self.latency),
+        }
+        for name, totals in self._by_class.items():
+            metrics[f"class.{name}.in_time"] = totals.in_time_ratio
+            for ending in (Ending.SERVED, Ending.REFUSED, Ending.FAILED):
+                metrics[f"class.{name}.{ending.value}"] = totals.ratio(ending)
+            metrics |= _latency_metrics(f"class.{name}", self._latency_by_class[name])
+        for tenant, totals in self._by_tenant.items():
+            metrics[f"tenant.{tenant}.in_time"] = totals.in_time_ratio
+        return {name: round(float(value), 6) for name, value in sorted(metrics.items())}
+
+
+def _latency_metrics(prefix: str, latency: Any) -> dict[str, float]:
+    """Return the percentiles of a histogram in milliseconds, by metric name."""
+    return {
+        f"{prefix}.{name}": latency.get_value_at_percentile(percentile) / 1e3
+        for name, percentile in _PERCENTILES.items()
+    }
+
+
+def at_rank(ordered: Sequence[Number], fraction: float) -> Number:
+    """Return the quantile by rank, without interpolation; `ordered` ascends and is not empty."""
+    return ordered[min(int(fraction * len(ordered)), len(ordered) - 1)]
--- a/tulipnotch/lab/virtual.py
+++ b/tulipnotch/lab/virtual.py
@@ -115,7 +115,7 @@
         engine.run(end)
         for server in self.servers:
             choked = engine.now - server.choked_at if server.choked_at is not None else 0
-            self.recorder.choked_us += server.choked_us + choked
+            self.recorder.counters.overloaded_us += server.choked_us + choked
         self.history.close(engine.now)
 
     def delay(self, a: str, b: str) -> int:
@@ -177,7 +177,7 @@
         )
 
     def _note(self, text: str) -> None:
-        self.recorder.timeline.append((round(self.engine.now / 1e6, 3), text))
+        self.recorder.series.timeline.append((round(self.engine.now / 1e6, 3), text))
 
     # Faults
 
@@ -222,7 +222,7 @@
         """One row for each server and second."""
         for server in self.servers:
             before = self._done_before[server.name]
-            self.recorder.servers.setdefault(server.name, []).append(
+            self.recorder.series.servers.setdefault(server.name, []).append(
                 (server.done - before, server.most_waiting)
             )
             self._done_before[server.name] = server.done
@@ -237,7 +237,7 @@
 
     def _arrive(self, ask: Ask, asks: Any) -> None:
         self._plan_next(asks)
-        self._try(ask, self.recorder.asked(ask))
+        self._try(ask, self.recorder.first_try_sent(ask))
 
     def _try(self, ask: Ask, worth: float) -> None:
         """The client sends a try."""
@@ -256,7 +256,7 @@
         now = self.engine.now
         again = comes_again(one.ask, how, retry_after_us, now, self.given.clients, self._clients.random)
         if again is None:
-            self.recorder.ended(one.ask, one.worth, how, now)
+            self.recorder.request_ended(one.ask, one.worth, how, now)
         else:
             self.engine.at(again, self._try, one.ask, one.worth)
 
@@ -522,7 +522,7 @@
 
     def _dial(self, attempt: _Attempt) -> None:
         world, server = self.world, attempt.server
-        world.recorder.handshakes += 1
+        world.recorder.counters.handshakes += 1
         there_and_back = world.delay(self.zone, server.zone) + world.delay(server.zone, self.zone)
         if world.is_cut(self.zone, server.zone):
             self.engine.after(
@@ -547,9 +547,9 @@
     def _write(self, attempt: _Attempt) -> None:
         world = self.world
         attempt.is_written = True
-        world.recorder.attempts += 1
+        world.recorder.counters.attempts += 1
         if attempt.server.zone != self.zone:
-            world.recorder.crossings += 1
+            world.recorder.counters.cross_zone_attempts += 1
         world.history.attempt_sent(self.place, attempt.server.name, self.engine.now)
         self.engine.after(world.delay(self.zone, attempt.server.zone), self._reach, attempt)
 
@@ -631,7 +631,7 @@
 
     def _probe(self, name: str) -> None:
         world, server = self.world, self.world.by_name[name]
-        world.recorder.probes += 1
+        world.recorder.counters.health_checks += 1
         there = world.delay(self.zone, server.zone)
         self.engine.after(there, self._probed, server, self.engine.now, self._life)
 
