--- a/tulipnotch/lab/engine.py
+++ b/tulipnotch/lab/engine.py
@@ -1,8 +1,8 @@
-"""Virtual time: a clock and a heap of calls that are due.
+"""Virtual time: a clock and a heap of scheduled calls.
 
-Our own instead of simpy: a request here is six callbacks, and a callback costs a third of resuming one of
-simpy's generators, which is what bounds the number of simulated requests a second.  Calls due at the same
-time run in the order in which they were planned, so that a run is a function of its seed.
+It replaces simpy because a simulated request is six callbacks here, and a callback costs a third of resuming
+one of simpy's generators, which limits the number of simulated requests a second.  Calls due at the same time
+run in the order in which they were scheduled, so that a run is a function of its seed.
 """
 
 from __future__ import annotations
@@ -13,26 +13,33 @@
 
 
 class Engine:
-    """Time is whole microseconds."""
+    """Owns the virtual clock and the scheduled calls.
+
+    Attributes:
+        now: The virtual time, whole microseconds.
+    """
 
     def __init__(self, now: int = 0) -> None:
+        """Start at this time, with nothing scheduled."""
         self.now = now
-        self._due: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
-        self._order = 0
+        self._scheduled: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
+        self._sequence = 0  # orders calls that are due at the same time
 
-    def at(self, when: int, call: Callable[..., None], *given: Any) -> None:
-        """Plan a call; a time that has passed means now, after what is due already."""
-        self._order += 1
-        heapq.heappush(self._due, (when if when > self.now else self.now, self._order, call, given))
+    def call_at(self, when: int, callback: Callable[..., None], *args: Any) -> None:
+        """Schedule a call; a time in the past means now, after the calls that are due already."""
+        self._sequence += 1
+        due_at = when if when > self.now else self.now
+        heapq.heappush(self._scheduled, (due_at, self._sequence, callback, args))
 
-    def after(self, wait: int, call: Callable[..., None], *given: Any) -> None:
-        self._order += 1
-        heapq.heappush(self._due, (self.now + wait, self._order, call, given))
+    def call_later(self, delay_us: int, callback: Callable[..., None], *args: Any) -> None:
+        """Schedule a call after this delay."""
+        self._sequence += 1
+        heapq.heappush(self._scheduled, (self.now + delay_us, self._sequence, callback, args))
 
     def run(self, until: int) -> None:
-        """Play all that is due up to and including this time."""
-        due, pop = self._due, heapq.heappop
-        while due and due[0][0] <= until:
-            self.now, _, call, given = pop(due)
-            call(*given)
+        """Run all calls due up to and including this time, and advance the clock to it."""
+        scheduled, pop = self._scheduled, heapq.heappop
+        while scheduled and scheduled[0][0] <= until:
+            self.now, _, callback, args = pop(scheduled)
+            callback(*args)
         self.now = max(self.now, until)
--- a/tulipnotch/lab/report.py
+++ b/tulipnotch/lab/report.py
@@ -1,8 +1,9 @@
-"""One self-contained HTML page for a result: plots as inline SVG, tables, the rules' ledger."""
+"""Renders a result as one self-contained HTML page: plots as inline SVG, tables, violations of the rules."""
 
 from __future__ import annotations
 
 import io
+from enum import IntEnum, unique
 from pathlib import Path
 from typing import Any
 
@@ -13,12 +14,23 @@
 from tulipnotch.lab.results import Result, Run
 
 _COLOURS = ("#2b6cb0", "#c05621", "#2f855a", "#6b46c1", "#b83280", "#4a5568")
-_ENDINGS = {"served": "#2f855a", "refused": "#d69e2e", "failed": "#c53030", "gone": "#a0aec0"}
+# By the key of the rows of result files.
+_ENDING_COLOURS = {"served": "#2f855a", "refused": "#d69e2e", "failed": "#c53030", "gone": "#a0aec0"}
+
+_MAX_LEGEND_SERVERS = 16
+
+
+@unique
+class _ServerColumn(IntEnum):
+    """The columns of the rows a second of a server."""
+
+    RESPONSES = 0
+    MAX_WAITING = 1
 
 
 def write(result: Result, path: Path) -> None:
-    """Write the page.  The plots show the first seed; the tables show all."""
-    matplotlib.rcParams["svg.hashsalt"] = "tulipnotch"  # the same result gives the same page
+    """Write the page to `path`.  The plots show the first seed, the tables show all."""
+    matplotlib.rcParams["svg.hashsalt"] = "tulipnotch"  # makes the page a function of the result
     matplotlib.rcParams["svg.fonttype"] = "none"
     run = result.runs[0]
     environment = jinja2.Environment(
@@ -28,10 +40,10 @@
         result=result,
         run=run,
         plots=[
-            ("Latency of what was served, by class", _latency(result, run)),
-            ("How requests ended", _endings(result, run)),
-            ("Answers a second by server", _servers(result, run, 0)),
-            ("Most requests waiting at a server", _servers(result, run, 1)),
+            ("Latency of what was served, by class", _plot_latency(result, run)),
+            ("How requests ended", _plot_endings(result, run)),
+            ("Answers a second by server", _plot_servers(result, run, _ServerColumn.RESPONSES)),
+            ("Most requests waiting at a server", _plot_servers(result, run, _ServerColumn.MAX_WAITING)),
         ],
         metrics=[(name, result.mean(name), min(result.values(name)), max(result.values(name)))
                  for name in sorted(run.metrics)],
@@ -39,7 +51,8 @@
     path.write_text(page, encoding="utf-8")
 
 
-def _axes(result: Result, label: str) -> tuple[Figure, Any]:
+def _new_figure(result: Result, label: str) -> tuple[Figure, Any]:
+    """Return an empty figure over the time of the run, and its axes."""
     figure = Figure(figsize=(9.2, 2.7), layout="constrained")
     axes = figure.add_subplot()
     axes.set_xlim(0.0, result.seconds)
@@ -50,46 +63,54 @@
     return figure, axes
 
 
-def _finish(result: Result, run: Run, figure: Figure, axes: Any) -> str:
-    """Mark what was done on the time line, and give the picture as SVG."""
-    for at, _ in run.series["timeline"]:
-        if at <= result.seconds:
-            axes.axvline(at, color="#c53030", alpha=0.35, linewidth=0.8, linestyle=":")
+def _to_svg(result: Result, run: Run, figure: Figure, axes: Any) -> str:
+    """Mark the incidents and the warm-up, and return the figure as SVG."""
+    for at_s, _ in run.series["timeline"]:
+        if at_s <= result.seconds:
+            axes.axvline(at_s, color="#c53030", alpha=0.35, linewidth=0.8, linestyle=":")
     axes.axvspan(0.0, result.warmup_s, color="#a0aec0", alpha=0.15, linewidth=0)
-    out = io.StringIO()
-    figure.savefig(out, format="svg", metadata={"Date": None})
-    return out.getvalue()[out.getvalue().index("<svg") :]
+    buffer = io.StringIO()
+    figure.savefig(buffer, format="svg", metadata={"Date": None})
+    document = buffer.getvalue()
+    return document[document.index("<svg") :]
 
 
-def _latency(result: Result, run: Run) -> str:
-    figure, axes = _axes(result, "ms")
+def _plot_latency(result: Result, run: Run) -> str:
+    """Plot latency percentiles by class."""
+    figure, axes = _new_figure(result, "ms")
     for colour, (name, lines) in zip(_COLOURS * 9, run.series["latency_ms"].items(), strict=False):
         for label, style in (("p50", "-"), ("p99", "--")):
-            values = [float("nan") if each is None else each for each in lines[label]]
+            values = [float("nan") if value is None else value for value in lines[label]]
             axes.plot(range(len(values)), values, style, color=colour, linewidth=1.2, label=f"{name} {label}")
     axes.set_yscale("log")
     axes.legend(fontsize=8, ncols=4, frameon=False)
-    return _finish(result, run, figure, axes)
+    return _to_svg(result, run, figure, axes)
 
 
-def _endings(result: Result, run: Run) -> str:
-    figure, axes = _axes(result, "requests a second")
+def _plot_endings(result: Result, run: Run) -> str:
+    """Plot requests a second by how they ended."""
+    figure, axes = _new_figure(result, "requests a second")
     rows = run.series["rows"]
-    series = [[row[name] for row in rows] for name in _ENDINGS]
+    series = [[row[name] for row in rows] for name in _ENDING_COLOURS]
     axes.stackplot(
-        range(len(rows)), series, labels=list(_ENDINGS), colors=list(_ENDINGS.values()), linewidth=0
+        range(len(rows)),
+        series,
+        labels=list(_ENDING_COLOURS),
+        colors=list(_ENDING_COLOURS.values()),
+        linewidth=0,
     )
     axes.legend(fontsize=8, ncols=4, frameon=False, loc="lower right")
-    return _finish(result, run, figure, axes)
+    return _to_svg(result, run, figure, axes)
 
 
-def _servers(result: Result, run: Run, column: int) -> str:
-    figure, axes = _axes(result, "answers" if column == 0 else "waiting")
+def _plot_servers(result: Result, run: Run, column: _ServerColumn) -> str:
+    """Plot one column of the rows a second, by server."""
+    figure, axes = _new_figure(result, "answers" if column is _ServerColumn.RESPONSES else "waiting")
     for colour, (name, rows) in zip(_COLOURS * 400, run.series["servers"].items(), strict=False):
         axes.plot(
             range(1, len(rows) + 1), [row[column] for row in rows], color=colour, alpha=0.8,
             linewidth=0.9, label=name,
         )  # fmt: skip
-    if len(run.series["servers"]) <= 16:
+    if len(run.series["servers"]) <= _MAX_LEGEND_SERVERS:
         axes.legend(fontsize=7, ncols=8, frameon=False, loc="upper left")
-    return _finish(result, run, figure, axes)
+    return _to_svg(result, run, figure, axes)
--- a/tulipnotch/lab/virtual.py
+++ b/tulipnotch/lab/virtual.py
@@ -86,7 +86,7 @@
         self._clients = stream(seed, "clients")
         self.cut_zones: set[str] = set()
         self.discovery = _Discovery(self)
-        self._notices = fleet.Notices(given, lambda wait, call: self.engine.after(wait, call))
+        self._notices = fleet.Notices(given, lambda wait, call: self.engine.call_later(wait, call))
         self.jobs_out: dict[Job, _Attempt] = {}
         self._next_request = 0
         self._done_before = dict.fromkeys(self.by_name, 0)
@@ -102,7 +102,7 @@
         for sidecar in self.sidecars:
             sidecar.start()
         for each in plan(given, self.seed):
-            engine.at(each.at, self._do, each)
+            engine.call_at(each.at, self._do, each)
         for place, rate in enumerate(rates(given, self.seed, self.capacity)):
             self._plan_next(arrivals(given, self.seed, place, rate))
         longest = max(each.deadline_ms for each in given.classes) / 1e3
@@ -137,7 +137,7 @@
 
     def begun(self, server: OrderServer, jobs: list[Job]) -> None:
         for job in jobs:
-            self.engine.at(job.until, self._finish, server, job)
+            self.engine.call_at(job.until, self._finish, server, job)
 
     def _finish(self, server: OrderServer, job: Job) -> None:
         ran = job.stage is Stage.RUNNING
@@ -162,7 +162,7 @@
             if judged is not None:
                 judged(server, started_at, by_sidecar)
             self._note(f"{server.name} was pushed over")
-            self.engine.after(0, self._gone, server)
+            self.engine.call_later(0, self._gone, server)
 
         server.fell = fell
 
@@ -194,7 +194,9 @@
             case Deed.DRAIN:
                 self._notice(server, discovery.drain_notice_s, Listed.LEAVING)
                 # It turns new work away only once word of it had time to travel.
-                self.engine.after(int(discovery.drain_notice_s * 1e6) + 500_000, self._refuse_new, server)
+                self.engine.call_later(
+                    int(discovery.drain_notice_s * 1e6) + 500_000, self._refuse_new, server
+                )
             case Deed.DIRECTORY_DOWN:
                 self.discovery.fall()
             case Deed.DIRECTORY_UP:
@@ -233,7 +235,7 @@
     def _plan_next(self, asks: Any) -> None:
         ask = next(asks, None)
         if ask is not None:
-            self.engine.at(ask.at, self._arrive, ask, asks)
+            self.engine.call_at(ask.at, self._arrive, ask, asks)
 
     def _arrive(self, ask: Ask, asks: Any) -> None:
         self._plan_next(asks)
@@ -246,10 +248,10 @@
         self._next_request += 1
         ask.tries += 1
         one = _ClientTry(self, ask, worth, self._next_request, engine.now + wait)
-        engine.after(int(self.network.client_ms * 1e3), self.sidecars[ask.sidecar].arrived, one)
-        engine.at(one.until + int(self.given.rules.slack_ms * 1e3), one.give_up)
+        engine.call_later(int(self.network.client_ms * 1e3), self.sidecars[ask.sidecar].arrived, one)
+        engine.call_at(one.until + int(self.given.rules.slack_ms * 1e3), one.give_up)
         if ask.leaves_after_us and ask.tries == 1:
-            engine.after(ask.leaves_after_us, one.leave)
+            engine.call_later(ask.leaves_after_us, one.leave)
 
     def over(self, one: _ClientTry, how: Ending, retry_after_us: int) -> None:
         """A try has its answer, or will have none."""
@@ -258,7 +260,7 @@
         if again is None:
             self.recorder.request_ended(one.ask, one.worth, how, now)
         else:
-            self.engine.at(again, self._try, one.ask, one.worth)
+            self.engine.call_at(again, self._try, one.ask, one.worth)
 
 
 class _ClientTry:
@@ -337,7 +339,7 @@
     def comes_back(self, outcome: Outcome, after_us: int = 0) -> None:
         """The server's word travels back."""
         sidecar = self.sidecar
-        sidecar.engine.after(
+        sidecar.engine.call_later(
             after_us + sidecar.world.delay(self.server.zone, sidecar.zone), sidecar.heard, self, outcome
         )
 
@@ -394,7 +396,7 @@
             each.client.broken()
         self.connections.clear()
         self._events.clear()
-        self.engine.after(_BACK_AFTER_US, self.start)
+        self.engine.call_later(_BACK_AFTER_US, self.start)
 
     # Clients
 
@@ -425,7 +427,9 @@
         if held is None:
             return
         held.is_answered = True
-        self.engine.after(int(self.world.network.client_ms * 1e3), held.client.answer, how, retry_after_us)
+        self.engine.call_later(
+            int(self.world.network.client_ms * 1e3), held.client.answer, how, retry_after_us
+        )
         self._forget_if_over(request, held)
 
     def _forget_if_over(self, request: int, held: _Held) -> None:
@@ -455,7 +459,7 @@
             case StartAttempt():
                 self._send(action)
             case SetTimer():
-                self.engine.after(action.delay_us, self._fire, action.token, self._life)
+                self.engine.call_later(action.delay_us, self._fire, action.token, self._life)
             case RejectRequest():
                 self._answer(action.request, Ending.REFUSED, action.retry_after_us)
             case FailRequest():
@@ -509,9 +513,9 @@
             or until <= now
             or attempt.number >= self.settings.limits.max_attempts
         ):
-            self.engine.after(0, self._end, attempt, Outcome.NOT_SENT)
+            self.engine.call_later(0, self._end, attempt, Outcome.NOT_SENT)
             return
-        self.engine.at(until, self._expire, attempt)
+        self.engine.call_at(until, self._expire, attempt)
         idle = self.connections.get(action.endpoint)
         while idle:
             if now - idle.pop() < self._idle_us:
@@ -525,14 +529,14 @@
         world.recorder.counters.handshakes += 1
         there_and_back = world.delay(self.zone, server.zone) + world.delay(server.zone, self.zone)
         if world.is_cut(self.zone, server.zone):
-            self.engine.after(
+            self.engine.call_later(
                 self.settings.limits.connect_timeout_us, self._end, attempt, Outcome.CONNECT_FAILED
             )
         elif not server.is_up or server.has_fallen:
-            self.engine.after(there_and_back, self._end, attempt, Outcome.CONNECT_FAILED)
+            self.engine.call_later(there_and_back, self._end, attempt, Outcome.CONNECT_FAILED)
         else:
             trips = 1 + world.network.handshake_rtts
-            self.engine.after(trips * there_and_back, self._connected, attempt)
+            self.engine.call_later(trips * there_and_back, self._connected, attempt)
 
     def _connected(self, attempt: _Attempt) -> None:
         if attempt.is_over:
@@ -551,7 +555,7 @@
         if attempt.server.zone != self.zone:
             world.recorder.counters.cross_zone_attempts += 1
         world.history.attempt_sent(self.place, attempt.server.name, self.engine.now)
-        self.engine.after(world.delay(self.zone, attempt.server.zone), self._reach, attempt)
+        self.engine.call_later(world.delay(self.zone, attempt.server.zone), self._reach, attempt)
 
     def _reach(self, attempt: _Attempt) -> None:
         """The last byte is at the server."""
@@ -597,13 +601,13 @@
         if not attempt.is_over:
             attempt.is_over = True
             self._close_at_server(attempt)
-            self.engine.after(0, self._told_end, attempt, Outcome.CANCELLED)
+            self.engine.call_later(0, self._told_end, attempt, Outcome.CANCELLED)
 
     def _close_at_server(self, attempt: _Attempt) -> None:
         """Our end of the connection closes, and the server notices."""
         if attempt.is_written:
             wait = self.world.delay(self.zone, attempt.server.zone)
-            self.engine.after(wait, self._closed_at_server, attempt)
+            self.engine.call_later(wait, self._closed_at_server, attempt)
 
     def _closed_at_server(self, attempt: _Attempt) -> None:
         job = attempt.job
@@ -625,7 +629,9 @@
         held.out -= 1
         if outcome is Outcome.DELIVERED and not held.is_answered:
             held.is_answered = True
-            self.engine.after(int(self.world.network.client_ms * 1e3), held.client.answer, Ending.SERVED, 0)
+            self.engine.call_later(
+                int(self.world.network.client_ms * 1e3), held.client.answer, Ending.SERVED, 0
+            )
         took = self.engine.now - attempt.sent_at
         self._post(AttemptEnded(request, attempt.number, attempt.server.name, outcome, took, False))
 
@@ -633,7 +639,7 @@
         world, server = self.world, self.world.by_name[name]
         world.recorder.counters.health_checks += 1
         there = world.delay(self.zone, server.zone)
-        self.engine.after(there, self._probed, server, self.engine.now, self._life)
+        self.engine.call_later(there, self._probed, server, self.engine.now, self._life)
 
     def _probed(self, server: OrderServer, sent_at: int, life: int) -> None:
         back = self.world.delay(server.zone, self.zone)
@@ -643,7 +649,7 @@
             outcome, report, back = Outcome.TIMED_OUT, None, 400_000
         else:
             outcome, report = Outcome.DELIVERED, {"queue": float(server.report(self.engine.now))}
-        self.engine.after(back, self._probe_heard, server.name, outcome, report, sent_at, life)
+        self.engine.call_later(back, self._probe_heard, server.name, outcome, report, sent_at, life)
 
     def _probe_heard(
         self, name: str, outcome: Outcome, report: dict[str, float] | None, sent_at: int, life: int
@@ -707,10 +713,10 @@
             self._fails(sidecar, self._timeout_us)
         else:
             self._busy_until = begins + self._service_us
-            engine.at(self._busy_until, self._answer, sidecar, after, is_watch, sidecar.life)
+            engine.call_at(self._busy_until, self._answer, sidecar, after, is_watch, sidecar.life)
 
     def _fails(self, sidecar: VirtualSidecar, wait_us: int) -> None:
-        self._world.engine.after(wait_us, sidecar.listed, EndpointUpdateKind.FAILED, [], 0, sidecar.life)
+        self._world.engine.call_later(wait_us, sidecar.listed, EndpointUpdateKind.FAILED, [], 0, sidecar.life)
 
     def _answer(self, sidecar: VirtualSidecar, after: int | None, is_watch: bool, life: int) -> None:
         world = self._world
@@ -732,4 +738,4 @@
             )
         copies = [Line(e.name, e.zone, e.kind, e.cell, e.state, e.started_at, e.version) for e in lines]
         version = self.directory.version
-        world.engine.after(world.delay("", ""), sidecar.listed, kind, copies, version, life)
+        world.engine.call_later(world.delay("", ""), sidecar.listed, kind, copies, version, life)
