--- a/tulipnotch/lab/directory.py
+++ b/tulipnotch/lab/directory.py
@@ -1,4 +1,4 @@
-"""The list of servers as discovery keeps it: entries, each with the version of its last change."""
+"""The endpoint list as discovery maintains it: entries, each with the version of its last change."""
 
 from __future__ import annotations
 
@@ -8,59 +8,77 @@
 
 
 @unique
-class Listed(Enum):
-    """What the list says of a server, in discovery's words."""
+class ListedState(Enum):
+    """The state of a server in the list; the values are those of discovery's JSON."""
 
     ACTIVE = "active"
-    LEAVING = "leaving"
-    LEFT = "left"
+    DRAINING = "leaving"
+    REMOVED = "left"
 
 
 @dataclass(slots=True)
-class Line:
-    """A line of the list."""
+class DirectoryEntry:
+    """A server in the list.
+
+    Attributes:
+        name: The server's name.
+        zone: Its zone.
+        kind: The name of its kind of machine.
+        cell: The number of its cell.
+        state: Its state.
+        started_at: When it started, microseconds; None: before the run.
+        version: The version of the list in which the entry last changed.
+    """
 
     name: str
     zone: str
     kind: str
     cell: int
-    state: Listed = Listed.ACTIVE
-    started_at: int | None = None  # microseconds; None: long ago
+    state: ListedState = ListedState.ACTIVE
+    started_at: int | None = None
     version: int = 1
 
 
 class Directory:
-    """The list; it knows nothing of who asks."""
+    """Owns the list and its version; it has no knowledge of its subscribers."""
 
-    def __init__(self, lines: list[Line]) -> None:
+    def __init__(self, entries: list[DirectoryEntry]) -> None:
+        """Start with these entries, as version 1."""
         self.version = 1
-        self._lines = {each.name: each for each in lines}
+        self._entries = {entry.name: entry for entry in entries}
 
-    def change(self, name: str, state: Listed, started_at: int | None = None) -> bool:
-        """Publish a state; say whether it is news."""
-        line = self._lines[name]
-        if (line.state, line.started_at) == (state, started_at):
+    def update(self, name: str, state: ListedState, started_at: int | None = None) -> bool:
+        """Publish a server's state; return whether that changes the list."""
+        entry = self._entries[name]
+        if (entry.state, entry.started_at) == (state, started_at):
             return False
         self.version += 1
-        line.state, line.started_at, line.version = state, started_at, self.version
+        entry.state, entry.started_at, entry.version = state, started_at, self.version
         return True
 
-    def whole(self) -> list[Line]:
-        """Who is listed: who left is not."""
-        return [each for each in self._lines.values() if each.state is not Listed.LEFT]
+    def current(self) -> list[DirectoryEntry]:
+        """Return the complete list: all entries that are not removed."""
+        return [entry for entry in self._entries.values() if entry.state is not ListedState.REMOVED]
 
-    def since(self, version: int) -> list[Line]:
-        """What changed after this version."""
-        return [each for each in self._lines.values() if each.version > version]
+    def changed_since(self, version: int) -> list[DirectoryEntry]:
+        """Return the entries that changed after this version, removed ones included."""
+        return [entry for entry in self._entries.values() if entry.version > version]
 
-    def line(self, name: str) -> Line:
-        return self._lines[name]
+    def entry(self, name: str) -> DirectoryEntry:
+        """Return the entry of a server, also if it is removed."""
+        return self._entries[name]
 
 
-def entry(line: Line, address: str, epoch_us: int) -> dict[str, Any]:
-    """The line in discovery's JSON; `epoch_us` is the Unix time (us) at which the lab's clock began."""
-    started = (line.started_at + epoch_us) // 1_000 if line.started_at is not None else 0
+def to_discovery_json(entry: DirectoryEntry, address: str, epoch_us: int) -> dict[str, Any]:
+    """Return the entry in the form of discovery's JSON.
+
+    Args:
+        entry: The entry.
+        address: The server's address, as the sidecar reaches it.
+        epoch_us: The Unix time at which the laboratory's clock began, microseconds.
+    """
+    started_ms = (entry.started_at + epoch_us) // 1_000 if entry.started_at is not None else 0
     return {
-        "id": line.name, "addr": address, "zone": line.zone, "kind": line.kind, "cell": line.cell,
-        "state": line.state.value, "weight": 1.0, "started_ms": started,
+        "id": entry.name, "addr": address, "zone": entry.zone, "kind": entry.kind, "cell": entry.cell,
+        "state": entry.state.value, "weight": 1.0, "started_ms": started_ms,
     }  # fmt: skip
--- a/tulipnotch/lab/fleet.py
+++ b/tulipnotch/lab/fleet.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from tulipnotch.lab.directory import Directory, Line
+from tulipnotch.lab.directory import Directory, DirectoryEntry
 from tulipnotch.lab.load import stream
 from tulipnotch.lab.scenario import Scenario
 from tulipnotch.lab.server import Job, OrderServer
@@ -65,7 +65,7 @@
 
 
 def directory(servers: list[OrderServer]) -> Directory:
-    return Directory([Line(each.name, each.zone, each.kind, each.cell) for each in servers])
+    return Directory([DirectoryEntry(each.name, each.zone, each.kind, each.cell) for each in servers])
 
 
 class Notices:
--- a/tulipnotch/lab/real/backend.py
+++ b/tulipnotch/lab/real/backend.py
@@ -25,7 +25,7 @@
 import uvloop
 
 from tulipnotch.lab import fleet
-from tulipnotch.lab.directory import Line, Listed, entry
+from tulipnotch.lab.directory import DirectoryEntry, ListedState, to_discovery_json
 from tulipnotch.lab.faults import Deed, Incident, plan, strike
 from tulipnotch.lab.history_checker import HistoryChecker
 from tulipnotch.lab.load import stream
@@ -84,7 +84,7 @@
         self.discovery = [Discovery(self, sidecar) for sidecar in sidecars]
         self.call_queue = CallQueue(self)
         addresses = [await each.listen() for each in self.discovery]
-        lists = [[self.entry(line, sidecar) for line in self.directory.whole()] for sidecar in sidecars]
+        lists = [[self.entry(line, sidecar) for line in self.directory.current()] for sidecar in sidecars]
         return {"discovery": addresses, "known": lists}
 
     def now(self) -> int:
@@ -121,9 +121,9 @@
             rows.clear()
         self.history.forget_executed_before(self.now() - _REMEMBERED_US)
 
-    def entry(self, line: Line, sidecar: int) -> dict[str, Any]:
+    def entry(self, line: DirectoryEntry, sidecar: int) -> dict[str, Any]:
         place = int(line.name.removeprefix("s-"))
-        return entry(line, self.stands[place].addresses[sidecar], self.epoch_us)
+        return to_discovery_json(line, self.stands[place].addresses[sidecar], self.epoch_us)
 
     def note(self, what: str, *given: Any) -> None:
         self.records.append((self.now(), what, *given))
@@ -156,9 +156,9 @@
             case Deed.START:
                 server.start(now)
                 stand.listen()
-                self._notice(server, discovery.add_notice_s, Listed.ACTIVE)
+                self._notice(server, discovery.add_notice_s, ListedState.ACTIVE)
             case Deed.DRAIN:
-                self._notice(server, discovery.drain_notice_s, Listed.LEAVING)
+                self._notice(server, discovery.drain_notice_s, ListedState.DRAINING)
                 self.loop.call_later(discovery.drain_notice_s + 0.5, self._refuse_new, server)
             case Deed.DIRECTORY_DOWN:
                 self.call_queue.is_up = False
@@ -177,18 +177,18 @@
 
     def _gone(self, stand: Stand) -> None:
         stand.crash()
-        self._notice(stand.server, self.given.discovery.crash_notice_s, Listed.LEFT)
+        self._notice(stand.server, self.given.discovery.crash_notice_s, ListedState.REMOVED)
 
     def _refuse_new(self, server: OrderServer) -> None:
-        if server.is_up and self.directory.line(server.name).state is not Listed.ACTIVE:
+        if server.is_up and self.directory.entry(server.name).state is not ListedState.ACTIVE:
             server.is_leaving = True
 
-    def _notice(self, server: OrderServer, wait_s: float, state: Listed) -> None:
-        started_at = server.started_at if state is Listed.ACTIVE else None
+    def _notice(self, server: OrderServer, wait_s: float, state: ListedState) -> None:
+        started_at = server.started_at if state is ListedState.ACTIVE else None
 
         def publish() -> None:
-            if self.directory.change(server.name, state, started_at):
-                self.note("published", server.name, state is not Listed.ACTIVE)
+            if self.directory.update(server.name, state, started_at):
+                self.note("published", server.name, state is not ListedState.ACTIVE)
                 for each in self.discovery:
                     each.news()
 
@@ -481,7 +481,12 @@
             return
         backend = self._owner.backend
         backend.note("asked", self._owner.sidecar, None)
-        if after is not None and wait_ms and not backend.directory.since(after) and backend.call_queue.is_up:
+        if (
+            after is not None
+            and wait_ms
+            and not backend.directory.changed_since(after)
+            and backend.call_queue.is_up
+        ):
             self._watches_after = after
             self._timer = backend.loop.call_later(wait_ms / 1e3, self.news)
         else:
@@ -505,7 +510,7 @@
     def _answer(self, after: int | None) -> None:
         backend, sidecar = self._owner.backend, self._owner.sidecar
         directory = backend.directory
-        lines = directory.whole() if after is None else directory.since(after)
+        lines = directory.current() if after is None else directory.changed_since(after)
         told = {
             "version": directory.version,
             "full": after is None,
@@ -514,8 +519,8 @@
         if self.transport is None or self.transport.is_closing():
             return
         self.write(ok(json.dumps(told).encode()))
-        for line in lines if after is not None else directory.since(0):
-            leaves = line.state is not Listed.ACTIVE
+        for line in lines if after is not None else directory.changed_since(0):
+            leaves = line.state is not ListedState.ACTIVE
             backend.note("told", sidecar, line.name, leaves, line.started_at)
         backend.note("asked", sidecar, backend.now())
 
--- a/tulipnotch/lab/virtual.py
+++ b/tulipnotch/lab/virtual.py
@@ -12,7 +12,7 @@
 from typing import Any, Protocol
 
 from tulipnotch.lab import fleet
-from tulipnotch.lab.directory import Line, Listed
+from tulipnotch.lab.directory import DirectoryEntry, ListedState
 from tulipnotch.lab.engine import Engine
 from tulipnotch.lab.faults import Deed, Incident, plan, strike
 from tulipnotch.lab.history_checker import HistoryChecker
@@ -53,9 +53,9 @@
 _BACK_AFTER_US = 300_000  # how long a sidecar that was killed is away
 _ERROR_US = 1_000  # what a quick error takes
 _STATES = {
-    Listed.ACTIVE: EndpointState.READY,
-    Listed.LEAVING: EndpointState.DRAINING,
-    Listed.LEFT: EndpointState.REMOVED,
+    ListedState.ACTIVE: EndpointState.READY,
+    ListedState.DRAINING: EndpointState.DRAINING,
+    ListedState.REMOVED: EndpointState.REMOVED,
 }
 
 
@@ -168,10 +168,10 @@
 
     def _gone(self, server: OrderServer) -> None:
         self._crash(server)
-        self._notice(server, self.given.discovery.crash_notice_s, Listed.LEFT)
+        self._notice(server, self.given.discovery.crash_notice_s, ListedState.REMOVED)
 
-    def _notice(self, server: OrderServer, wait_s: float, state: Listed) -> None:
-        started_at = server.started_at if state is Listed.ACTIVE else None
+    def _notice(self, server: OrderServer, wait_s: float, state: ListedState) -> None:
+        started_at = server.started_at if state is ListedState.ACTIVE else None
         self._notices.notice(
             server.name, wait_s, lambda: self.discovery.publish(server.name, state, started_at)
         )
@@ -190,9 +190,9 @@
                     self._gone(server)
             case Deed.START:
                 server.start(now)
-                self._notice(server, discovery.add_notice_s, Listed.ACTIVE)
+                self._notice(server, discovery.add_notice_s, ListedState.ACTIVE)
             case Deed.DRAIN:
-                self._notice(server, discovery.drain_notice_s, Listed.LEAVING)
+                self._notice(server, discovery.drain_notice_s, ListedState.DRAINING)
                 # It turns new work away only once word of it had time to travel.
                 self.engine.call_later(
                     int(discovery.drain_notice_s * 1e6) + 500_000, self._refuse_new, server
@@ -217,7 +217,7 @@
         self._note(f"{incident.deed.value} {what}".strip())
 
     def _refuse_new(self, server: OrderServer) -> None:
-        if server.is_up and self.discovery.directory.line(server.name).state is not Listed.ACTIVE:
+        if server.is_up and self.discovery.directory.entry(server.name).state is not ListedState.ACTIVE:
             server.is_leaving = True
 
     def _sample(self) -> None:
@@ -368,7 +368,7 @@
         self._policy = world.make(
             self.settings, stream(world.seed, "sidecar", self.place, self._life).getrandbits(48), world
         )
-        known = world.discovery.directory.whole() if self._life == 0 else self._remembered()
+        known = world.discovery.directory.current() if self._life == 0 else self._remembered()
         world.history.sidecar_listening(self.place)
         world.history.endpoints_polled(self.place, self.engine.now)
         self.version = world.discovery.directory.version if self._life == 0 else self.version
@@ -377,9 +377,9 @@
             EndpointsUpdated(EndpointUpdateKind.CACHED, [_listed(each) for each in known], self.version)
         )
 
-    def _remembered(self) -> list[Line]:
-        lines = (self.world.discovery.directory.line(name) for name in self._listed)
-        return [each for each in lines if each.state is not Listed.LEFT]
+    def _remembered(self) -> list[DirectoryEntry]:
+        lines = (self.world.discovery.directory.entry(name) for name in self._listed)
+        return [each for each in lines if each.state is not ListedState.REMOVED]
 
     def kill(self) -> None:
         """End at once and start anew after a while; what it held is lost."""
@@ -481,7 +481,9 @@
         if life == self._life:
             self._post(TimerFired(token))
 
-    def listed(self, kind: EndpointUpdateKind, lines: Sequence[Line], version: int, life: int) -> None:
+    def listed(
+        self, kind: EndpointUpdateKind, lines: Sequence[DirectoryEntry], version: int, life: int
+    ) -> None:
         """Discovery's word arrives."""
         if life != self._life or not self.is_up:
             return
@@ -658,7 +660,7 @@
             self._post(HealthCheckEnded(name, outcome, self.engine.now - sent_at, report))
 
 
-def _listed(line: Line) -> EndpointDescription:
+def _listed(line: DirectoryEntry) -> EndpointDescription:
     return EndpointDescription(
         line.name, line.zone, line.kind, line.cell, _STATES[line.state], 1.0, line.started_at or None
     )
@@ -676,10 +678,10 @@
         self._timeout_us = int(world.given.discovery.timeout_s * 1e6)
         self._watching: dict[int, VirtualSidecar] = {}
 
-    def publish(self, name: str, state: Listed, started_at: int | None) -> None:
-        if self.directory.change(name, state, started_at):
+    def publish(self, name: str, state: ListedState, started_at: int | None) -> None:
+        if self.directory.update(name, state, started_at):
             self._world.history.endpoint_published(
-                name, is_draining=state is not Listed.ACTIVE, now=self._world.engine.now
+                name, is_draining=state is not ListedState.ACTIVE, now=self._world.engine.now
             )
             for sidecar in list(self._watching.values()):
                 self._call(sidecar, sidecar.version, is_watch=True)
@@ -725,17 +727,19 @@
         if not self.is_up:
             self._fails(sidecar, 0)
             return
-        lines = self.directory.whole() if after is None else self.directory.since(after)
+        lines = self.directory.current() if after is None else self.directory.changed_since(after)
         kind = EndpointUpdateKind.COMPLETE if after is None else EndpointUpdateKind.DELTA
         now = world.engine.now
         world.history.endpoints_polled(sidecar.place, None if is_watch else now)
         if is_watch:
             self._watching[sidecar.place] = sidecar
-        for each in lines if after is not None else self.directory.since(0):
-            leaves = each.state is not Listed.ACTIVE
+        for each in lines if after is not None else self.directory.changed_since(0):
+            leaves = each.state is not ListedState.ACTIVE
             world.history.sidecar_notified(
                 sidecar.place, each.name, is_draining=leaves, started_at=each.started_at, now=now
             )
-        copies = [Line(e.name, e.zone, e.kind, e.cell, e.state, e.started_at, e.version) for e in lines]
+        copies = [
+            DirectoryEntry(e.name, e.zone, e.kind, e.cell, e.state, e.started_at, e.version) for e in lines
+        ]
         version = self.directory.version
         world.engine.call_later(world.delay("", ""), sidecar.listed, kind, copies, version, life)
