--- a/tests/lab/test_model.py
+++ b/tests/lab/test_model.py
@@ -11,7 +11,7 @@
 from worlds import world
 
 from tulipnotch.lab import fleet
-from tulipnotch.lab.ledger import Ledger
+from tulipnotch.lab.history_checker import HistoryChecker
 from tulipnotch.lab.load import Ask
 from tulipnotch.lab.policies import POLICIES
 from tulipnotch.lab.scenario import Scenario
@@ -48,7 +48,7 @@
     run.run()
     work_us = math.fsum(run.work_us) / len(run.work_us)
     busy = work_us * len(run.work_us) / (given.seconds * 1e6 * run.capacity)
-    assert run.recorder.all.asked == run.recorder.latency.get_total_count() > 0
+    assert run.recorder.total.request_count == run.recorder.latency.get_total_count() > 0
     return run.recorder.latency.get_mean_value() / work_us - 1.0, busy
 
 
@@ -93,7 +93,7 @@
 
 def server(**fleet_changes: Any) -> OrderServer:
     given = world(fleet={"servers": 1, "kinds": [{"name": "k", "cores": 2}], **fleet_changes})
-    found = fleet.build(given, 1, Ledger(given))[0]
+    found = fleet.build(given, 1, HistoryChecker(given))[0]
     found._on_begin = lambda *_: False
     return found
 
--- a/tulipnotch/lab/virtual.py
+++ b/tulipnotch/lab/virtual.py
@@ -12,10 +12,10 @@
 from typing import Any, Protocol
 
 from tulipnotch.lab import fleet
-from tulipnotch.lab.directory import Line, Listed
+from tulipnotch.lab.directory import DirectoryEntry, ListedState
 from tulipnotch.lab.engine import Engine
 from tulipnotch.lab.faults import Deed, Incident, plan, strike
-from tulipnotch.lab.ledger import Ledger
+from tulipnotch.lab.history_checker import HistoryChecker
 from tulipnotch.lab.load import Ask, Ending, arrivals, comes_again, rates, stream, try_wait_us
 from tulipnotch.lab.recorder import Recorder
 from tulipnotch.lab.scenario import Scenario, tenant_quotas_per_s, wire_settings
@@ -53,9 +53,9 @@
 _BACK_AFTER_US = 300_000  # how long a sidecar that was killed is away
 _ERROR_US = 1_000  # what a quick error takes
 _STATES = {
-    Listed.ACTIVE: EndpointState.READY,
-    Listed.LEAVING: EndpointState.DRAINING,
-    Listed.LEFT: EndpointState.REMOVED,
+    ListedState.ACTIVE: EndpointState.READY,
+    ListedState.DRAINING: EndpointState.DRAINING,
+    ListedState.REMOVED: EndpointState.REMOVED,
 }
 
 
@@ -75,8 +75,8 @@
     def __init__(self, given: Scenario, seed: int, make: MakePolicy) -> None:
         self.given, self.seed, self.make = given, seed, make
         self.engine = Engine()
-        self.ledger = Ledger(given)
-        self.servers = fleet.build(given, seed, self.ledger)
+        self.history = HistoryChecker(given)
+        self.servers = fleet.build(given, seed, self.history)
         self.by_name = {each.name: each for each in self.servers}
         self.capacity = fleet.capacity(self.servers)
         settings = [wire_settings(given, place, self.capacity) for place in range(given.fleet.sidecars)]
@@ -86,7 +86,7 @@
         self._clients = stream(seed, "clients")
         self.cut_zones: set[str] = set()
         self.discovery = _Discovery(self)
-        self._notices = fleet.Notices(given, lambda wait, call: self.engine.after(wait, call))
+        self._notices = fleet.Notices(given, lambda wait, call: self.engine.call_later(wait, call))
         self.jobs_out: dict[Job, _Attempt] = {}
         self._next_request = 0
         self._done_before = dict.fromkeys(self.by_name, 0)
@@ -102,7 +102,7 @@
         for sidecar in self.sidecars:
             sidecar.start()
         for each in plan(given, self.seed):
-            engine.at(each.at, self._do, each)
+            engine.call_at(each.at, self._do, each)
         for place, rate in enumerate(rates(given, self.seed, self.capacity)):
             self._plan_next(arrivals(given, self.seed, place, rate))
         longest = max(each.deadline_ms for each in given.classes) / 1e3
@@ -115,8 +115,8 @@
         engine.run(end)
         for server in self.servers:
             choked = engine.now - server.choked_at if server.choked_at is not None else 0
-            self.recorder.choked_us += server.choked_us + choked
-        self.ledger.close(engine.now)
+            self.recorder.counters.overloaded_us += server.choked_us + choked
+        self.history.close(engine.now)
 
     def delay(self, a: str, b: str) -> int:
         """Microseconds one way."""
@@ -137,7 +137,7 @@
 
     def begun(self, server: OrderServer, jobs: list[Job]) -> None:
         for job in jobs:
-            self.engine.at(job.until, self._finish, server, job)
+            self.engine.call_at(job.until, self._finish, server, job)
 
     def _finish(self, server: OrderServer, job: Job) -> None:
         ran = job.stage is Stage.RUNNING
@@ -162,22 +162,22 @@
             if judged is not None:
                 judged(server, started_at, by_sidecar)
             self._note(f"{server.name} was pushed over")
-            self.engine.after(0, self._gone, server)
+            self.engine.call_later(0, self._gone, server)
 
         server.fell = fell
 
     def _gone(self, server: OrderServer) -> None:
         self._crash(server)
-        self._notice(server, self.given.discovery.crash_notice_s, Listed.LEFT)
+        self._notice(server, self.given.discovery.crash_notice_s, ListedState.REMOVED)
 
-    def _notice(self, server: OrderServer, wait_s: float, state: Listed) -> None:
-        started_at = server.started_at if state is Listed.ACTIVE else None
+    def _notice(self, server: OrderServer, wait_s: float, state: ListedState) -> None:
+        started_at = server.started_at if state is ListedState.ACTIVE else None
         self._notices.notice(
             server.name, wait_s, lambda: self.discovery.publish(server.name, state, started_at)
         )
 
     def _note(self, text: str) -> None:
-        self.recorder.timeline.append((round(self.engine.now / 1e6, 3), text))
+        self.recorder.series.timeline.append((round(self.engine.now / 1e6, 3), text))
 
     # Faults
 
@@ -190,11 +190,13 @@
                     self._gone(server)
             case Deed.START:
                 server.start(now)
-                self._notice(server, discovery.add_notice_s, Listed.ACTIVE)
+                self._notice(server, discovery.add_notice_s, ListedState.ACTIVE)
             case Deed.DRAIN:
-                self._notice(server, discovery.drain_notice_s, Listed.LEAVING)
+                self._notice(server, discovery.drain_notice_s, ListedState.DRAINING)
                 # It turns new work away only once word of it had time to travel.
-                self.engine.after(int(discovery.drain_notice_s * 1e6) + 500_000, self._refuse_new, server)
+                self.engine.call_later(
+                    int(discovery.drain_notice_s * 1e6) + 500_000, self._refuse_new, server
+                )
             case Deed.DIRECTORY_DOWN:
                 self.discovery.fall()
             case Deed.DIRECTORY_UP:
@@ -215,14 +217,14 @@
         self._note(f"{incident.deed.value} {what}".strip())
 
     def _refuse_new(self, server: OrderServer) -> None:
-        if server.is_up and self.discovery.directory.line(server.name).state is not Listed.ACTIVE:
+        if server.is_up and self.discovery.directory.entry(server.name).state is not ListedState.ACTIVE:
             server.is_leaving = True
 
     def _sample(self) -> None:
         """One row for each server and second."""
         for server in self.servers:
             before = self._done_before[server.name]
-            self.recorder.servers.setdefault(server.name, []).append(
+            self.recorder.series.servers.setdefault(server.name, []).append(
                 (server.done - before, server.most_waiting)
             )
             self._done_before[server.name] = server.done
@@ -233,11 +235,11 @@
     def _plan_next(self, asks: Any) -> None:
         ask = next(asks, None)
         if ask is not None:
-            self.engine.at(ask.at, self._arrive, ask, asks)
+            self.engine.call_at(ask.at, self._arrive, ask, asks)
 
     def _arrive(self, ask: Ask, asks: Any) -> None:
         self._plan_next(asks)
-        self._try(ask, self.recorder.asked(ask))
+        self._try(ask, self.recorder.first_try_sent(ask))
 
     def _try(self, ask: Ask, worth: float) -> None:
         """The client sends a try."""
@@ -246,19 +248,19 @@
         self._next_request += 1
         ask.tries += 1
         one = _ClientTry(self, ask, worth, self._next_request, engine.now + wait)
-        engine.after(int(self.network.client_ms * 1e3), self.sidecars[ask.sidecar].arrived, one)
-        engine.at(one.until + int(self.given.rules.slack_ms * 1e3), one.give_up)
+        engine.call_later(int(self.network.client_ms * 1e3), self.sidecars[ask.sidecar].arrived, one)
+        engine.call_at(one.until + int(self.given.rules.slack_ms * 1e3), one.give_up)
         if ask.leaves_after_us and ask.tries == 1:
-            engine.after(ask.leaves_after_us, one.leave)
+            engine.call_later(ask.leaves_after_us, one.leave)
 
     def over(self, one: _ClientTry, how: Ending, retry_after_us: int) -> None:
         """A try has its answer, or will have none."""
         now = self.engine.now
         again = comes_again(one.ask, how, retry_after_us, now, self.given.clients, self._clients.random)
         if again is None:
-            self.recorder.ended(one.ask, one.worth, how, now)
+            self.recorder.request_ended(one.ask, one.worth, how, now)
         else:
-            self.engine.at(again, self._try, one.ask, one.worth)
+            self.engine.call_at(again, self._try, one.ask, one.worth)
 
 
 class _ClientTry:
@@ -273,7 +275,7 @@
     def answer(self, how: Ending, retry_after_us: int) -> None:
         """The sidecar's answer reached the client."""
         world = self.world
-        world.ledger.answered(self.request, world.engine.now, refused=how is Ending.REFUSED)
+        world.history.response_received(self.request, world.engine.now, is_rejection=how is Ending.REFUSED)
         if not self.is_over:
             self.is_over = True
             late = how is Ending.SERVED and world.engine.now > self.until
@@ -294,7 +296,7 @@
     def leave(self) -> None:
         if not self.is_over:
             self.is_over = True
-            self.world.ledger.excused(self.request)
+            self.world.history.client_disconnected(self.request)
             self.world.sidecars[self.ask.sidecar].client_gone(self.request)
             self.world.over(self, Ending.GONE, 0)
 
@@ -337,7 +339,7 @@
     def comes_back(self, outcome: Outcome, after_us: int = 0) -> None:
         """The server's word travels back."""
         sidecar = self.sidecar
-        sidecar.engine.after(
+        sidecar.engine.call_later(
             after_us + sidecar.world.delay(self.server.zone, sidecar.zone), sidecar.heard, self, outcome
         )
 
@@ -366,24 +368,24 @@
         self._policy = world.make(
             self.settings, stream(world.seed, "sidecar", self.place, self._life).getrandbits(48), world
         )
-        known = world.discovery.directory.whole() if self._life == 0 else self._remembered()
-        world.ledger.back(self.place)
-        world.ledger.asked(self.place, self.engine.now)
+        known = world.discovery.directory.current() if self._life == 0 else self._remembered()
+        world.history.sidecar_listening(self.place)
+        world.history.endpoints_polled(self.place, self.engine.now)
         self.version = world.discovery.directory.version if self._life == 0 else self.version
         self._listed = {each.name: _STATES[each.state] for each in known}
         self._post(
             EndpointsUpdated(EndpointUpdateKind.CACHED, [_listed(each) for each in known], self.version)
         )
 
-    def _remembered(self) -> list[Line]:
-        lines = (self.world.discovery.directory.line(name) for name in self._listed)
-        return [each for each in lines if each.state is not Listed.LEFT]
+    def _remembered(self) -> list[DirectoryEntry]:
+        lines = (self.world.discovery.directory.entry(name) for name in self._listed)
+        return [each for each in lines if each.state is not ListedState.REMOVED]
 
     def kill(self) -> None:
         """End at once and start anew after a while; what it held is lost."""
         self.is_up = False
         self._life += 1
-        self.world.ledger.killed(self.place)
+        self.world.history.sidecar_killed(self.place)
         self.world.discovery.forget(self)
         held, self._held = self._held, {}
         for each in held.values():
@@ -394,7 +396,7 @@
             each.client.broken()
         self.connections.clear()
         self._events.clear()
-        self.engine.after(_BACK_AFTER_US, self.start)
+        self.engine.call_later(_BACK_AFTER_US, self.start)
 
     # Clients
 
@@ -405,7 +407,9 @@
         if client.is_over:
             return
         now, ask = self.engine.now, client.ask
-        self.world.ledger.taken(client.request, self.place, ask.kind, now, client.until - now)
+        self.world.history.request_received(
+            client.request, self.place, ask.kind, now=now, timeout_us=client.until - now
+        )
         self._held[client.request] = _Held(client)
         left = max(client.until - now, 1)
         hint = int(ask.work_us) if self.world.given.load.hints else None
@@ -423,7 +427,9 @@
         if held is None:
             return
         held.is_answered = True
-        self.engine.after(int(self.world.network.client_ms * 1e3), held.client.answer, how, retry_after_us)
+        self.engine.call_later(
+            int(self.world.network.client_ms * 1e3), held.client.answer, how, retry_after_us
+        )
         self._forget_if_over(request, held)
 
     def _forget_if_over(self, request: int, held: _Held) -> None:
@@ -453,7 +459,7 @@
             case StartAttempt():
                 self._send(action)
             case SetTimer():
-                self.engine.after(action.delay_us, self._fire, action.token, self._life)
+                self.engine.call_later(action.delay_us, self._fire, action.token, self._life)
             case RejectRequest():
                 self._answer(action.request, Ending.REFUSED, action.retry_after_us)
             case FailRequest():
@@ -475,7 +481,9 @@
         if life == self._life:
             self._post(TimerFired(token))
 
-    def listed(self, kind: EndpointUpdateKind, lines: Sequence[Line], version: int, life: int) -> None:
+    def listed(
+        self, kind: EndpointUpdateKind, lines: Sequence[DirectoryEntry], version: int, life: int
+    ) -> None:
         """Discovery's word arrives."""
         if life != self._life or not self.is_up:
             return
@@ -507,9 +515,9 @@
             or until <= now
             or attempt.number >= self.settings.limits.max_attempts
         ):
-            self.engine.after(0, self._end, attempt, Outcome.NOT_SENT)
+            self.engine.call_later(0, self._end, attempt, Outcome.NOT_SENT)
             return
-        self.engine.at(until, self._expire, attempt)
+        self.engine.call_at(until, self._expire, attempt)
         idle = self.connections.get(action.endpoint)
         while idle:
             if now - idle.pop() < self._idle_us:
@@ -520,17 +528,17 @@
 
     def _dial(self, attempt: _Attempt) -> None:
         world, server = self.world, attempt.server
-        world.recorder.handshakes += 1
+        world.recorder.counters.handshakes += 1
         there_and_back = world.delay(self.zone, server.zone) + world.delay(server.zone, self.zone)
         if world.is_cut(self.zone, server.zone):
-            self.engine.after(
+            self.engine.call_later(
                 self.settings.limits.connect_timeout_us, self._end, attempt, Outcome.CONNECT_FAILED
             )
         elif not server.is_up or server.has_fallen:
-            self.engine.after(there_and_back, self._end, attempt, Outcome.CONNECT_FAILED)
+            self.engine.call_later(there_and_back, self._end, attempt, Outcome.CONNECT_FAILED)
         else:
             trips = 1 + world.network.handshake_rtts
-            self.engine.after(trips * there_and_back, self._connected, attempt)
+            self.engine.call_later(trips * there_and_back, self._connected, attempt)
 
     def _connected(self, attempt: _Attempt) -> None:
         if attempt.is_over:
@@ -545,11 +553,11 @@
     def _write(self, attempt: _Attempt) -> None:
         world = self.world
         attempt.is_written = True
-        world.recorder.attempts += 1
+        world.recorder.counters.attempts += 1
         if attempt.server.zone != self.zone:
-            world.recorder.crossings += 1
-        world.ledger.sent(self.place, attempt.server.name, self.engine.now)
-        self.engine.after(world.delay(self.zone, attempt.server.zone), self._reach, attempt)
+            world.recorder.counters.cross_zone_attempts += 1
+        world.history.attempt_sent(self.place, attempt.server.name, self.engine.now)
+        self.engine.call_later(world.delay(self.zone, attempt.server.zone), self._reach, attempt)
 
     def _reach(self, attempt: _Attempt) -> None:
         """The last byte is at the server."""
@@ -595,13 +603,13 @@
         if not attempt.is_over:
             attempt.is_over = True
             self._close_at_server(attempt)
-            self.engine.after(0, self._told_end, attempt, Outcome.CANCELLED)
+            self.engine.call_later(0, self._told_end, attempt, Outcome.CANCELLED)
 
     def _close_at_server(self, attempt: _Attempt) -> None:
         """Our end of the connection closes, and the server notices."""
         if attempt.is_written:
             wait = self.world.delay(self.zone, attempt.server.zone)
-            self.engine.after(wait, self._closed_at_server, attempt)
+            self.engine.call_later(wait, self._closed_at_server, attempt)
 
     def _closed_at_server(self, attempt: _Attempt) -> None:
         job = attempt.job
@@ -623,15 +631,17 @@
         held.out -= 1
         if outcome is Outcome.DELIVERED and not held.is_answered:
             held.is_answered = True
-            self.engine.after(int(self.world.network.client_ms * 1e3), held.client.answer, Ending.SERVED, 0)
+            self.engine.call_later(
+                int(self.world.network.client_ms * 1e3), held.client.answer, Ending.SERVED, 0
+            )
         took = self.engine.now - attempt.sent_at
         self._post(AttemptEnded(request, attempt.number, attempt.server.name, outcome, took, False))
 
     def _probe(self, name: str) -> None:
         world, server = self.world, self.world.by_name[name]
-        world.recorder.probes += 1
+        world.recorder.counters.health_checks += 1
         there = world.delay(self.zone, server.zone)
-        self.engine.after(there, self._probed, server, self.engine.now, self._life)
+        self.engine.call_later(there, self._probed, server, self.engine.now, self._life)
 
     def _probed(self, server: OrderServer, sent_at: int, life: int) -> None:
         back = self.world.delay(server.zone, self.zone)
@@ -641,7 +651,7 @@
             outcome, report, back = Outcome.TIMED_OUT, None, 400_000
         else:
             outcome, report = Outcome.DELIVERED, {"queue": float(server.report(self.engine.now))}
-        self.engine.after(back, self._probe_heard, server.name, outcome, report, sent_at, life)
+        self.engine.call_later(back, self._probe_heard, server.name, outcome, report, sent_at, life)
 
     def _probe_heard(
         self, name: str, outcome: Outcome, report: dict[str, float] | None, sent_at: int, life: int
@@ -650,7 +660,7 @@
             self._post(HealthCheckEnded(name, outcome, self.engine.now - sent_at, report))
 
 
-def _listed(line: Line) -> EndpointDescription:
+def _listed(line: DirectoryEntry) -> EndpointDescription:
     return EndpointDescription(
         line.name, line.zone, line.kind, line.cell, _STATES[line.state], 1.0, line.started_at or None
     )
@@ -668,9 +678,11 @@
         self._timeout_us = int(world.given.discovery.timeout_s * 1e6)
         self._watching: dict[int, VirtualSidecar] = {}
 
-    def publish(self, name: str, state: Listed, started_at: int | None) -> None:
-        if self.directory.change(name, state, started_at):
-            self._world.ledger.published(name, state is not Listed.ACTIVE, self._world.engine.now)
+    def publish(self, name: str, state: ListedState, started_at: int | None) -> None:
+        if self.directory.update(name, state, started_at):
+            self._world.history.endpoint_published(
+                name, is_draining=state is not ListedState.ACTIVE, now=self._world.engine.now
+            )
             for sidecar in list(self._watching.values()):
                 self._call(sidecar, sidecar.version, is_watch=True)
 
@@ -678,7 +690,7 @@
         self.is_up = False
         watching, self._watching = self._watching, {}
         for sidecar in watching.values():
-            self._world.ledger.asked(sidecar.place, self._world.engine.now)
+            self._world.history.endpoints_polled(sidecar.place, self._world.engine.now)
             self._fails(sidecar, 0)
 
     def forget(self, sidecar: VirtualSidecar) -> None:
@@ -687,7 +699,7 @@
     def follow(self, sidecar: VirtualSidecar, wanted: bool) -> None:
         if not wanted:
             self.forget(sidecar)
-            self._world.ledger.asked(sidecar.place, self._world.engine.now)
+            self._world.history.endpoints_polled(sidecar.place, self._world.engine.now)
             return
         self._call(sidecar, sidecar.version, is_watch=True)
 
@@ -703,10 +715,10 @@
             self._fails(sidecar, self._timeout_us)
         else:
             self._busy_until = begins + self._service_us
-            engine.at(self._busy_until, self._answer, sidecar, after, is_watch, sidecar.life)
+            engine.call_at(self._busy_until, self._answer, sidecar, after, is_watch, sidecar.life)
 
     def _fails(self, sidecar: VirtualSidecar, wait_us: int) -> None:
-        self._world.engine.after(wait_us, sidecar.listed, EndpointUpdateKind.FAILED, [], 0, sidecar.life)
+        self._world.engine.call_later(wait_us, sidecar.listed, EndpointUpdateKind.FAILED, [], 0, sidecar.life)
 
     def _answer(self, sidecar: VirtualSidecar, after: int | None, is_watch: bool, life: int) -> None:
         world = self._world
@@ -715,15 +727,19 @@
         if not self.is_up:
             self._fails(sidecar, 0)
             return
-        lines = self.directory.whole() if after is None else self.directory.since(after)
+        lines = self.directory.current() if after is None else self.directory.changed_since(after)
         kind = EndpointUpdateKind.COMPLETE if after is None else EndpointUpdateKind.DELTA
         now = world.engine.now
-        world.ledger.asked(sidecar.place, None if is_watch else now)
+        world.history.endpoints_polled(sidecar.place, None if is_watch else now)
         if is_watch:
             self._watching[sidecar.place] = sidecar
-        for each in lines if after is not None else self.directory.since(0):
-            leaves = each.state is not Listed.ACTIVE
-            world.ledger.told(sidecar.place, each.name, leaves, each.started_at, now)
-        copies = [Line(e.name, e.zone, e.kind, e.cell, e.state, e.started_at, e.version) for e in lines]
+        for each in lines if after is not None else self.directory.changed_since(0):
+            leaves = each.state is not ListedState.ACTIVE
+            world.history.sidecar_notified(
+                sidecar.place, each.name, is_draining=leaves, started_at=each.started_at, now=now
+            )
+        copies = [
+            DirectoryEntry(e.name, e.zone, e.kind, e.cell, e.state, e.started_at, e.version) for e in lines
+        ]
         version = self.directory.version
-        world.engine.after(world.delay("", ""), sidecar.listed, kind, copies, version, life)
+        world.engine.call_later(world.delay("", ""), sidecar.listed, kind, copies, version, life)
