--- a/benchmarks/ready.py
+++ b/benchmarks/ready.py
@@ -1,198 +1,239 @@
-"""Time to ready of each start that a folder of logs tells of.
+"""Time to ready of each start that a folder of logs records.
 
     python -m benchmarks.ready LOGS [--json]
 
-LOGS is a folder with the logs of sidecars, in any depth, as text or JSON lines; whatever else stands in it
-is skipped.  One row a folder and one for all: how many processes became ready, the median, the ninetieth in
-a hundred and the longest time from the program's first line to ready (ms), all starts and restarts (each
-start of a name in a folder but its first) apart, and how many waited for a list in vain.  A process that
-wrote something and never said that it serves is named.  Exit codes: 0, or 1 if there is no start in LOGS.
+LOGS is a folder with the logs of sidecars, in any depth, as text or JSON lines; other files in it are
+skipped.  The report has one row for each folder and one for all: how many processes became ready, the median,
+the 90th percentile and the longest time from the program's first line to ready (ms), and how many waited in
+vain for an endpoint list; starts and restarts (each start of a name in a folder but its first) apart.  A log
+whose last process wrote something and never became ready is named.  Exit codes: 0, or 1 if there is no start
+in LOGS.
 """
 
 from __future__ import annotations
 
-import argparse
 import json
 import re
-import sys
-from collections.abc import Iterator, Sequence
+from collections.abc import Iterable, Mapping, Sequence
 from dataclasses import dataclass
 from pathlib import Path
 from typing import Any
 
+import click
+
 from tulipnotch.lab.recorder import at_rank
 from tulipnotch.sidecar.logs import EVENTS
 
 
-def _pattern(event: str, **forms: str) -> re.Pattern[str]:
-    """The event's line for people, anywhere in a line; fields are words unless `forms` says more."""
+def _event_pattern(event: str, **field_patterns: str) -> re.Pattern[str]:
+    """The event's text form, anywhere in a line; a field without its own pattern is one word."""
     pieces = re.split(r"\{(\w+)[^}]*\}", EVENTS[event].text)
     return re.compile(
         "".join(
-            f"(?P<{each}>{forms.get(each, r'[^ ]+')})" if place % 2 else re.escape(each)
-            for place, each in enumerate(pieces)
+            f"(?P<{piece}>{field_patterns.get(piece, r'[^ ]+')})" if index % 2 else re.escape(piece)
+            for index, piece in enumerate(pieces)
         )
     )
 
 
-_SERVING = _pattern("serving", after_ms=r"\d+")
-_TEXT = {
-    "control_endpoint_listening": _pattern("control_endpoint_listening"),
-    "endpoint_list_stale": _pattern("endpoint_list_stale"),
-    "discovery_failed": _pattern("discovery_failed", fault=".+"),
+_SERVING_PATTERN = _event_pattern("serving", after_ms=r"\d+")
+_EVENT_PATTERNS = {
+    "control_endpoint_listening": _event_pattern("control_endpoint_listening"),
+    "endpoint_list_stale": _event_pattern("endpoint_list_stale"),
+    "discovery_failed": _event_pattern("discovery_failed", fault=".+"),
 }
 
 
+@dataclass(frozen=True, slots=True)
+class LogEvent:
+    """One event of a sidecar's log, and the fields that its line contains."""
+
+    name: str
+    fields: Mapping[str, Any]
+
+
 @dataclass(frozen=True, slots=True)
 class Start:
-    """One process that became ready."""
+    """One process that became ready, `ready_after_ms` after its first line."""
 
     folder: str
     name: str
-    after_ms: int
-    waited_in_vain: bool
+    ready_after_ms: int
+    waited_in_vain: bool  # for an endpoint list
 
 
 @dataclass(frozen=True, slots=True)
-class Read:
-    """What a folder of logs tells."""
+class LogSummary:
+    """The starts of one log, and whether the last process in it began and never became ready."""
 
-    starts: list[Start]  # in the order of their files' last change, and of their lines
-    never_ready: list[str]  # logs of processes that wrote something else only
+    starts: Sequence[Start]
+    is_last_unready: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Figures:
-    """Of some starts; times in ms, None where there is no start."""
+class FolderSummary:
+    """The starts in a folder, in the order of their files' last change and of their lines."""
+
+    starts: Sequence[Start]
+    never_ready: Sequence[str]  # logs whose last process did not become ready
+
+
+@dataclass(frozen=True, slots=True)
+class StartStatistics:
+    """Statistics of some starts; times in milliseconds, None where there is no start."""
 
     count: int
-    p50: int | None
-    p90: int | None
-    longest: int | None
+    p50_ms: int | None
+    p90_ms: int | None
+    max_ms: int | None
     waited_in_vain: int
 
-    @staticmethod
-    def of(starts: Sequence[Start]) -> Figures:
-        times = sorted(each.after_ms for each in starts)
-        waited = sum(each.waited_in_vain for each in starts)
-        if not times:
-            return Figures(0, None, None, None, waited)
-        return Figures(len(times), at_rank(times, 0.5), at_rank(times, 0.9), times[-1], waited)
-
-
-def event_of(line: str) -> tuple[str, dict[str, Any]] | None:
-    """The event of a line of our log and its fields, whatever stands before it; None: none that counts."""
-    place = line.find("{")
-    if place >= 0:
-        try:
-            given = json.loads(line[place:])
-        except (ValueError, RecursionError):
-            given = None
-        if isinstance(given, dict) and given.get("event") in EVENTS:
-            return given["event"], given
-    told = _SERVING.search(line)
-    if told is not None:
-        return "serving", {**told.groupdict(), "after_ms": int(told["after_ms"])}
-    return next(((event, {}) for event, form in _TEXT.items() if form.search(line)), None)
-
-
-def starts_in(lines: Iterator[str], folder: str) -> tuple[list[Start], bool]:
-    """The starts of one log, and whether the last process in it began and never became ready."""
+    @classmethod
+    def from_starts(cls, starts: Iterable[Start]) -> StartStatistics:
+        """Summarize these starts."""
+        starts = list(starts)
+        waited = sum(start.waited_in_vain for start in starts)
+        times_ms = sorted(start.ready_after_ms for start in starts)
+        if not times_ms:
+            return cls(0, None, None, None, waited)
+        return cls(len(times_ms), at_rank(times_ms, 0.5), at_rank(times_ms, 0.9), times_ms[-1], waited)
+
+    def to_json(self) -> dict[str, int | None]:
+        """The statistics under the keys of the JSON report."""
+        return {
+            "count": self.count,
+            "p50": self.p50_ms,
+            "p90": self.p90_ms,
+            "longest": self.max_ms,
+            "waited_in_vain": self.waited_in_vain,
+        }
+
+
+Report = Mapping[str, Mapping[str, StartStatistics]]  # by folder, then by "starts" and "restarts"
+
+
+def parse_event(line: str) -> LogEvent | None:
+    """The event of a log line, whatever stands before it; None if the line has no event used here."""
+    json_event = _parse_json_event(line)
+    if json_event is not None:
+        return json_event
+    serving = _SERVING_PATTERN.search(line)
+    if serving is not None:
+        return LogEvent("serving", {**serving.groupdict(), "after_ms": int(serving["after_ms"])})
+    names = (name for name, pattern in _EVENT_PATTERNS.items() if pattern.search(line))
+    return next((LogEvent(name, {}) for name in names), None)
+
+
+def _parse_json_event(line: str) -> LogEvent | None:
+    start = line.find("{")
+    if start < 0:
+        return None
+    try:
+        fields = json.loads(line[start:])
+    except (ValueError, RecursionError):
+        return None
+    if isinstance(fields, dict) and fields.get("event") in EVENTS:
+        return LogEvent(fields["event"], fields)
+    return None
+
+
+def summarize_log(lines: Iterable[str], folder: str) -> LogSummary:
+    """Find the starts in the lines of one log, which lies in `folder`."""
     starts: list[Start] = []
-    begun = waited = False
+    is_starting = has_waited = False
     for line in lines:
-        found = event_of(line)
-        if found is None:
+        event = parse_event(line)
+        if event is None:
             continue
-        event, fields = found
-        if event == "serving":
-            after_ms = fields.get("after_ms")
-            if isinstance(after_ms, int):
-                starts.append(Start(folder, str(fields.get("name")), after_ms, waited))
-            begun = waited = False
-        elif event == "endpoint_list_stale":  # written by a start only
-            begun = waited = True
-        elif event == "control_endpoint_listening" or not starts:
-            begun = True
-    return starts, begun
-
-
-def read(root: Path) -> Read:
-    """Every log below this folder; what is no text is read as far as it is."""
+        if event.name == "serving":
+            ready_after_ms = event.fields.get("after_ms")
+            if isinstance(ready_after_ms, int):
+                starts.append(Start(folder, str(event.fields.get("name")), ready_after_ms, has_waited))
+            is_starting = has_waited = False
+        elif event.name == "endpoint_list_stale":  # written only during a start
+            is_starting = has_waited = True
+        elif event.name == "control_endpoint_listening" or not starts:
+            is_starting = True
+    return LogSummary(starts, is_starting)
+
+
+def summarize_folder(root: Path) -> FolderSummary:
+    """Read every file below `root`; bytes that are not UTF-8 are replaced."""
     starts: list[Start] = []
     never_ready: list[str] = []
-    files = [each for each in root.rglob("*") if each.is_file()]
-    for path in sorted(files, key=lambda each: (each.stat().st_mtime_ns, str(each))):
-        folder = str(path.parent.relative_to(root))
+    files = [path for path in root.rglob("*") if path.is_file()]
+    for path in sorted(files, key=lambda path: (path.stat().st_mtime_ns, str(path))):
         with path.open(encoding="utf-8", errors="replace") as lines:
-            found, is_unready = starts_in(iter(lines), folder)
-        starts += found
-        if is_unready:
+            log = summarize_log(lines, str(path.parent.relative_to(root)))
+        starts += log.starts
+        if log.is_last_unready:
             never_ready.append(str(path.relative_to(root)))
-    return Read(starts, never_ready)
+    return FolderSummary(starts, never_ready)
 
 
-def restarts(starts: Sequence[Start]) -> list[Start]:
+def find_restarts(starts: Iterable[Start]) -> list[Start]:
     """Each start of a name in a folder but the first."""
     seen: set[tuple[str, str]] = set()
-    again = []
-    for each in starts:
-        if (each.folder, each.name) in seen:
-            again.append(each)
-        seen.add((each.folder, each.name))
-    return again
-
-
-def rows(told: Read) -> dict[str, dict[str, Figures]]:
-    """The figures of each folder, and of all as `all`: of all `starts`, and of the `restarts` among them."""
-    by_folder: dict[str, list[Start]] = {}
-    for each in told.starts:
-        by_folder.setdefault(each.folder, []).append(each)
-    again = restarts(told.starts)
-    table = {
+    restarts = []
+    for start in starts:
+        if (start.folder, start.name) in seen:
+            restarts.append(start)
+        seen.add((start.folder, start.name))
+    return restarts
+
+
+def build_report(starts: Sequence[Start]) -> Report:
+    """The statistics of each folder and of `all`: of all `starts`, and of the `restarts` among them."""
+    restarts = find_restarts(starts)
+    report = {
         folder: {
-            "starts": Figures.of(starts),
-            "restarts": Figures.of([each for each in again if each.folder == folder]),
+            "starts": StartStatistics.from_starts(start for start in starts if start.folder == folder),
+            "restarts": StartStatistics.from_starts(start for start in restarts if start.folder == folder),
         }
-        for folder, starts in sorted(by_folder.items())
+        for folder in sorted({start.folder for start in starts})
+    }
+    total = {
+        "starts": StartStatistics.from_starts(starts),
+        "restarts": StartStatistics.from_starts(restarts),
     }
-    return {**table, "all": {"starts": Figures.of(told.starts), "restarts": Figures.of(again)}}
+    return {**report, "all": total}
 
 
-def main(arguments: Sequence[str] | None = None) -> int:
-    parser = argparse.ArgumentParser(
-        prog="python -m benchmarks.ready",
-        description=__doc__,
-        formatter_class=argparse.RawDescriptionHelpFormatter,
-    )
-    parser.add_argument("logs", type=Path, metavar="LOGS")
-    parser.add_argument("--json", action="store_true", help="one object, in place of the table")
-    given = parser.parse_args(arguments)
-    told = read(given.logs)
-    table = rows(told)
-    if given.json:
-        whole = {
-            "folders": {
-                folder: {
-                    kind: {name: getattr(each, name) for name in Figures.__dataclass_fields__}
-                    for kind, each in kinds.items()
-                }
-                for folder, kinds in table.items()
-            },
-            "never_ready": told.never_ready,
-        }
-        print(json.dumps(whole))
-    else:
-        print(f"{'folder':30} {'':8} count    p50    p90 longest  waited in vain   (ms)")
-        for folder, kinds in table.items():
-            for kind, each in kinds.items():
-                times = " ".join("     -" if at is None else f"{at:6}" for at in (each.p50, each.p90))
-                longest = "-" if each.longest is None else each.longest
-                print(f"{folder:30} {kind:8} {each.count:5} {times} {longest:>7} {each.waited_in_vain:15}")
-        if told.never_ready:
-            print(f"never ready: {', '.join(told.never_ready)}")
-    return 0 if told.starts else 1
+def _print_json(report: Report, never_ready: Sequence[str]) -> None:
+    folders = {
+        folder: {group: statistics.to_json() for group, statistics in groups.items()}
+        for folder, groups in report.items()
+    }
+    click.echo(json.dumps({"folders": folders, "never_ready": never_ready}))
+
+
+def _print_table(report: Report, never_ready: Sequence[str]) -> None:
+    click.echo(f"{'folder':30} {'':8} count    p50    p90 longest  waited in vain   (ms)")
+    for folder, groups in report.items():
+        for group, statistics in groups.items():
+            p50, p90, longest = (
+                "-" if time_ms is None else str(time_ms)
+                for time_ms in (statistics.p50_ms, statistics.p90_ms, statistics.max_ms)
+            )
+            click.echo(
+                f"{folder:30} {group:8} {statistics.count:5} {p50:>6} {p90:>6} {longest:>7}"
+                f" {statistics.waited_in_vain:15}"
+            )
+    if never_ready:
+        click.echo(f"never ready: {', '.join(never_ready)}")
+
+
+@click.command(help=__doc__, context_settings={"help_option_names": ["-h", "--help"]})
+@click.argument("logs", type=click.Path(path_type=Path))
+@click.option("--json", "as_json", is_flag=True, help="One object, in place of the table.")
+@click.pass_context
+def main(context: click.Context, *, logs: Path, as_json: bool) -> None:
+    """Print the report of a folder; exit with 1 if there is no start in it."""
+    summary = summarize_folder(logs)
+    print_report = _print_json if as_json else _print_table
+    print_report(build_report(summary.starts), summary.never_ready)
+    context.exit(0 if summary.starts else 1)
 
 
 if __name__ == "__main__":
-    sys.exit(main())
+    main(prog_name="python -m benchmarks.ready")
--- a/tests/sidecar/test_readiness.py
+++ b/tests/sidecar/test_readiness.py
@@ -11,6 +11,7 @@
 from pathlib import Path
 
 import pytest
+from click.testing import CliRunner, Result
 from loopback import HOST, line, play, soon
 from running import GOOD, started
 from unavailable_discovery import FAULTS, UnavailableDiscovery
@@ -41,15 +42,14 @@
         while True:
             said = (await soon(process.stderr.readline())).decode()
             assert said, "it ended"
-            found = ready.event_of(said)
-            assert found is not None, said
-            event, fields = found
-            if event == "control_endpoint_listening":
+            event = ready.parse_event(said)
+            assert event is not None, said
+            if event.name == "control_endpoint_listening":
                 begun = time.monotonic()
-            elif event == "endpoint_list_stale":
+            elif event.name == "endpoint_list_stale":
                 waits_s.append(float(re.findall(r"in ([0-9.]+) s", said)[0]))
-            elif event == "serving":
-                return Told(time.monotonic() - begun, waits_s, fields["after_ms"])
+            elif event.name == "serving":
+                return Told(time.monotonic() - begun, waits_s, event.fields["after_ms"])
     finally:
         process.kill()
         await process.wait()
@@ -105,9 +105,11 @@
     return logs.line("endpoint_list_stale", {"waited_s": 1.0})
 
 
-def test_ready_report_finds_starts_and_restarts_in_text_and_json_logs(
-    tmp_path: Path, capsys: pytest.CaptureFixture[str]
-) -> None:
+def _report(logs_folder: Path, *options: str) -> Result:
+    return CliRunner(catch_exceptions=False).invoke(ready.main, [str(logs_folder), *options])
+
+
+def test_ready_report_finds_starts_and_restarts_in_text_and_json_logs(tmp_path: Path) -> None:
     roll, herd = tmp_path / "roll+mass", tmp_path / "herd+mass" / "n"
     roll.mkdir()
     herd.mkdir(parents=True)
@@ -122,19 +124,21 @@
     )
     (herd / "n2.err").write_text(json.dumps(door) + "\n")
     (herd / "core").write_bytes(b"\xff\x00{" * 100)
-    assert ready.main([str(tmp_path), "--json"]) == 0
-    whole = json.loads(capsys.readouterr().out)
-    assert whole["never_ready"] == ["herd+mass/n/n2.err"]
-    assert whole["folders"]["roll+mass"] == {
+    json_report = _report(tmp_path, "--json")
+    assert json_report.exit_code == 0, json_report.output
+    report = json.loads(json_report.stdout)
+    assert report["never_ready"] == ["herd+mass/n/n2.err"]
+    assert report["folders"]["roll+mass"] == {
         "starts": {"count": 22, "p50": 111, "p90": 119, "longest": 1_400, "waited_in_vain": 1},
         "restarts": {"count": 2, "p50": 1_400, "p90": 1_400, "longest": 1_400, "waited_in_vain": 1},
     }
-    assert whole["folders"]["herd+mass/n"]["starts"]["longest"] == 250
-    assert whole["folders"]["herd+mass/n"]["restarts"]["count"] == 0
-    assert whole["folders"]["all"]["starts"]["count"] == 23
-    assert ready.main([str(tmp_path)]) == 0
-    assert "never ready: herd+mass/n/n2.err" in capsys.readouterr().out
+    assert report["folders"]["herd+mass/n"]["starts"]["longest"] == 250
+    assert report["folders"]["herd+mass/n"]["restarts"]["count"] == 0
+    assert report["folders"]["all"]["starts"]["count"] == 23
+    table = _report(tmp_path)
+    assert table.exit_code == 0, table.output
+    assert "never ready: herd+mass/n/n2.err" in table.stdout
 
 
 def test_ready_report_exits_with_an_error_when_a_folder_has_no_start(tmp_path: Path) -> None:
-    assert ready.main([str(tmp_path)]) == 1
+    assert _report(tmp_path).exit_code == 1
