--- a/benchmarks/cold.py
+++ b/benchmarks/cold.py
@@ -1,193 +1,270 @@
-"""Whether cold servers are kept within their budget by the SUM of all processes, in virtual time.
+"""Whether warming-up servers stay within their budget for the SUM of all processes, in virtual time.
 
     python -m benchmarks.cold [--processes 5,20,30,200] [--budgets 1,3,12,50] [--seeds 1-10] [--json]
 
-`--cases "A;B"` plays some of the cases only.  N is what the settings allow a cold server within the fall
-time: the multiple, times its warmth now, times its capacity, in requests of mean work.  Beyond N only
-2 x root N + 2 are chance; a start of a server has fallen where any fall time holds more, two thirds of it
-from processes told of the start.  It then does go down and stays so, and the worth served pays for it.
-For each case, number of processes and N at a server's start: the largest excess over N in roots of N, the
-largest part of N + 2 x root N + 2 that was used, starts that fell, and the part of the worth served.
+`--cases "A;B"` plays only some of the cases.  N is what the settings allow a server that is warming up within
+the overload window: the multiple, times its warm-up factor now, times its capacity, in requests of mean work.
+Beyond N only 2 x root N + 2 are put down to chance; a start of a server counts as overloaded when any window
+holds more, two thirds of it from processes that had been notified of the start.  The server then crashes and
+stays down, which lowers the served part of the priority weight.  One row for each case, number of processes
+and N at a server's start: the largest excess over N in roots of N, the largest part of N + 2 x root N + 2
+that was used, the overloaded starts, and the served part of the priority weight.
 """
 
 from __future__ import annotations
 
-import argparse
 import json
 import math
-from collections.abc import Iterable, Mapping, Sequence
-from dataclasses import asdict, dataclass
+from collections.abc import Iterable, Iterator, Mapping, Sequence
+from dataclasses import dataclass, field
 from typing import Any
 
+import click
 import msgspec
 
+from benchmarks.parameters import IntegerList, SeedRange
 from tulipnotch.lab.policies import POLICIES
 from tulipnotch.lab.scenario import Scenario
 from tulipnotch.lab.server import OrderServer
 from tulipnotch.lab.virtual import World
 
-_START_S, _LISTED_S = 5.0, 5.3  # when cold servers start, and when the list first says so
-_COLD_FROM, _MULTIPLE, _FALL_S = 0.15, 2.5, 1.0
-_CORES = {1: 1, 3: 2, 12: 4, 50: 8}  # by N at the start; the work of a request follows from both
-_LATE_BURST = [[0.0, 1.0], [_START_S - 1.0, 0.05], [_START_S + 5.0, 2.5]]
-_BURST = [[0.0, 1.0], [_START_S - 1.0, 0.1], [_START_S + 2.0, 2.0]]  # after a quiet stretch
-
-# What each case changes in a fleet of eight, three of which start cold under seven tenths of the load.
-CASES: Mapping[str, Mapping[str, Any]] = {
-    "plain": {},
-    "heavy": {"load": {"hints": True}, "work_cv": 2.0},
-    "classes": {"unlike": True},
-    "uneven": {"load": {"skew": 2.0}},
-    "late lists": {"listed_over_s": 4.0},
-    "choke": {
-        "load": {"utilisation": 1.0},
-        "fleet": {"choke": {"at": 1.0, "over_s": 0.3, "slower": 3.0}},
-    },
-    "herd": {"part": 0.9, "load": {"utilisation": 0.9}},
-    "wide herd": {"part": 0.9, "fleet": {"servers": 40}, "load": {"utilisation": 0.9}},
-    "all cold": {"part": 1.0},
-    "restart": {"restart": True},
-    "burst": {"load": {"factors": _BURST}},
-    "all cold, burst": {"part": 1.0, "load": {"factors": _BURST}},
-    "all cold, late burst": {"part": 1.0, "load": {"factors": _LATE_BURST}},
-    "all cold, heavy": {"part": 1.0, "load": {"hints": True}, "work_cv": 2.0},
-    "all cold, uneven": {"part": 1.0, "load": {"skew": 2.0}},
-    "all cold, restart": {"part": 1.0, "restart": True},
-    "all cold, wide": {"part": 1.0, "fleet": {"servers": 40}},
+_START_S = 5.0  # when the servers start
+_LISTED_S = 5.3  # when the endpoint list first contains the start
+_INITIAL_WARM_UP_FACTOR = 0.15
+_OVERLOAD_MULTIPLE = 2.5
+_OVERLOAD_WINDOW_S = 1.0
+_DEFAULT_CORES = 4
+_CORES_BY_BUDGET = {1: 1, 3: 2, 12: 4, 50: 8}  # the work of a request follows from both
+_US_PER_S = 1e6
+_MS_PER_S = 1e3
+
+# Load factors from a time in seconds: a quiet stretch before the start, then a burst.
+_BURST = ((0.0, 1.0), (_START_S - 1.0, 0.1), (_START_S + 2.0, 2.0))
+_LATE_BURST = ((0.0, 1.0), (_START_S - 1.0, 0.05), (_START_S + 5.0, 2.5))
+
+
+@dataclass(frozen=True, slots=True)
+class Case:
+    """What differs from a fleet of eight, three of which start under seven tenths of the load.
+
+    `fleet` and `load` hold keys of the scenario's tables of these names.
+    """
+
+    fleet: Mapping[str, Any] = field(default_factory=dict)
+    load: Mapping[str, Any] = field(default_factory=dict)
+    work_variation: float = 0.5  # standard deviation of a request's work, as a part of its mean
+    has_two_classes: bool = False  # one of light requests and one of heavy ones
+    starting_part: float = 0.375  # of the fleet
+    restarts_sidecars: bool = False
+    list_spread_s: float | None = None  # over which the processes receive the list; None: at once
+
+
+CASES: Mapping[str, Case] = {
+    "plain": Case(),
+    "heavy": Case(load={"hints": True}, work_variation=2.0),
+    "classes": Case(has_two_classes=True),
+    "uneven": Case(load={"skew": 2.0}),
+    "late lists": Case(list_spread_s=4.0),
+    "choke": Case(
+        load={"utilisation": 1.0},
+        fleet={"choke": {"at": 1.0, "over_s": 0.3, "slower": 3.0}},
+    ),
+    "herd": Case(starting_part=0.9, load={"utilisation": 0.9}),
+    "wide herd": Case(starting_part=0.9, fleet={"servers": 40}, load={"utilisation": 0.9}),
+    "all cold": Case(starting_part=1.0),
+    "restart": Case(restarts_sidecars=True),
+    "burst": Case(load={"factors": _BURST}),
+    "all cold, burst": Case(starting_part=1.0, load={"factors": _BURST}),
+    "all cold, late burst": Case(starting_part=1.0, load={"factors": _LATE_BURST}),
+    "all cold, heavy": Case(starting_part=1.0, load={"hints": True}, work_variation=2.0),
+    "all cold, uneven": Case(starting_part=1.0, load={"skew": 2.0}),
+    "all cold, restart": Case(starting_part=1.0, restarts_sidecars=True),
+    "all cold, wide": Case(starting_part=1.0, fleet={"servers": 40}),
 }
 
 
 @dataclass(frozen=True, slots=True)
-class Found:
+class CaseMeasurement:
     """One case, number of processes and N, over all seeds."""
 
     case: str
     processes: int
     budget: int  # N when the server has just started
     seeds: int
-    starts: int  # of cold servers
-    excess: float  # the largest, beyond N, in roots of N
-    of_allowed: float  # the most that any fall time held, as a part of N + 2 x root N + 2
-    fallen: int
-    worth: float  # the part of the worth that was served, mean of the seeds
-
-
-def world(case: str, processes: int, budget: int, seconds: float = 12.0) -> Scenario:
-    """The scenario of a case whose cold servers bear `budget` requests in a fall time when they start."""
-    change = CASES[case]
-    cores = _CORES.get(budget, 4)
-    work_ms = _MULTIPLE * _COLD_FROM * _FALL_S * cores / budget * 1e3
-    one = {
-        "name": "look", "work_ms": work_ms, "work_cv": change.get("work_cv", 0.5),
-        "aim_ms": 4.0 * work_ms + 200.0, "deadline_ms": 10.0 * work_ms + 500.0,
-    }  # fmt: skip
-    classes = [one]
-    if change.get("unlike"):  # a class of light requests and one of heavy ones; the mean is as before
-        classes = [
-            {**one, "share": 0.85, "work_ms": 0.4 * work_ms},
-            {**one, "name": "heavy", "share": 0.15, "work_ms": 4.4 * work_ms},
-        ]
-    faults: list[dict[str, Any]] = [
-        {"kind": "crash", "at_s": 2.0, "for_s": _START_S - 2.0, "part": change.get("part", 0.375)}
-    ]
-    if change.get("restart"):
-        faults.append({"kind": "restart", "at_s": _START_S, "for_s": 0.01, "part": 1.0})
-    calls = 3 * processes / change["listed_over_s"] if "listed_over_s" in change else 1e5
-    given = {
-        "name": "cold", "seconds": seconds, "warmup_s": 0.5, "classes": classes, "faults": faults,
+    starts: int
+    max_excess: float  # beyond N, in roots of N
+    max_usage: float  # the most in any overload window, as a part of N + 2 x root N + 2
+    overloaded_starts: int
+    served_weight: float  # the served part of the priority weight, mean of the seeds
+
+    def to_json(self) -> dict[str, str | int | float]:
+        """The measurement under the keys of the JSON output."""
+        return {
+            "case": self.case,
+            "processes": self.processes,
+            "budget": self.budget,
+            "seeds": self.seeds,
+            "starts": self.starts,
+            "excess": self.max_excess,
+            "of_allowed": self.max_usage,
+            "fallen": self.overloaded_starts,
+            "worth": self.served_weight,
+        }
+
+
+def build_scenario(case_name: str, processes: int, budget: int, seconds: float = 12.0) -> Scenario:
+    """The scenario of a case whose servers bear `budget` requests in an overload window when they start."""
+    case = CASES[case_name]
+    cores = _CORES_BY_BUDGET.get(budget, _DEFAULT_CORES)
+    tables = {
+        "name": "cold",
+        "seconds": seconds,
+        "warmup_s": 0.5,
+        "classes": _request_classes(case, cores, budget),
+        "faults": _faults(case),
         "fleet": {
-            "servers": 8, "sidecars": processes, "kinds": [{"name": "k", "cores": cores}],
-            "cold_from": _COLD_FROM, "cold_spread": 0.0, "fall_multiple": _MULTIPLE, "fall_s": _FALL_S,
-            **change.get("fleet", {}),
+            "servers": 8,
+            "sidecars": processes,
+            "kinds": [{"name": "k", "cores": cores}],
+            "cold_from": _INITIAL_WARM_UP_FACTOR,
+            "cold_spread": 0.0,
+            "fall_multiple": _OVERLOAD_MULTIPLE,
+            "fall_s": _OVERLOAD_WINDOW_S,
+            **case.fleet,
         },
-        "load": {"utilisation": 0.7, **change.get("load", {})},
+        "load": {"utilisation": 0.7, **case.load},
         "discovery": {
-            "crash_notice_s": 0.1, "add_notice_s": _LISTED_S - _START_S, "calls_per_s": calls,
+            "crash_notice_s": 0.1,
+            "add_notice_s": _LISTED_S - _START_S,
+            "calls_per_s": 1e5 if case.list_spread_s is None else 3 * processes / case.list_spread_s,
             "timeout_s": 20.0,
         },
-    }  # fmt: skip
-    return msgspec.convert(given, Scenario)
+    }
+    return msgspec.convert(tables, Scenario)
 
 
-class Watch:
-    """Hears what cold servers are sent, and holds it against N + 2 x root N + 2."""
+def _request_classes(case: Case, cores: int, budget: int) -> list[dict[str, Any]]:
+    work_ms = _OVERLOAD_MULTIPLE * _INITIAL_WARM_UP_FACTOR * _OVERLOAD_WINDOW_S * cores / budget * _MS_PER_S
+    request_class = {
+        "name": "look",
+        "work_ms": work_ms,
+        "work_cv": case.work_variation,
+        "aim_ms": 4.0 * work_ms + 200.0,
+        "deadline_ms": 10.0 * work_ms + 500.0,
+    }
+    if not case.has_two_classes:
+        return [request_class]
+    return [  # of the same mean work
+        {**request_class, "share": 0.85, "work_ms": 0.4 * work_ms},
+        {**request_class, "name": "heavy", "share": 0.15, "work_ms": 4.4 * work_ms},
+    ]
+
+
+def _faults(case: Case) -> list[dict[str, Any]]:
+    crash = {"kind": "crash", "at_s": 2.0, "for_s": _START_S - 2.0, "part": case.starting_part}
+    if not case.restarts_sidecars:
+        return [crash]
+    return [crash, {"kind": "restart", "at_s": _START_S, "for_s": 0.01, "part": 1.0}]
+
+
+class WarmUpObserver:
+    """One simulated run, and how the work sent to its warming-up servers compares with N + 2 x root N + 2.
+
+    Attributes:
+        world: the simulated run.
+        starts: server name and time (us) of each start after which the server was sent work.
+        overloaded_starts: those of the starts that were overloaded.
+        max_excess: the largest excess over N, in roots of N.
+        max_usage: the largest part of N + 2 x root N + 2 that was used.
+    """
 
-    def __init__(self, given: Scenario, seed: int, policy: str = "module") -> None:
-        self.world = World(given, seed, POLICIES[policy])
-        self._mean_us = given.mean_work_s * 1e6
-        self.excess = -math.inf
-        self.of_allowed = 0.0
+    def __init__(self, scenario: Scenario, seed: int, policy: str = "module") -> None:
+        self.world = World(scenario, seed, POLICIES[policy])
+        self._mean_work_us = scenario.mean_work_s * _US_PER_S
+        self.max_excess = -math.inf
+        self.max_usage = 0.0
         self.starts: set[tuple[str, int]] = set()
-        self.fallen: set[tuple[str, int]] = set()
+        self.overloaded_starts: set[tuple[str, int]] = set()
         for server in self.world.servers:
-            server.falls = self._falls
+            server.falls = self._is_overloaded
 
-    def _falls(self, server: OrderServer, sent_us: float, bearable_us: float) -> bool:
-        started_at = server.started_at or 0
-        self.starts.add((server.name, started_at))
-        if not self.world.ledger.was_told(server.name, started_at, server.sent_by()):
+    def _is_overloaded(self, server: OrderServer, sent_us: float, bearable_us: float) -> bool:
+        """Record the work sent within the window, in microseconds of mean capacity."""
+        start = (server.name, server.started_at or 0)
+        self.starts.add(start)
+        if not self.world.ledger.was_told(*start, server.sent_by()):
             return False
-        bears, sent = bearable_us / self._mean_us, sent_us / self._mean_us
-        allowed = bears + 2.0 * math.sqrt(bears) + 2.0
-        self.excess = max(self.excess, (sent - bears) / math.sqrt(bears))
-        self.of_allowed = max(self.of_allowed, sent / allowed)
+        budget, sent = bearable_us / self._mean_work_us, sent_us / self._mean_work_us
+        allowed = budget + 2.0 * math.sqrt(budget) + 2.0
+        self.max_excess = max(self.max_excess, (sent - budget) / math.sqrt(budget))
+        self.max_usage = max(self.max_usage, sent / allowed)
         if sent <= allowed:
             return False
-        self.fallen.add((server.name, started_at))
+        self.overloaded_starts.add(start)
         return True
 
+    def served_weight(self) -> float:
+        """The part of the priority weight that was served in the run."""
+        return self.world.recorder.metrics(self.world.ledger)["worth"]
 
-def measure(case: str, processes: int, budget: int, seeds: Sequence[int]) -> Found:
-    """Play one cell of the table."""
-    given = world(case, processes, budget)
-    watches = [Watch(given, seed) for seed in seeds]
-    worth = 0.0
-    for each in watches:
-        each.world.run()
-        worth += each.world.recorder.metrics(each.world.ledger)["worth"]
-    return Found(
-        case, processes, budget, len(seeds),
-        starts=sum(len(each.starts) for each in watches),
-        excess=round(max(each.excess for each in watches), 2),
-        of_allowed=round(max(each.of_allowed for each in watches), 2),
-        fallen=sum(len(each.fallen) for each in watches),
-        worth=round(worth / len(watches), 4),
-    )  # fmt: skip
-
-
-def table(found: Iterable[Found]) -> Iterable[str]:
+
+def measure(case: str, processes: int, budget: int, seeds: Sequence[int]) -> CaseMeasurement:
+    """Simulate one case with each seed."""
+    scenario = build_scenario(case, processes, budget)
+    observers = [WarmUpObserver(scenario, seed) for seed in seeds]
+    for observer in observers:
+        observer.world.run()
+    return CaseMeasurement(
+        case,
+        processes,
+        budget,
+        seeds=len(seeds),
+        starts=sum(len(observer.starts) for observer in observers),
+        max_excess=round(max(observer.max_excess for observer in observers), 2),
+        max_usage=round(max(observer.max_usage for observer in observers), 2),
+        overloaded_starts=sum(len(observer.overloaded_starts) for observer in observers),
+        served_weight=round(sum(observer.served_weight() for observer in observers) / len(observers), 4),
+    )
+
+
+def _table_lines(measurements: Iterable[CaseMeasurement]) -> Iterator[str]:
     yield "| case | processes | N | starts | excess, roots of N | of the allowed | fell | worth |"
     yield "|" + " --- |" * 8
-    for e in found:
+    for measurement in measurements:
         yield (
-            f"| {e.case} | {e.processes} | {e.budget} | {e.starts} | {e.excess:.2f} | {e.of_allowed:.2f}"
-            f" | {e.fallen} | {e.worth:.4f} |"
+            f"| {measurement.case} | {measurement.processes} | {measurement.budget} | {measurement.starts}"
+            f" | {measurement.max_excess:.2f} | {measurement.max_usage:.2f}"
+            f" | {measurement.overloaded_starts} | {measurement.served_weight:.4f} |"
         )
 
 
-def _numbers(text: str) -> list[int]:
-    return [int(each) for each in text.split(",")]
-
-
-def main() -> None:
-    parser = argparse.ArgumentParser(description=(__doc__ or "").splitlines()[0])
-    parser.add_argument("--processes", type=_numbers, default=[5, 20, 30, 200])
-    parser.add_argument("--budgets", type=_numbers, default=[1, 3, 12, 50], help="N when a server starts")
-    parser.add_argument("--seeds", default="1-10", help="FIRST-LAST")
-    parser.add_argument("--cases", default=";".join(CASES))
-    parser.add_argument("--json", action="store_true", help="one line for each cell, in place of a table")
-    given = parser.parse_args()
-    first, _, last = given.seeds.partition("-")
-    seeds = range(int(first), int(last or first) + 1)
-    cells = (
-        measure(case, processes, budget, seeds)
-        for case in given.cases.split(";")
-        for budget in given.budgets
-        for processes in given.processes
+def _json_lines(measurements: Iterable[CaseMeasurement]) -> Iterator[str]:
+    return (json.dumps(measurement.to_json()) for measurement in measurements)
+
+
+@click.command(
+    help=(__doc__ or "").partition("\n")[0], context_settings={"help_option_names": ["-h", "--help"]}
+)
+@click.option(
+    "--processes", type=IntegerList(), default=(5, 20, 30, 200), help="Processes of the sidecar in a fleet."
+)
+@click.option("--budgets", type=IntegerList(), default=(1, 3, 12, 50), help="N when a server starts.")
+@click.option("--seeds", type=SeedRange(), default="1-10", show_default=True, help="Seeds of each case.")
+@click.option("--cases", default=";".join(CASES), help="Names of cases, separated by semicolons.")
+@click.option("--json", "as_json", is_flag=True, help="One line for each cell, in place of a table.")
+def main(
+    *, processes: Sequence[int], budgets: Sequence[int], seeds: Sequence[int], cases: str, as_json: bool
+) -> None:
+    """Measure each cell and print it as soon as it is known."""
+    measurements = (
+        measure(case, process_count, budget, seeds)
+        for case in cases.split(";")
+        for budget in budgets
+        for process_count in processes
     )
-    for line in (json.dumps(asdict(each)) for each in cells) if given.json else table(cells):
-        print(line, flush=True)
+    for line in _json_lines(measurements) if as_json else _table_lines(measurements):
+        click.echo(line)
 
 
 if __name__ == "__main__":
-    main()
+    main(prog_name="python -m benchmarks.cold")
--- a/tests/lab/test_cold.py
+++ b/tests/lab/test_cold.py
@@ -1,4 +1,4 @@
-"""Cold servers under the sum of all processes: those cases of `benchmarks.cold` that were over."""
+"""Warming-up servers under the sum of all processes: cases of `benchmarks.cold` that once overloaded them."""
 
 from __future__ import annotations
 
@@ -20,16 +20,24 @@
         ("heavy", 5, 1),
     ],
 )
-def test_the_sum_of_all_processes_pushes_no_cold_server_over(case: str, processes: int, budget: int) -> None:
-    found = cold.measure(case, processes, budget, range(1, 3))
-    assert found.fallen == 0, found
-    assert found.starts > 0 and found.worth > 0.05, found  # and cold servers are used
+def test_cold_case_overloads_no_server_by_the_sum_of_all_processes(
+    case: str, processes: int, budget: int
+) -> None:
+    measurement = cold.measure(case, processes, budget, range(1, 3))
+    assert measurement.overloaded_starts == 0, measurement
+    assert measurement.starts > 0, measurement
+    assert measurement.served_weight > 0.05, measurement  # and cold servers are used
 
 
-def test_a_case_says_what_servers_bear_at_their_start() -> None:
+def test_cold_case_gives_servers_their_budget_at_the_start() -> None:
     for case in cold.CASES:
-        given = cold.world(case, 5, 3)
-        server = given.fleet.kinds[0]
-        bears = given.fleet.fall_multiple * given.fleet.cold_from * server.cores * given.fleet.fall_s
-        assert bears / given.mean_work_s == pytest.approx(3.0)
-        assert scenario.wire_settings(given, 4, 1.0)["groupSize"] == 5
+        cold_scenario = cold.build_scenario(case, 5, 3)
+        server = cold_scenario.fleet.kinds[0]
+        budget_s = (
+            cold_scenario.fleet.fall_multiple
+            * cold_scenario.fleet.cold_from
+            * server.cores
+            * cold_scenario.fleet.fall_s
+        )
+        assert budget_s / cold_scenario.mean_work_s == pytest.approx(3.0)
+        assert scenario.wire_settings(cold_scenario, 4, 1.0)["groupSize"] == 5
