--- a/tests/sidecar/test_wall_clock.py
+++ b/tests/sidecar/test_wall_clock.py
@@ -12,7 +12,7 @@
 from helpers import MS, START, S, Stage, names, settings
 from loopback import CLASSES, HOST, OK, Client, ScriptedServer, line, play, soon
 from running import GOOD, started
-from soak.shim import Shim, Word, built
+from soak.shim import Shim, Word, compile_shim
 
 from tulipnotch.load_balancing.events import EndpointDescription
 
@@ -68,7 +68,7 @@
         }
         config = tmp_path / "config.json"
         config.write_text(json.dumps(given))
-        shim = Shim(built(tmp_path), tmp_path / "words")
+        shim = Shim(compile_shim(tmp_path), tmp_path / "words")
         shim.put(Word.WALL_OFFSET_NS, -_HOUR_S * 10**9)
         process = await started(config, **shim.environ)
         try:
--- a/tests/soak/__init__.py
+++ b/tests/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A randomized soak: real sidecar processes on loopback, faults that overlap, and the rules as its oracle."""
+"""A randomized soak: real sidecar processes on loopback, faults that overlap, and a checker of the rules."""
--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from itertools import count
 
-from soak.records import Effect, Records, RequestClass, Try, now
+from soak.records import ClientAttempt, Idempotency, Records, RequestClass, now
 
 _RESET = struct.pack("ii", 1, 0)
 _LARGE = 150_000  # bytes of a body that passes through
@@ -58,8 +58,8 @@
             await asyncio.sleep(self._chance.expovariate(per_s))
             self.begin(self._chance.choice(self.classes))
 
-    def begin(self, kind: RequestClass) -> asyncio.Task[None]:
-        task = asyncio.get_running_loop().create_task(self._ask(kind))
+    def begin(self, request_class: RequestClass) -> asyncio.Task[None]:
+        task = asyncio.get_running_loop().create_task(self._ask(request_class))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return task
@@ -69,11 +69,11 @@
         while self._tasks:
             await asyncio.wait(set(self._tasks))
 
-    async def _ask(self, kind: RequestClass) -> None:
+    async def _ask(self, request_class: RequestClass) -> None:
         ident = f"{next(_idents):016x}"
-        again = await self._try(ident, kind, is_second=False)
+        again = await self._try(ident, request_class, is_second=False)
         if again:
-            await self._try(ident, kind, is_second=True)
+            await self._try(ident, request_class, is_second=True)
 
     async def _connection(self, is_fresh: bool) -> _Connection | None:
         while self._resting and not is_fresh:
@@ -88,15 +88,15 @@
         except OSError:
             return None
 
-    async def _try(self, ident: str, kind: RequestClass, *, is_second: bool) -> bool:
+    async def _try(self, ident: str, request_class: RequestClass, *, is_second: bool) -> bool:
         """Ask once; say whether the connection ended between requests, so that the same is asked again."""
         connection = await self._connection(is_second)
         if connection is None:
             return False
-        timeout_s = kind.deadline_s * self._chance.uniform(0.4, 1.0)
-        attempt = Try(ident, kind, self.sidecar, timeout_s, connection.requests == 0)
+        timeout_s = request_class.deadline_s * self._chance.uniform(0.4, 1.0)
+        attempt = ClientAttempt(ident, request_class, self.sidecar, timeout_s, connection.requests == 0)
         connection.requests += 1
-        self._records.tries.append(attempt)
+        self._records.client_attempts.append(attempt)
         try:
             await self._send(connection, attempt)
             return await self._await(connection, attempt, is_second=is_second)
@@ -105,27 +105,41 @@
             connection.writer.close()
             return self._asks_again(attempt, connection, is_second=is_second)
 
-    def _asks_again(self, attempt: Try, connection: _Connection, *, is_second: bool) -> bool:
-        again = not is_second and connection.requests > 1 and not attempt.had_part and not attempt.left_at
-        attempt.is_resent = again
+    def _asks_again(self, attempt: ClientAttempt, connection: _Connection, *, is_second: bool) -> bool:
+        again = (
+            not is_second
+            and connection.requests > 1
+            and not attempt.has_partial_response
+            and not attempt.disconnected_at
+        )
+        attempt.is_retried = again
         return again
 
-    async def _send(self, connection: _Connection, attempt: Try) -> None:
-        chance, kind = self._chance, attempt.kind
-        is_large = kind.effect is not Effect.SAFE and chance.random() < self.habits.large_body
-        body = b"" if kind.effect is Effect.SAFE else b"b" * (_LARGE if is_large else chance.choice([0, 300]))
+    async def _send(self, connection: _Connection, attempt: ClientAttempt) -> None:
+        chance, request_class = self._chance, attempt.request_class
+        is_large = (
+            request_class.idempotency is not Idempotency.IDEMPOTENT
+            and chance.random() < self.habits.large_body
+        )
+        body = (
+            b""
+            if request_class.idempotency is Idempotency.IDEMPOTENT
+            else b"b" * (_LARGE if is_large else chance.choice([0, 300]))
+        )
         target = "large" if chance.random() < self.habits.large_answer else "small"
         headers = {
             "Host": "origin.svc",
-            "Request-Id": attempt.request,
-            "Request-Class": kind.name,
+            "Request-Id": attempt.request_id,
+            "Request-Class": request_class.name,
             "Request-Timeout": f"{attempt.timeout_s:.3f}",
-            "Idempotency-Key": attempt.request if kind.effect is Effect.KEYED else "",
-            "Content-Length": "" if kind.effect is Effect.SAFE else str(len(body)),
+            "Idempotency-Key": attempt.request_id
+            if request_class.idempotency is Idempotency.WITH_KEY
+            else "",
+            "Content-Length": "" if request_class.idempotency is Idempotency.IDEMPOTENT else str(len(body)),
         }
-        method = "GET" if kind.effect is Effect.SAFE else "POST"
+        method = "GET" if request_class.idempotency is Idempotency.IDEMPOTENT else "POST"
         lines = "".join(f"{name}: {value}\r\n" for name, value in headers.items() if value)
-        raw = f"{method} /api/{attempt.request}/{target} HTTP/1.1\r\n{lines}\r\n".encode() + body
+        raw = f"{method} /api/{attempt.request_id}/{target} HTTP/1.1\r\n{lines}\r\n".encode() + body
         if chance.random() < self.habits.slow_body:
             middle = chance.randrange(1, len(raw))
             connection.writer.write(raw[:middle])
@@ -135,14 +149,14 @@
         await connection.writer.drain()
         attempt.sent_at = now()
 
-    async def _await(self, connection: _Connection, attempt: Try, *, is_second: bool) -> bool:
+    async def _await(self, connection: _Connection, attempt: ClientAttempt, *, is_second: bool) -> bool:
         leaves_in_s = None
         if self._chance.random() < self.habits.leaves:
             leaves_in_s = self._chance.uniform(0.0, attempt.timeout_s)
         try:
             async with asyncio.timeout(leaves_in_s or attempt.timeout_s + _WAITS_S):
                 head = await connection.reader.readuntil(b"\r\n\r\n")
-                attempt.had_part = True
+                attempt.has_partial_response = True
                 body = await self._body(connection.reader, head)
         except TimeoutError:
             self._leave(connection, attempt)
@@ -150,7 +164,7 @@
         attempt.ended_at = now()
         attempt.status = int(head.split(b" ", 2)[1])
         if attempt.status == 200:
-            attempt.is_own_answer = body.startswith(attempt.request.encode() + b"\n")
+            attempt.is_own_response = body.startswith(attempt.request_id.encode() + b"\n")
         if b"connection: close" in head.lower():
             connection.writer.close()
         else:
@@ -168,14 +182,14 @@
         await reader.readexactly(2)
         return body
 
-    def _leave(self, connection: _Connection, attempt: Try) -> None:
+    def _leave(self, connection: _Connection, attempt: ClientAttempt) -> None:
         if self._chance.random() < 0.5:
             own = connection.writer.get_extra_info("socket")
             own.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET)
             connection.writer.transport.abort()
         else:
             connection.writer.close()
-        attempt.left_at = now()
+        attempt.disconnected_at = now()
 
     async def stop_in_the_middle(self, many: int, for_s: float) -> None:
         """Open connections that send half a request, or nothing, and stay."""
--- a/tests/soak/discovery.py
+++ b/tests/soak/discovery.py
@@ -8,7 +8,7 @@
 import re
 from enum import Enum, unique
 
-from soak.records import Announced, Records, now
+from soak.records import Records, SidecarEvent, Withdrawal, now
 from soak.servers import HOST, OrderServer, next_port
 
 
@@ -76,7 +76,7 @@
     def fall_into(self, mood: Mood) -> None:
         self.mood = mood
         if mood is Mood.RESETS:
-            self._records.lost_news.append((self._sidecar, now()))
+            self._records.discovery_resets.append(SidecarEvent(self._sidecar, now()))
             for each in list(self._writers):
                 each.transport.abort()
 
@@ -134,10 +134,10 @@
         at = now()
         gone = {each["id"] for each in lines if each["state"] != "active"}
         if told["full"]:
-            known = {each.server for each in self._records.withdrawn if each.sidecar == self._sidecar}
+            known = {each.server for each in self._records.withdrawals if each.sidecar == self._sidecar}
             listed = {each["id"] for each in lines}
             gone |= (set(self._catalog._changed) - listed) - known
-        self._records.withdrawn += [Announced(self._sidecar, name, at) for name in gone]
+        self._records.withdrawals += [Withdrawal(self._sidecar, name, at) for name in gone]
 
     def stop(self) -> None:
         for each in self._servers:
--- a/tests/soak/troubles.py
+++ b/tests/soak/faults.py
@@ -1,4 +1,4 @@
-"""Troubles: each begins at some moment, lasts for a while, and ends; several overlap."""
+"""Faults: each begins at some moment, lasts for a while, and ends; several overlap."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 from soak.shim import Word
 
 if TYPE_CHECKING:
-    from soak.play import World
+    from soak.world import World
 
-Trouble = Callable[["World", random.Random], Awaitable[None]]
+Fault = Callable[["World", random.Random], Awaitable[None]]
 
 _HOUR_NS = 3_600 * 10**9
 
@@ -89,7 +89,7 @@
         shim.put(Word.INTERRUPT_CHANCE, chance.choice([0, 200]))
     await asyncio.sleep(chance.uniform(0.2, 1.0))
     for each in places:
-        each.shim.calm()
+        each.shim.end_faults()
 
 
 async def lose_log(world: World, chance: random.Random) -> None:
@@ -156,7 +156,7 @@
         proxy.crash()
         await asyncio.sleep(_span(chance))
         await proxy.come_back()
-        await world.started_anew(proxy)
+        await world.announce_start(proxy)
 
     await asyncio.gather(*(crash(each) for each in world.some_proxies(chance, 0.3)))
 
@@ -167,7 +167,7 @@
     for each in drained:
         await world.drain(each)
     for _ in drained:
-        await world.add_server(chance)
+        await world.add_server()
     await asyncio.sleep(_span(chance))
     for each in drained:
         await world.remove(each)
@@ -208,7 +208,7 @@
     )
 
 
-TROUBLES: dict[str, Trouble] = {
+FAULTS: dict[str, Fault] = {
     each.__name__: each
     for each in (
         restart,
--- a/tests/soak/records.py
+++ b/tests/soak/records.py
@@ -1,4 +1,4 @@
-"""What the soak's ends saw, on one clock: the monotonic clock of the machine, in seconds."""
+"""What the clients, servers and processes of a soak run record, on one clock, in seconds."""
 
 from __future__ import annotations
 
@@ -8,85 +8,85 @@
 
 
 def now() -> float:
-    """The one clock of all records."""
+    """The clock of all records: the monotonic clock of the machine, in seconds."""
     return time.monotonic()
 
 
 @unique
-class Effect(Enum):
-    """What a class says of a second run; the values are those of the settings."""
+class Idempotency(Enum):
+    """Whether a request may be executed twice; the values are those of the settings."""
 
-    SAFE = "read_like"
-    KEYED = "idempotency_key"
-    UNSAFE = "non_idempotent"
+    IDEMPOTENT = "read_like"
+    WITH_KEY = "idempotency_key"
+    NON_IDEMPOTENT = "non_idempotent"
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """A class of requests, as clients use it."""
+    """A class of requests, as clients use it; `key_scope` is where servers share idempotency keys."""
 
     name: str
-    effect: Effect
+    idempotency: Idempotency
     deadline_s: float
-    aim_s: float
-    group: str = "cell"
-    memory_s: float = 0.0
+    latency_objective_s: float
+    key_scope: str = "cell"
+    deduplication_window_s: float = 0.0
 
     @property
     def settings(self) -> dict[str, object]:
-        """Its entry of `lanes`."""
+        """Its entry of `lanes` in the settings."""
         return {
             "name": self.name,
             "giveUpUs": int(self.deadline_s * 1e6),
-            "promiseUs": int(self.aim_s * 1e6),
-            "repeat": self.effect.value,
-            "group": self.group,
-            "memorySpanUs": int(self.memory_s * 1e6),
+            "promiseUs": int(self.latency_objective_s * 1e6),
+            "repeat": self.idempotency.value,
+            "group": self.key_scope,
+            "memorySpanUs": int(self.deduplication_window_s * 1e6),
         }
 
 
 @dataclass(slots=True)
-class Try:
-    """A request on one connection; `sidecar` is the number of its process's place."""
+class ClientAttempt:
+    """A request on one client connection; `sidecar` is the number of the sidecar that it was sent to."""
 
-    request: str
-    kind: RequestClass
+    request_id: str
+    request_class: RequestClass
     sidecar: int
     timeout_s: float
     is_first_on_connection: bool
     sent_at: float = 0.0  # when its last byte was written; 0: never
-    left_at: float = 0.0  # when its client closed; 0: it stayed
-    ended_at: float = 0.0  # when its answer was whole, or its connection ended
-    status: int = 0  # of its whole answer; 0: none
-    is_own_answer: bool = True
-    had_part: bool = False  # whether a part of an answer came
-    is_resent: bool = False  # whether its client sent it again on another connection
+    disconnected_at: float = 0.0  # when its client closed the connection; 0: it did not
+    ended_at: float = 0.0  # when its response was complete, or its connection ended
+    status: int = 0  # of its complete response; 0: none
+    is_own_response: bool = True
+    has_partial_response: bool = False  # whether at least a part of a response was received
+    is_retried: bool = False  # whether its client may send it again on another connection
 
 
 @dataclass(slots=True)
-class Arrival:
-    """An attempt as it came to the proxy before a server; times are those of its first and last byte."""
+class ServerAttempt:
+    """An attempt as the proxy in front of a server received it."""
 
-    request: str
+    request_id: str
     server: str
     zone: str
     cell: int
-    first_at: float
-    whole_at: float = 0.0  # 0: never
-    told_s: float = 0.0
-    ran: bool = False  # whether the server behind it began it
-    out_until: float = 0.0  # when its connection was ended from either side, or it was answered; 0: not yet
+    first_byte_at: float
+    completed_at: float = 0.0  # when its last byte was received; 0: never
+    announced_timeout_s: float = 0.0
+    is_executed: bool = False  # whether the server behind the proxy began it
+    ended_at: float = 0.0  # when either side ended its connection, or it was responded to; 0: not yet
 
 
 @dataclass(slots=True)
-class Life:
-    """One process of a sidecar."""
+class ProcessRecord:
+    """One process of a sidecar; times are 0 where the event did not happen."""
 
     sidecar: int
     pid: int
     started_at: float
     ready_at: float = 0.0
-    told_to_stop_at: float = 0.0
+    sigterm_at: float = 0.0
     killed_at: float = 0.0
     ended_at: float = 0.0
     exit_code: int | None = None
@@ -94,24 +94,39 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Announced:
-    """A change that was written to a sidecar: from then on a server may get nothing, or was started anew."""
+class Withdrawal:
+    """A change written to a sidecar, by which a server is no longer active."""
 
     sidecar: int
     server: str
     at: float
 
 
+@dataclass(frozen=True, slots=True)
+class Pause:
+    """The time in which the process of a sidecar was stopped by SIGSTOP."""
+
+    sidecar: int
+    started_at: float
+    ended_at: float
+
+
+@dataclass(frozen=True, slots=True)
+class SidecarEvent:
+    """Something that happened to a sidecar at one moment."""
+
+    sidecar: int
+    at: float
+
+
 @dataclass(slots=True)
 class Records:
-    """Everything."""
-
-    tries: list[Try] = field(default_factory=list)
-    arrivals: list[Arrival] = field(default_factory=list)
-    lives: list[Life] = field(default_factory=list)
-    withdrawn: list[Announced] = field(default_factory=list)  # drains and ends
-    held_up: list[tuple[int, float, float]] = field(default_factory=list)  # sidecar, from, to: it stood still
-    reloads: list[tuple[int, float]] = field(default_factory=list)  # sidecar, when: discovery may have moved
-    lost_news: list[tuple[int, float]] = field(
-        default_factory=list
-    )  # sidecar, when its connections were reset
+    """Everything that was recorded in one run."""
+
+    client_attempts: list[ClientAttempt] = field(default_factory=list)
+    server_attempts: list[ServerAttempt] = field(default_factory=list)
+    processes: list[ProcessRecord] = field(default_factory=list)
+    withdrawals: list[Withdrawal] = field(default_factory=list)
+    pauses: list[Pause] = field(default_factory=list)
+    reloads: list[SidecarEvent] = field(default_factory=list)  # discovery may have moved
+    discovery_resets: list[SidecarEvent] = field(default_factory=list)  # of the sidecar's connections
--- a/tests/soak/servers.py
+++ b/tests/soak/servers.py
@@ -13,7 +13,7 @@
 
 import httptools
 
-from soak.records import Arrival, Records, now
+from soak.records import Records, ServerAttempt, now
 
 # Each run has its own address: no other takes a port that a process closes and opens again, nor does the
 # system give one of it to a connection that goes out.
@@ -126,7 +126,7 @@
         self._transport: asyncio.Transport | None = None
         self._backend: asyncio.Transport | None = None
         self._waiting = b""  # until the backend is connected
-        self._arrival: Arrival | None = None
+        self._attempt: ServerAttempt | None = None
         self._fate = ""
         self._is_turned_away = False  # whether what has just come goes no further
 
@@ -167,7 +167,7 @@
         if self._transport is None or self._transport.is_closing() or self._is_turned_away:
             return
         late_s = self._proxy.server.faults.reads_late_s
-        if late_s > 0.0 and self._arrival is not None and not self._arrival.whole_at:
+        if late_s > 0.0 and self._attempt is not None and not self._attempt.completed_at:
             self._transport.pause_reading()
             asyncio.get_running_loop().call_later(late_s, self._read_on)
         if self._backend is None:
@@ -184,16 +184,16 @@
 
     def on_message_begin(self) -> None:
         server = self._proxy.server
-        self._arrival = Arrival("", server.name, server.zone, server.cell, now())
+        self._attempt = ServerAttempt("", server.name, server.zone, server.cell, now())
         self._fate = self._proxy.fate()
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        assert self._arrival is not None
+        assert self._attempt is not None
         if name.lower() == b"request-id":
-            self._arrival.request = value.decode()
-            self._proxy.records.arrivals.append(self._arrival)
+            self._attempt.request_id = value.decode()
+            self._proxy.records.server_attempts.append(self._attempt)
         elif name.lower() == b"request-timeout":
-            self._arrival.told_s = float(value)
+            self._attempt.announced_timeout_s = float(value)
 
     def on_headers_complete(self) -> None:
         if self._fate == "breaks_before_end":
@@ -204,17 +204,17 @@
             self._transport.resume_reading()
 
     def on_message_complete(self) -> None:
-        arrival = self._arrival
-        if arrival is None or self._transport is None or self._transport.is_closing():
+        attempt = self._attempt
+        if attempt is None or self._transport is None or self._transport.is_closing():
             return
-        arrival.whole_at = now()
+        attempt.completed_at = now()
         if self._fate == "refuses":
             self._transport.write(b"HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n")
             self._is_over()
             self._is_turned_away = True
             self.reset_backend_only()
             return
-        arrival.ran = True
+        attempt.is_executed = True
         if self._fate == "breaks_after_end":
             self.reset()
 
@@ -242,8 +242,8 @@
             self._transport.write(data)
 
     def _is_over(self) -> None:
-        if self._arrival is not None and not self._arrival.out_until:
-            self._arrival.out_until = now()
+        if self._attempt is not None and not self._attempt.ended_at:
+            self._attempt.ended_at = now()
 
     def backend_ended(self) -> None:
         """The server ended its connection."""
--- a/tests/soak/shim.py
+++ b/tests/soak/shim.py
@@ -1,4 +1,4 @@
-"""The shim that makes system calls of one process fail, and the words that say which and how often."""
+"""The shim that makes system calls of one process fail, and the shared words that control it."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from pathlib import Path
 
 _SOURCE = Path(__file__).with_name("fault_shim.c")
-_BYTES = 4_096
+_FILE_BYTES = 4_096
 _WORD = struct.Struct("=q")
 
 
@@ -30,8 +30,8 @@
     INJECTED = 11
 
 
-def built(folder: Path) -> Path:
-    """Compile the shim there; raise CalledProcessError where that can't be done."""
+def compile_shim(folder: Path) -> Path:
+    """Compile the shim into `folder`; CalledProcessError if the compiler fails."""
     library = folder / "fault_shim.so"
     command = ["gcc", "-shared", "-fPIC", "-O1", "-Wall", "-o", str(library), str(_SOURCE), "-ldl"]
     subprocess.run(command, check=True, capture_output=True, timeout=60)
@@ -39,28 +39,30 @@
 
 
 class Shim:
-    """The faults of one process."""
+    """The faults of one process: owns the memory that it shares with the shim in that process."""
 
     def __init__(self, library: Path, path: Path) -> None:
         self._library, self._path = library, path
-        path.write_bytes(bytes(_BYTES))
+        path.write_bytes(bytes(_FILE_BYTES))
         with path.open("r+b") as file:
-            self._words = mmap.mmap(file.fileno(), _BYTES)
+            self._words = mmap.mmap(file.fileno(), _FILE_BYTES)
 
     @property
     def environ(self) -> dict[str, str]:
-        """What a process needs in its environment to be subject to it."""
+        """The environment variables that load the shim into a process."""
         return {"LD_PRELOAD": str(self._library), "FAULT_SHIM": str(self._path)}
 
     def put(self, word: Word, value: int) -> None:
+        """Set a word; the process sees it at its next system call."""
         _WORD.pack_into(self._words, word * _WORD.size, value)
 
     def get(self, word: Word) -> int:
+        """The value of a word."""
         (value,) = _WORD.unpack_from(self._words, word * _WORD.size)
         return int(value)
 
-    def calm(self) -> None:
-        """Let no call fail any more; a stepped clock stays stepped."""
+    def end_faults(self) -> None:
+        """Set all chances to 0; an offset of the wall clock stays."""
         for word in Word:
             if word.name.endswith("_CHANCE"):
                 self.put(word, 0)
--- a/tests/soak/sidecars.py
+++ b/tests/soak/sidecars.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import Any
 
-from soak.records import Life, Records, RequestClass, now
+from soak.records import Pause, ProcessRecord, Records, RequestClass, now
 from soak.servers import HOST, next_port
 from soak.shim import Shim
 
@@ -33,7 +33,7 @@
         self.folder.mkdir()
         self.shim = Shim(library, self.folder / "words")
         self.process: asyncio.subprocess.Process | None = None
-        self.life: Life | None = None
+        self.life: ProcessRecord | None = None
         self.config: dict[str, Any] = {}
         self.reads_log = asyncio.Event()
         self.reads_log.set()
@@ -62,7 +62,7 @@
     def _write(self, text: str) -> None:
         (self.folder / "config.json").write_text(text)
 
-    async def start(self) -> Life:
+    async def start(self) -> ProcessRecord:
         """Start a process, and return once it says that it serves; raise TimeoutError where it doesn't."""
         operator = self.folder / "operator.toml"
         operator.write_text("[log]\nlines_per_s = 10000.0\nlines_at_once = 100000.0\nrequests = true\n")
@@ -85,8 +85,8 @@
             pass_fds=inherited,
             stderr=asyncio.subprocess.PIPE,
         )
-        life = Life(self.number, process.pid, now())
-        self._records.lives.append(life)
+        life = ProcessRecord(self.number, process.pid, now())
+        self._records.processes.append(life)
         self.process, self.life = process, life
         self._logs.add(asyncio.get_running_loop().create_task(self._read_log(process, life)))
         async with asyncio.timeout(READY_WITHIN_S):
@@ -103,7 +103,7 @@
         except (OSError, TimeoutError):
             return False
 
-    async def _read_log(self, process: asyncio.subprocess.Process, life: Life) -> None:
+    async def _read_log(self, process: asyncio.subprocess.Process, life: ProcessRecord) -> None:
         assert process.stderr is not None
         while line := await process.stderr.readline():
             await self.reads_log.wait()
@@ -118,7 +118,7 @@
         process, life = self.process, self.life
         if process.returncode is not None:
             return  # it has ended by itself, which its record tells
-        life.told_to_stop_at = now()
+        life.sigterm_at = now()
         process.send_signal(signal.SIGTERM)
         deadline_s = min(
             max(each["giveUpUs"] for each in self.config["settings"]["lanes"]) / 1e6, _LONGEST_DRAIN_S
@@ -153,7 +153,7 @@
         await asyncio.sleep(for_s)
         if process.returncode is None:
             process.send_signal(signal.SIGCONT)
-        self._records.held_up.append((self.number, began, now()))
+        self._records.pauses.append(Pause(self.number, began, now()))
 
     async def ask(self, call: str) -> list[str]:
         """What the operators' door answers."""
--- /dev/null
+++ b/tests/soak/test_rule_checker.py
@@ -0,0 +1,200 @@
+"""The rule checker of the soak on made up records: it finds each violation and accepts what is allowed."""
+
+from __future__ import annotations
+
+from typing import Any
+
+import pytest
+
+from soak.records import ClientAttempt, ProcessRecord, Records, ServerAttempt, Withdrawal
+from soak.rule_checker import Rule, RuleChecker
+from soak.world import CLASSES
+
+_LOOK, _AMEND, _STORE, _PAY = CLASSES
+_GRACE_S = 0.4
+_SENT = 100.0
+
+
+def _client_attempt(request_id: str = "r", request_class: Any = _LOOK, **fields: Any) -> ClientAttempt:
+    record = ClientAttempt(
+        request_id,
+        request_class,
+        0,
+        0.5,
+        is_first_on_connection=False,
+        sent_at=_SENT,
+        ended_at=_SENT + 0.1,
+        status=200,
+        has_partial_response=True,
+    )
+    for name, value in fields.items():
+        setattr(record, name, value)
+    return record
+
+
+def _server_attempt(at: float = 0.01, request_id: str = "r", **fields: Any) -> ServerAttempt:
+    record = ServerAttempt(
+        request_id, "s-1", "a", 1, _SENT + at, _SENT + at, 0.4, is_executed=True, ended_at=_SENT + at + 0.02
+    )
+    for name, value in fields.items():
+        setattr(record, name, value)
+    return record
+
+
+def _process(**fields: Any) -> ProcessRecord:
+    record = ProcessRecord(0, 1, 1.0, ready_at=2.0)
+    for name, value in fields.items():
+        setattr(record, name, value)
+    return record
+
+
+def _violated_rules(records: Records, *, allows_hedging: bool = True) -> list[Rule]:
+    if not records.processes:
+        records.processes.append(_process())
+    violations = RuleChecker(records, _GRACE_S, allows_hedging=allows_hedging).violations()
+    return [violation.rule for violation in violations]
+
+
+_ALLOWED: list[Records] = [
+    Records(client_attempts=[_client_attempt()], server_attempts=[_server_attempt()]),
+    Records(
+        client_attempts=[_client_attempt(status=503)], server_attempts=[_server_attempt(is_executed=False)]
+    ),
+    Records(
+        client_attempts=[_client_attempt(status=503)], server_attempts=[_server_attempt()]
+    ),  # idempotent: rejected though it was executed
+    Records(
+        client_attempts=[_client_attempt(request_class=_AMEND)],
+        server_attempts=[_server_attempt(), _server_attempt(0.3)],
+    ),  # in its window and cell
+    Records(
+        client_attempts=[_client_attempt(request_class=_STORE)],
+        server_attempts=[_server_attempt(), _server_attempt(0.3, cell=2)],
+    ),
+    Records(
+        client_attempts=[_client_attempt(status=0, ended_at=0.0, disconnected_at=_SENT + 0.1)],
+        server_attempts=[_server_attempt()],
+    ),
+    Records(
+        client_attempts=[_client_attempt(status=0)], server_attempts=[]
+    ),  # its client sees that the response is incomplete
+    Records(
+        client_attempts=[_client_attempt(status=0, has_partial_response=False)],
+        processes=[_process(killed_at=_SENT + 0.05, exit_code=-9)],
+    ),
+    Records(
+        client_attempts=[_client_attempt()],
+        server_attempts=[_server_attempt(0.01 + _GRACE_S)],
+        withdrawals=[Withdrawal(0, "s-1", _SENT)],
+    ),
+]
+
+
+@pytest.mark.parametrize("records", _ALLOWED)
+def test_rule_checker_accepts_what_is_allowed(records: Records) -> None:
+    assert _violated_rules(records) == []
+
+
+@pytest.mark.parametrize(
+    ("records", "rule"),
+    [
+        (Records(client_attempts=[_client_attempt(status=0, has_partial_response=False)]), Rule.RESPONSE),
+        (
+            Records(
+                client_attempts=[
+                    _client_attempt(
+                        status=0, has_partial_response=False, ended_at=0.0, disconnected_at=_SENT + 3.0
+                    )
+                ]
+            ),
+            Rule.RESPONSE,
+        ),
+        (Records(client_attempts=[_client_attempt(ended_at=_SENT + 1.5)]), Rule.RESPONSE),
+        (Records(client_attempts=[_client_attempt(is_own_response=False)]), Rule.RESPONSE),
+        (
+            Records(
+                client_attempts=[_client_attempt(status=0, has_partial_response=False, is_retried=True)],
+                server_attempts=[_server_attempt()],
+            ),
+            Rule.RESPONSE,
+        ),
+        (
+            Records(
+                client_attempts=[_client_attempt(request_class=_PAY)],
+                server_attempts=[_server_attempt(), _server_attempt(0.1)],
+            ),
+            Rule.EXECUTION,
+        ),
+        (
+            Records(
+                client_attempts=[_client_attempt(request_class=_PAY, status=503)],
+                server_attempts=[_server_attempt()],
+            ),
+            Rule.EXECUTION,
+        ),
+        (
+            Records(
+                client_attempts=[_client_attempt(request_class=_AMEND)],
+                server_attempts=[_server_attempt(), _server_attempt(0.1, cell=2)],
+            ),
+            Rule.EXECUTION,
+        ),
+        (
+            Records(
+                client_attempts=[_client_attempt(request_class=_AMEND, timeout_s=2.0)],
+                server_attempts=[_server_attempt(), _server_attempt(0.9)],
+            ),
+            Rule.EXECUTION,
+        ),
+        (
+            Records(
+                client_attempts=[_client_attempt(request_class=_AMEND, status=503)],
+                server_attempts=[_server_attempt()],
+            ),
+            Rule.EXECUTION,
+        ),
+        (
+            Records(
+                client_attempts=[
+                    _client_attempt(
+                        status=0, ended_at=0.0, disconnected_at=_SENT + 0.1, has_partial_response=False
+                    )
+                ],
+                server_attempts=[_server_attempt(0.6, announced_timeout_s=0.0)],
+            ),
+            Rule.DISCONNECT,
+        ),
+        (
+            Records(
+                client_attempts=[_client_attempt()],
+                server_attempts=[_server_attempt(announced_timeout_s=1.0)],
+            ),
+            Rule.DEADLINE,
+        ),
+        (
+            Records(
+                client_attempts=[_client_attempt()],
+                server_attempts=[_server_attempt(0.3 + _GRACE_S, announced_timeout_s=0.0)],
+                withdrawals=[Withdrawal(0, "s-1", _SENT)],
+            ),
+            Rule.DRAIN,
+        ),
+        (Records(processes=[_process(exit_code=1)]), Rule.PROCESS),
+        (Records(processes=[_process(exit_code=-15, sigterm_at=5.0)]), Rule.PROCESS),
+        (Records(processes=[_process(exit_code=-9, sigterm_at=5.0, killed_at=9.0)]), Rule.PROCESS),
+        (Records(processes=[_process(ready_at=0.0)]), Rule.PROCESS),
+        (Records(processes=[_process(ready_at=12.0)]), Rule.PROCESS),
+        (Records(processes=[_process(log=["invariant broken: sent_in_time: r"])]), Rule.PROCESS),
+    ],
+)
+def test_each_rule_is_found_broken(records: Records, rule: Rule) -> None:
+    assert set(_violated_rules(records)) == {rule}
+
+
+def test_two_copies_at_once_are_found_where_the_settings_forbid_them() -> None:
+    records = Records(
+        client_attempts=[_client_attempt()],
+        server_attempts=[_server_attempt(ended_at=_SENT + 0.5), _server_attempt(0.1)],
+    )
+    assert _violated_rules(records, allows_hedging=True) == []
+    assert _violated_rules(records, allows_hedging=False) == [Rule.EXECUTION]
