--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -9,7 +9,8 @@
 from typing import TYPE_CHECKING
 
 from soak.discovery import Mood
-from soak.servers import FaultProxy, ServerFaults
+from soak.fault_proxy import FaultProxy
+from soak.servers import ServerFaults
 from soak.shim import Word
 
 if TYPE_CHECKING:
@@ -118,15 +119,15 @@
     def faults() -> ServerFaults:
         rate = chance.choice([0.05, 0.2])
         return ServerFaults(
-            refuses=rate,
+            rejects=rate,
             errors=rate,
-            ends_at_accept=chance.choice([0.0, 0.5]),
+            closes_at_accept=chance.choice([0.0, 0.5]),
             resets_at_accept=chance.choice([0.0, 0.3]),
-            breaks_before_end=rate,
-            breaks_after_end=rate,
-            breaks_in_answer=rate,
-            stalls_in_answer=rate / 2,
-            answers_twice=rate,
+            resets_in_request=rate,
+            resets_after_request=rate,
+            resets_in_response=rate,
+            stalls_in_response=rate / 2,
+            responds_twice=rate,
             service_s=chance.choice([0.004, 0.05]),
         )
 
@@ -135,7 +136,7 @@
 
 async def read_slowly(world: World, chance: random.Random) -> None:
     """Servers leave a request that came in part where it is for a while."""
-    await _befall(world, chance, 0.5, lambda: ServerFaults(reads_late_s=chance.uniform(0.1, 0.6)))
+    await _befall(world, chance, 0.5, lambda: ServerFaults(read_delay_s=chance.uniform(0.1, 0.6)))
 
 
 async def _befall(
@@ -155,7 +156,7 @@
     async def crash(proxy: FaultProxy) -> None:
         proxy.crash()
         await asyncio.sleep(_span(chance))
-        await proxy.come_back()
+        await proxy.listen()
         await world.announce_start(proxy)
 
     await asyncio.gather(*(crash(each) for each in world.some_proxies(chance, 0.3)))
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -13,8 +13,9 @@
 from soak import sidecars
 from soak.clients import Application
 from soak.discovery import Catalog, Discovery
+from soak.fault_proxy import FaultProxy
 from soak.records import Idempotency, Records, RequestClass, SidecarEvent, now
-from soak.servers import HOST, FaultProxy, OrderServer, next_port
+from soak.servers import HOST, OrderServer, next_port
 from soak.shim import compile_shim
 from soak.sidecars import Place
 
