--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -1,29 +1,31 @@
-"""The applications: open-loop clients of one sidecar, well behaved and not."""
+"""The applications: open-loop clients of each sidecar, some of which disconnect early or send slowly."""
 
 from __future__ import annotations
 
 import asyncio
+import itertools
 import random
 import socket
 import struct
 from dataclasses import dataclass
-from itertools import count
 
 from soak.records import ClientAttempt, Idempotency, Records, RequestClass, now
 
 _RESET = struct.pack("ii", 1, 0)
-_LARGE = 150_000  # bytes of a body that passes through
-_WAITS_S = 1.0  # beyond its time, for an answer
-_idents = count(1)
+_SMALL_BODY_BYTES = 300
+_MAX_SEND_PAUSE_S = 0.3  # of a client that sends slowly
+_LARGE_BODY_BYTES = 150_000  # larger than any buffer on the way
+_RESPONSE_WAIT_S = 1.0  # beyond the timeout of a request
+_request_numbers = itertools.count(1)
 
 
 @dataclass(slots=True)
-class Habits:
-    """Chances from 0 to 1, for each request of a client."""
+class ClientBehavior:
+    """Probabilities from 0 to 1, for each request of a client."""
 
-    leaves: float = 0.0  # closes early, by a reset or in order
+    disconnects: float = 0.0  # before the response, by a reset or in order
     large_body: float = 0.02
-    large_answer: float = 0.02
+    large_response: float = 0.02
     slow_body: float = 0.0
 
 
@@ -35,7 +37,7 @@
 
 
 class Application:
-    """One sidecar's clients."""
+    """The clients of one sidecar; owns their connections and the tasks of their requests."""
 
     def __init__(
         self,
@@ -46,41 +48,41 @@
         chance: random.Random,
     ) -> None:
         self.sidecar, self.address, self.classes = sidecar, address, classes
-        self.habits = Habits()
-        self.may_connect = True  # not while the process is being replaced
+        self.behavior = ClientBehavior()
+        self.may_connect = True  # False while the process is being replaced
         self._records, self._chance = records, chance
-        self._resting: list[_Connection] = []
+        self._idle: list[_Connection] = []
         self._tasks: set[asyncio.Task[None]] = set()
 
-    async def run(self, per_s: float) -> None:
-        """Begin requests at random, so many a second in the mean, until cancelled."""
+    async def run(self, requests_per_s: float) -> None:
+        """Send `requests_per_s` requests in the mean, at random times, until cancelled."""
         while True:
-            await asyncio.sleep(self._chance.expovariate(per_s))
+            await asyncio.sleep(self._chance.expovariate(requests_per_s))
             self.begin(self._chance.choice(self.classes))
 
     def begin(self, request_class: RequestClass) -> asyncio.Task[None]:
-        task = asyncio.get_running_loop().create_task(self._ask(request_class))
+        """Send a request; the task ends with its response or with its connection."""
+        task = asyncio.get_running_loop().create_task(self._request(request_class))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return task
 
     async def settle(self) -> None:
-        """Wait for all requests that were begun."""
+        """Wait until all requests have ended."""
         while self._tasks:
             await asyncio.wait(set(self._tasks))
 
-    async def _ask(self, request_class: RequestClass) -> None:
-        ident = f"{next(_idents):016x}"
-        again = await self._try(ident, request_class, is_second=False)
-        if again:
-            await self._try(ident, request_class, is_second=True)
-
-    async def _connection(self, is_fresh: bool) -> _Connection | None:
-        while self._resting and not is_fresh:
-            resting = self._resting.pop()
-            if not resting.reader.at_eof() and not resting.writer.transport.is_closing():
-                return resting
-            resting.writer.close()
+    async def _request(self, request_class: RequestClass) -> None:
+        request_id = f"{next(_request_numbers):016x}"
+        if await self._send_once(request_id, request_class, is_retry=False):
+            await self._send_once(request_id, request_class, is_retry=True)
+
+    async def _connect(self, *, is_new: bool) -> _Connection | None:
+        while self._idle and not is_new:
+            connection = self._idle.pop()
+            if not connection.reader.at_eof() and not connection.writer.transport.is_closing():
+                return connection
+            connection.writer.close()
         if not self.may_connect:
             return None
         try:
@@ -88,79 +90,79 @@
         except OSError:
             return None
 
-    async def _try(self, ident: str, request_class: RequestClass, *, is_second: bool) -> bool:
-        """Ask once; say whether the connection ended between requests, so that the same is asked again."""
-        connection = await self._connection(is_second)
+    async def _send_once(self, request_id: str, request_class: RequestClass, *, is_retry: bool) -> bool:
+        """Send a request once; True if its connection ended between requests, so that it is retried."""
+        connection = await self._connect(is_new=is_retry)
         if connection is None:
             return False
         timeout_s = request_class.deadline_s * self._chance.uniform(0.4, 1.0)
-        attempt = ClientAttempt(ident, request_class, self.sidecar, timeout_s, connection.requests == 0)
+        attempt = ClientAttempt(request_id, request_class, self.sidecar, timeout_s, connection.requests == 0)
         connection.requests += 1
         self._records.client_attempts.append(attempt)
         try:
             await self._send(connection, attempt)
-            return await self._await(connection, attempt, is_second=is_second)
-        except (OSError, asyncio.IncompleteReadError, RuntimeError):  # RuntimeError: closed as it was written
+            await self._receive(connection, attempt)
+            return False
+        except (OSError, asyncio.IncompleteReadError, RuntimeError):  # RuntimeError: closed during the write
             attempt.ended_at = attempt.ended_at or now()
             connection.writer.close()
-            return self._asks_again(attempt, connection, is_second=is_second)
+            return self._is_retried(attempt, connection, is_retry=is_retry)
 
-    def _asks_again(self, attempt: ClientAttempt, connection: _Connection, *, is_second: bool) -> bool:
-        again = (
-            not is_second
+    def _is_retried(self, attempt: ClientAttempt, connection: _Connection, *, is_retry: bool) -> bool:
+        attempt.is_retried = (
+            not is_retry
             and connection.requests > 1
             and not attempt.has_partial_response
             and not attempt.disconnected_at
         )
-        attempt.is_retried = again
-        return again
+        return attempt.is_retried
 
     async def _send(self, connection: _Connection, attempt: ClientAttempt) -> None:
-        chance, request_class = self._chance, attempt.request_class
-        is_large = (
-            request_class.idempotency is not Idempotency.IDEMPOTENT
-            and chance.random() < self.habits.large_body
-        )
-        body = (
-            b""
-            if request_class.idempotency is Idempotency.IDEMPOTENT
-            else b"b" * (_LARGE if is_large else chance.choice([0, 300]))
-        )
-        target = "large" if chance.random() < self.habits.large_answer else "small"
+        data = self._encode_request(attempt)
+        if self._chance.random() < self.behavior.slow_body:
+            middle = self._chance.randrange(1, len(data))
+            connection.writer.write(data[:middle])
+            await asyncio.sleep(self._chance.uniform(0.0, _MAX_SEND_PAUSE_S))
+            data = data[middle:]
+        connection.writer.write(data)
+        await connection.writer.drain()
+        attempt.sent_at = now()
+
+    def _encode_request(self, attempt: ClientAttempt) -> bytes:
+        is_idempotent = attempt.request_class.idempotency is Idempotency.IDEMPOTENT
+        body = b"" if is_idempotent else self._choose_body()
+        target = "large" if self._chance.random() < self.behavior.large_response else "small"
+        has_key = attempt.request_class.idempotency is Idempotency.WITH_KEY
         headers = {
             "Host": "origin.svc",
             "Request-Id": attempt.request_id,
-            "Request-Class": request_class.name,
+            "Request-Class": attempt.request_class.name,
             "Request-Timeout": f"{attempt.timeout_s:.3f}",
-            "Idempotency-Key": attempt.request_id
-            if request_class.idempotency is Idempotency.WITH_KEY
-            else "",
-            "Content-Length": "" if request_class.idempotency is Idempotency.IDEMPOTENT else str(len(body)),
+            "Idempotency-Key": attempt.request_id if has_key else "",
+            "Content-Length": "" if is_idempotent else str(len(body)),
         }
-        method = "GET" if request_class.idempotency is Idempotency.IDEMPOTENT else "POST"
+        method = "GET" if is_idempotent else "POST"
         lines = "".join(f"{name}: {value}\r\n" for name, value in headers.items() if value)
-        raw = f"{method} /api/{attempt.request_id}/{target} HTTP/1.1\r\n{lines}\r\n".encode() + body
-        if chance.random() < self.habits.slow_body:
-            middle = chance.randrange(1, len(raw))
-            connection.writer.write(raw[:middle])
-            await asyncio.sleep(chance.uniform(0.0, 0.3))
-            raw = raw[middle:]
-        connection.writer.write(raw)
-        await connection.writer.drain()
-        attempt.sent_at = now()
-
-    async def _await(self, connection: _Connection, attempt: ClientAttempt, *, is_second: bool) -> bool:
-        leaves_in_s = None
-        if self._chance.random() < self.habits.leaves:
-            leaves_in_s = self._chance.uniform(0.0, attempt.timeout_s)
+        return f"{method} /api/{attempt.request_id}/{target} HTTP/1.1\r\n{lines}\r\n".encode() + body
+
+    def _choose_body(self) -> bytes:
+        if self._chance.random() < self.behavior.large_body:
+            return b"b" * _LARGE_BODY_BYTES
+        return b"b" * self._chance.choice([0, _SMALL_BODY_BYTES])
+
+    async def _receive(self, connection: _Connection, attempt: ClientAttempt) -> None:
+        """Receive the response, or disconnect early or after the timeout."""
+        disconnects_in_s = None
+        if self._chance.random() < self.behavior.disconnects:
+            disconnects_in_s = self._chance.uniform(0.0, attempt.timeout_s)
         try:
-            async with asyncio.timeout(leaves_in_s or attempt.timeout_s + _WAITS_S):
+            async with asyncio.timeout(disconnects_in_s or attempt.timeout_s + _RESPONSE_WAIT_S):
                 head = await connection.reader.readuntil(b"\r\n\r\n")
                 attempt.has_partial_response = True
-                body = await self._body(connection.reader, head)
+                body = await self._read_body(connection.reader, head)
         except TimeoutError:
-            self._leave(connection, attempt)
-            return False
+            self._disconnect(connection, attempt)
+            return
         attempt.ended_at = now()
         attempt.status = int(head.split(b" ", 2)[1])
         if attempt.status == 200:
@@ -168,11 +170,10 @@
         if b"connection: close" in head.lower():
             connection.writer.close()
         else:
-            self._resting.append(connection)
-        return False
+            self._idle.append(connection)
 
     @staticmethod
-    async def _body(reader: asyncio.StreamReader, head: bytes) -> bytes:
+    async def _read_body(reader: asyncio.StreamReader, head: bytes) -> bytes:
         for line in head.lower().split(b"\r\n"):
             if line.startswith(b"content-length:"):
                 return await reader.readexactly(int(line.partition(b":")[2]))
@@ -182,7 +183,7 @@
         await reader.readexactly(2)
         return body
 
-    def _leave(self, connection: _Connection, attempt: ClientAttempt) -> None:
+    def _disconnect(self, connection: _Connection, attempt: ClientAttempt) -> None:
         if self._chance.random() < 0.5:
             own = connection.writer.get_extra_info("socket")
             own.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET)
@@ -191,10 +192,10 @@
             connection.writer.close()
         attempt.disconnected_at = now()
 
-    async def stop_in_the_middle(self, many: int, for_s: float) -> None:
-        """Open connections that send half a request, or nothing, and stay."""
+    async def send_incomplete(self, count: int, duration_s: float) -> None:
+        """Open connections that send half a request or nothing; close them after `duration_s`."""
         opened = []
-        for number in range(many):
+        for number in range(count):
             try:
                 reader, writer = await asyncio.open_connection(*self.address)
             except OSError:
@@ -202,6 +203,6 @@
             if number % 2:
                 writer.write(b"GET /api/half HTTP/1.1\r\nHost: origin.svc\r\nRequest-Id: ")
             opened.append((reader, writer))
-        await asyncio.sleep(for_s)
+        await asyncio.sleep(duration_s)
         for _, writer in opened:
             writer.close()
--- a/tests/soak/sidecars.py
+++ b/tests/soak/sidecars.py
@@ -1,4 +1,4 @@
-"""Real sidecar processes: started, told to stop, killed, held up, and reloaded."""
+"""Real sidecar processes: started, stopped, killed, paused, and reloaded."""
 
 from __future__ import annotations
 
@@ -8,6 +8,7 @@
 import signal
 import socket
 import sys
+from dataclasses import dataclass
 from pathlib import Path
 from typing import Any
 
@@ -16,61 +17,86 @@
 from soak.shim import Shim
 
 _ROOT = Path(__file__).parent.parent.parent
-_LONGEST_DRAIN_S = 3.0
-_POLL_S = 0.02
-_KILLED_AFTER_S = 0.7
+_MAX_DRAIN_S = 3.0
+_READINESS_POLL_S = 0.02
+_KILL_DELAY_S = 0.7
 READY_WITHIN_S = 10.0
 
 
+class SidecarNotStartedError(RuntimeError):
+    """A process was needed before the sidecar had one.
+
+    Attributes:
+        number: number of the sidecar.
+    """
+
+    def __init__(self, number: int) -> None:
+        super().__init__(f"n{number} has not been started")
+        self.number = number
+
+
+@dataclass(frozen=True, slots=True)
+class RunningProcess:
+    """A process and its record; it may have ended."""
+
+    process: asyncio.subprocess.Process
+    record: ProcessRecord
+
+    @property
+    def has_ended(self) -> bool:
+        """Whether its exit code is known."""
+        return self.process.returncode is not None
+
+
 class Place:
-    """Where one sidecar runs: its addresses and files stay, its processes come and go."""
+    """One sidecar: keeps its addresses and files while its processes are replaced; owns the processes."""
 
     def __init__(
-        self, number: int, folder: Path, library: Path, records: Records, *, is_inherited: bool
+        self, number: int, folder: Path, library: Path, records: Records, *, inherits_listener: bool
     ) -> None:
         self.number = number
         self.folder = folder / f"n{number}"
         self.folder.mkdir()
         self.shim = Shim(library, self.folder / "words")
-        self.process: asyncio.subprocess.Process | None = None
-        self.life: ProcessRecord | None = None
+        self.running: RunningProcess | None = None
         self.config: dict[str, Any] = {}
         self.reads_log = asyncio.Event()
         self.reads_log.set()
         self._records = records
         self._listener: socket.socket | None = None
-        self._logs: set[asyncio.Task[None]] = set()
+        self._log_readers: set[asyncio.Task[None]] = set()
         self.address = (HOST, next_port())
         self.control = (HOST, next_port())
-        if is_inherited:
+        if inherits_listener:
             self._listener = socket.create_server(self.address, backlog=1_024)
 
     @property
-    def is_inherited(self) -> bool:
+    def inherits_listener(self) -> bool:
+        """Whether its processes inherit one listening socket."""
         return self._listener is not None
 
-    def configure(self, **given: Any) -> None:
-        """Write its configuration, with these keys changed."""
-        self.config |= given
+    def configure(self, **changes: Any) -> None:
+        """Write its configuration file, with these keys changed."""
+        self.config |= changes
         self._write(json.dumps(self.config))
 
     def write_half(self) -> None:
-        """Leave the file as a write that was cut off would."""
+        """Write the first half of the configuration file, as an interrupted write would."""
         text = json.dumps(self.config)
         self._write(text[: len(text) // 2])
 
     def _write(self, text: str) -> None:
         (self.folder / "config.json").write_text(text)
 
-    async def start(self) -> ProcessRecord:
-        """Start a process, and return once it says that it serves; raise TimeoutError where it doesn't."""
-        operator = self.folder / "operator.toml"
-        operator.write_text("[log]\nlines_per_s = 10000.0\nlines_at_once = 100000.0\nrequests = true\n")
+    async def start(self) -> None:
+        """Start a process and return when it is ready; TimeoutError if it is not within READY_WITHIN_S."""
+        operator_file = self.folder / "operator.toml"
+        operator_file.write_text("[log]\nlines_per_s = 10000.0\nlines_at_once = 100000.0\nrequests = true\n")
         environ = {
             **os.environ,
             **self.shim.environ,
             "BALANCER_CONFIG": str(self.folder / "config.json"),
-            "BALANCER_OPERATOR": str(operator),
+            "BALANCER_OPERATOR": str(operator_file),
         }
         inherited: tuple[int, ...] = ()
         if self._listener is not None:
@@ -85,101 +111,109 @@
             pass_fds=inherited,
             stderr=asyncio.subprocess.PIPE,
         )
-        life = ProcessRecord(self.number, process.pid, now())
-        self._records.processes.append(life)
-        self.process, self.life = process, life
-        self._logs.add(asyncio.get_running_loop().create_task(self._read_log(process, life)))
+        record = ProcessRecord(self.number, process.pid, now())
+        self._records.processes.append(record)
+        self.running = RunningProcess(process, record)
+        self._log_readers.add(asyncio.get_running_loop().create_task(self._read_log(process, record)))
         async with asyncio.timeout(READY_WITHIN_S):
             while process.returncode is None:
                 if await self._is_ready():
-                    life.ready_at = now()
+                    record.ready_at = now()
                     break
-                await asyncio.sleep(_POLL_S)
-        return life
+                await asyncio.sleep(_READINESS_POLL_S)
 
     async def _is_ready(self) -> bool:
         try:
-            return await self.ask("readyz") == ["+OK ready"]
+            return await self.call("readyz") == ["+OK ready"]
         except (OSError, TimeoutError):
             return False
 
-    async def _read_log(self, process: asyncio.subprocess.Process, life: ProcessRecord) -> None:
-        assert process.stderr is not None
-        while line := await process.stderr.readline():
-            await self.reads_log.wait()
-            life.log.append(line.decode(errors="replace").rstrip("\n"))
-        life.exit_code = await process.wait()
-        life.ended_at = now()
+    async def _read_log(self, process: asyncio.subprocess.Process, record: ProcessRecord) -> None:
+        if process.stderr is not None:
+            while line := await process.stderr.readline():
+                await self.reads_log.wait()
+                record.log.append(line.decode(errors="replace").rstrip("\n"))
+        record.exit_code = await process.wait()
+        record.ended_at = now()
+
+    def _require_running(self) -> RunningProcess:
+        if self.running is None:
+            raise SidecarNotStartedError(self.number)
+        return self.running
 
     async def stop(self) -> None:
-        """SIGTERM, and SIGKILL no sooner than the platform's page allows."""
-        assert self.process is not None
-        assert self.life is not None
-        process, life = self.process, self.life
-        if process.returncode is not None:
-            return  # it has ended by itself, which its record tells
-        life.sigterm_at = now()
-        process.send_signal(signal.SIGTERM)
+        """Send SIGTERM, and SIGKILL when the time that the platform's page allows is over."""
+        running = self._require_running()
+        if running.has_ended:
+            return  # it ended by itself, which is in its record
+        running.record.sigterm_at = now()
+        running.process.send_signal(signal.SIGTERM)
         deadline_s = min(
-            max(each["giveUpUs"] for each in self.config["settings"]["lanes"]) / 1e6, _LONGEST_DRAIN_S
+            max(lane["giveUpUs"] for lane in self.config["settings"]["lanes"]) / 1e6, _MAX_DRAIN_S
         )
         try:
-            async with asyncio.timeout(deadline_s + _KILLED_AFTER_S):
-                await process.wait()
+            async with asyncio.timeout(deadline_s + _KILL_DELAY_S):
+                await running.process.wait()
         except TimeoutError:
             self.kill()
-            await process.wait()
+            await running.process.wait()
 
     def kill(self) -> None:
-        assert self.process is not None
-        assert self.life is not None
-        self.life.killed_at = now()
-        if self.process.returncode is None:
-            self.process.kill()
+        """Send SIGKILL."""
+        running = self._require_running()
+        running.record.killed_at = now()
+        if not running.has_ended:
+            running.process.kill()
+
+    async def wait_ended(self) -> None:
+        """Wait until the process has ended."""
+        await self._require_running().process.wait()
 
     def reload(self) -> None:
-        assert self.process is not None
-        if self.process.returncode is None:
-            self.process.send_signal(signal.SIGHUP)
-
-    async def hold_up(self, for_s: float) -> None:
-        """Let the process stand still for a while."""
-        process = self.process
-        assert process is not None
-        if process.returncode is not None:
+        """Send SIGHUP."""
+        running = self._require_running()
+        if not running.has_ended:
+            running.process.send_signal(signal.SIGHUP)
+
+    async def pause(self, duration_s: float) -> None:
+        """Stop the process by SIGSTOP, and continue it after `duration_s`."""
+        running = self._require_running()
+        if running.has_ended:
             return
-        began = now()
-        process.send_signal(signal.SIGSTOP)
-        await asyncio.sleep(for_s)
-        if process.returncode is None:
-            process.send_signal(signal.SIGCONT)
-        self._records.pauses.append(Pause(self.number, began, now()))
-
-    async def ask(self, call: str) -> list[str]:
-        """What the operators' door answers."""
+        started_at = now()
+        running.process.send_signal(signal.SIGSTOP)
+        await asyncio.sleep(duration_s)
+        if not running.has_ended:
+            running.process.send_signal(signal.SIGCONT)
+        self._records.pauses.append(Pause(self.number, started_at, now()))
+
+    async def call(self, command: str) -> list[str]:
+        """Call the control endpoint; OSError or TimeoutError if it does not respond."""
         reader, writer = await asyncio.open_connection(*self.control)
-        writer.write(f"{call}\n".encode())
+        writer.write(f"{command}\n".encode())
         async with asyncio.timeout(5.0):
-            answer = await reader.read()
+            response = await reader.read()
         writer.close()
-        return answer.decode().splitlines()
+        return response.decode().splitlines()
 
     async def figures(self) -> dict[str, int]:
-        lines = await self.ask("telemetry")
+        """The `app.*` figures of its telemetry, without the prefix."""
+        lines = await self.call("telemetry")
         pairs = (line.partition("=") for line in lines if "=" in line)
         return {name.removeprefix("app."): int(value) for name, _, value in pairs}
 
     def descriptors(self) -> int:
-        assert self.process is not None
-        return len(os.listdir(f"/proc/{self.process.pid}/fd"))
+        """How many file descriptors its process has open."""
+        return len(os.listdir(f"/proc/{self._require_running().process.pid}/fd"))
 
     async def close(self) -> None:
-        if self.process is not None and self.process.returncode is None:
+        """Kill the process, and close what was opened for it."""
+        if self.running is not None and not self.running.has_ended:
             self.kill()
-            await self.process.wait()
-        if self._logs:
+            await self.wait_ended()
+        if self._log_readers:
             self.reads_log.set()
-            await asyncio.wait(self._logs, timeout=5.0)
+            await asyncio.wait(self._log_readers, timeout=5.0)
         if self._listener is not None:
             self._listener.close()
 
@@ -187,9 +221,9 @@
 def settings(
     classes: list[RequestClass], number: int, count: int, *, discovery: str, **bounds: Any
 ) -> dict[str, Any]:
-    """The settings of one sidecar of so many."""
+    """The settings of sidecar `number` in a fleet of `count`."""
     return {
-        "lanes": [each.settings for each in classes],
+        "lanes": [request_class.settings for request_class in classes],
         "zone": "a" if number % 2 else "b",
         "me": number,
         "groupSize": count,
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -53,7 +53,7 @@
         self.is_discovery_pushed = self.chance.random() < 0.3
         library = compile_shim(folder)
         self.places = [
-            Place(number, folder, library, self.records, is_inherited=self.chance.random() < 0.4)
+            Place(number, folder, library, self.records, inherits_listener=self.chance.random() < 0.4)
             for number in range(plan.sidecars)
         ]
         self._server_number = 0
@@ -85,7 +85,7 @@
                 discovery=discovery.address(0),
                 seed=f"{self.chance.getrandbits(32):x}",
                 limits={"cores": 1.0, "memory_mb": 96, "sockets": 256},
-                known=self.catalog.whole(),
+                known=self.catalog.full_list(),
                 settings=self.settings(place),
             )
             application = Application(place.number, place.address, list(CLASSES), self.records, self.chance)
@@ -135,8 +135,7 @@
         self._replaced.add(place.number)
         self.applications[place.number].may_connect = False
         place.kill()
-        assert place.process is not None
-        await place.process.wait()
+        await place.wait_ended()
         await self._start_replacement(place)
 
     async def _start_replacement(self, place: Place) -> None:
@@ -149,18 +148,18 @@
 
     async def take_over(self, place: Place) -> None:
         """Start a new process beside the old one, and send SIGTERM to the old one when it is ready."""
-        if place.number in self._replaced or place.process is None or place.life is None:
+        if place.number in self._replaced or place.running is None:
             return
         self._replaced.add(place.number)
-        old, old_life = place.process, place.life
+        old = place.running
         try:
             place.control = (HOST, next_port())
             place.configure(control=_format_address(place.control), seed=f"{self.chance.getrandbits(32):x}")
             await place.start()
-            new, new_life = place.process, place.life
-            place.process, place.life = old, old_life
+            new = place.running
+            place.running = old
             await place.stop()
-            place.process, place.life = new, new_life
+            place.running = new
         finally:
             self._replaced.discard(place.number)
 
@@ -184,12 +183,12 @@
     async def announce_start(self, proxy: FaultProxy) -> None:
         """Announce that a server has just started."""
         proxy.server.started_ms = time.time_ns() // 1_000_000
-        await self.catalog.tell(proxy.server)
+        await self.catalog.update(proxy.server)
 
     async def drain(self, proxy: FaultProxy) -> None:
         """Announce that a server is draining."""
         proxy.server.state = "leaving"
-        await self.catalog.tell(proxy.server)
+        await self.catalog.update(proxy.server)
 
     async def add_server(self) -> None:
         """Start another server and announce it."""
@@ -201,7 +200,7 @@
     async def remove(self, proxy: FaultProxy) -> None:
         """Announce that a server is removed, and end it after the grace period."""
         proxy.server.state = "left"
-        await self.catalog.tell(proxy.server)
+        await self.catalog.update(proxy.server)
         await asyncio.sleep(DRAIN_GRACE_S)
         proxy.crash()
 
