--- a/tests/sidecar/downstream/test_descriptor_limits.py
+++ b/tests/sidecar/downstream/test_descriptor_limits.py
@@ -160,7 +160,9 @@
         }
         config.write_text(json.dumps(given))
         try:
-            async with running_on(config, server, meanwhile="no fresh endpoint list |discovery failed: ") as running:
+            async with running_on(
+                config, server, meanwhile="no fresh endpoint list |discovery failed: "
+            ) as running:
                 limit = (DESCRIPTORS, DESCRIPTORS)
                 resource.prlimit(running.process.pid, resource.RLIMIT_NOFILE, limit)
                 async with idle_clients(running.port):
--- a/tulipnotch/sidecar/__main__.py
+++ b/tulipnotch/sidecar/__main__.py
@@ -6,6 +6,7 @@
 
 from __future__ import annotations
 
+import gc
 import signal
 import sys
 
@@ -16,8 +17,11 @@
     Blocks SIGHUP before anything else is imported: it would terminate a process that has no handler yet.
     """
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
+    gc.disable()  # what imports create stays, so collections meanwhile would only take time
     from tulipnotch.sidecar.program import run
 
+    gc.enable()
+
     return run()
 
 
