--- a/benchmarks/drawn.py
+++ b/benchmarks/drawn.py
@@ -4,7 +4,7 @@
 
 LBSIM is the users' simulator, SITE their site file and TREE the checkout whose module is measured, built;
 give `--in` twice to compare two.  Each day is played by the module and by each published policy named by
-`--also`; the best that any of them reached on a day is the best known.  A day has collapsed when less than 0.9
+`--also`; the best that any of them reached on a day is the best known.  A day has collapsed when under 0.9
 of the best known priority weight is served.  It has recovered with the first window of 5 s, begun after the
 last fault ended, that serves 0.95 of the best known for that window; the resolution is that of the windows.
 """
--- a/benchmarks/lab.py
+++ b/benchmarks/lab.py
@@ -1,9 +1,9 @@
-"""The laboratory's own figures, and the tables of docs/lab.md.
+"""The simulator's own figures, and the tables of docs/lab.md.
 
     python -m benchmarks.lab speed               simulated requests a second, and 8 seeds on 1 to 8 processes
     python -m benchmarks.lab policies            scenarios x policies x 10 seeds, as a table
     python -m benchmarks.lab agreement           virtual against real time over 5 seeds
-    python -m benchmarks.lab lateness            the generator at 3,000 requests a second
+    python -m benchmarks.lab lateness            the load generator at 3,000 requests a second
 
 Times are of this machine; counts and ratios are what to compare.
 """
@@ -11,9 +11,9 @@
 from __future__ import annotations
 
 import os
-import sys
 import time
 
+import click
 import msgspec
 
 from tulipnotch.lab import play, scenario
@@ -22,78 +22,111 @@
 from tulipnotch.lab.real import play as real
 from tulipnotch.lab.scenario import Fleet, Kind, Load, Scenario
 
-_SCENARIOS = ("calm", "rush", "crash", "hang", "release-herd", "rolling-drain", "network-cut")
+_POLICY_SCENARIOS = ("calm", "rush", "crash", "hang", "release-herd", "rolling-drain", "network-cut")
+_POLICY_SEEDS = range(1, 11)
+_SPEED_SEEDS = range(1, 9)
+_SPEED_PROCESSES = (1, 2, 4, 8)
+_AGREEMENT_SCENARIOS = ("calm", "fast-errors", "restarts")
+_AGREEMENT_SEEDS = range(1, 6)
+_AGREEMENT_METRICS = ("worth", "served", "latency.p50_ms", "latency.p99_ms", "attempts_per_request")
+_AGREEMENT_S = 14.0  # of each scenario
+_MODULE = "module"  # the policy that is the real decision module
 
 
-def shipped(name: str) -> Scenario:
+def _load_shipped(name: str) -> Scenario:
     return scenario.load(scenario.shipped()[name])
 
 
+def _available_cores() -> int:
+    return len(os.sched_getaffinity(0))
+
+
+@click.group(
+    help=(__doc__ or "").partition("\n")[0], context_settings={"help_option_names": ["-h", "--help"]}
+)
+def main() -> None:
+    """Print one of the figures; each command prints its own."""
+
+
+@main.command()
 def speed() -> None:
-    given = shipped("rush")
-    began = time.process_time()
-    run = play.in_virtual_time(given, "module", 1)
-    took = time.process_time() - began
+    """Simulated requests a second, and 8 seeds on 1 to 8 processes."""
+    rush = _load_shipped("rush")
+    started_at = time.process_time()
+    run = play.in_virtual_time(rush, _MODULE, 1)
+    cpu_s = time.process_time() - started_at
     requests = run.metrics["requests"]
     attempts = run.metrics["attempts_per_request"]
-    print(
-        f"rush, real module, one core: {requests / took:.0f} requests a second ({attempts:.2f} attempts each)"
+    click.echo(
+        f"rush, real module, one core: {requests / cpu_s:.0f} requests a second"
+        f" ({attempts:.2f} attempts each)"
     )
-    walls = []
-    for processes in (1, 2, 4, 8):
-        began = time.perf_counter()
-        play.all_seeds(given, "module", range(1, 9), processes)
-        walls.append(time.perf_counter() - began)
-        print(f"8 seeds, {processes} processes: {walls[-1]:.1f} s, {walls[0] / walls[-1]:.1f} times as fast")
+    times_s: list[float] = []
+    for processes in _SPEED_PROCESSES:
+        started_at = time.perf_counter()
+        play.all_seeds(rush, _MODULE, _SPEED_SEEDS, processes)
+        times_s.append(time.perf_counter() - started_at)
+        speedup = times_s[0] / times_s[-1]
+        click.echo(f"8 seeds, {processes} processes: {times_s[-1]:.1f} s, {speedup:.1f} times as fast")
 
 
+@main.command()
 def policies() -> None:
-    cores = len(os.sched_getaffinity(0))
+    """Scenarios x policies x 10 seeds, as a table."""
     names = list(POLICIES)
-    print("| scenario | " + " | ".join(names) + " |\n|" + " --- |" * (len(names) + 1))
-    for name in _SCENARIOS:
-        given = shipped(name)
-        cells = []
-        for policy in names:
-            result = play.all_seeds(given, policy, range(1, 11), cores)
-            broken = sum(1 for run in result.runs if run.metrics["rules.broken"])
-            worth = result.values("worth")
-            mark = f", {broken} broken" if broken else ""
-            cells.append(f"{result.mean('worth'):.3f} ({min(worth):.2f}{mark})")
-        print(f"| {name} | " + " | ".join(cells) + " |", flush=True)
+    click.echo("| scenario | " + " | ".join(names) + " |\n|" + " --- |" * (len(names) + 1))
+    for scenario_name in _POLICY_SCENARIOS:
+        shipped = _load_shipped(scenario_name)
+        cells = [_policy_cell(shipped, policy) for policy in names]
+        click.echo(f"| {scenario_name} | " + " | ".join(cells) + " |")
 
 
-def agreement() -> None:
-    print("| scenario | metric | virtual | real | real - virtual, 95% |\n| --- | --- | --- | --- | --- |")
-    for name in ("calm", "fast-errors", "restarts"):
-        given = real.shorter(shipped(name), 14.0)
-        seeds = range(1, 6)
-        virtual = play.all_seeds(given, "module", seeds, len(os.sched_getaffinity(0)))
-        found = real.all_seeds(given, seeds)
-        for each in differences(virtual, found):
-            if each.metric in ("worth", "served", "latency.p50_ms", "latency.p99_ms", "attempts_per_request"):
-                print(
-                    f"| {name} | {each.metric} | {each.a:.4g} | {each.b:.4g} | "
-                    f"{each.low:+.3g} to {each.high:+.3g} |", flush=True,
-                )  # fmt: skip
-        print(
-            f"| {name} | rules.broken | {virtual.mean('rules.broken'):g} | {found.mean('rules.broken'):g} | |"
-        )
+def _policy_cell(shipped: Scenario, policy: str) -> str:
+    """Mean and lowest served weight of a policy, and how many of its runs broke a rule."""
+    result = play.all_seeds(shipped, policy, _POLICY_SEEDS, _available_cores())
+    violations = sum(1 for run in result.runs if run.metrics["rules.broken"])
+    mark = f", {violations} broken" if violations else ""
+    return f"{result.mean('worth'):.3f} ({min(result.values('worth')):.2f}{mark})"
 
 
+@main.command()
+def agreement() -> None:
+    """Virtual against real time over 5 seeds."""
+    click.echo(
+        "| scenario | metric | virtual | real | real - virtual, 95% |\n| --- | --- | --- | --- | --- |"
+    )
+    for name in _AGREEMENT_SCENARIOS:
+        shortened = real.shorter(_load_shipped(name), _AGREEMENT_S)
+        in_virtual_time = play.all_seeds(shortened, _MODULE, _AGREEMENT_SEEDS, _available_cores())
+        in_real_time = real.all_seeds(shortened, _AGREEMENT_SEEDS)
+        for difference in differences(in_virtual_time, in_real_time):
+            if difference.metric in _AGREEMENT_METRICS:
+                click.echo(
+                    f"| {name} | {difference.metric} | {difference.a:.4g} | {difference.b:.4g} | "
+                    f"{difference.low:+.3g} to {difference.high:+.3g} |"
+                )
+        virtual_violations = in_virtual_time.mean("rules.broken")
+        real_violations = in_real_time.mean("rules.broken")
+        click.echo(f"| {name} | rules.broken | {virtual_violations:g} | {real_violations:g} | |")
+
+
+@main.command()
 def lateness() -> None:
-    given = msgspec.structs.replace(
-        shipped("calm"),
+    """The load generator at 3,000 requests a second."""
+    busy = msgspec.structs.replace(
+        _load_shipped("calm"),
         seconds=10.0,
         faults=(),
         fleet=Fleet(servers=24, sidecars=8, kinds=(Kind(name="k", cores=16),)),
         load=Load(rate=3_000.0, skew=0.0),
     )
-    run = real.one_seed(given, 1)
-    late = run.lateness_ms
+    run = real.one_seed(busy, 1)
+    late_ms = run.lateness_ms
     requests = run.metrics["requests"]
-    print(f"{requests:.0f} requests at 3,000 a second: p50 {late['p50']} ms, p99 {late['p99']} ms late")
+    click.echo(
+        f"{requests:.0f} requests at 3,000 a second: p50 {late_ms['p50']} ms, p99 {late_ms['p99']} ms late"
+    )
 
 
 if __name__ == "__main__":
-    {"speed": speed, "policies": policies, "agreement": agreement, "lateness": lateness}[sys.argv[1]]()
+    main(prog_name="python -m benchmarks.lab")
