--- a/tests/sidecar/control/test_lifecycle.py
+++ b/tests/sidecar/control/test_lifecycle.py
@@ -14,18 +14,18 @@
 
 async def health(client: Client) -> tuple[int, str | None]:
     """Status and `Connection` header of the response to a health check."""
-    client.send(Request(b"GET", b"/_health", [(b"host", b"x")]).encode_start())
+    client.send(Request(b"GET", b"/_health", [(b"host", b"x")]).encode_head_and_buffered_body())
     response = await client.answer()
     return response.status, response.headers.get("connection")
 
 
 def test_lifecycle_cannot_leave_stopping() -> None:
     lifecycle = Lifecycle()
-    lifecycle.started()
+    lifecycle.mark_started()
     lifecycle.stop()
     assert not lifecycle.activate()
     lifecycle.evacuate()
-    lifecycle.started()
+    lifecycle.mark_started()
     assert lifecycle.phase is Phase.STOPPING
 
 
@@ -39,9 +39,9 @@
 def test_lifecycle_stays_evacuating_when_the_start_completes_and_serves_when_activated() -> None:
     lifecycle = Lifecycle()
     phases: list[Phase] = []
-    lifecycle.on_change(lambda: phases.append(lifecycle.phase))
+    lifecycle.add_listener(lambda: phases.append(lifecycle.phase))
     lifecycle.evacuate()
-    lifecycle.started()
+    lifecycle.mark_started()
     assert phases == [Phase.EVACUATING]
     assert lifecycle.activate()
     assert phases == [Phase.EVACUATING, Phase.SERVING]
@@ -50,8 +50,8 @@
 def test_lifecycle_notifies_once_for_each_change() -> None:
     lifecycle = Lifecycle()
     phases: list[Phase] = []
-    lifecycle.on_change(lambda: phases.append(lifecycle.phase))
-    lifecycle.started()
+    lifecycle.add_listener(lambda: phases.append(lifecycle.phase))
+    lifecycle.mark_started()
     for _ in range(2):
         lifecycle.evacuate()
     for _ in range(2):
--- a/tests/sidecar/control/test_telemetry.py
+++ b/tests/sidecar/control/test_telemetry.py
@@ -11,7 +11,7 @@
     CLOSE_REASON_NAMES,
     OUTCOME_NAMES,
     TERMINATION_REASON_NAMES,
-    Result,
+    RequestResult,
     Telemetry,
 )
 from tulipnotch.sidecar.requests.invariants import CloseReason
@@ -53,11 +53,11 @@
 
 def test_telemetry_shows_every_class_from_the_start_and_keeps_removed_ones() -> None:
     telemetry = Telemetry(["look", "odd name=\n"])
-    assert "app.downstream_requests.look.rejected=0" in telemetry.lines({})
-    assert "app.downstream_requests.odd_name__.failed=0" in telemetry.lines({})
-    telemetry.request_ended("look", Result.FAILED)
+    assert "app.downstream_requests.look.rejected=0" in telemetry.render_metrics({})
+    assert "app.downstream_requests.odd_name__.failed=0" in telemetry.render_metrics({})
+    telemetry.request_ended("look", RequestResult.FAILED)
     telemetry.add_classes(["new"])
-    lines = telemetry.lines({"pending": 3})
+    lines = telemetry.render_metrics({"pending": 3})
     assert "app.downstream_requests.look.failed=1" in lines
     assert "app.downstream_requests.new.completed=0" in lines
     assert "app.pending=3" in lines
@@ -72,7 +72,7 @@
 
 
 def test_telemetry_keeps_the_names_that_dashboards_know_in_their_order() -> None:
-    lines = Telemetry([]).lines({})
+    lines = Telemetry([]).render_metrics({})
     assert lines[:4] == [
         "app.upstream_requests=0",
         "app.upstream_requests_withheld=0",
@@ -96,7 +96,7 @@
     telemetry.attempt_withheld()
     telemetry.configuration_reloaded()
     telemetry.configuration_rejected()
-    counted = {each.partition("=")[0] for each in telemetry.lines({}) if each.endswith("=1")}
+    counted = {each.partition("=")[0] for each in telemetry.render_metrics({}) if each.endswith("=1")}
     assert counted == {
         "app.retries.overdue",
         "app.retries.spoilt",
--- a/tests/sidecar/http1/test_response_reader.py
+++ b/tests/sidecar/http1/test_response_reader.py
@@ -75,7 +75,7 @@
 ) -> None:
     reader.feed(_HEAD + b"\r\nserved")
     assert reader.response is None
-    reader.feed_end()
+    reader.feed_eof()
     assert reader.response is not None
     assert (reader.response.body, reader.keep_alive) == (b"served", False)
 
@@ -84,7 +84,7 @@
     reader: ResponseReader,
 ) -> None:
     reader.feed(_HEAD + b"Content-Length: 6\r\n\r\nserv")
-    reader.feed_end()
+    reader.feed_eof()
     assert reader.response is None
 
 
--- a/tests/sidecar/test_listener_handover.py
+++ b/tests/sidecar/test_listener_handover.py
@@ -14,7 +14,7 @@
 from loopback import HOST, OK, Client, Heard, play, request, soon, stage, until
 from running import Program, running_on, started, until_says, world
 
-from tulipnotch.sidecar.downstream.listener import adopt, bind_and_listen
+from tulipnotch.sidecar.downstream.listener import adopt_listener, bind_and_listen
 from tulipnotch.sidecar.http1.messages import Request
 
 
@@ -125,13 +125,13 @@
 def test_adopt_leaves_a_descriptor_open_when_it_is_no_listener() -> None:
     with socket.socket() as other:
         with pytest.raises(ValueError, match="not a listening"):
-            adopt(str(other.fileno()))
+            adopt_listener(str(other.fileno()))
         os.fstat(other.fileno())  # still open
 
 
 async def health(port: int) -> int:
     client = Client(*await asyncio.open_connection(HOST, port))
-    client.send(Request(b"GET", b"/_health", [(b"host", b"x")]).encode_start())
+    client.send(Request(b"GET", b"/_health", [(b"host", b"x")]).encode_head_and_buffered_body())
     answer = await client.answer()
     client.close()
     return answer.status
@@ -168,7 +168,9 @@
 def test_takeover_accepts_nothing_before_it_has_a_fresh_endpoint_list(listener: socket.socket) -> None:
     async def work() -> None:
         async with stage(OK, silent_discovery=True, started=False) as scene:
-            starting = asyncio.ensure_future(scene.sidecar.start(adopt(str(os.dup(listener.fileno())))))
+            starting = asyncio.ensure_future(
+                scene.sidecar.start(adopt_listener(str(os.dup(listener.fileno()))))
+            )
             client = await connected(listener)
             client.send(request("lodge"))
             await asyncio.sleep(0.1)
@@ -210,7 +212,7 @@
         monkeypatch.setattr("tulipnotch.sidecar.startup._TAKEOVER_OVERLAP_S", 0.2)
         async with stage(OK, started=False) as scene:
             whole = scene.sidecar._upstream.max_connections
-            await scene.sidecar.start(adopt(str(os.dup(listener.fileno()))))
+            await scene.sidecar.start(adopt_listener(str(os.dup(listener.fileno()))))
             assert scene.sidecar._upstream.max_connections == whole // 2
             await until(lambda: scene.sidecar._upstream.max_connections == whole)
             ending = asyncio.ensure_future(scene.sidecar.shut_down())
@@ -228,7 +230,9 @@
         async with stage(OK, started=False, silent_discovery=True) as scene:
             client = await connected(listener)
             client.send(request("check", timeout="1.0"))
-            starting = asyncio.ensure_future(scene.sidecar.start(adopt(str(os.dup(listener.fileno())))))
+            starting = asyncio.ensure_future(
+                scene.sidecar.start(adopt_listener(str(os.dup(listener.fileno()))))
+            )
             async with asyncio.timeout(1.0):
                 assert (await client.answer()).status == 200
             await starting
--- a/tests/sidecar/test_race_conditions.py
+++ b/tests/sidecar/test_race_conditions.py
@@ -171,7 +171,7 @@
             assert (await resting.ask("lodge")).status == 200
             await until(lambda: sorted(each.value for each in _states(scene)) == ["connected", "idle"])
             silent.send(request("lodge"))  # it lies in the sidecar's socket, and the event loop has not run
-            assert frontend.connections_by_state.evict()
+            assert frontend.connection_table.evict()
             assert (await silent.answer()).status == 200
             assert await soon(resting.reader.read()) == b""
 
@@ -191,7 +191,7 @@
                 lambda: _states(scene) == [ConnectionState.READING if sent else ConnectionState.CONNECTED]
             )
             client.send(whole[sent:])  # it lies in the sidecar's socket, and the event loop has not run
-            assert not scene.sidecar.downstream.connections_by_state.evict()
+            assert not scene.sidecar.downstream.connection_table.evict()
             assert (await client.answer()).status == 200
 
     play(work)
@@ -225,7 +225,7 @@
             frontend = scene.sidecar.downstream
             assert frontend.open_connections == 1
             frontend.max_connections = 1
-            assert not frontend.connections_by_state.evict()  # it is owed the rest
+            assert not frontend.connection_table.evict()  # it is owed the rest
             got, was_reset = await client.rest()
             assert got.endswith(b"\r\n\r\n" + bytes(size))
             assert not was_reset
@@ -540,7 +540,7 @@
             discovery_port = int(scene.discovery.address.rpartition(":")[2])
             await scene.sidecar.start()
             assert (await scene.ask()).status == 200
-            inherited = listener.adopt(str(listener.bind_and_listen((HOST, 0)).detach()))
+            inherited = listener.adopt_listener(str(listener.bind_and_listen((HOST, 0)).detach()))
             scene.sidecar.downstream.stop_listening()
             scene.sidecar.downstream.listen(inherited)
             assert (await scene.ask()).status == 200
@@ -668,7 +668,7 @@
             frontend = scene.sidecar.downstream
             await until(lambda: frontend.open_connections == 1)
             await until(lambda: scene.sidecar.open_requests == 0)
-            assert frontend.connections_by_state.buffered_bytes == 0
+            assert frontend.connection_table.buffered_bytes == 0
             assert resource.getrusage(resource.RUSAGE_SELF).ru_maxrss - before < 30_000  # KiB
 
     play(work)
--- a/tests/sidecar/upstream/interleaving_world.py
+++ b/tests/sidecar/upstream/interleaving_world.py
@@ -81,7 +81,7 @@
         self.sidecar = Sidecar(config, OperatorOptions(log=self._log))
         self.sidecar._upstream.endpoints_updated(config.known)
         self.sidecar._events.post(config.known.event(EndpointUpdateKind.CACHED))
-        self.sidecar.lifecycle.started()
+        self.sidecar.lifecycle.mark_started()
         if start.has_connections:
             self._establish_connections()
         self.client = self._connect(lambda status: self.rule.on_response(self.loop.now_us, status))
--- a/tests/test_on_call.py
+++ b/tests/test_on_call.py
@@ -82,6 +82,6 @@
     gauges = dict.fromkeys(
         re.findall(r'"(\w+)": \w', source[source.index("gauges = {") :].split("return")[0]), 0
     )
-    names = [each.partition("=")[0].removeprefix("app.") for each in Telemetry(["C"]).lines(gauges)]
+    names = [each.partition("=")[0].removeprefix("app.") for each in Telemetry(["C"]).render_metrics(gauges)]
     prefix = "downstream_requests.C."  # the page has it in the first of their names only
     assert {each if each == f"{prefix}completed" else each.removeprefix(prefix) for each in names} == shown
--- a/tulipnotch/sidecar/control/lifecycle.py
+++ b/tulipnotch/sidecar/control/lifecycle.py
@@ -40,11 +40,11 @@
         """Whether clients should disconnect: each response closes its connection, idle ones are closed."""
         return self._phase in (Phase.EVACUATING, Phase.STOPPING)
 
-    def on_change(self, listener: Callable[[], None]) -> None:
+    def add_listener(self, listener: Callable[[], None]) -> None:
         """Adds a listener that is called after each change of the phase."""
         self._listeners.append(listener)
 
-    def started(self) -> None:
+    def mark_started(self) -> None:
         """Records that the start is complete, and serves unless the process is draining already."""
         self._has_started = True
         if self._phase is Phase.STARTING:
--- a/tulipnotch/sidecar/control/telemetry.py
+++ b/tulipnotch/sidecar/control/telemetry.py
@@ -49,7 +49,7 @@
 
 
 @unique
-class Result(StrEnum):
+class RequestResult(StrEnum):
     """How a request ended, as its client sees it; the values are parts of metric names."""
 
     COMPLETED = "completed"
@@ -62,7 +62,7 @@
 
     def __init__(self, classes: Iterable[str]) -> None:
         """Starts all counters at 0, including those of the service classes with these names."""
-        self._results: dict[str, dict[Result, int]] = {}  # by the name of the service class
+        self._results: dict[str, dict[RequestResult, int]] = {}  # by the name of the service class
         self._attempts_written = 0
         self._attempts_withheld = 0
         self._retries: dict[Outcome | None, int] = {
@@ -85,9 +85,9 @@
         A class that the settings no longer name stays, since its open requests have yet to end.
         """
         for name in classes:
-            self._results.setdefault(name, dict.fromkeys(Result, 0))
+            self._results.setdefault(name, dict.fromkeys(RequestResult, 0))
 
-    def request_ended(self, service_class: str, result: Result) -> None:
+    def request_ended(self, service_class: str, result: RequestResult) -> None:
         """Counts a request that has its final response."""
         self._results[service_class][result] += 1
 
@@ -123,7 +123,7 @@
         """Counts a configuration that was rejected at a reload."""
         self._reload_errors += 1
 
-    def lines(self, gauges: Mapping[str, int]) -> list[str]:
+    def render_metrics(self, gauges: Mapping[str, int]) -> list[str]:
         """Renders all metrics, one a line: the counters, then the gauges that their owners have just read."""
         metrics = {
             f"downstream_requests.{_metric_name_part(name)}.{result}": count
--- a/tulipnotch/sidecar/control_commands.py
+++ b/tulipnotch/sidecar/control_commands.py
@@ -63,7 +63,7 @@
         }
         if self._levels is not None:
             gauges |= {"level": self._levels.index, "level_changes": self._levels.changes}
-        return ["", *self._context.telemetry.lines(gauges), "."]
+        return ["", *self._context.telemetry.render_metrics(gauges), "."]
 
     def evacuate(self) -> Sequence[str]:
         """Has clients leave; replies with the phase."""
--- a/tulipnotch/sidecar/downstream/connection.py
+++ b/tulipnotch/sidecar/downstream/connection.py
@@ -24,7 +24,7 @@
 from tulipnotch.sidecar.downstream.transfer_progress import TransferProgress
 from tulipnotch.sidecar.http1.body import MAX_BUFFERED_BODY_BYTES
 from tulipnotch.sidecar.http1.messages import (
-    CONTINUE,
+    CONTINUE_RESPONSE,
     Headers,
     Request,
     Response,
@@ -102,7 +102,7 @@
     read_buffer: memoryview  # each read is used up before the next
 
     @property
-    def connections_by_state(self) -> ConnectionRegistry:
+    def connection_table(self) -> ConnectionRegistry:
         """Where each connection is counted."""
         ...
 
@@ -204,7 +204,7 @@
 
     # What the sidecar calls
 
-    def check_disconnected(self) -> None:
+    def abort_if_disconnected(self) -> None:
         """Look whether the client is still connected, before something is done for it.
 
         Its end may be in the socket before the event loop has seen it, and is never seen while reading is
@@ -255,7 +255,7 @@
         self._stream = ResponseStream(request, length, producer)
         if self._closes_after(request):
             headers = [*headers, (b"connection", b"close")]
-        transport.write(Response(status, headers).head(self._stream.framing()))
+        transport.write(Response(status, headers).encode_head(self._stream.framing()))
 
     def write_body(self, piece: bytes) -> None:
         """Write a piece of the body of a response that is streamed."""
@@ -281,7 +281,7 @@
         return None if transport is None or transport.is_closing() else transport
 
     def _move(self, state: ConnectionState) -> None:
-        self._owner.connections_by_state.move(self, state)
+        self._owner.connection_table.move(self, state)
 
     def _closes_after(self, request: Request | None) -> bool:
         """Return whether the connection closes after the response to this request."""
@@ -383,7 +383,7 @@
         # The class of uvloop does not derive from asyncio's, so it can't be checked.
         self._transport = cast("asyncio.Transport", transport)
         watch_input(self._poll, transport)
-        self._owner.connections_by_state.add(self)
+        self._owner.connection_table.add(self)
 
     def get_buffer(self, _sizehint: int) -> memoryview:
         """Return the buffer for the next read."""
@@ -409,7 +409,7 @@
             self._check_streamed_body()
         # Of a streamed body no more than this is ever buffered.
         max_bytes = MAX_BUFFERED_BODY_BYTES + _MAX_PENDING_BODY_BYTES - self.buffered_bytes
-        self._owner.connections_by_state.add_buffered(self, min(nbytes, max_bytes))
+        self._owner.connection_table.add_buffered(self, min(nbytes, max_bytes))
         self._process_input()
         if self._request_number is None or self.state is ConnectionState.STREAMING_BODY:
             return
@@ -442,7 +442,7 @@
         self._client_disconnected()
         self._reader.release()
         self._owner.handler.connection_closed(self._close_reason or CloseReason.CLIENT_LEFT)
-        self._owner.connections_by_state.remove(self)
+        self._owner.connection_table.remove(self)
         self.state = ConnectionState.CLOSING
 
     # Reading
@@ -460,7 +460,7 @@
             else:
                 if self._reader.awaits_continue:
                     self._reader.awaits_continue = False
-                    transport.write(CONTINUE)
+                    transport.write(CONTINUE_RESPONSE)
                 self._resume_reading()
                 return
 
@@ -483,7 +483,7 @@
             self._queued_s = 0.0
             self._request_number = self._owner.handler.request_received(self, incoming)
             if self._request_number is not None and not request.body.is_complete:
-                request.body.on_taken = self._resume_reading
+                request.body.on_consumed = self._resume_reading
                 self._check_streamed_body()
         except BadRequestError as error:
             self.reject(error.status, error.text)
--- a/tulipnotch/sidecar/downstream/connection_table.py
+++ b/tulipnotch/sidecar/downstream/connection_table.py
@@ -18,7 +18,7 @@
         """Begin with no connection, and with no room for one until `max_connections` is set."""
         self._limits = limits
         self.max_connections = 0  # set by whoever knows how many descriptors there are
-        self.last_opened = 0.0  # the last connection, in the event loop's time (s)
+        self.last_opened_at = 0.0  # the last connection, in the event loop's time (s)
         self.buffered_bytes = 0  # of requests, over all connections
         self._by_state: dict[ConnectionState, dict[DownstreamConnection, None]] = {
             state: {} for state in ConnectionState
@@ -38,7 +38,7 @@
 
     def add(self, connection: DownstreamConnection) -> None:
         """Add a connection, and evict one if there are too many; abort it if none can be evicted."""
-        self.last_opened = connection.state_since = asyncio.get_running_loop().time()
+        self.last_opened_at = connection.state_since = asyncio.get_running_loop().time()
         if len(self) >= self.max_connections and not self.evict():
             connection.state = ConnectionState.CLOSING
             connection.abort(CloseReason.NO_ROOM)
--- a/tulipnotch/sidecar/downstream/incoming_request.py
+++ b/tulipnotch/sidecar/downstream/incoming_request.py
@@ -47,7 +47,7 @@
 
     service_class: ServiceClass  # as the settings had it when the first byte came
     tenant: str | None
-    hash_key: int | None  # requests about one thing have the same
+    affinity_key: int | None  # requests about one thing have the same
     remaining_us: int
     cost_us: int | None
     client_retry: bool
@@ -63,7 +63,7 @@
         """The name of its class."""
         return self.service_class.name
 
-    def upstream_message(self, available_us: int) -> Request:
+    def to_upstream_request(self, available_us: int) -> Request:
         """Return the request for a server, which is given at most `available_us` microseconds to respond."""
         timeout = (b"request-timeout", b"%.3f" % (min(available_us, self.remaining_us) / 1e6))
         return Request(
@@ -108,7 +108,7 @@
     return IncomingRequest(
         service_class=service_class,
         tenant=tenant if any(known.name == tenant for known in settings.tenants) else None,
-        hash_key=_key(request.target),
+        affinity_key=_key(request.target),
         # Each open request takes memory, so none may stay longer than its class allows.
         remaining_us=min(remaining_us, service_class.deadline_us),
         cost_us=int(hint) if hint is not None else None,
--- a/tulipnotch/sidecar/downstream/listener.py
+++ b/tulipnotch/sidecar/downstream/listener.py
@@ -106,7 +106,7 @@
         await asyncio.sleep(_BIND_RETRY_S)  # the system reports no event when an address becomes free
 
 
-def adopt(descriptor: str) -> socket.socket:
+def adopt_listener(descriptor: str) -> socket.socket:
     """Take over a listening socket that this process inherited.
 
     Args:
@@ -128,7 +128,7 @@
     return listener
 
 
-async def wait_until_unserved(listener: socket.socket, for_s: float) -> None:
+async def wait_until_no_process_accepts(listener: socket.socket, for_s: float) -> None:
     """Return once the accept queue was not empty for `for_s` seconds: no other process accepts from it.
 
     The queue is polled, since an empty one is reported by no event.
--- a/tulipnotch/sidecar/downstream/response_stream.py
+++ b/tulipnotch/sidecar/downstream/response_stream.py
@@ -4,7 +4,7 @@
 
 from typing import Protocol
 
-from tulipnotch.sidecar.http1.messages import LAST_CHUNK, Headers, Request, chunk
+from tulipnotch.sidecar.http1.messages import LAST_CHUNK, Headers, Request, encode_chunk
 
 
 class ResponseProducer(Protocol):
@@ -46,7 +46,7 @@
 
     def encode(self, piece: bytes) -> bytes:
         """Return a piece of the body as it is sent."""
-        return chunk(piece) if self._is_chunked else piece
+        return encode_chunk(piece) if self._is_chunked else piece
 
     def encode_end(self) -> bytes:
         """Return what marks the end of the body; empty if it is not marked."""
--- a/tulipnotch/sidecar/downstream/server.py
+++ b/tulipnotch/sidecar/downstream/server.py
@@ -47,8 +47,8 @@
         self.handler = handler
         self.invariants = invariants
         self.read_buffer = memoryview(bytearray(_READ_BUFFER_BYTES))
-        self.connections_by_state = ConnectionTable(limits)
-        self._timeouts = TimeoutSweep(self.connections_by_state, limits, lifecycle)
+        self.connection_table = ConnectionTable(limits)
+        self._timeouts = TimeoutSweep(self.connection_table, limits, lifecycle)
         self._acceptor: Acceptor | None = None
 
     # Connections
@@ -72,21 +72,21 @@
     @property
     def max_connections(self) -> int:
         """How many connections may be open."""
-        return self.connections_by_state.max_connections
+        return self.connection_table.max_connections
 
     @max_connections.setter
     def max_connections(self, value: int) -> None:
-        self.connections_by_state.max_connections = value
+        self.connection_table.max_connections = value
 
     @property
     def open_connections(self) -> int:
         """How many connections are open."""
-        return len(self.connections_by_state)
+        return len(self.connection_table)
 
     @property
-    def last_opened(self) -> float:
+    def last_opened_at(self) -> float:
         """When a connection was opened last, in the event loop's time (s)."""
-        return self.connections_by_state.last_opened
+        return self.connection_table.last_opened_at
 
     @property
     def has_no_connections(self) -> bool:
@@ -95,7 +95,7 @@
 
     def connections(self) -> Iterator[DownstreamConnection]:
         """Iterate over all connections."""
-        return iter(self.connections_by_state)
+        return iter(self.connection_table)
 
     def close_idle(self) -> None:
         """Close all connections on which nothing is pending."""
--- a/tulipnotch/sidecar/downstream/timeouts.py
+++ b/tulipnotch/sidecar/downstream/timeouts.py
@@ -70,14 +70,14 @@
             if connection.is_request_stalled(now, self._limits):
                 connection.abandon_request(408)
             elif connection.is_reading_paused:
-                connection.check_disconnected()
+                connection.abort_if_disconnected()
 
     def _sweep_awaiting_response(self, now: float) -> None:
         for connection in self._connections.in_state(ConnectionState.AWAITING_RESPONSE):
             if connection.is_response_stalled(now, self._limits):
                 connection.abort(CloseReason.UNREAD)
             elif connection.is_reading_paused:
-                connection.check_disconnected()
+                connection.abort_if_disconnected()
 
     def _sweep_idle(self, now: float) -> None:
         limits = self._limits
--- a/tulipnotch/sidecar/http1/body.py
+++ b/tulipnotch/sidecar/http1/body.py
@@ -22,7 +22,7 @@
         is_complete: Whether the last byte was received.
         is_replayable: Whether nothing was removed yet, so that a further attempt can write all of the body.
         on_data: Called by `feed` and `complete`, for the connection that writes the body to a server.
-        on_taken: Called by `pop_pending`, for the client's connection, which may read on.
+        on_consumed: Called by `pop_pending`, for the client's connection, which may read on.
         on_complete: Called by `complete`, before `on_data`, for the owner of the open request.
     """
 
@@ -32,8 +32,8 @@
         "is_complete",
         "is_replayable",
         "on_complete",
+        "on_consumed",
         "on_data",
-        "on_taken",
         "size",
     )
 
@@ -45,7 +45,7 @@
         self.is_replayable = True
         self._pending = bytearray()
         self.on_data: Callable[[], None] | None = None
-        self.on_taken: Callable[[], None] | None = None
+        self.on_consumed: Callable[[], None] | None = None
         self.on_complete: Callable[[], None] | None = None
 
     @property
@@ -80,10 +80,10 @@
         removed = bytes(self._pending[: len(self._pending) - except_last])
         del self._pending[: len(removed)]
         self.is_replayable = False
-        if self.on_taken is not None:
-            self.on_taken()
+        if self.on_consumed is not None:
+            self.on_consumed()
         return removed
 
     def detach(self) -> None:
         """Reset all hooks."""
-        self.on_data = self.on_taken = self.on_complete = None
+        self.on_data = self.on_consumed = self.on_complete = None
--- a/tulipnotch/sidecar/http1/messages.py
+++ b/tulipnotch/sidecar/http1/messages.py
@@ -10,7 +10,7 @@
 
 Headers = list[tuple[bytes, bytes]]
 
-CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
+CONTINUE_RESPONSE = b"HTTP/1.1 100 Continue\r\n\r\n"
 LAST_CHUNK = b"0\r\n\r\n"
 _REASON_PHRASES = {status.value: status.phrase.encode() for status in HTTPStatus}
 
@@ -35,17 +35,17 @@
     accepts_chunked: bool = True
     length: int | None = None
 
-    def encode_start(self) -> bytes:
+    def encode_head_and_buffered_body(self) -> bytes:
         """Return the head and the buffered part of the body."""
         head = b"%s %s HTTP/1.1\r\n%s\r\n" % (self.method, self.target, _header_lines(self.headers))
-        return head + self.frame(bytes(self.body.buffered))
+        return head + self.encode_body_part(bytes(self.body.buffered))
 
-    def frame(self, data: bytes) -> bytes:
+    def encode_body_part(self, data: bytes) -> bytes:
         """Return a further part of the body as it is sent."""
-        return chunk(data) if self.is_chunked else data
+        return encode_chunk(data) if self.is_chunked else data
 
     @property
-    def terminator(self) -> bytes:
+    def body_terminator(self) -> bytes:
         """What follows the last byte of the body."""
         return LAST_CHUNK if self.is_chunked else b""
 
@@ -67,23 +67,23 @@
         """Return the first value of a header, or None."""
         return next((value for key, value in self.headers if key == name), None)
 
-    def all_headers(self, name: bytes) -> set[bytes]:
+    def header_values(self, name: bytes) -> set[bytes]:
         """Return all values of a header; more than one where its lines contradict each other."""
         return {value for key, value in self.headers if key == name}
 
     def encode(self, *, with_body: bool = True) -> bytes:
         """Return all its bytes with its length; without the body where the request allows none."""
         if with_body:
-            return self.head([(b"content-length", b"%d" % len(self.body))]) + self.body
-        return self.head([] if self.length is None else [(b"content-length", b"%d" % self.length)])
+            return self.encode_head([(b"content-length", b"%d" % len(self.body))]) + self.body
+        return self.encode_head([] if self.length is None else [(b"content-length", b"%d" % self.length)])
 
-    def head(self, framing: Headers) -> bytes:
+    def encode_head(self, framing: Headers) -> bytes:
         """Return the head, with the headers that frame the body."""
         reason = _REASON_PHRASES.get(self.status, b"")
         return b"HTTP/1.1 %d %s\r\n%s\r\n" % (self.status, reason, _header_lines([*self.headers, *framing]))
 
 
-def chunk(data: bytes) -> bytes:
+def encode_chunk(data: bytes) -> bytes:
     """Return one chunk of a chunked body; nothing for no data, since an empty chunk ends the body."""
     return b"%x\r\n%s\r\n" % (len(data), data) if data else b""
 
--- a/tulipnotch/sidecar/http1/response_reader.py
+++ b/tulipnotch/sidecar/http1/response_reader.py
@@ -88,7 +88,7 @@
             return head if head.length > self._max_buffered_bytes else None
         return head if len(self._buffered) > _STREAM_START_BYTES else None
 
-    def pop_buffered(self) -> bytes:
+    def pop_buffered_body(self) -> bytes:
         """Remove and return the buffered part of the body."""
         removed = bytes(self._buffered)
         self._buffered.clear()
@@ -104,7 +104,7 @@
             else:
                 self._progress = _Progress.MALFORMED
 
-    def feed_end(self) -> None:
+    def feed_eof(self) -> None:
         """Handle an orderly end of the connection, which completes a response that nothing else delimits."""
         if self._ends_at_close and self._part is not None and not self.is_malformed:
             self._complete(keep_alive=False)
--- a/tulipnotch/sidecar/program.py
+++ b/tulipnotch/sidecar/program.py
@@ -21,7 +21,7 @@
 from tulipnotch.sidecar.configuration.configuration import Config, ConfigError, load
 from tulipnotch.sidecar.configuration.reload import reload_configuration
 from tulipnotch.sidecar.control.endpoint import ControlEndpoint
-from tulipnotch.sidecar.downstream.listener import adopt, bind_with_retry, listen
+from tulipnotch.sidecar.downstream.listener import adopt_listener, bind_with_retry, listen
 from tulipnotch.sidecar.logs import Log
 from tulipnotch.sidecar.operator_file import OPERATOR_VARIABLE, OperatorOptions, load_operator_options
 from tulipnotch.sidecar.sidecar import Sidecar
@@ -48,7 +48,7 @@
         return ExitCode.INVALID_CONFIGURATION
     descriptor = os.environ.get(_INHERITED_VARIABLE)
     try:
-        inherited = adopt(descriptor) if descriptor else None
+        inherited = adopt_listener(descriptor) if descriptor else None
     except ValueError as error:
         print(f"tulipnotch: {_INHERITED_VARIABLE}: {error}", file=sys.stderr)
         return ExitCode.INVALID_CONFIGURATION
--- a/tulipnotch/sidecar/requests/attempts.py
+++ b/tulipnotch/sidecar/requests/attempts.py
@@ -58,7 +58,7 @@
             context.trace.attempt_started(request.name, number, action.endpoint, cause)
 
         upstream_request = UpstreamRequest(
-            action.endpoint, deadline, request.incoming.upstream_message, attempt
+            action.endpoint, deadline, request.incoming.to_upstream_request, attempt
         )
         request.upstream_requests.append(upstream_request)
         request.open_attempts += 1
@@ -96,7 +96,7 @@
         waiting = request.response
         if type(waiting) is not WaitingForResponse:
             return False
-        waiting.client.check_disconnected()
+        waiting.client.abort_if_disconnected()
         return type(request.response) is WaitingForResponse
 
     def write_deadline(self) -> int:
--- a/tulipnotch/sidecar/requests/request_receiver.py
+++ b/tulipnotch/sidecar/requests/request_receiver.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from tulipnotch.load_balancing.events import ClientDisconnected, RequestArrived, RequestBodyCompleted
-from tulipnotch.sidecar.control.telemetry import Result
+from tulipnotch.sidecar.control.telemetry import RequestResult
 from tulipnotch.sidecar.downstream.connection import DownstreamConnection
 from tulipnotch.sidecar.downstream.incoming_request import BadRequestError, IncomingRequest
 from tulipnotch.sidecar.event_queue import EventQueue
@@ -46,7 +46,7 @@
             raise BadRequestError("request-id is that of an open request", 409)
         max_open_requests = context.settings.limits.max_open_requests
         if max_open_requests is not None and registry.pending_responses >= max_open_requests:
-            context.telemetry.request_ended(incoming.class_name, Result.REJECTED)
+            context.telemetry.request_ended(incoming.class_name, RequestResult.REJECTED)
             context.telemetry.request_rejected(None)
             connection.send_response(503, [], b"")
             return None
@@ -65,7 +65,7 @@
                 request=request.number,
                 service_class=incoming.class_name,
                 tenant=incoming.tenant,
-                key=incoming.hash_key,
+                key=incoming.affinity_key,
                 remaining_us=incoming.remaining_us,
                 cost_us=incoming.cost_us,
                 client_retry=incoming.client_retry,
--- a/tulipnotch/sidecar/requests/responses.py
+++ b/tulipnotch/sidecar/requests/responses.py
@@ -4,7 +4,7 @@
 
 from tulipnotch.load_balancing.actions import FailRequest, RejectRequest
 from tulipnotch.load_balancing.outcomes import Outcome
-from tulipnotch.sidecar.control.telemetry import Result
+from tulipnotch.sidecar.control.telemetry import RequestResult
 from tulipnotch.sidecar.downstream.connection import DownstreamConnection
 from tulipnotch.sidecar.http1.messages import Headers, Response
 from tulipnotch.sidecar.requests.context import SidecarContext
@@ -21,7 +21,7 @@
 from tulipnotch.sidecar.upstream.connection import UpstreamConnection
 
 # Any other status is a failed request.
-_RESULTS = {200: Result.COMPLETED, 429: Result.REJECTED, 503: Result.REJECTED}
+_RESULTS = {200: RequestResult.COMPLETED, 429: RequestResult.REJECTED, 503: RequestResult.REJECTED}
 _PASSED_BACK = (b"content-type", b"content-encoding")  # headers that describe the body
 
 
@@ -81,7 +81,9 @@
         client = self.stop_waiting(request, RESPONSE_ENDED)
         if client is not None:
             context = self._context
-            context.telemetry.request_ended(request.incoming.class_name, _RESULTS.get(status, Result.FAILED))
+            context.telemetry.request_ended(
+                request.incoming.class_name, _RESULTS.get(status, RequestResult.FAILED)
+            )
             if context.trace is not None:
                 context.trace.request_ended(request.name, status)
             client.send_response(status, headers, body, length)
@@ -138,19 +140,19 @@
         if type(streaming) is not StreamingResponse:
             return
         if outcome is Outcome.DELIVERED:
-            self._stream_ended(request, Result.COMPLETED)
+            self._stream_ended(request, RequestResult.COMPLETED)
             streaming.client.finish_response()
         else:
-            self._stream_ended(request, Result.FAILED)
+            self._stream_ended(request, RequestResult.FAILED)
             # Before the end of the response, so that the client sees that it is incomplete.
             streaming.client.abort(CloseReason.ANSWER_BROKEN)
 
     def cancel_stream(self, request: OpenRequest, streaming: StreamingResponse) -> None:
         """The client disconnected while its response was streamed: cancels the attempt that it came from."""
-        self._stream_ended(request, Result.FAILED)
+        self._stream_ended(request, RequestResult.FAILED)
         self._context.upstream.cancel(request.upstream_requests[streaming.attempt])
 
-    def _stream_ended(self, request: OpenRequest, result: Result) -> None:
+    def _stream_ended(self, request: OpenRequest, result: RequestResult) -> None:
         request.response = RESPONSE_ENDED
         self._registry.response_ended(request)
         self._context.telemetry.request_ended(request.incoming.class_name, result)
--- a/tulipnotch/sidecar/shutdown.py
+++ b/tulipnotch/sidecar/shutdown.py
@@ -80,7 +80,7 @@
         downstream.close_idle()  # while new connections are still accepted
         await asyncio.sleep(_NEW_CONNECTIONS_S)
         await _poll(
-            lambda: loop.time() >= downstream.last_opened + _QUIET_PERIOD_S,
+            lambda: loop.time() >= downstream.last_opened_at + _QUIET_PERIOD_S,
             _QUIET_PERIOD_S / 2,
             started_at + _KILL_DELAY_S,
         )
--- a/tulipnotch/sidecar/sidecar.py
+++ b/tulipnotch/sidecar/sidecar.py
@@ -154,7 +154,7 @@
             if not self.config.known.endpoints:
                 await self._startup.wait_for_endpoints()
         self._check_readiness_invariant()
-        self.lifecycle.started()
+        self.lifecycle.mark_started()
         if self._levels is not None:
             self._levels.start(self.lifecycle)
 
@@ -227,7 +227,7 @@
     clock = Clock()
     trace = Trace(log) if options.traces_requests else None
     if trace is not None:
-        lifecycle.on_change(lambda: trace.phase_changed(lifecycle.phase.value))
+        lifecycle.add_listener(lambda: trace.phase_changed(lifecycle.phase.value))
     invariants = InvariantChecker(
         lambda invariant, about: log("invariant_broken", invariant=invariant.value, about=about)
     )
--- a/tulipnotch/sidecar/startup.py
+++ b/tulipnotch/sidecar/startup.py
@@ -8,7 +8,7 @@
 from tulipnotch.load_balancing.settings import DiscoveryMode
 from tulipnotch.sidecar.control.lifecycle import Phase
 from tulipnotch.sidecar.descriptor_budget import DescriptorBudget
-from tulipnotch.sidecar.downstream.listener import listen, wait_until_unserved
+from tulipnotch.sidecar.downstream.listener import listen, wait_until_no_process_accepts
 from tulipnotch.sidecar.downstream.server import DownstreamServer
 from tulipnotch.sidecar.logs import Log
 
@@ -82,7 +82,7 @@
         loop = asyncio.get_running_loop()
         started_at = loop.time()
         fresh = loop.create_task(self._endpoints_received.wait())
-        unserved = loop.create_task(wait_until_unserved(inherited, _UNSERVED_AFTER_S))
+        unserved = loop.create_task(wait_until_no_process_accepts(inherited, _UNSERVED_AFTER_S))
         try:
             await asyncio.wait(
                 (fresh, unserved), timeout=_TAKEOVER_TIMEOUT_S, return_when=asyncio.FIRST_COMPLETED
--- a/tulipnotch/sidecar/upstream/connection.py
+++ b/tulipnotch/sidecar/upstream/connection.py
@@ -200,7 +200,7 @@
 
     def eof_received(self) -> None:
         """End the response where only the connection's end delimits it; else the exchange fails."""
-        self._reader.feed_end()
+        self._reader.feed_eof()
         if self._current_exchange() is not None and self._reader.response is not None:
             self._process_response()
         else:
@@ -288,7 +288,7 @@
                 self._start_streaming(self._state, head)
         state = self._state
         if isinstance(state, Streaming):
-            data = reader.pop_buffered()
+            data = reader.pop_buffered_body()
             if data:
                 state.consumer.write_body(data)
         if not isinstance(self._state, (AwaitingResponse, Streaming, Writing)):
--- a/tulipnotch/sidecar/upstream/request_exchange.py
+++ b/tulipnotch/sidecar/upstream/request_exchange.py
@@ -59,7 +59,7 @@
         return _FAILURE_OUTCOMES[result]
     if result.status == 200:
         return Outcome.DELIVERED
-    if result.status in (503, 504) and result.all_headers(b"not-started") == {b"1"}:
+    if result.status in (503, 504) and result.header_values(b"not-started") == {b"1"}:
         return Outcome.OVERLOADED
     if 400 <= result.status < 500:
         return Outcome.CLIENT_ERROR
--- a/tulipnotch/sidecar/upstream/unwritten_request.py
+++ b/tulipnotch/sidecar/upstream/unwritten_request.py
@@ -20,7 +20,7 @@
     def __init__(self, request: Request, on_data: Callable[[], None]) -> None:
         """Begin with the head; `on_data` is called when more of the body is received, until `detach`."""
         self._request = request
-        self._remainder = request.encode_start()
+        self._remainder = request.encode_head_and_buffered_body()
         self._has_end = False  # whether the remainder is all that is left
         request.body.on_data = on_data
 
@@ -32,7 +32,7 @@
     def pop_available(self) -> bytes:
         """Remove and return what may be written of an incomplete request."""
         request = self._request
-        available = self._remainder + request.frame(request.body.pop_pending(except_last=1))
+        available = self._remainder + request.encode_body_part(request.body.pop_pending(except_last=1))
         self._remainder = b""
         return available
 
@@ -40,7 +40,7 @@
         """Return all that is left of a complete request."""
         if not self._has_end:
             request = self._request
-            self._remainder += request.frame(request.body.pop_pending()) + request.terminator
+            self._remainder += request.encode_body_part(request.body.pop_pending()) + request.body_terminator
             self._has_end = True
         return self._remainder
 
