--- a/tests/sidecar/downstream/test_acceptor.py
+++ b/tests/sidecar/downstream/test_acceptor.py
@@ -123,7 +123,7 @@
             failing.settimeout(0.0)
             failing.faults = [errno.ENFILE]
             acceptor._listener = failing
-            acceptor._accept()
+            acceptor._accept_batch()
             assert acceptor._failing_since is not None
             acceptor._failing_since -= _QUEUED_S
             client = socket.create_connection(plain.getsockname())
--- a/tests/sidecar/downstream/test_downstream_server.py
+++ b/tests/sidecar/downstream/test_downstream_server.py
@@ -361,7 +361,7 @@
         async with stage(OK) as scene:
             client = await scene.client()
             client.send(request("lodge", body=b"x" * 60_000)[:-1])
-            await until(lambda: any(each.has_head for each in scene.sidecar.downstream.connections()))
+            await until(lambda: any(each.has_request_head for each in scene.sidecar.downstream.connections()))
             (connection,) = scene.sidecar.downstream.connections()
             reader = weakref.ref(connection._reader)
             gc.disable()
--- a/tests/sidecar/downstream/test_transfer_progress.py
+++ b/tests/sidecar/downstream/test_transfer_progress.py
@@ -15,7 +15,7 @@
     progress = TransferProgress()
     progress.restart(0.0)
     for at, nbytes in chunks:
-        progress.received(at, nbytes)
+        progress.record_received(at, nbytes)
     return progress
 
 
@@ -34,7 +34,7 @@
 def test_transfer_window_starts_anew_when_one_is_over() -> None:
     progress = _received((3.5, 1_000))
     assert not progress.is_stalled(4.0, LIMITS)
-    progress.received(7.9, 99)
+    progress.record_received(7.9, 99)
     assert not progress.is_stalled(7.9, LIMITS)
     assert progress.is_stalled(8.0, LIMITS)
 
--- a/tulipnotch/sidecar/downstream/__init__.py
+++ b/tulipnotch/sidecar/downstream/__init__.py
@@ -1,1 +1,1 @@
-"""The application's side: listener, client connections and the requests read from them."""
+"""The side of the sidecar that serves clients: the listener, client connections and incoming requests."""
--- a/tulipnotch/sidecar/downstream/connection.py
+++ b/tulipnotch/sidecar/downstream/connection.py
@@ -1,9 +1,9 @@
-"""One connection of a client: reads its requests, one at a time, and writes one response to each.
+"""A client's connection: reads its requests one at a time and writes one response to each.
 
-* A request counts as received once its last byte has come, or once a part of it has been forwarded.  From
-  then on the client gets exactly one response, or has disconnected.
-* No request is read while one before it has no response; what comes meanwhile stays in the socket.
-* Every end of the connection from this side passes `_record_close`, which checks that no response is pending.
+* A request counts as received once its last byte has been read, or once a part of it has been forwarded.
+  From then on the client gets exactly one response, unless it disconnects first.
+* While the response to a request is pending, no further request is read; pipelined ones stay in the socket.
+* Whenever the sidecar closes or aborts the connection, `_record_close` checks that no response is pending.
 """
 
 from __future__ import annotations
@@ -33,104 +33,106 @@
 from tulipnotch.sidecar.requests.invariants import CloseReason, InvariantChecker
 from tulipnotch.sidecar.sockets import has_input, is_peer_closed, own_socket, watch_input
 
-_MAX_PENDING_BODY_BYTES = 32 << 10  # of a streamed body, before reading pauses until the server takes some
-_HEALTH_PATH = b"/_health"
-_RESET = struct.pack("ii", 1, 0)  # for SO_LINGER: a close drops what is unsent, and resets the connection
+# Reading from the client pauses while this much of a streamed body waits to be written to the server.
+_MAX_PENDING_BODY_BYTES = 32 << 10
+_HEALTH_CHECK_PATH = b"/_health"
+# Value of SO_LINGER (on, 0 s) with which close(2) discards unsent data and resets the connection.
+_RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
 @unique
 class ConnectionState(Enum):
-    """What a client's connection does."""
+    """State of a client's connection."""
 
-    CLOSING = "closing"  # it has its last response, or the rest of that is being sent
-    CONNECTED = "connected"  # no byte has come yet
-    IDLE = "idle"  # all its requests have a response
-    READING = "reading"  # a part of a request has come
-    STREAMING_BODY = "streaming body"  # a part of a request has come, and is forwarded as it comes
-    AWAITING_RESPONSE = "awaiting response"  # never evicted
+    CLOSING = "closing"  # the last response was sent, or what is left of it is being sent
+    CONNECTED = "connected"  # no byte was received yet
+    IDLE = "idle"  # every request that was received has its response
+    READING = "reading"  # a request was received in part and is not forwarded yet
+    STREAMING_BODY = "streaming body"  # a request was received in part, and its body is forwarded as it comes
+    AWAITING_RESPONSE = "awaiting response"  # the request is complete; such a connection is never evicted
 
 
 class RequestHandler(Protocol):
-    """Whoever responds to requests; notified by the connections of a server."""
+    """Responds to requests; is notified by all connections of a `DownstreamServer`."""
 
     def request_received(self, connection: DownstreamConnection, request: IncomingRequest) -> int | None:
-        """A request has come, or the first part of one whose body is streamed.
+        """Handles a complete request, or the first part of one whose body is streamed.
 
         Returns:
-            The request's number while its response is pending; None if it has been responded to.
+            The request's number if its response is pending; None if the response was sent already.
 
         Raises:
-            BadRequestError: If it is rejected.
+            BadRequestError: The request is rejected.
         """
         ...
 
     def client_disconnected(self, number: int) -> None:
-        """The client of a request with a pending response has gone, or the request was given up."""
+        """Handles that a request with a pending response has lost its client or was abandoned."""
         ...
 
     def connection_closed(self, reason: CloseReason) -> None:
-        """A connection has ended."""
+        """Handles the end of a connection."""
         ...
 
 
 class ConnectionRegistry(Protocol):
-    """Counts the connections by state."""
+    """Tracks the connections of a server by state, and enforces limits on their number and memory."""
 
     def add(self, connection: DownstreamConnection) -> None:
-        """Count a connection that was made; may abort it, or evict another one."""
+        """Adds a new connection; may abort it, or evict another one to make room."""
         ...
 
-    def move(self, connection: DownstreamConnection, state: ConnectionState) -> None:
-        """Put a connection into another state."""
+    def set_state(self, connection: DownstreamConnection, state: ConnectionState) -> None:
+        """Sets the state of a connection."""
         ...
 
-    def add_buffered(self, connection: DownstreamConnection, nbytes: int) -> None:
-        """Count bytes that are buffered for a request; may abandon requests that are incomplete."""
+    def add_buffered_bytes(self, connection: DownstreamConnection, nbytes: int) -> None:
+        """Counts bytes that are buffered for a connection's request; may abandon incomplete requests."""
         ...
 
     def remove(self, connection: DownstreamConnection) -> None:
-        """Forget a connection that has ended."""
+        """Removes a connection that has ended."""
         ...
 
 
 class ConnectionOwner(Protocol):
-    """What the connections of one server share."""
+    """What the connections of one server share; implemented by `DownstreamServer`."""
 
     lifecycle: Lifecycle
     invariants: InvariantChecker
     handler: RequestHandler
-    read_buffer: memoryview  # each read is used up before the next
+    read_buffer: memoryview  # shared by all connections: each read is processed before the next one
 
     @property
     def connection_table(self) -> ConnectionRegistry:
-        """Where each connection is counted."""
+        """The registry that each connection adds itself to."""
         ...
 
     @property
     def classes(self) -> Mapping[str, ServiceClass]:
-        """The service classes in force; never changed, only replaced."""
+        """The current service classes by name; the mapping is never modified, only replaced."""
         ...
 
     def validate_request(self, request: Request, classes: Mapping[str, ServiceClass]) -> IncomingRequest:
-        """Validate a request whose first byte came when there were these classes.
+        """Validates a request; `classes` are those that were current when its first byte was received.
 
         Raises:
-            BadRequestError: If it is invalid.
+            BadRequestError: The request is invalid.
         """
         ...
 
 
 class DownstreamConnection(asyncio.BufferedProtocol):
-    """One connection of a client."""
+    """Protocol of one client connection, created by `DownstreamServer` for each accepted socket."""
 
     __slots__ = (
+        "_accept_delay_s",
         "_classes",
         "_close_reason",
+        "_input_poll",
         "_is_writing_paused",
         "_owner",
-        "_poll",
         "_progress",
-        "_queued_s",
         "_reader",
         "_request",
         "_request_number",
@@ -142,33 +144,34 @@
         "state_since",
     )
 
-    def __init__(self, owner: ConnectionOwner, queued_s: float = 0.0) -> None:
-        """Serve one client.
+    def __init__(self, owner: ConnectionOwner, accept_delay_s: float = 0.0) -> None:
+        """Creates the protocol of one connection.
 
         Args:
-            owner: What the connections share.
-            queued_s: How long the first request may have been unread before the connection was accepted.
+            owner: What all connections of the server share.
+            accept_delay_s: Upper bound on the time that the connection, perhaps with its first request, was
+                waiting in the accept queue.
         """
         self._owner = owner
-        self._queued_s = queued_s
+        self._accept_delay_s = accept_delay_s
         self._reader = RequestReader()
         self._transport: asyncio.Transport | None = None
-        self._poll = select.poll()
-        self._request: Request | None = None  # the one that is being responded to
-        self._classes: Mapping[str, ServiceClass] = {}  # as they were at the first byte of the request
-        self._request_number: int | None = None  # while its response is pending
-        self._stream: ResponseStream | None = None  # the response, while it is streamed
+        self._input_poll = select.poll()
+        self._request: Request | None = None  # the request that is being responded to
+        self._classes: Mapping[str, ServiceClass] = {}  # those current at the first byte of the request
+        self._request_number: int | None = None  # set by the handler while the response is pending
+        self._stream: ResponseStream | None = None  # set while a response is streamed
         self._is_writing_paused = False
         self.is_reading_paused = False
         self._progress = TransferProgress()
-        self._close_reason: CloseReason | None = None  # None: this side has not ended it
+        self._close_reason: CloseReason | None = None  # None: the sidecar has not closed the connection
         self.state = ConnectionState.CONNECTED
-        self.state_since = 0.0  # while a request is read, since its first byte
-        self.buffered_bytes = 0  # of the request, and of what came behind it
+        self.state_since = 0.0  # start of the state, in the event loop's time (s); set by the registry
+        self.buffered_bytes = 0  # received of the request and of whatever followed it; set by the registry
 
     @property
     def can_close_safely(self) -> bool:
-        """Whether nothing is lost if it is closed now, not even a request that is unread in the socket."""
+        """Whether closing it now loses neither a response nor a request that is unread in the socket."""
         return (
             self.state in (ConnectionState.IDLE, ConnectionState.CONNECTED)
             and self._transport is not None
@@ -178,50 +181,50 @@
 
     @property
     def has_unread_input(self) -> bool:
-        """Whether bytes, perhaps the last of a request, or the end of the stream are unread in the socket."""
-        return has_input(self._poll)
+        """Whether the socket has unread bytes, which may complete a request, or an unread end of stream."""
+        return has_input(self._input_poll)
 
     @property
     def has_unsent_output(self) -> bool:
-        """Whether a part of what was written to it is unsent."""
+        """Whether some of the data written to the connection was not sent yet."""
         return self._transport is not None and self._transport.get_write_buffer_size() > 0
 
     @property
-    def has_head(self) -> bool:
-        """Whether the head of the request that is read is complete."""
+    def has_request_head(self) -> bool:
+        """Whether the head of the request in progress is complete."""
         return self._reader.has_head
 
     def is_request_stalled(self, now: float, limits: ClientLimits) -> bool:
-        """Return whether the client has stopped sending its request, or sends too little of it."""
-        if self.is_reading_paused:  # it waits for the server
+        """Returns whether the client has stopped sending its request, or sends it too slowly."""
+        if self.is_reading_paused:  # the server, not the client, is the slow side
             self._progress.restart(now)
             return False
         return self._progress.is_stalled(now, limits)
 
     def is_response_stalled(self, now: float, limits: ClientLimits) -> bool:
-        """Return whether the client has stopped reading its response."""
-        return self.has_unsent_output and now - self._progress.last_at >= limits.reading_s
+        """Returns whether the client has stopped reading its response."""
+        return self.has_unsent_output and now - self._progress.last_progress_at >= limits.reading_s
 
-    # What the sidecar calls
+    # Responses, written by the request handler
 
     def abort_if_disconnected(self) -> None:
-        """Look whether the client is still connected, before something is done for it.
+        """Aborts the connection if the client of a pending response has disconnected.
 
-        Its end may be in the socket before the event loop has seen it, and is never seen while reading is
-        paused.
+        Called before work is done for the client: the event loop may not have reported the end of the stream
+        yet, and does not report it at all while reading is paused.
         """
-        if self._request_number is not None and is_peer_closed(self._poll):
-            self._client_disconnected()
+        if self._request_number is not None and is_peer_closed(self._input_poll):
+            self._notify_client_disconnected()
             self.abort(CloseReason.CLIENT_LEFT)
 
     def send_response(self, status: int, headers: Headers, body: bytes, length: int | None = None) -> None:
-        """Write the one response to the open request.
+        """Writes the complete response to the current request.
 
         Args:
-            status: The status.
+            status: The status code.
             headers: The headers, without those that frame the body.
             body: The complete body.
-            length: The length to announce if the response has no body, to HEAD for instance.
+            length: The `Content-Length` of a response to a HEAD request; None: no such header.
         """
         self._request_number = None
         transport = self._open_transport
@@ -229,24 +232,24 @@
             return
         request = self._request
         if request is not None and not request.body.is_complete:
-            self._move(ConnectionState.CLOSING)  # the rest of the request is dropped
+            self._set_state(ConnectionState.CLOSING)  # the rest of the request is discarded
         closing = self._closes_after(request)
         if closing:
             headers = [*headers, (b"connection", b"close")]
         with_body = request is None or request.method != b"HEAD"
         transport.write(Response(status, headers, body, length).encode(with_body=with_body))
-        self._response_written(closing=closing)
+        self._finish_exchange(closing=closing)
 
     def start_response(
         self, status: int, headers: Headers, length: int | None, producer: ResponseProducer
     ) -> None:
-        """Write the head of a response that is streamed by `write_body` and `finish_response`.
+        """Writes the head of a streamed response, to be followed by `write_body` and `finish_response`.
 
         Args:
-            status: The status.
+            status: The status code.
             headers: The headers, without those that frame the body.
-            length: The length of the body; None: not known.
-            producer: Is paused while the client does not read.
+            length: The length of the body; None if it is not known.
+            producer: The source of the body, which is paused while the client does not read.
         """
         transport = self._open_transport
         if transport is None:
@@ -255,17 +258,17 @@
         self._stream = ResponseStream(request, length, producer)
         if self._closes_after(request):
             headers = [*headers, (b"connection", b"close")]
-        transport.write(Response(status, headers).encode_head(self._stream.framing()))
+        transport.write(Response(status, headers).encode_head(self._stream.framing_headers()))
 
-    def write_body(self, piece: bytes) -> None:
-        """Write a piece of the body of a response that is streamed."""
+    def write_body(self, data: bytes) -> None:
+        """Writes a part of the body of a streamed response."""
         transport = self._open_transport
         if transport is not None:
-            self._progress.last_at = asyncio.get_running_loop().time()
-            transport.write(piece if self._stream is None else self._stream.encode(piece))
+            self._progress.last_progress_at = asyncio.get_running_loop().time()
+            transport.write(data if self._stream is None else self._stream.encode(data))
 
     def finish_response(self) -> None:
-        """End a response that is streamed: its body is complete."""
+        """Ends a streamed response whose body is complete."""
         stream = self._stream
         self._request_number = self._stream = None
         transport = self._open_transport
@@ -273,96 +276,97 @@
             return
         if stream is not None and (end := stream.encode_end()):
             transport.write(end)
-        self._response_written(closing=self._closes_after(self._request))
+        self._finish_exchange(closing=self._closes_after(self._request))
 
     @property
     def _open_transport(self) -> asyncio.Transport | None:
         transport = self._transport
         return None if transport is None or transport.is_closing() else transport
 
-    def _move(self, state: ConnectionState) -> None:
-        self._owner.connection_table.move(self, state)
+    def _set_state(self, state: ConnectionState) -> None:
+        self._owner.connection_table.set_state(self, state)
 
     def _closes_after(self, request: Request | None) -> bool:
-        """Return whether the connection closes after the response to this request."""
+        """Returns whether the connection closes after the response to this request."""
         return (
             self._owner.lifecycle.is_draining
             or self.state is ConnectionState.CLOSING
             or (request is not None and not request.keep_alive)
         )
 
-    def _response_written(self, *, closing: bool) -> None:
-        """Go on to the next request, or close the connection."""
+    def _finish_exchange(self, *, closing: bool) -> None:
+        """Proceeds to the next request, or closes the connection, after a response was written."""
         self._request = None
         if closing:
             self.close(CloseReason.ANSWERED)
             return
-        self._move(ConnectionState.IDLE)
-        if self._has_pending_input:  # it came together with the request before, so no read will report it
-            self._move(ConnectionState.READING)
+        self._set_state(ConnectionState.IDLE)
+        if self._has_pending_input:  # read together with the previous request, so no read event follows
+            self._set_state(ConnectionState.READING)
             asyncio.get_running_loop().call_soon(self._process_input)
         elif not self._is_writing_paused:
             self._resume_reading()
 
     @property
     def _has_pending_input(self) -> bool:
-        """Whether the reader has something of a further request, or an error in it."""
+        """Whether the reader has a further request, a part of one, or an error in one."""
         reader = self._reader
         return reader.is_mid_message or bool(reader.requests) or reader.error_status is not None
 
-    # The end of the connection
+    # Closing the connection
 
     def close(self, reason: CloseReason) -> None:
-        """End our side once everything is sent, and give the client some time to end its own.
+        """Closes the sending side once everything is sent; the client has a limited time to close its own.
 
-        A close with bytes unread resets the connection, and the client may lose a response that it has not
-        read.  So what still comes is read and dropped: a request among it crossed our end, and its client
-        retries it.
+        Closing a socket that has unread bytes resets the connection, and the client may lose a response that
+        it has not read.  What is still received is therefore read and discarded.  A request in it was sent
+        before the client saw the end of the connection, so the client retries it.
         """
         transport = self._open_transport
         if transport is None:
             return
         self._record_close(reason)
-        self._move(ConnectionState.CLOSING)
+        self._set_state(ConnectionState.CLOSING)
         self._reader.release()
         if not self.has_unsent_output:
-            # The event loop itself shuts the socket down only in its next round.  A request that comes before
-            # would be dropped although it came before our end.
-            with own_socket(transport) as own:
-                own.shutdown(socket.SHUT_WR)
+            # The transport shuts the socket down no earlier than in the next iteration of the event loop.
+            # A request received before that would be discarded, although it came before the end of the
+            # connection was sent.
+            with own_socket(transport) as plain_socket:
+                plain_socket.shutdown(socket.SHUT_WR)
         transport.write_eof()
         self._resume_reading()
 
     def abort(self, reason: CloseReason) -> None:
-        """Close it at once, whatever is unsent.
+        """Closes the connection at once and discards unsent data.
 
-        In the middle of a streamed response the connection is reset: after an orderly end the response could
-        look complete.
+        In the middle of a streamed response the connection is reset, because a truncated response could look
+        complete after an orderly close.
         """
         if self._transport is None:
             return
         self._record_close(reason)
-        if self._stream is not None:  # so the transport is open
-            with own_socket(self._transport) as own:
-                own.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET)
+        if self._stream is not None:  # the transport is open, as `own_socket` requires
+            with own_socket(self._transport) as plain_socket:
+                plain_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE)
         self._transport.abort()
 
     def reject(self, status: int, text: str = "") -> None:
-        """Respond to what can't be served, and close the connection whatever came behind it.
+        """Responds with an error to input that cannot be served, and closes the connection.
 
-        What follows malformed input must not be taken for a request.
+        All further input is discarded: what follows a malformed request must not be parsed as a request.
 
         Args:
-            status: The status of the response.
+            status: The status code of the response.
             text: The body of the response.
         """
         self._close_reason = self._close_reason or CloseReason.REJECTED
-        self._move(ConnectionState.CLOSING)
+        self._set_state(ConnectionState.CLOSING)
         self.send_response(status, [], f"{text}\n".encode() if text else b"")
 
     def abandon_request(self, status: int) -> None:
-        """Reject a request that is incomplete: its rest is malformed, late or more than may be buffered."""
-        self._client_disconnected()
+        """Rejects an incomplete request whose rest is malformed, too slow or more than may be buffered."""
+        self._notify_client_disconnected()
         self.reject(status)
 
     def _record_close(self, reason: CloseReason) -> None:
@@ -370,33 +374,33 @@
         if self._close_reason is None:
             self._close_reason = reason
 
-    def _client_disconnected(self) -> None:
+    def _notify_client_disconnected(self) -> None:
         number, self._request_number = self._request_number, None
         self._stream = None
         if number is not None:
             self._owner.handler.client_disconnected(number)
 
-    # What the event loop calls
+    # Callbacks of the event loop
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begin to serve the client."""
-        # The class of uvloop does not derive from asyncio's, so it can't be checked.
+        """Registers the connection; the event loop starts to read from it."""
+        # uvloop's transports do not derive from those of asyncio, so an isinstance check would fail.
         self._transport = cast("asyncio.Transport", transport)
-        watch_input(self._poll, transport)
+        watch_input(self._input_poll, transport)
         self._owner.connection_table.add(self)
 
     def get_buffer(self, _sizehint: int) -> memoryview:
-        """Return the buffer for the next read."""
+        """Returns the buffer for the next read."""
         return self._owner.read_buffer
 
     def buffer_updated(self, nbytes: int) -> None:
-        """Process the bytes that are in the buffer."""
+        """Processes the bytes that were read into the buffer."""
         if self.state is ConnectionState.CLOSING:
             return
         if self.state in (ConnectionState.IDLE, ConnectionState.CONNECTED):
-            self._move(ConnectionState.READING)
+            self._set_state(ConnectionState.READING)
         now = asyncio.get_running_loop().time()
-        self._progress.received(now, nbytes)
+        self._progress.record_received(now, nbytes)
         reader = self._reader
         if not reader.is_mid_message and not reader.requests:
             self._classes = self._owner.classes
@@ -405,56 +409,57 @@
         if reader.has_head and not had_head:
             self._progress.start_window(now)
         if self.state is ConnectionState.STREAMING_BODY:
-            # Before the bytes are counted: a request whose last byte was forwarded must not be abandoned.
-            self._check_streamed_body()
-        # Of a streamed body no more than this is ever buffered.
+            # Must precede the counting of the bytes, which may abandon a request in this state: a request
+            # must not be abandoned once its last byte was forwarded.
+            self._process_streamed_body()
+        # Caps what is counted, since no more than this is ever buffered of a streamed body.
         max_bytes = MAX_BUFFERED_BODY_BYTES + _MAX_PENDING_BODY_BYTES - self.buffered_bytes
-        self._owner.connection_table.add_buffered(self, min(nbytes, max_bytes))
+        self._owner.connection_table.add_buffered_bytes(self, min(nbytes, max_bytes))
         self._process_input()
         if self._request_number is None or self.state is ConnectionState.STREAMING_BODY:
             return
         if self._has_pending_input:
-            self._pause_reading()  # until the response to the request before it
+            self._pause_reading()  # until the response to the current request is written
 
     def pause_writing(self) -> None:
-        """The client does not read as fast as it is written to."""
+        """Pauses the source of a streamed response, or else further requests: the client reads too slowly."""
         self._is_writing_paused = True
-        self._progress.last_at = asyncio.get_running_loop().time()
+        self._progress.last_progress_at = asyncio.get_running_loop().time()
         if self._stream is not None:
             self._stream.producer.pause()
         elif self._request_number is None and self.state is not ConnectionState.CLOSING:
             self._pause_reading()
 
     def resume_writing(self) -> None:
-        """The client has read on."""
+        """Resumes the source of the response and the processing of input, as the client has read data."""
         self._is_writing_paused = False
-        self._progress.last_at = asyncio.get_running_loop().time()
+        self._progress.last_progress_at = asyncio.get_running_loop().time()
         if self._stream is not None:
             self._stream.producer.resume()
         self._process_input()
 
     def eof_received(self) -> None:
-        """The client has ended its side: it waits for no response."""
-        self._client_disconnected()
+        """Treats the end of the client's sending side as its disconnection; it expects no response."""
+        self._notify_client_disconnected()
 
     def connection_lost(self, _exc: Exception | None) -> None:
-        """The connection has ended."""
-        self._client_disconnected()
+        """Notifies the handler and releases everything that the connection holds."""
+        self._notify_client_disconnected()
         self._reader.release()
         self._owner.handler.connection_closed(self._close_reason or CloseReason.CLIENT_LEFT)
         self._owner.connection_table.remove(self)
         self.state = ConnectionState.CLOSING
 
-    # Reading
+    # Reading requests
 
     def _process_input(self) -> None:
-        """Dispatch the next request, if there is one and none before it is open."""
+        """Dispatches the next request, if there is one and no response is pending."""
         while self._request_number is None and self.state is not ConnectionState.CLOSING:
             transport = self._open_transport
             if transport is None or self._is_writing_paused:
-                return  # a client that does not read its responses gets no more of them
+                return  # a client that does not read its responses gets no further ones
             if self._reader.requests:
-                self._dispatch(self._reader.requests.pop(0))
+                self._dispatch_request(self._reader.requests.pop(0))
             elif self._reader.error_status is not None:
                 self.reject(self._reader.error_status)
             else:
@@ -464,39 +469,39 @@
                 self._resume_reading()
                 return
 
-    def _dispatch(self, request: Request) -> None:
+    def _dispatch_request(self, request: Request) -> None:
         self._request = request
         is_complete = request.body.is_complete
-        self._move(ConnectionState.AWAITING_RESPONSE if is_complete else ConnectionState.STREAMING_BODY)
-        if request.target == _HEALTH_PATH:
+        self._set_state(ConnectionState.AWAITING_RESPONSE if is_complete else ConnectionState.STREAMING_BODY)
+        if request.target == _HEALTH_CHECK_PATH:
             lifecycle = self._owner.lifecycle
             self.send_response(200 if lifecycle.is_ready else 503, [], f"{lifecycle.phase.value}\n".encode())
             return
-        if is_peer_closed(self._poll):
-            self.abort(CloseReason.CLIENT_LEFT)  # it sent this ahead, and did not wait for the response
+        if is_peer_closed(self._input_poll):
+            self.abort(CloseReason.CLIENT_LEFT)  # the client disconnected without waiting for the response
             return
         try:
             incoming = self._owner.validate_request(request, self._classes)
             if is_complete:
-                # The client's time runs from when it sent the request.
-                incoming.remaining_us = max(incoming.remaining_us - int(self._queued_s * 1e6), 1)
-            self._queued_s = 0.0
+                # The client's timeout runs from when it sent the request.
+                incoming.remaining_us = max(incoming.remaining_us - int(self._accept_delay_s * 1e6), 1)
+            self._accept_delay_s = 0.0
             self._request_number = self._owner.handler.request_received(self, incoming)
             if self._request_number is not None and not request.body.is_complete:
                 request.body.on_consumed = self._resume_reading
-                self._check_streamed_body()
+                self._process_streamed_body()
         except BadRequestError as error:
             self.reject(error.status, error.text)
 
-    def _check_streamed_body(self) -> None:
-        """Act on what has come of a body that is streamed."""
+    def _process_streamed_body(self) -> None:
+        """Updates state and flow control after a part of a streamed body was received."""
         request = self._request
         if request is None:
             return
         if self._reader.error_status is not None:
             self.abandon_request(self._reader.error_status)
         elif request.body.is_complete:
-            self._move(ConnectionState.AWAITING_RESPONSE)
+            self._set_state(ConnectionState.AWAITING_RESPONSE)
         elif request.body.pending_bytes >= _MAX_PENDING_BODY_BYTES:
             self._pause_reading()
 
--- a/tulipnotch/sidecar/downstream/connection_table.py
+++ b/tulipnotch/sidecar/downstream/connection_table.py
@@ -1,4 +1,4 @@
-"""All connections of clients by state, their limits in number and memory, and which of them is evicted."""
+"""All client connections by state, the limits on their number and memory, and the choice of one to evict."""
 
 from __future__ import annotations
 
@@ -12,32 +12,32 @@
 
 
 class ConnectionTable:
-    """The connections of one server, in the order in which each came to its state."""
+    """The connections of one server by state, ordered by the time at which each entered its state."""
 
     def __init__(self, limits: ClientLimits) -> None:
-        """Begin with no connection, and with no room for one until `max_connections` is set."""
+        """Creates an empty table, which accepts no connection until `max_connections` is set."""
         self._limits = limits
-        self.max_connections = 0  # set by whoever knows how many descriptors there are
-        self.last_opened_at = 0.0  # the last connection, in the event loop's time (s)
-        self.buffered_bytes = 0  # of requests, over all connections
+        self.max_connections = 0  # set by the owner of the descriptor budget
+        self.last_opened_at = 0.0  # when the last connection was added, in the event loop's time (s)
+        self.buffered_bytes = 0  # buffered for requests, over all connections
         self._by_state: dict[ConnectionState, dict[DownstreamConnection, None]] = {
             state: {} for state in ConnectionState
         }
 
     def __len__(self) -> int:
-        """Return the number of connections."""
+        """Returns the number of connections."""
         return sum(len(connections) for connections in self._by_state.values())
 
     def __iter__(self) -> Iterator[DownstreamConnection]:
-        """Iterate over all connections; none may change its state meanwhile."""
+        """Iterates over all connections; none may change its state during the iteration."""
         return chain.from_iterable(self._by_state.values())
 
-    def in_state(self, state: ConnectionState) -> list[DownstreamConnection]:
-        """Return a copy of the connections in a state, the oldest first."""
+    def connections_in_state(self, state: ConnectionState) -> list[DownstreamConnection]:
+        """Returns a copy of the connections in a state, the one that entered it first at the front."""
         return list(self._by_state[state])
 
     def add(self, connection: DownstreamConnection) -> None:
-        """Add a connection, and evict one if there are too many; abort it if none can be evicted."""
+        """Adds a connection; above the limit, evicts another one, or aborts this one if that fails."""
         self.last_opened_at = connection.state_since = asyncio.get_running_loop().time()
         if len(self) >= self.max_connections and not self.evict():
             connection.state = ConnectionState.CLOSING
@@ -45,22 +45,22 @@
             return
         self._by_state[ConnectionState.CONNECTED][connection] = None
 
-    def move(self, connection: DownstreamConnection, state: ConnectionState) -> None:
-        """Put a connection into another state; in the same one nothing changes."""
+    def set_state(self, connection: DownstreamConnection, state: ConnectionState) -> None:
+        """Sets the state of a connection; does nothing if it is in that state already."""
         previous = connection.state
         if state is previous:
             return
         self._by_state[previous].pop(connection, None)
         self._by_state[state][connection] = None
         connection.state = state
-        # The time for the first head runs from the connection on, not from its first byte.
+        # The time for the head of the first request runs from connecting, not from the request's first byte.
         if previous is not ConnectionState.CONNECTED or state is not ConnectionState.READING:
             connection.state_since = asyncio.get_running_loop().time()
         if state in (ConnectionState.IDLE, ConnectionState.CLOSING):
-            self._release(connection)
+            self._release_buffered_bytes(connection)
 
-    def add_buffered(self, connection: DownstreamConnection, nbytes: int) -> None:
-        """Count bytes that are buffered for requests; above the limit, abandon the oldest incomplete ones."""
+    def add_buffered_bytes(self, connection: DownstreamConnection, nbytes: int) -> None:
+        """Counts bytes buffered for requests; above the limit, abandons the oldest incomplete requests."""
         connection.buffered_bytes += nbytes
         self.buffered_bytes += nbytes
         while self.buffered_bytes > self._limits.most_bytes:
@@ -73,38 +73,39 @@
             oldest.abandon_request(503)
 
     def remove(self, connection: DownstreamConnection) -> None:
-        """Forget a connection that has ended."""
+        """Removes a connection that has ended."""
         self._by_state[connection.state].pop(connection, None)
-        self._release(connection)
+        self._release_buffered_bytes(connection)
 
-    def _release(self, connection: DownstreamConnection) -> None:
+    def _release_buffered_bytes(self, connection: DownstreamConnection) -> None:
         self.buffered_bytes -= connection.buffered_bytes
         connection.buffered_bytes = 0
 
     def evict(self) -> bool:
-        """Abort the connection whose loss matters least, never one with a pending response.
+        """Aborts the connection whose loss does the least harm, but never one with a pending response.
 
         Returns:
-            Whether there was one.
+            Whether a connection could be evicted.
         """
-        evicted = next(self._evictable(), None)
+        evicted = next(self._eviction_candidates(), None)
         if evicted is None:
             return False
         self._by_state[evicted.state].pop(evicted)
         evicted.abort(CloseReason.NO_ROOM)
         return True
 
-    def _evictable(self) -> Iterator[DownstreamConnection]:
-        """Yield the connections that may be evicted, the first ones first."""
+    def _eviction_candidates(self) -> Iterator[DownstreamConnection]:
+        """Yields the connections that may be evicted, in the order in which they should be."""
         by_state = self._by_state
         yield from (each for each in by_state[ConnectionState.CLOSING] if not each.has_unsent_output)
-        # Without a request for some time.  A client that has just connected comes later: its request may be
-        # on the way, and it would stay without a response.
-        greeted_until = asyncio.get_running_loop().time() - self._limits.greeting_s
+        # Next is the client that has been connected longest without sending a byte, if for `greeting_s` at
+        # least.  Clients that have just connected come later, since a request of theirs may be in transit and
+        # would get no response.
+        connected_before = asyncio.get_running_loop().time() - self._limits.greeting_s
         for oldest in islice(by_state[ConnectionState.CONNECTED], 1):
-            if oldest.state_since <= greeted_until and oldest.can_close_safely:
+            if oldest.state_since <= connected_before and oldest.can_close_safely:
                 yield oldest
         yield from (each for each in by_state[ConnectionState.IDLE] if each.can_close_safely)
         yield from (each for each in by_state[ConnectionState.CONNECTED] if each.can_close_safely)
-        # Not if the last byte of the request may have come.
+        # Excludes connections with unread input, which may be the last byte of their request.
         yield from (each for each in by_state[ConnectionState.READING] if not each.has_unread_input)
--- a/tulipnotch/sidecar/downstream/listener.py
+++ b/tulipnotch/sidecar/downstream/listener.py
@@ -1,4 +1,4 @@
-"""Listening sockets: binding one, and accepting a few connections at a time."""
+"""Listening sockets: binding and inheriting them, and accepting connections in small batches."""
 
 from __future__ import annotations
 
@@ -11,11 +11,13 @@
 
 from tulipnotch.sidecar.addresses import Address
 
-_MIN_BACKLOG = 1_024  # connections that the kernel may hold in the accept queue
+_MIN_BACKLOG = 1_024  # length of the accept queue that the kernel is asked for at least
 _MAX_BACKLOG = 65_535
-_ACCEPTS_PER_ROUND = 8  # of the event loop, so that connections that are open get their turn
-_ACCEPT_RETRY_S = 0.01  # after a call that failed for want of resources
-# Errors of accept(2) that this machine is out of resources, and those of one connection that has failed.
+# Limits the connections accepted in one iteration of the event loop, so that open ones are served in between.
+_MAX_ACCEPTS_PER_LOOP_ITERATION = 8
+_ACCEPT_RETRY_DELAY_S = 0.01  # pause after accept(2) has failed
+# Errors of accept(2): the first group means that resources are exhausted, the second that only the connection
+# at the front of the queue has failed.
 _RESOURCE_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 _CONNECTION_ERRORS = (
     errno.ECONNABORTED,
@@ -31,37 +33,38 @@
     errno.ETIMEDOUT,
     errno.EPERM,
 )
-# Errors of bind(2) that pass: no resources, or the process before this one still has the address.
+# Transient errors of bind(2): resources are exhausted, or the previous process still holds the address.
 _TEMPORARY_BIND_ERRORS = (*_RESOURCE_ERRORS, errno.EADDRINUSE, errno.EADDRNOTAVAIL)
-_BIND_RETRY_S = 0.05
+_BIND_RETRY_INTERVAL_S = 0.05
 _BIND_TIMEOUT_S = 3.0
-_QUEUE_POLL_S = 0.02  # between two looks at an accept queue that another process may serve
+# Interval between checks of an accept queue from which another process may accept.
+_ACCEPT_QUEUE_POLL_INTERVAL_S = 0.02
 
 
 def bind_and_listen(address: Address, max_connections: int = 0) -> socket.socket:
-    """Listen on this address.
+    """Creates a socket that listens on this address.
 
     Args:
-        address: The address; port 0 has the system choose one.
-        max_connections: See `listen`.
+        address: The address; with port 0 the system chooses the port.
+        max_connections: Maximum number of open connections, as in `listen`.
 
     Raises:
-        OSError: If it can't be bound.
+        OSError: The address cannot be bound.
     """
-    reserved = bind(address)
+    bound_socket = bind(address)
     try:
-        listen(reserved, max_connections)
+        listen(bound_socket, max_connections)
     except OSError:
-        reserved.close()
+        bound_socket.close()
         raise
-    return reserved
+    return bound_socket
 
 
 def bind(address: Address) -> socket.socket:
-    """Bind this address without listening on it.
+    """Creates a socket that is bound to this address but does not listen yet.
 
     Raises:
-        OSError: If it can't be bound.
+        OSError: The address cannot be bound.
     """
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
     listener = socket.socket(family, socket.SOCK_STREAM)
@@ -75,25 +78,25 @@
     return listener
 
 
-def listen(reserved: socket.socket, max_connections: int = 0) -> None:
-    """Have the kernel accept connections.
+def listen(bound_socket: socket.socket, max_connections: int = 0) -> None:
+    """Makes a bound socket listen.
 
     Args:
-        reserved: A socket that is bound.
-        max_connections: How many may be open.  As many may come at once, so the accept queue is as long: a
-            connection that finds it full is made only a second later.
+        bound_socket: The bound socket.
+        max_connections: Maximum number of open connections.  The accept queue has the same length, since that
+            many clients may connect at once, and one that finds the queue full connects only a second later.
 
     Raises:
-        OSError: If the system refuses.
+        OSError: The socket cannot listen.
     """
-    reserved.listen(min(max(max_connections, _MIN_BACKLOG), _MAX_BACKLOG))
+    bound_socket.listen(min(max(max_connections, _MIN_BACKLOG), _MAX_BACKLOG))
 
 
 async def bind_with_retry(address: Address) -> socket.socket:
-    """Bind this address, and retry for a few seconds if it is in use.
+    """Creates a socket that is bound to this address; retries for a few seconds after a transient error.
 
     Raises:
-        OSError: If it can't be bound even then.
+        OSError: The address cannot be bound, or still cannot be bound after the retries.
     """
     loop = asyncio.get_running_loop()
     retry_until = loop.time() + _BIND_TIMEOUT_S
@@ -103,17 +106,18 @@
         except OSError as error:
             if error.errno not in _TEMPORARY_BIND_ERRORS or loop.time() >= retry_until:
                 raise
-        await asyncio.sleep(_BIND_RETRY_S)  # the system reports no event when an address becomes free
+        # Polls, because the system reports no event when an address becomes free.
+        await asyncio.sleep(_BIND_RETRY_INTERVAL_S)
 
 
 def adopt_listener(descriptor: str) -> socket.socket:
-    """Take over a listening socket that this process inherited.
+    """Takes over a listening socket that this process has inherited.
 
     Args:
-        descriptor: The number of its descriptor, as the environment gives it.
+        descriptor: The number of its descriptor, as given by an environment variable.
 
     Raises:
-        ValueError: If there is no listening TCP socket.
+        ValueError: The descriptor is not that of a listening TCP socket.
     """
     try:
         listener = socket.socket(fileno=int(descriptor))
@@ -121,74 +125,78 @@
         raise ValueError(f"no open socket is at descriptor {descriptor!r:.20}: {error}") from None
     is_stream = listener.family in (socket.AF_INET, socket.AF_INET6) and listener.type is socket.SOCK_STREAM
     if not is_stream or not listener.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
-        listener.detach()  # whatever it is, it has another owner
+        listener.detach()  # leaves the descriptor open: it belongs to something else
         raise ValueError(f"descriptor {descriptor} is not a listening TCP socket")
     listener.set_inheritable(False)
     listener.settimeout(0.0)
     return listener
 
 
-async def wait_until_no_process_accepts(listener: socket.socket, for_s: float) -> None:
-    """Return once the accept queue was not empty for `for_s` seconds: no other process accepts from it.
+async def wait_until_no_process_accepts(listener: socket.socket, duration_s: float) -> None:
+    """Waits until the accept queue has not been empty for `duration_s`: no other process accepts from it.
 
-    The queue is polled, since an empty one is reported by no event.
+    The queue is polled, because no event reports that it has become empty.
     """
     poll = select.poll()
     poll.register(listener, select.POLLIN)
     loop = asyncio.get_running_loop()
     last_empty_at = loop.time()
-    while loop.time() - last_empty_at < for_s:
-        await asyncio.sleep(_QUEUE_POLL_S)
+    while loop.time() - last_empty_at < duration_s:
+        await asyncio.sleep(_ACCEPT_QUEUE_POLL_INTERVAL_S)
         if not poll.poll(0):
             last_empty_at = loop.time()
 
 
 @unique
 class _AcceptResult(Enum):
-    """The result of one call of accept(2)."""
+    """Result of one call of accept(2)."""
 
     ACCEPTED = "accepted"
-    CONNECTION_FAILED = "connection failed"  # another may stand behind it in the queue
+    CONNECTION_FAILED = "connection failed"  # only this connection; further ones may be in the queue
     QUEUE_EMPTY = "queue empty"
-    NO_RESOURCES = "no resources"  # the queue is not empty, and the machine is out of resources
+    NO_RESOURCES = "no resources"  # descriptors or memory are exhausted; the connection stays in the queue
 
 
 class Acceptor:
-    """Accepts connections of one listening socket, each for a protocol of its own."""
+    """Accepts the connections of one listening socket, and creates a protocol for each."""
 
     def __init__(
         self, listener: socket.socket, create_protocol: Callable[[float], asyncio.BaseProtocol]
     ) -> None:
-        """Accept from now on.
+        """Starts to accept connections.
 
         Args:
-            listener: A listening socket, which is owned from now on.
-            create_protocol: Given how long (s) the connection may have stood in the accept queue because
-                calls before had failed.
+            listener: The listening socket, which the acceptor owns from now on.
+            create_protocol: Creates the protocol of a connection.  Its argument is an upper bound (s) on the
+                time that the connection spent in the accept queue because of failed calls of accept(2).
         """
         self._listener = listener
         self._create_protocol = create_protocol
         self._connecting: set[asyncio.Task[None]] = set()
-        self._retry: asyncio.TimerHandle | None = None  # runs after a call that failed
-        self._failing_since: float | None = None  # since when no call has found the queue empty
+        self._retry_timer: asyncio.TimerHandle | None = None  # set while accepting pauses after a failed call
+        # Time of the first failed call after which no call has found the queue empty.
+        self._failing_since: float | None = None
         self.port = int(listener.getsockname()[1])
-        self._listen()
+        self._start_accepting()
 
-    def _listen(self) -> None:
-        self._retry = None
-        asyncio.get_running_loop().add_reader(self._listener.fileno(), self._accept)
+    def _start_accepting(self) -> None:
+        self._retry_timer = None
+        asyncio.get_running_loop().add_reader(self._listener.fileno(), self._accept_batch)
 
     @property
-    def connecting(self) -> int:
-        """How many were accepted and have no transport yet."""
+    def connecting_count(self) -> int:
+        """Number of connections that were accepted and have no transport yet."""
         return len(self._connecting)
 
     def accept_pending(self) -> bool:
-        """Accept all connections in the queue, for the last process to listen: its close resets them.
+        """Accepts all connections in the accept queue.
+
+        Needed before the last process that listens closes the socket, which resets the connections that are
+        still in the queue.
 
         Returns:
-            Whether the queue is empty.  Where the machine is out of resources it is not, and the caller has
-            to call a second time.
+            Whether the queue is empty.  It is not while resources are exhausted; the caller then has to call
+            again.
         """
         if self._listener.fileno() < 0:
             return True
@@ -199,30 +207,30 @@
         return False
 
     def close(self) -> None:
-        """Accept no more.  Only this process's socket is closed: another process may still listen on it."""
+        """Stops accepting and closes the socket in this process; another process may still listen on it."""
         if self._listener.fileno() < 0:
             return
-        if self._retry is not None:
-            self._retry.cancel()
+        if self._retry_timer is not None:
+            self._retry_timer.cancel()
         asyncio.get_running_loop().remove_reader(self._listener.fileno())
         self._listener.close()
 
-    def _accept(self) -> None:
-        """Accept a few connections; the others stay in the queue.
+    def _accept_batch(self) -> None:
+        """Accepts a few connections; the others stay in the queue until the next call.
 
-        Event loops accept all that there are before any of them is counted, so hundreds that connect at once
-        would exceed the limit on descriptors.
+        The event loop's own server would accept all queued connections before any of them is counted, so
+        that hundreds of clients connecting at once would exceed the limit on descriptors.
         """
         result = _AcceptResult.ACCEPTED
-        for _ in range(_ACCEPTS_PER_ROUND - len(self._connecting)):
+        for _ in range(_MAX_ACCEPTS_PER_LOOP_ITERATION - len(self._connecting)):
             result = self._accept_one()
             if result in (_AcceptResult.QUEUE_EMPTY, _AcceptResult.NO_RESOURCES):
                 break
         if result in (_AcceptResult.CONNECTION_FAILED, _AcceptResult.NO_RESOURCES):
-            # The queue keeps the socket readable, so a call in each round would take the whole core.
+            # The socket stays readable: a retry in every iteration of the event loop would use a whole core.
             loop = asyncio.get_running_loop()
             loop.remove_reader(self._listener.fileno())
-            self._retry = loop.call_later(_ACCEPT_RETRY_S, self._listen)
+            self._retry_timer = loop.call_later(_ACCEPT_RETRY_DELAY_S, self._start_accepting)
 
     def _accept_one(self) -> _AcceptResult:
         loop = asyncio.get_running_loop()
@@ -239,15 +247,15 @@
                 return _AcceptResult.NO_RESOURCES
             return _AcceptResult.CONNECTION_FAILED
         accepted.settimeout(0.0)
-        queued_s = 0.0 if self._failing_since is None else now - self._failing_since
-        task = loop.create_task(self._connect(accepted, queued_s))
+        delay_s = 0.0 if self._failing_since is None else now - self._failing_since
+        task = loop.create_task(self._create_transport(accepted, delay_s))
         self._connecting.add(task)
         task.add_done_callback(self._connecting.discard)
         return _AcceptResult.ACCEPTED
 
-    async def _connect(self, accepted: socket.socket, queued_s: float) -> None:
+    async def _create_transport(self, accepted: socket.socket, delay_s: float) -> None:
         try:
             loop = asyncio.get_running_loop()
-            await loop.connect_accepted_socket(lambda: self._create_protocol(queued_s), accepted)
+            await loop.connect_accepted_socket(lambda: self._create_protocol(delay_s), accepted)
         except OSError:
-            accepted.close()  # the peer has closed it meanwhile
+            accepted.close()  # the peer has closed the connection in the meantime
--- a/tulipnotch/sidecar/downstream/server.py
+++ b/tulipnotch/sidecar/downstream/server.py
@@ -1,4 +1,4 @@
-"""The server for clients: accepts connections up to a limit, and validates their requests by the settings."""
+"""Server for clients: accepts connections up to a limit and validates requests by the settings."""
 
 from __future__ import annotations
 
@@ -18,7 +18,8 @@
 from tulipnotch.sidecar.requests.invariants import CloseReason, InvariantChecker
 
 _READ_BUFFER_BYTES = 32 << 10
-_CLASS_RETENTION_S = 2.0  # for requests on the way when a reload drops their class
+# How long a service class that a reload has removed stays valid, for requests that are in transit meanwhile.
+_CLASS_RETENTION_S = 2.0
 
 
 class DownstreamServer:
@@ -32,14 +33,14 @@
         handler: RequestHandler,
         invariants: InvariantChecker,
     ) -> None:
-        """Accept nothing before `listen`, and until `max_connections` is set.
+        """Creates a server that accepts nothing until `listen` is called and `max_connections` is set.
 
         Args:
-            settings: The service classes and tenants.
-            limits: The limits on clients.
-            lifecycle: Says whether the sidecar is ready, and whether it drains.
+            settings: The settings, with the service classes and tenants.
+            limits: The limits on clients' connections.
+            lifecycle: The lifecycle phase, which tells whether the sidecar is ready or draining.
             handler: Responds to requests.
-            invariants: Checks each end of a connection.
+            invariants: Checks that no connection is closed while its response is pending.
         """
         self._settings = settings
         self.classes: Mapping[str, ServiceClass] = {each.name: each for each in settings.classes}
@@ -54,8 +55,8 @@
     # Connections
 
     def listen(self, listener: socket.socket) -> None:
-        """Accept clients from this listening socket on."""
-        self._acceptor = Acceptor(listener, lambda queued_s: DownstreamConnection(self, queued_s))
+        """Accepts clients from this listening socket, and starts the check of timeouts."""
+        self._acceptor = Acceptor(listener, lambda delay_s: DownstreamConnection(self, delay_s))
         self._timeouts.start()
 
     @property
@@ -63,15 +64,15 @@
         """The port of the listening socket.
 
         Raises:
-            RuntimeError: Before `listen`.
+            RuntimeError: `listen` was not called yet.
         """
         if self._acceptor is None:
-            raise RuntimeError("the server does not listen yet")
+            raise RuntimeError("the downstream server does not listen yet")
         return self._acceptor.port
 
     @property
     def max_connections(self) -> int:
-        """How many connections may be open."""
+        """Maximum number of open connections."""
         return self.connection_table.max_connections
 
     @max_connections.setter
@@ -80,64 +81,65 @@
 
     @property
     def open_connections(self) -> int:
-        """How many connections are open."""
+        """Number of open connections."""
         return len(self.connection_table)
 
     @property
     def last_opened_at(self) -> float:
-        """When a connection was opened last, in the event loop's time (s)."""
+        """When the last connection was opened, in the event loop's time (s)."""
         return self.connection_table.last_opened_at
 
     @property
     def has_no_connections(self) -> bool:
-        """Whether no client is connected, nor accepted and about to be."""
-        return not self.open_connections and (self._acceptor is None or not self._acceptor.connecting)
+        """Whether no connection is open, and no accepted one is waiting for its transport."""
+        return not self.open_connections and (self._acceptor is None or not self._acceptor.connecting_count)
 
     def connections(self) -> Iterator[DownstreamConnection]:
-        """Iterate over all connections."""
+        """Iterates over all connections; none may change its state during the iteration."""
         return iter(self.connection_table)
 
     def close_idle(self) -> None:
-        """Close all connections on which nothing is pending."""
+        """Closes all connections that have no pending response and no unread input."""
         for connection in [each for each in self.connections() if each.can_close_safely]:
             connection.close(CloseReason.IDLE)
 
     def accept_pending(self) -> bool:
-        """Accept all connections in the accept queue; returns whether it is empty."""
+        """Accepts all connections in the accept queue; returns whether it is empty afterwards."""
         return self._acceptor is None or self._acceptor.accept_pending()
 
     def stop_listening(self) -> None:
-        """Accept no more."""
+        """Stops accepting connections; those that are open stay open."""
         if self._acceptor is not None:
             self._acceptor.close()
 
     def close(self) -> None:
-        """Accept no more, and check no more timeouts."""
+        """Stops accepting connections and checking timeouts."""
         self.stop_listening()
         self._timeouts.stop()
 
     # Requests
 
     def apply_settings(self, settings: Settings) -> None:
-        """Validate requests by these settings from now on.
+        """Validates further requests by new settings.
 
-        Classes that they drop stay valid for a moment, for requests that are on the way.
+        Service classes that the new settings no longer have stay valid for a short time, for requests that
+        are in transit.
         """
         current = {each.name: each for each in settings.classes}
-        dropped = {name: each for name, each in self.classes.items() if name not in current}
-        self._settings, self.classes = settings, {**dropped, **current}
-        if dropped:
-            asyncio.get_running_loop().call_later(_CLASS_RETENTION_S, self._drop_classes, dropped)
+        removed = {name: each for name, each in self.classes.items() if name not in current}
+        self._settings, self.classes = settings, {**removed, **current}
+        if removed:
+            asyncio.get_running_loop().call_later(_CLASS_RETENTION_S, self._remove_classes, removed)
 
-    def _drop_classes(self, dropped: Mapping[str, ServiceClass]) -> None:
-        """Drop these classes, except those that were defined anew meanwhile."""
-        self.classes = {name: each for name, each in self.classes.items() if dropped.get(name) is not each}
+    def _remove_classes(self, removed: Mapping[str, ServiceClass]) -> None:
+        """Removes these classes, except those that were defined again by a later reload."""
+        self.classes = {name: each for name, each in self.classes.items() if removed.get(name) is not each}
 
     def validate_request(self, request: Request, classes: Mapping[str, ServiceClass]) -> IncomingRequest:
-        """Validate a request whose first byte came when there were these classes.
+        """Validates a request; `classes` are those that were current when its first byte was received.
 
         Raises:
-            BadRequestError: If it is invalid.
+            BadRequestError: The request is invalid.
         """
         known = self.classes if classes is self.classes else {**classes, **self.classes}
         return validate_request(request, self._settings, known)
