--- a/tulipnotch/sidecar/http1/__init__.py
+++ b/tulipnotch/sidecar/http1/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 messages in both directions; the parsing itself is done by httptools."""
+"""Reading and encoding of HTTP/1.1 requests and responses; httptools does the parsing."""
--- a/tulipnotch/sidecar/http1/body.py
+++ b/tulipnotch/sidecar/http1/body.py
@@ -1,29 +1,29 @@
-"""The body of a request: its first part buffered for retries, the rest streamed."""
+"""Body of a request: the first part is buffered for retries, the rest is streamed."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-MAX_BUFFERED_BODY_BYTES = 64 << 10  # bytes of a body that are buffered; a longer one is streamed
-MAX_BODY_BYTES = 32 << 20  # bytes of the longest body that is accepted
+MAX_BUFFERED_BODY_BYTES = 64 << 10  # longest body that is buffered as a whole; a longer one is streamed
+MAX_BODY_BYTES = 32 << 20  # longest body that is accepted
 
 
 class Body:
-    """A request's body, while it is received and afterwards.
+    """Body of a request, complete or still being received.
 
-    The first part is buffered, so that an attempt can be repeated.  Anything beyond it is streamed: it is
-    pending until it is removed, once, and from then on the body cannot be written again.
+    The first part is buffered, so that further attempts can send it again.  The bytes after it are streamed:
+    they are pending until `pop_pending` removes them.  Once any were removed, the body cannot be sent again.
 
-    Each of the three hooks has one owner, which sets it and resets it to None:
+    Each of the three callbacks belongs to one owner, which sets it and resets it to None.
 
     Attributes:
-        buffered: The part that every attempt begins with.
-        size: Bytes received so far, buffered or not.
+        buffered: The part that every attempt starts with.
+        size: Number of bytes received so far, buffered or not.
         is_complete: Whether the last byte was received.
-        is_replayable: Whether nothing was removed yet, so that a further attempt can write all of the body.
-        on_data: Called by `feed` and `complete`, for the connection that writes the body to a server.
-        on_consumed: Called by `pop_pending`, for the client's connection, which may read on.
-        on_complete: Called by `complete`, before `on_data`, for the owner of the open request.
+        is_replayable: Whether nothing was removed yet, so that a further attempt can send the whole body.
+        on_data: Called by `feed` and `complete`; set by the connection that writes the body to a server.
+        on_consumed: Called by `pop_pending`; set by the client's connection, which then resumes reading.
+        on_complete: Called by `complete`, before `on_data`; set by the owner of the open request.
     """
 
     __slots__ = (
@@ -38,7 +38,7 @@
     )
 
     def __init__(self, data: bytes = b"", *, is_complete: bool = True) -> None:
-        """Begin with `data` as the buffered part."""
+        """Creates a body with `data` as its buffered part."""
         self.buffered = bytearray(data)
         self.size = len(data)
         self.is_complete = is_complete
@@ -50,7 +50,7 @@
 
     @property
     def pending_bytes(self) -> int:
-        """Bytes beyond the buffered part that were received and not removed yet."""
+        """Number of bytes after the buffered part that were received and not removed yet."""
         return len(self._pending)
 
     @property
@@ -59,22 +59,22 @@
         return self.size > len(self.buffered)
 
     def feed(self, data: bytes) -> None:
-        """Add bytes that were received."""
-        fits = not self.is_streamed and self.size + len(data) <= MAX_BUFFERED_BODY_BYTES
+        """Adds bytes that were received."""
+        fits_buffer = not self.is_streamed and self.size + len(data) <= MAX_BUFFERED_BODY_BYTES
         self.size += len(data)
-        (self.buffered if fits else self._pending).extend(data)
+        (self.buffered if fits_buffer else self._pending).extend(data)
         if self.on_data is not None:
             self.on_data()
 
     def complete(self) -> None:
-        """Mark the last byte as received."""
+        """Marks the body as complete: its last byte was received."""
         self.is_complete = True
-        for hook in (self.on_complete, self.on_data):
-            if hook is not None:
-                hook()
+        for callback in (self.on_complete, self.on_data):
+            if callback is not None:
+                callback()
 
     def pop_pending(self, *, except_last: int = 0) -> bytes:
-        """Remove and return the pending bytes, but for the last `except_last` of them."""
+        """Removes and returns the pending bytes, except for the last `except_last` ones."""
         if len(self._pending) <= except_last:
             return b""
         removed = bytes(self._pending[: len(self._pending) - except_last])
@@ -85,5 +85,5 @@
         return removed
 
     def detach(self) -> None:
-        """Reset all hooks."""
+        """Resets all callbacks."""
         self.on_data = self.on_consumed = self.on_complete = None
--- a/tulipnotch/sidecar/http1/messages.py
+++ b/tulipnotch/sidecar/http1/messages.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 requests and responses, and how they are encoded; no sockets and no parsing."""
+"""HTTP/1.1 requests and responses and their encoding; neither sockets nor parsing."""
 
 from __future__ import annotations
 
@@ -17,13 +17,14 @@
 
 @dataclass(slots=True)
 class Request:
-    """A request, as it was received or as it is sent.
+    """A request that was received or is to be sent.
 
     Attributes:
-        headers: Their names are in lower case.
+        headers: The headers, with their names in lower case.
+        keep_alive: Whether the connection stays open after the response.
         is_chunked: Whether it is sent with the chunked transfer coding.
-        knows_chunks: Whether its sender can read a chunked response, as of HTTP/1.1.
-        length: The length of the body as announced by the head; None: not announced.
+        accepts_chunked: Whether its sender accepts a chunked response, as every HTTP/1.1 client does.
+        length: The length of the body as announced in the head; None if it was not announced.
     """
 
     method: bytes
@@ -36,26 +37,27 @@
     length: int | None = None
 
     def encode_head_and_buffered_body(self) -> bytes:
-        """Return the head and the buffered part of the body."""
-        head = b"%s %s HTTP/1.1\r\n%s\r\n" % (self.method, self.target, _header_lines(self.headers))
+        """Returns the head and the buffered part of the body as they are sent."""
+        head = b"%s %s HTTP/1.1\r\n%s\r\n" % (self.method, self.target, _encode_headers(self.headers))
         return head + self.encode_body_part(bytes(self.body.buffered))
 
     def encode_body_part(self, data: bytes) -> bytes:
-        """Return a further part of the body as it is sent."""
+        """Returns a part of the body as it is sent."""
         return encode_chunk(data) if self.is_chunked else data
 
     @property
     def body_terminator(self) -> bytes:
-        """What follows the last byte of the body."""
+        """The bytes that are sent after the last part of the body."""
         return LAST_CHUNK if self.is_chunked else b""
 
 
 @dataclass(slots=True)
 class Response:
-    """A response: complete, or the head and the first bytes of a streamed one.
+    """A complete response, or the head of a streamed one.
 
     Attributes:
-        length: The length of the body as announced by the head; None: not announced.
+        headers: The headers, with their names in lower case.
+        length: The length of the body as announced in the head; None if it was not announced.
     """
 
     status: int
@@ -64,29 +66,29 @@
     length: int | None = None
 
     def header(self, name: bytes) -> bytes | None:
-        """Return the first value of a header, or None."""
+        """Returns the first value of a header; None if it is missing."""
         return next((value for key, value in self.headers if key == name), None)
 
     def header_values(self, name: bytes) -> set[bytes]:
-        """Return all values of a header; more than one where its lines contradict each other."""
+        """Returns the distinct values of a header; more than one if its lines contradict each other."""
         return {value for key, value in self.headers if key == name}
 
     def encode(self, *, with_body: bool = True) -> bytes:
-        """Return all its bytes with its length; without the body where the request allows none."""
+        """Returns the complete response as it is sent, without the body if the request was a HEAD request."""
         if with_body:
             return self.encode_head([(b"content-length", b"%d" % len(self.body))]) + self.body
         return self.encode_head([] if self.length is None else [(b"content-length", b"%d" % self.length)])
 
     def encode_head(self, framing: Headers) -> bytes:
-        """Return the head, with the headers that frame the body."""
+        """Returns the head as it is sent; `framing` has the headers that frame the body."""
         reason = _REASON_PHRASES.get(self.status, b"")
-        return b"HTTP/1.1 %d %s\r\n%s\r\n" % (self.status, reason, _header_lines([*self.headers, *framing]))
+        return b"HTTP/1.1 %d %s\r\n%s\r\n" % (self.status, reason, _encode_headers([*self.headers, *framing]))
 
 
 def encode_chunk(data: bytes) -> bytes:
-    """Return one chunk of a chunked body; nothing for no data, since an empty chunk ends the body."""
+    """Returns data as one chunk of a chunked body; nothing for no data, as an empty chunk ends the body."""
     return b"%x\r\n%s\r\n" % (len(data), data) if data else b""
 
 
-def _header_lines(headers: Iterable[tuple[bytes, bytes]]) -> bytes:
+def _encode_headers(headers: Iterable[tuple[bytes, bytes]]) -> bytes:
     return b"".join([b"%s: %s\r\n" % pair for pair in headers])
--- a/tulipnotch/sidecar/http1/response_reader.py
+++ b/tulipnotch/sidecar/http1/response_reader.py
@@ -1,4 +1,4 @@
-"""Reading the responses of one connection to a server, one at a time."""
+"""Reader for the responses on one connection to a server, one at a time."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 from tulipnotch.sidecar.http1.message_reader import MessageReader, PartialMessage
 from tulipnotch.sidecar.http1.messages import Response
 
-# Bytes of a body of unannounced length that start its streaming: fewer than are buffered, so that the first
-# ones reach the client early.
+# A body without an announced length is streamed once more than this was received.  The limit is lower than
+# that on buffered bytes, so that the first bytes reach the client early.
 _STREAM_START_BYTES = 16 << 10
-_MAX_INTERIM_RESPONSES = 8  # 1xx responses ahead of the final one
+_MAX_INTERIM_RESPONSES = 8  # 1xx responses that are accepted before the final response
 
 
 @unique
-class _Progress(Enum):
-    """How far the response is that is due."""
+class _ResponseState(Enum):
+    """State of the expected response."""
 
     INCOMPLETE = auto()
     COMPLETE = auto()
@@ -25,20 +25,20 @@
 
 
 class ResponseReader(MessageReader):
-    """Reads the one response that is due on a connection, and detects data beyond it.
+    """Reads the one response that is expected on a connection, and detects data after it.
 
     Attributes:
-        head: The head of the response, once that was received; without the body.
-        keep_alive: Whether the connection can carry another exchange, once the response is complete.
-        has_excess_data: Whether data followed the response.
+        head: The head of the response, without a body; None until the head is complete.
+        keep_alive: Whether the connection can carry another exchange; valid once the response is complete.
+        has_excess_data: Whether data was received after the response.
     """
 
     def __init__(self, max_buffered_bytes: int, max_body_bytes: int | None = None) -> None:
-        """Limit bodies.
+        """Creates a reader for the first response.
 
         Args:
-            max_buffered_bytes: Length of a body from which on it is to be streamed.
-            max_body_bytes: Length from which on a response is malformed; None: the same.
+            max_buffered_bytes: A longer body is streamed.
+            max_body_bytes: A response with a longer body is malformed; None: same as `max_buffered_bytes`.
         """
         self.keep_alive = False
         self.has_excess_data = False
@@ -48,120 +48,121 @@
         self.expect_response()
 
     def expect_response(self, *, to_head_request: bool = False) -> None:
-        """Prepare for the response to a further request."""
+        """Prepares for the response to the next request."""
         self.head: Response | None = None
-        self._progress = _Progress.INCOMPLETE
-        self._is_to_head_request = to_head_request
-        self._ends_at_close = False  # whether only the connection's end delimits the body
-        self._buffered = bytearray()  # of the body, until it is removed
-        self._body_bytes = 0  # received of the body
-        self._part: PartialMessage | None = None
+        self._state = _ResponseState.INCOMPLETE
+        self._is_response_to_head = to_head_request
+        self._is_delimited_by_close = False  # whether only the end of the connection delimits the body
+        self._buffered_body = bytearray()  # received part of the body that was not removed yet
+        self._received_body_bytes = 0  # number of bytes received of the body
+        self._message: PartialMessage | None = None
         self._interim_responses = 0
 
     def release(self) -> None:
-        """Read no more, and free all that was read."""
-        self._buffered = bytearray()
+        """Stops reading and frees everything that was read."""
+        self._buffered_body = bytearray()
         super().release()
 
     @property
     def is_malformed(self) -> bool:
-        """Whether what was received is not HTTP, is ambiguous, or exceeds a limit."""
-        return self._progress is _Progress.MALFORMED
+        """Whether the input is not valid HTTP, is ambiguous, or exceeds a limit."""
+        return self._state is _ResponseState.MALFORMED
 
     @property
     def response(self) -> Response | None:
-        """The response, once it is complete; its body is what was not removed of it."""
-        if self._progress is not _Progress.COMPLETE or self.head is None:
+        """The response, with the part of its body that was not removed yet; None until it is complete."""
+        if self._state is not _ResponseState.COMPLETE or self.head is None:
             return None
-        return Response(self.head.status, self.head.headers, bytes(self._buffered), self.head.length)
+        return Response(self.head.status, self.head.headers, bytes(self._buffered_body), self.head.length)
 
     @property
     def head_to_stream(self) -> Response | None:
-        """The head of a response whose body is to be streamed from now on; None: buffer what is received.
+        """The head of a response whose body is to be streamed from now on; None if it is to be buffered.
 
-        A body is streamed if it is longer than the limit on buffered bytes, or may be.
+        A body is streamed if its announced length exceeds the limit on buffered bytes, or if its length is
+        not announced and more than `_STREAM_START_BYTES` were received.  Only 200 responses are streamed.
         """
         head = self.head
-        if head is None or head.status != 200 or not self._buffered:
+        if head is None or head.status != 200 or not self._buffered_body:
             return None
         if head.length is not None:
             return head if head.length > self._max_buffered_bytes else None
-        return head if len(self._buffered) > _STREAM_START_BYTES else None
+        return head if len(self._buffered_body) > _STREAM_START_BYTES else None
 
     def pop_buffered_body(self) -> bytes:
-        """Remove and return the buffered part of the body."""
-        removed = bytes(self._buffered)
-        self._buffered.clear()
+        """Removes and returns the buffered part of the body."""
+        removed = bytes(self._buffered_body)
+        self._buffered_body.clear()
         return removed
 
     def feed(self, data: bytes) -> None:
-        """Read bytes that were received."""
+        """Parses bytes that were received."""
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            if self._progress is _Progress.COMPLETE:
-                self.has_excess_data = True  # the response itself was in order
+            if self._state is _ResponseState.COMPLETE:
+                self.has_excess_data = True  # the response before the malformed data was valid
             else:
-                self._progress = _Progress.MALFORMED
+                self._state = _ResponseState.MALFORMED
 
     def feed_eof(self) -> None:
-        """Handle an orderly end of the connection, which completes a response that nothing else delimits."""
-        if self._ends_at_close and self._part is not None and not self.is_malformed:
-            self._complete(keep_alive=False)
+        """Handles an orderly end of the connection, which completes a response that nothing else delimits."""
+        if self._is_delimited_by_close and self._message is not None and not self.is_malformed:
+            self._complete_response(keep_alive=False)
 
     def on_message_begin(self) -> None:
         """Called by the parser at the first byte of a message."""
-        self.has_excess_data = self._progress is _Progress.COMPLETE
+        self.has_excess_data = self._state is _ResponseState.COMPLETE
         super().on_message_begin()
 
     def on_headers_complete(self) -> None:
-        """Called by the parser at the end of a head; rejects what the head shows to be unacceptable."""
-        part = self._part
-        if part is None:
+        """Called by the parser at the end of a head; detects a response whose head is not acceptable."""
+        message = self._message
+        if message is None:
             return
-        part.has_head = True
+        message.has_head = True
         status = self._parser.get_status_code()
-        if self._progress is _Progress.COMPLETE:
+        if self._state is _ResponseState.COMPLETE:
             return
         if status < 200:
             self._interim_responses += 1
             if self._interim_responses > _MAX_INTERIM_RESPONSES:
-                self._progress = _Progress.MALFORMED
+                self._state = _ResponseState.MALFORMED
             return
-        lengths = part.values(b"content-length")
-        codings = [coding.lower() for coding in part.values(b"transfer-encoding")]
+        lengths = message.header_values(b"content-length")
+        codings = [coding.lower() for coding in message.header_values(b"transfer-encoding")]
         length = int(lengths[0]) if lengths else None
         if (codings and codings != [b"chunked"]) or (length is not None and length > self._max_body_bytes):
-            self._progress = _Progress.MALFORMED  # at once, not after a body that would be discarded
+            self._state = _ResponseState.MALFORMED  # now, instead of after a body that would be discarded
             return
-        self.head = Response(status, part.headers, length=length)
-        if self._is_to_head_request:
-            # The parser expects a body, which is not sent: the connection can't be read any further.
+        self.head = Response(status, message.headers, length=length)
+        if self._is_response_to_head:
+            # The parser expects a body that is not sent, so the connection cannot be read any further.
             self.has_excess_data = self.has_excess_data or self.is_malformed
-            self._complete(keep_alive=False)
+            self._complete_response(keep_alive=False)
         elif length is None and not codings and status not in (204, 304):
-            self._ends_at_close = True
+            self._is_delimited_by_close = True
 
     def on_body(self, data: bytes) -> None:
         """Called by the parser for each part of a body."""
-        if self._part is None or self._progress is not _Progress.INCOMPLETE or self.head is None:
+        if self._message is None or self._state is not _ResponseState.INCOMPLETE or self.head is None:
             return
-        self._body_bytes += len(data)
-        if self._body_bytes > self._max_body_bytes:
-            self._progress = _Progress.MALFORMED
+        self._received_body_bytes += len(data)
+        if self._received_body_bytes > self._max_body_bytes:
+            self._state = _ResponseState.MALFORMED
         elif self.head.status == 200:
-            self._buffered += data
-        elif self._body_bytes > self._max_buffered_bytes:
-            self._complete(keep_alive=False)  # the text of a long error is not waited for
+            self._buffered_body += data
+        elif self._received_body_bytes > self._max_buffered_bytes:
+            self._complete_response(keep_alive=False)  # does not wait for the rest of a long error body
 
     def on_message_complete(self) -> None:
-        """Called by the parser at the last byte of a response, interim responses included."""
-        if self._part is None or self._progress is not _Progress.INCOMPLETE or self.head is None:
-            self._part = None
+        """Called by the parser at the last byte of a response, also of an interim response."""
+        if self._message is None or self._state is not _ResponseState.INCOMPLETE or self.head is None:
+            self._message = None
         else:
-            self._complete(keep_alive=self._parser.should_keep_alive())
+            self._complete_response(keep_alive=self._parser.should_keep_alive())
 
-    def _complete(self, *, keep_alive: bool) -> None:
-        self._part = None
-        self._progress = _Progress.COMPLETE
+    def _complete_response(self, *, keep_alive: bool) -> None:
+        self._message = None
+        self._state = _ResponseState.COMPLETE
         self.keep_alive = keep_alive
