--- a/tulipnotch/sidecar/control/__init__.py
+++ b/tulipnotch/sidecar/control/__init__.py
@@ -1,1 +1,1 @@
-"""What operators use of one sidecar: the control endpoint and its client, telemetry and lifecycle."""
+"""Operation of a sidecar: the control endpoint and its client, metrics, and the lifecycle phase."""
--- a/tulipnotch/sidecar/control/endpoint.py
+++ b/tulipnotch/sidecar/control/endpoint.py
@@ -1,7 +1,7 @@
-"""Control endpoint: operators send one line with a command and receive one response.
+"""Control endpoint: an operator sends a command on one line and receives one response.
 
-It listens on an address of its own and holds no state of the sidecar: each command is a handler that it is
-given.  A command runs as soon as its line is complete, so connections that never complete one delay nobody.
+The endpoint listens on its own address and holds no state of the sidecar: it is given a handler for each
+command.  A command runs once its line is complete, so a connection that never completes one delays no other.
 """
 
 from __future__ import annotations
@@ -18,38 +18,38 @@
 
 @dataclass(frozen=True, slots=True)
 class ControlLimits:
-    """What connections to the control endpoint may use."""
+    """Limits on connections to the control endpoint."""
 
-    max_line_bytes: int = 256  # of a command, including its line end
-    line_timeout_s: float = 5.0  # from accepting the connection to the command's line end
-    linger_s: float = 0.5  # from the response until the connection is aborted if the client has not closed it
+    max_line_bytes: int = 256  # maximum length of a command's line, including its line end
+    line_timeout_s: float = 5.0  # time from accepting a connection to the end of the command's line
+    linger_s: float = 0.5  # time from the response until the connection is aborted if still open
     max_connections: int = 16
 
 
 class ControlEndpointError(Exception):
-    """Base class of the control endpoint's errors."""
+    """Base class of the errors of the control endpoint."""
 
 
 class CommandRejectedError(ControlEndpointError):
-    """A command cannot be carried out; the message is the reason in its `-ERR` response."""
+    """A command cannot be executed; the message is the reason in the `-ERR` response."""
 
 
 class NotListeningError(ControlEndpointError):
-    """The control endpoint was asked for its port before it listened."""
+    """The port of the control endpoint was requested before the endpoint listened."""
 
 
 CommandHandler = Callable[[], Sequence[str]]
-"""Returns the text after `+OK`, followed by further lines; may raise CommandRejectedError."""
+"""Returns the text after `+OK`, then the further lines of the response; may raise CommandRejectedError."""
 
 
 class ControlEndpoint:
-    """Owns the listener and its connections, which never exceed the limits."""
+    """Owns the listener and its connections, and enforces the limits on them."""
 
     def __init__(self, commands: Mapping[str, CommandHandler], limits: ControlLimits | None = None) -> None:
         """Creates an endpoint that does not listen yet; `commands` maps each name to its handler."""
         self._commands = commands
         self.limits = limits or ControlLimits()
-        self._connections: dict[_ControlConnection, None] = {}  # ordered by age, the oldest first
+        self._connections: dict[_ControlConnection, None] = {}  # in the order in which they were opened
         self._acceptor: Acceptor | None = None
 
     def listen(self, address: Address) -> None:
@@ -61,7 +61,7 @@
         self.accept_from(bind_and_listen(address))
 
     def accept_from(self, listener: socket.socket) -> None:
-        """Accepts connections from a socket that already listens, and owns it from now on."""
+        """Accepts connections from a socket that already listens, and takes ownership of it."""
         self._acceptor = Acceptor(listener, lambda _: _ControlConnection(self))
 
     @property
@@ -69,7 +69,7 @@
         """The port that the endpoint listens on.
 
         Raises:
-            NotListeningError: It does not listen yet.
+            NotListeningError: The endpoint does not listen yet.
         """
         if self._acceptor is None:
             raise NotListeningError("the control endpoint does not listen yet")
@@ -77,7 +77,7 @@
 
     @property
     def open_connections(self) -> int:
-        """Number of connections that are open now."""
+        """Number of open connections."""
         return len(self._connections)
 
     def close(self) -> None:
@@ -87,18 +87,18 @@
         for connection in list(self._connections):
             connection.abort()
 
-    def respond(self, line: bytes) -> bytes:
-        """Carries out the command on this line, given without its line end; returns the complete response."""
+    def execute_command_line(self, line: bytes) -> bytes:
+        """Executes the command on a line, given without its line end; returns the complete response."""
         try:
             name = line.decode("ascii").strip()
-            status, *lines = self._handler(name)()
+            status, *lines = self._find_handler(name)()
         except UnicodeDecodeError:
             return _error_response("a call is one line of ASCII")
         except CommandRejectedError as rejection:
             return _error_response(str(rejection))
         return "".join(f"{each}\n" for each in (f"+OK {status}".rstrip(), *lines)).encode()
 
-    def _handler(self, name: str) -> CommandHandler:
+    def _find_handler(self, name: str) -> CommandHandler:
         if not name:
             raise CommandRejectedError("empty call")
         handler = self._commands.get(name)
@@ -106,14 +106,14 @@
             raise CommandRejectedError(f"unknown call; known are {', '.join(self._commands)}")
         return handler
 
-    def connection_opened(self, connection: _ControlConnection) -> None:
-        """Registers a connection; aborts the oldest one if there would be too many."""
+    def add_connection(self, connection: _ControlConnection) -> None:
+        """Adds a new connection; aborts the oldest one if there are too many."""
         if len(self._connections) >= self.limits.max_connections:
             next(iter(self._connections)).abort()
         self._connections[connection] = None
 
-    def connection_closed(self, connection: _ControlConnection) -> None:
-        """Removes a connection that has ended; does nothing for one that is already removed."""
+    def remove_connection(self, connection: _ControlConnection) -> None:
+        """Removes a connection that has ended; does nothing if it was removed already."""
         self._connections.pop(connection, None)
 
 
@@ -127,53 +127,52 @@
     def __init__(self, endpoint: ControlEndpoint) -> None:
         self._endpoint = endpoint
         self._transport: asyncio.Transport  # set by `connection_made`, before any other call
-        self._received = b""  # of the command's line
+        self._received = b""  # received part of the command's line
         self._has_responded = False
         self._timer: asyncio.TimerHandle | None = None
 
     def abort(self) -> None:
-        """Closes the connection at once and discards what was not sent."""
-        self._endpoint.connection_closed(self)
+        """Closes the connection at once and discards unsent data."""
+        self._endpoint.remove_connection(self)
         self._transport.abort()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Starts the time that the command's line may take."""
-        # uvloop's transports do not derive from those of asyncio, so that an isinstance check would fail.
+        """Registers the connection and starts the timeout of the command's line."""
+        # uvloop's transports do not derive from those of asyncio, so an isinstance check would fail.
         self._transport = cast(asyncio.Transport, transport)
-        self._endpoint.connection_opened(self)
-        self._start_timer(self._endpoint.limits.line_timeout_s, self._line_timed_out)
+        self._endpoint.add_connection(self)
+        self._restart_timer(self._endpoint.limits.line_timeout_s, self._line_timed_out)
 
     def data_received(self, data: bytes) -> None:
-        """Responds once the line is complete; discards whatever follows the first command."""
+        """Responds once the line is complete; discards all data after the first command."""
         if self._has_responded:
             return
         self._received += data
         line, line_end, _ = self._received.partition(b"\n")
         if len(line) >= self._endpoint.limits.max_line_bytes:
-            self._respond(_error_response("the line is too long"))
+            self._send_response(_error_response("the line is too long"))
         elif line_end:
-            self._respond(self._endpoint.respond(line))
+            self._send_response(self._endpoint.execute_command_line(line))
 
     def eof_received(self) -> bool:
-        """Rejects a line without its end, since a truncated command may be another one's name."""
+        """Rejects a line without its end, since a truncated command may be the name of another command."""
         if not self._has_responded:
-            self._respond(_error_response("the line has no end" if self._received else "empty call"))
+            self._send_response(_error_response("the line has no end" if self._received else "empty call"))
         return False
 
     def connection_lost(self, _exc: Exception | None) -> None:
         """Removes the connection from the endpoint."""
         if self._timer is not None:
             self._timer.cancel()
-        self._endpoint.connection_closed(self)
+        self._endpoint.remove_connection(self)
 
     def _line_timed_out(self) -> None:
-        self._respond(_error_response("the line did not end in time"))
+        self._send_response(_error_response("the line did not end in time"))
 
-    def _respond(self, response: bytes) -> None:
-        """Sends the response and closes the sending side only.
+    def _send_response(self, response: bytes) -> None:
+        """Sends the response and closes the sending side only; it is the client that closes the connection.
 
-        The client closes the connection: a close from this side with unread bytes would reset it, and with
-        it the response.
+        Closing a socket that has unread bytes resets the connection, and the client may lose the response.
         """
         self._has_responded = True
         self._received = b""
@@ -182,9 +181,9 @@
         self._transport.write(response)
         if self._transport.can_write_eof():
             self._transport.write_eof()
-        self._start_timer(self._endpoint.limits.linger_s, self.abort)
+        self._restart_timer(self._endpoint.limits.linger_s, self.abort)
 
-    def _start_timer(self, delay_s: float, callback: Callable[[], None]) -> None:
+    def _restart_timer(self, delay_s: float, callback: Callable[[], None]) -> None:
         if self._timer is not None:
             self._timer.cancel()
         self._timer = asyncio.get_running_loop().call_later(delay_s, callback)
--- a/tulipnotch/sidecar/control/telemetry.py
+++ b/tulipnotch/sidecar/control/telemetry.py
@@ -1,7 +1,7 @@
-"""Metrics of one process: plain counters, and the one place that names them as operators see them.
+"""Metrics of one process: the counters, and the names under which operators see them.
 
-The metric names are part of the control endpoint's protocol and appear in dashboards, so they do not follow
-the names that the code uses.  The tables below map one to the other; nothing else does.
+The metric names are part of the control endpoint's protocol and are used by dashboards, so they do not change
+with the names in the code.  The mapping between the two is defined in this module only.
 """
 
 from __future__ import annotations
@@ -42,15 +42,17 @@
     CloseReason.LINGERED: "lingered",
     CloseReason.NO_ROOM: "no_room",
 }
-_IN_FLIGHT_NAME = "overdue"  # in place of an outcome: the previous attempt has none yet
-_MAX_OPEN_REQUESTS_NAME = "max_open"  # in place of a termination reason
+# Used instead of an outcome if the previous attempt is still in flight and has none.
+_IN_FLIGHT_NAME = "overdue"
+# Used instead of a termination reason if the maximum number of requests was open.
+_MAX_OPEN_REQUESTS_NAME = "max_open"
 
-_FINAL_OUTCOMES = (Outcome.DELIVERED, Outcome.CLIENT_ERROR)  # no retry follows them
+_FINAL_OUTCOMES = (Outcome.DELIVERED, Outcome.CLIENT_ERROR)  # outcomes that no retry follows
 
 
 @unique
 class RequestResult(StrEnum):
-    """How a request ended, as its client sees it; the values are parts of metric names."""
+    """Result of a request from its client's point of view; the values are parts of metric names."""
 
     COMPLETED = "completed"
     REJECTED = "rejected"
@@ -58,11 +60,11 @@
 
 
 class Telemetry:
-    """Owns the counters, which count from the start of the process; makes no decisions."""
+    """Counts events from the start of the process; the counters influence no decision."""
 
     def __init__(self, classes: Iterable[str]) -> None:
-        """Starts all counters at 0, including those of the service classes with these names."""
-        self._results: dict[str, dict[RequestResult, int]] = {}  # by the name of the service class
+        """Creates all counters with the value 0; `classes` are the names of the service classes."""
+        self._results: dict[str, dict[RequestResult, int]] = {}  # keyed by the name of the service class
         self._attempts_written = 0
         self._attempts_withheld = 0
         self._retries: dict[Outcome | None, int] = {
@@ -80,43 +82,43 @@
         self.add_classes(classes)
 
     def add_classes(self, classes: Iterable[str]) -> None:
-        """Adds counters for these service classes, unless they exist.
+        """Adds counters for the service classes with these names, unless they exist.
 
-        A class that the settings no longer name stays, since its open requests have yet to end.
+        Counters of a class that the settings no longer have are kept, as requests of it may still be open.
         """
         for name in classes:
             self._results.setdefault(name, dict.fromkeys(RequestResult, 0))
 
     def request_ended(self, service_class: str, result: RequestResult) -> None:
-        """Counts a request that has its final response."""
+        """Counts a request that has ended, by its service class and result."""
         self._results[service_class][result] += 1
 
     def attempt_written(self) -> None:
-        """Counts an attempt that was written completely to a server."""
+        """Counts an attempt whose request was written completely to a server."""
         self._attempts_written += 1
 
     def attempt_withheld(self) -> None:
-        """Counts an attempt that was not written completely because its client has disconnected."""
+        """Counts an attempt whose request was not written completely because its client had disconnected."""
         self._attempts_withheld += 1
 
     def request_retried(self, after: Outcome | None) -> None:
-        """Counts a further attempt, after the previous one's outcome; None if that is still in flight."""
+        """Counts a retry by the outcome of the previous attempt; None if that attempt is still in flight."""
         self._retries[after] += 1
 
     def request_rejected(self, reason: TerminationReason | None) -> None:
-        """Counts a rejected request; None if the maximum number of requests was open."""
+        """Counts a rejected request by its reason; None if the maximum number of requests was open."""
         self._rejections[reason] += 1
 
     def request_failed(self, reason: TerminationReason) -> None:
-        """Counts a request that got an error as its final response."""
+        """Counts a request whose final response is an error, by its reason."""
         self._failures[reason] += 1
 
     def connection_closed(self, reason: CloseReason) -> None:
-        """Counts a client's connection that has ended."""
+        """Counts a client connection that has ended, by its reason."""
         self._closes[reason] += 1
 
     def configuration_reloaded(self) -> None:
-        """Counts a configuration that was applied."""
+        """Counts a configuration that was applied at a reload."""
         self._reloads += 1
 
     def configuration_rejected(self) -> None:
@@ -124,9 +126,9 @@
         self._reload_errors += 1
 
     def render_metrics(self, gauges: Mapping[str, int]) -> list[str]:
-        """Renders all metrics, one a line: the counters, then the gauges that their owners have just read."""
+        """Returns a line for each metric: the counters, then `gauges`, whose values are current."""
         metrics = {
-            f"downstream_requests.{_metric_name_part(name)}.{result}": count
+            f"downstream_requests.{_sanitize_name_part(name)}.{result}": count
             for name, counts in self._results.items()
             for result, count in counts.items()
         }
@@ -149,12 +151,12 @@
 
 
 def retry_cause_name(previous: Outcome | None) -> str:
-    """Returns the name of the outcome that a retry follows; None: that attempt is still in flight."""
+    """Returns the metric name of a retry's cause; `previous` is None if that attempt is still in flight."""
     return _IN_FLIGHT_NAME if previous is None else OUTCOME_NAMES[previous]
 
 
-def _metric_name_part(name: str) -> str:
-    """Replaces the characters that would break the line or the metric's name by underscores."""
+def _sanitize_name_part(name: str) -> str:
+    """Replaces characters that are not allowed in the line or the metric's name by underscores."""
     return "".join(
         character if character.isascii() and character.isprintable() and character not in " =" else "_"
         for character in name
