--- a/tests/lab/broken_sidecar.py
+++ b/tests/lab/broken_sidecar.py
@@ -62,14 +62,14 @@
 
 def rushes() -> None:
     """All goes to whoever started last."""
-    choose = Selection.choose
+    choose = Selection.choose_endpoint
 
     def broken(self: Selection, request: Any) -> Any:
         started = [each for each in self._context.ready_endpoints if each.started_at]
         newest = max(started, key=lambda each: each.started_at or 0, default=None)
         return newest if newest is not None else choose(self, request)
 
-    Selection.choose = broken  # type: ignore[method-assign]
+    Selection.choose_endpoint = broken  # type: ignore[method-assign]
     SlowStart.has_budget = lambda *_: True  # type: ignore[method-assign]
 
 
--- a/tests/lab/test_overload.py
+++ b/tests/lab/test_overload.py
@@ -12,7 +12,7 @@
 
 DEFECTS: list[tuple[str, dict[str, float], float]] = [
     # Answers may take half of their aim: too late to react.
-    ("tipping", {"TARGET_PART": 0.5, "MAX_TARGET_PART": 0.5}, 5.0),
+    ("tipping", {"TARGET_FRACTION": 0.5, "MAX_TARGET_FRACTION": 0.5}, 5.0),
     # The limit never falls.
     ("tipping", {"MIN_LIMIT": 1e9}, 5.0),
     # The first limit is no limit: servers choke before any answer tells.
--- a/tests/load_balancing/admission/test_service_levels.py
+++ b/tests/load_balancing/admission/test_service_levels.py
@@ -18,7 +18,7 @@
 from tulipnotch.load_balancing.admission.service_levels import (
     ServiceLevelController,
     ServiceLevelTransition,
-    standard,
+    standard_levels,
 )
 
 HOLD_S = 30
@@ -35,7 +35,7 @@
 ) -> list[tuple[int, ServiceLevelTransition]]:
     """Changes by second, for a load relative to what the fleet bears, with noise on both readings."""
     generator = random.Random(5)
-    controller = ServiceLevelController(standard("consulter"), HOLD_S * 1_000_000, 0)
+    controller = ServiceLevelController(standard_levels("consulter"), HOLD_S * 1_000_000, 0)
     offered = rejected = 0
     changes = []
     for second in range(seconds):
@@ -44,7 +44,7 @@
         arrived = int(rate * admitted_load)
         offered += arrived
         rejected += round(arrived * max(1.0 - 1.0 / admitted_load, 0.0)) if admitted_load > 0 else 0
-        change = controller.observe(second * 1_000_000, Pressure(offered, rejected, min(load, 3.0)))
+        change = controller.observe_pressure(second * 1_000_000, Pressure(offered, rejected, min(load, 3.0)))
         if change is not None:
             changes.append((second, change))
     return changes
@@ -83,7 +83,7 @@
     # Under a level the limit rejects little, since the level removed the load; hence `leave_utilization`.
     def leave_reason(self: ServiceLevelController, now: int, level: levels.ServiceLevel) -> str | None:
         rejected_part = self._summary(now, level.enter_us).rejected_part
-        leave_reason = self._covers(level.enter_us) and rejected_part <= level.enter_rejected / 2
+        leave_reason = self._covers(level.enter_us) and rejected_part <= level.enter_rejected_fraction / 2
         return "little is refused" if leave_reason else None
 
     monkeypatch.setattr(ServiceLevelController, "_leave_reason", leave_reason)
@@ -108,19 +108,23 @@
 
 
 def test_service_levels_drop_observations_after_a_gap() -> None:
-    controller = ServiceLevelController(standard("consulter"), HOLD_S * 1_000_000, 0)
+    controller = ServiceLevelController(standard_levels("consulter"), HOLD_S * 1_000_000, 0)
     for second in range(20):
-        assert controller.observe(second * 1_000_000, Pressure(400 * second, 200 * second, 2.0)) is None
+        assert (
+            controller.observe_pressure(second * 1_000_000, Pressure(400 * second, 200 * second, 2.0)) is None
+        )
     # The clock jumps by an hour, as after a suspend: the readings before say nothing of now.
-    assert controller.observe(3_600_000_000, Pressure(8_000, 4_000, 2.0)) is None
-    assert controller.observe(3_601_000_000, Pressure(8_400, 4_200, 2.0)) is None
+    assert controller.observe_pressure(3_600_000_000, Pressure(8_000, 4_000, 2.0)) is None
+    assert controller.observe_pressure(3_601_000_000, Pressure(8_400, 4_200, 2.0)) is None
     assert controller.name == "full"
 
 
 def test_service_levels_bound_their_observations() -> None:
-    controller = ServiceLevelController(standard("consulter"), HOLD_S * 1_000_000, 0)
+    controller = ServiceLevelController(standard_levels("consulter"), HOLD_S * 1_000_000, 0)
     for second in range(5_000):
-        controller.observe(second * 1_000_000, Pressure(10 * second, 0, 0.1))
-        controller.observe(second * 1_000_000 + 1, Pressure(10 * second, 0, 0.1))  # too soon: left out
-    longest = levels.MAX_LEAVE_FACTOR * max(each.leave_us for each in standard("consulter"))
+        controller.observe_pressure(second * 1_000_000, Pressure(10 * second, 0, 0.1))
+        controller.observe_pressure(
+            second * 1_000_000 + 1, Pressure(10 * second, 0, 0.1)
+        )  # too soon: left out
+    longest = levels.MAX_LEAVE_FACTOR * max(each.leave_us for each in standard_levels("consulter"))
     assert len(controller._observations) <= longest / 1_000_000 + 3
--- a/tests/load_balancing/admission/test_service_levels_in_force.py
+++ b/tests/load_balancing/admission/test_service_levels_in_force.py
@@ -106,9 +106,11 @@
         )
         transitions = [change]
         monkeypatch.setattr(
-            levels.ServiceLevelController, "observe", lambda *_: transitions.pop() if transitions else None
+            levels.ServiceLevelController,
+            "observe_pressure",
+            lambda *_: transitions.pop() if transitions else None,
         )
-        given = ServiceLevels(levels.standard("check"), 30_000_000)
+        given = ServiceLevels(levels.standard_levels("check"), 30_000_000)
         async with stage(OK, levels=given) as scene:
             await until(
                 lambda: any("service level shut, was full for 41 s: too much" in each for each in scene.log)
--- a/tests/sidecar/test_reload.py
+++ b/tests/sidecar/test_reload.py
@@ -161,7 +161,7 @@
     balancer = stage.balancer
     parts = balancer._components
     kept = [kind for kind, _ in parts.admission._demand._traffic]
-    kept += [kind for kind, _ in parts.latency.usual_us]
+    kept += [kind for kind, _ in parts.latency.expected_us]
     kept += list(parts.class_costs._means)
     kept += [kind for server in balancer._context.endpoints.values() for kind in server.back_offs]
     assert set(kept) <= {"look-19"}
--- a/tests/sidecar/upstream/event_interleavings.py
+++ b/tests/sidecar/upstream/event_interleavings.py
@@ -82,8 +82,8 @@
         stack.enter_context(mock.patch.object(body, "MAX_BUFFERED_BODY_BYTES", BUFFERED_BYTES))
         stack.enter_context(mock.patch.object(pool_module, "_REUSE_DELAY_US", reuse_delay_us))
         # There is no other traffic: an attempt is hedged by its own time alone, also on several servers.
-        stack.enter_context(mock.patch.object(attempt_timeouts, "OTHER_RESPONSES", 0))
-        stack.enter_context(mock.patch.object(outlier_detection, "MAX_UNRESPONSIVE_PART", 1.0))
+        stack.enter_context(mock.patch.object(attempt_timeouts, "MIN_OTHER_RESPONSES", 0))
+        stack.enter_context(mock.patch.object(outlier_detection, "MAX_UNRESPONSIVE_FRACTION", 1.0))
         yield
 
 
--- a/tulipnotch/lab/policies.py
+++ b/tulipnotch/lab/policies.py
@@ -38,7 +38,7 @@
     MIN_HOLD_US,
     OBSERVATION_INTERVAL_US,
     ServiceLevelController,
-    standard,
+    standard_levels,
 )
 from tulipnotch.load_balancing.events import (
     AttemptEnded,
@@ -288,7 +288,7 @@
     def __init__(self, settings: Settings, seed: int, world: World) -> None:
         self._balancer = Balancer(settings, seed)
         least = min(settings.classes, key=lambda each: each.priority_weight).name
-        self._ladder = ServiceLevelController(standard(least), MIN_HOLD_US, world.engine.now)
+        self._ladder = ServiceLevelController(standard_levels(least), MIN_HOLD_US, world.engine.now)
         self._read_at = world.engine.now
 
     def handle(self, now: int, event: Event) -> Sequence[Action]:
@@ -296,7 +296,7 @@
         if now < self._read_at:
             return actions
         self._read_at = now + OBSERVATION_INTERVAL_US
-        change = self._ladder.observe(now, self._balancer.pressure())
+        change = self._ladder.observe_pressure(now, self._balancer.pressure())
         if change is not None:
             actions = [*actions, *self._balancer.handle(now, change.effect)]
         return actions
--- a/tulipnotch/load_balancing/admission/admission_control.py
+++ b/tulipnotch/load_balancing/admission/admission_control.py
@@ -9,7 +9,7 @@
 
 import math
 
-from tulipnotch.load_balancing.admission.concurrency_limit import UNRESTRICTED_FILL, ConcurrencyLimit
+from tulipnotch.load_balancing.admission.concurrency_limit import UNRESTRICTED_UTILIZATION, ConcurrencyLimit
 from tulipnotch.load_balancing.admission.pressure import Pressure
 from tulipnotch.load_balancing.context import Context
 from tulipnotch.load_balancing.events import ServiceLevelChanged
@@ -66,9 +66,9 @@
             return True
         self._offered += 1
         fill = self._limit.fill()
-        if fill <= UNRESTRICTED_FILL or self._limit.is_idle_for_long():
+        if fill <= UNRESTRICTED_UTILIZATION or self._limit.is_idle_for_long():
             return False
-        pressure = REJECTION_STEEPNESS * (fill - UNRESTRICTED_FILL) / (1.0 - UNRESTRICTED_FILL)
+        pressure = REJECTION_STEEPNESS * (fill - UNRESTRICTED_UTILIZATION) / (1.0 - UNRESTRICTED_UTILIZATION)
         admitted_part = math.exp(-PRIORITY_SLOPE * pressure * (1.0 - self._priority_rank(traffic)))
         if fill < 1.0 and self._context.random.random() < admitted_part:
             return False
--- a/tulipnotch/load_balancing/admission/concurrency_limit.py
+++ b/tulipnotch/load_balancing/admission/concurrency_limit.py
@@ -10,21 +10,25 @@
 import math
 
 from tulipnotch.load_balancing.context import Context
-from tulipnotch.load_balancing.metrics.load import LOW_LOAD, MAX_STRETCH, Load
+from tulipnotch.load_balancing.metrics.load import LOW_LOAD, MAX_LOW_LOAD_FACTOR, Load
 from tulipnotch.load_balancing.metrics.rate import Rate
-from tulipnotch.load_balancing.metrics.response_times import LOST_OBJECTIVES, ResponseTimes
+from tulipnotch.load_balancing.metrics.response_times import LOST_REQUEST_OBJECTIVES, ResponseTimes
 
 INITIAL_LIMIT_PER_ENDPOINT = 4.0  # own requests in flight, over all instances, until responses show more
 MIN_LIMIT = 0.1  # a few requests are always admitted, so that relief is noticed
 MAX_IDLE_OBJECTIVES = 2.0  # longest objectives with nothing in flight after which one request is admitted
-UNRESTRICTED_FILL = 0.7  # up to this part of the limit all are admitted, and the limit does not grow
+UNRESTRICTED_UTILIZATION = 0.7  # up to this part of the limit all are admitted, and the limit does not grow
 RESIZE_OBJECTIVES = 0.2  # at twice the target the limit shrinks e-fold in this many longest objectives
 MAX_RESIZE_OBJECTIVES = 0.25  # of the longest one, stretched: one response resizes for no more time than this
 
-TARGET_PART = 0.15  # of its objective that the typical response may take; beyond that the fleet is overloaded
-LOW_LOAD_TARGET_PART = 0.4  # or this, where so few are in flight that much of the typical response is chance
-TARGET_OF_IDLE = 2.0  # but never less than this many times what it takes when the fleet is idle
-MAX_TARGET_PART = 0.25  # and never more than this part, or overload would pass for the usual
+TARGET_FRACTION = (
+    0.15  # of its objective that the typical response may take; beyond that the fleet is overloaded
+)
+LOW_LOAD_TARGET_FRACTION = (
+    0.4  # or this, where so few are in flight that much of the typical response is chance
+)
+MIN_TARGET_IDLE_FACTOR = 2.0  # but never less than this many times what it takes when the fleet is idle
+MAX_TARGET_FRACTION = 0.25  # and never more than this part, or overload would pass for the usual
 
 BUSY_CPU_UTILIZATION = 0.85  # while servers report a lower utilization of their cores, there is capacity
 
@@ -81,7 +85,7 @@
 
     def request_lost(self) -> None:
         """Count a request lost to overloaded servers or long overdue as a response that is late by far."""
-        self.response_took(LOST_OBJECTIVES)
+        self.response_took(LOST_REQUEST_OBJECTIVES)
 
     def request_overdue(self) -> None:
         """Count an attempt as late before any response shows it, when a surge would be noticed too late."""
@@ -93,7 +97,9 @@
     def response_took(self, part: float) -> None:
         """Follow a response that took this part of its objective, and resize the limit."""
         load = self._load.current()
-        self._response_times.response_took(part, is_unrestricted=load <= UNRESTRICTED_FILL * self.limit)
+        self._response_times.response_took(
+            part, is_unrestricted=load <= UNRESTRICTED_UTILIZATION * self.limit
+        )
         self._resize(load)
 
     def _resize(self, load: int) -> None:
@@ -109,7 +115,7 @@
         target = self._target(stretch)
         excess = self._excess(target, stretch)
         if excess > 0.0:
-            self.limit = min(self.limit, max(load, self._load.mean / UNRESTRICTED_FILL))
+            self.limit = min(self.limit, max(load, self._load.mean / UNRESTRICTED_UTILIZATION))
         elif not self.has_rejected:
             return  # nothing shows that it is too small
         self.has_rejected = False
@@ -123,9 +129,11 @@
 
         The fewer responses there are, the more of the typical one is chance: it must be further off to count.
         """
-        target = min(max(TARGET_PART, TARGET_OF_IDLE * self._response_times.idle), MAX_TARGET_PART)
-        uncertainty = (stretch - 1.0) / (MAX_STRETCH - 1.0)
-        return max(target, TARGET_PART + uncertainty * (LOW_LOAD_TARGET_PART - TARGET_PART))
+        target = min(
+            max(TARGET_FRACTION, MIN_TARGET_IDLE_FACTOR * self._response_times.idle), MAX_TARGET_FRACTION
+        )
+        uncertainty = (stretch - 1.0) / (MAX_LOW_LOAD_FACTOR - 1.0)
+        return max(target, TARGET_FRACTION + uncertainty * (LOW_LOAD_TARGET_FRACTION - TARGET_FRACTION))
 
     def _excess(self, target: float, stretch: float) -> float:
         """How far the typical response is above the target, in targets, from -1 to 1.
--- a/tulipnotch/load_balancing/admission/service_levels.py
+++ b/tulipnotch/load_balancing/admission/service_levels.py
@@ -22,7 +22,9 @@
 MIN_OFFERED = 50  # requests within the time to enter: with fewer, a trend can't be told from chance
 EARLY_RETURN_HOLDS = 4  # a level entered again within so many minimum times was left too early
 MAX_LEAVE_FACTOR = 8  # the time to leave is at most this many times the configured one
-MAX_OBSERVATION_GAP = 3  # intervals; after a longer gap the process stood still, and earlier ones are void
+MAX_OBSERVATION_GAP_INTERVALS = (
+    3  # intervals; after a longer gap the process stood still, and earlier ones are void
+)
 FULL_SERVICE = "full"
 _FULL_SERVICE_EFFECT = ServiceLevelChanged(frozenset(), frozenset())
 
@@ -33,12 +35,12 @@
 
     name: str
     effect: ServiceLevelChanged
-    enter_rejected: float  # entered when the limit rejected more than this part of what reached it
+    enter_rejected_fraction: float  # entered when the limit rejected more than this part of what reached it
     enter_us: int  # over so long
     leave_utilization: (
         float  # left when load and what the level rejects would use less than this of the limit
     )
-    leave_us: int  # over so long, while the limit rejected less than half of `enter_rejected`
+    leave_us: int  # over so long, while the limit rejected less than half of `enter_rejected_fraction`
 
 
 @dataclass(frozen=True, slots=True)
@@ -69,7 +71,7 @@
 
 
 class ServiceLevelController:
-    """Which level is in force.  Call `observe` about every second; it reads no clock."""
+    """Which level is in force.  Call `observe_pressure` about every second; it reads no clock."""
 
     def __init__(self, levels: tuple[ServiceLevel, ...], hold_us: int, started_at: int) -> None:
         """Begin at full service.
@@ -115,7 +117,7 @@
             f"refused {recent.rejected_part:.1%}, wanted {recent.mean_utilization:.0%} of the window"
         )
 
-    def observe(self, now: int, pressure: Pressure) -> ServiceLevelTransition | None:
+    def observe_pressure(self, now: int, pressure: Pressure) -> ServiceLevelTransition | None:
         """Take an observation; return the change of level that it causes, if any.
 
         Observations closer than the interval are ignored.
@@ -144,7 +146,7 @@
         if elapsed_us < OBSERVATION_INTERVAL_US:
             return False
         self._last = now, pressure
-        if elapsed_us > MAX_OBSERVATION_GAP * OBSERVATION_INTERVAL_US:
+        if elapsed_us > MAX_OBSERVATION_GAP_INTERVALS * OBSERVATION_INTERVAL_US:
             self._observations.clear()
             return False
         offered = pressure.offered - last.offered
@@ -172,10 +174,12 @@
         if not self._covers(level.enter_us):
             return None
         recent = self._summary(now, level.enter_us)
-        if recent.offered < MIN_OFFERED or recent.rejected_part <= level.enter_rejected:
+        if recent.offered < MIN_OFFERED or recent.rejected_part <= level.enter_rejected_fraction:
             return None
         span_s = level.enter_us / 1e6
-        return f"{recent.rejected_part:.1%} refused over {span_s:g} s, above {level.enter_rejected:.1%}"
+        return (
+            f"{recent.rejected_part:.1%} refused over {span_s:g} s, above {level.enter_rejected_fraction:.1%}"
+        )
 
     def _leave_reason(self, now: int, level: ServiceLevel) -> str | None:
         """Why this level is to be left; None: it is not."""
@@ -185,7 +189,7 @@
         recent = self._summary(now, span_us)
         if recent.mean_utilization >= level.leave_utilization:
             return None
-        if recent.rejected_part > level.enter_rejected / 2:
+        if recent.rejected_part > level.enter_rejected_fraction / 2:
             return None
         return (
             f"all of it would fill {recent.mean_utilization:.0%} of the window, "
@@ -214,7 +218,7 @@
         return ServiceLevelTransition(previous, self.name, duration_us, reason, effect)
 
 
-def standard(lowest_priority_class: str) -> tuple[ServiceLevel, ...]:
+def standard_levels(lowest_priority_class: str) -> tuple[ServiceLevel, ...]:
     """The standard levels: that class's traffic over its quota is rejected first, then all of it."""
     rejected = frozenset((lowest_priority_class,))
     return (
--- a/tulipnotch/load_balancing/balancer.py
+++ b/tulipnotch/load_balancing/balancer.py
@@ -26,7 +26,7 @@
     SettingsChanged,
     TimerFired,
 )
-from tulipnotch.load_balancing.metrics.latency import UNSEEN_OBJECTIVES
+from tulipnotch.load_balancing.metrics.latency import INITIAL_EXPECTED_OBJECTIVES
 from tulipnotch.load_balancing.outcomes import Outcome, TerminationReason
 from tulipnotch.load_balancing.requests import PENDING, Attempt, AttemptState, Request
 from tulipnotch.load_balancing.retries import idempotency_rule
@@ -129,7 +129,7 @@
         components.warm_capacity.request_arrived()
         components.retries.request_arrived()
         cost = components.class_costs.relative(service_class, event.cost_us)
-        likely_us = UNSEEN_OBJECTIVES * service_class.latency_objective_us
+        likely_us = INITIAL_EXPECTED_OBJECTIVES * service_class.latency_objective_us
         work = components.mean_work.relative(event.cost_us, likely_us)
         request = self._requests[event.request] = Request(event.request, service_class, cost, work)
         if not event.body_incomplete:
@@ -170,7 +170,7 @@
 
     def _start_or_terminate(self, request: Request) -> None:
         """Start an attempt at the best of k; terminate the request if no attempt is possible or pending."""
-        endpoint = self._components.selection.choose(request)
+        endpoint = self._components.selection.choose_endpoint(request)
         if endpoint is not None and self._start_attempt(request, endpoint):
             return
         if not request.has_pending_attempt:
--- a/tulipnotch/load_balancing/components.py
+++ b/tulipnotch/load_balancing/components.py
@@ -35,7 +35,7 @@
         timers = self.timers = TimerQueue()
         load = self.load = Load(context)
         latency = self.latency = Latency(load)
-        response_times = self.response_times = ResponseTimes(load, concurrency_limit.TARGET_PART)
+        response_times = self.response_times = ResponseTimes(load, concurrency_limit.TARGET_FRACTION)
         limit = self.concurrency_limit = ConcurrencyLimit(context, load, response_times)
         idle_connections = self.idle_connections = IdleConnections(context)
         capacity = self.warm_capacity = WarmCapacity(context, load)
--- a/tulipnotch/load_balancing/health/attempt_feedback.py
+++ b/tulipnotch/load_balancing/health/attempt_feedback.py
@@ -16,7 +16,7 @@
 from tulipnotch.load_balancing.retries.attempt_timeouts import HANDSHAKE_OBJECTIVES
 from tulipnotch.load_balancing.selection.best_of_k import Selection
 
-ABANDONED_PART = 0.3  # an abandoned attempt counts as in flight for this part of its duration more
+ABANDONED_FRACTION = 0.3  # an abandoned attempt counts as in flight for this part of its duration more
 ABANDONED_OUTCOMES = (Outcome.TIMED_OUT, Outcome.CANCELLED)  # the server may still be executing it
 
 
@@ -43,7 +43,7 @@
         if event.report and "util" in event.report:
             self._response_times.cpu_utilization_reported(min(max(event.report["util"], 0.0), 1.0))
         if was_abandoned:
-            until = self._context.now + int(ABANDONED_PART * event.elapsed_us)
+            until = self._context.now + int(ABANDONED_FRACTION * event.elapsed_us)
             self._load.attempt_abandoned(endpoint, until)
             self._latency.attempt_abandoned(endpoint, request, event.elapsed_us)
         if outcome is Outcome.DELIVERED:
--- a/tulipnotch/load_balancing/health/idle_connections.py
+++ b/tulipnotch/load_balancing/health/idle_connections.py
@@ -18,9 +18,9 @@
 MIN_IDLE_OBJECTIVES = 0.25  # of the longest objective: a connection idle for less is taken to be alive
 FAILURE_STEP = 0.5  # one failure on an idle connection makes stale ones as likely as not
 RESPONSE_STEP = 0.3  # a response on one speaks against it, but some servers may keep theirs
-FADE_OBJECTIVES = 16.0  # the odds of stale connections fade in this many of the longest objective
-SUSPECT_ODDS = 0.25  # from these odds on, idle connections are not reused
-SUSPECT_IDLE_PART = 0.5  # after this part of the shortest idle time at which one was stale
+STALE_DECAY_OBJECTIVES = 16.0  # the odds of stale connections fade in this many of the longest objective
+SUSPECT_PROBABILITY = 0.25  # from these odds on, idle connections are not reused
+SUSPECT_IDLE_FRACTION = 0.5  # after this part of the shortest idle time at which one was stale
 
 # Responses that leave their connection open, if they are certain to belong to the request.
 CONNECTION_STAYS_OPEN = (Outcome.OVERLOADED, Outcome.CLIENT_ERROR)
@@ -50,7 +50,10 @@
             or idle_us >= context.settings.limits.idle_timeout_us
         ):
             return 0
-        if self._current_odds() >= SUSPECT_ODDS and idle_us >= SUSPECT_IDLE_PART * self._stale_after_us:
+        if (
+            self._current_odds() >= SUSPECT_PROBABILITY
+            and idle_us >= SUSPECT_IDLE_FRACTION * self._stale_after_us
+        ):
             self.close(endpoint)
             return 0
         return idle_us
@@ -77,7 +80,7 @@
         if not attempt.connection_idle_us:
             self._stale_odds = odds * (1.0 - FAILURE_STEP)  # a live connection, and no response all the same
             return False
-        if odds < SUSPECT_ODDS or attempt.connection_idle_us < self._stale_after_us:
+        if odds < SUSPECT_PROBABILITY or attempt.connection_idle_us < self._stale_after_us:
             self._stale_after_us = attempt.connection_idle_us
         self._stale_odds = odds + FAILURE_STEP * (1.0 - odds)
         self.close(attempt.endpoint)
@@ -109,7 +112,7 @@
 
     def _current_odds(self) -> float:
         now = self._context.now
-        fade_us = FADE_OBJECTIVES * self._context.max_latency_objective_us
+        fade_us = STALE_DECAY_OBJECTIVES * self._context.max_latency_objective_us
         self._stale_odds *= math.exp((self._stale_odds_at - now) / fade_us)
         self._stale_odds_at = now
         return self._stale_odds
--- a/tulipnotch/load_balancing/health/outlier_detection.py
+++ b/tulipnotch/load_balancing/health/outlier_detection.py
@@ -24,11 +24,11 @@
 CONSECUTIVE_FAILURES = 2  # that eject an endpoint, with no response in between
 CONSECUTIVE_LOST_CONNECTIONS = 3  # or so many ending in a lost connection, which may be the network's fault
 CONSECUTIVE_MALFORMED = 6  # or so many malformed responses: fewer may be the network's fault
-EJECTION_OBJECTIVES = 2.0  # first ejection, in longest objectives; it doubles at each further one
+INITIAL_EJECTION_OBJECTIVES = 2.0  # first ejection, in longest objectives; it doubles at each further one
 MAX_EJECTION_OBJECTIVES = 16.0  # its maximum: a server that has recovered is found again
 MAX_COUNTED_EJECTIONS = 8  # the length is at its maximum long before
-MAX_EJECTED_PART = 0.6  # of the list, at most: more would overload the rest
-MAX_UNRESPONSIVE_PART = 0.34  # of the list, ejected as unresponsive: more is overload, no outlier
+MAX_EJECTED_FRACTION = 0.6  # of the list, at most: more would overload the rest
+MAX_UNRESPONSIVE_FRACTION = 0.34  # of the list, ejected as unresponsive: more is overload, no outlier
 UNRESPONSIVE = "silent"  # the reason that is logged for these
 
 
@@ -106,9 +106,9 @@
 
     def eject_unresponsive(self, endpoint: Endpoint) -> None:
         """Eject an endpoint that has not responded for long, unless too many are ejected already."""
-        self._eject(endpoint, UNRESPONSIVE, MAX_UNRESPONSIVE_PART)
+        self._eject(endpoint, UNRESPONSIVE, MAX_UNRESPONSIVE_FRACTION)
 
-    def _eject(self, endpoint: Endpoint, reason: str, max_part: float = MAX_EJECTED_PART) -> None:
+    def _eject(self, endpoint: Endpoint, reason: str, max_part: float = MAX_EJECTED_FRACTION) -> None:
         """Eject an endpoint, or extend its ejection.
 
         At most `max_part` of the endpoints in use is ejected at a time, since the rest would be overloaded.
@@ -123,7 +123,7 @@
             self._ejected.append(endpoint)
             self._load.endpoint_ejected(endpoint)
             context.actions.append(LogEvent("ejected", endpoint.name, reason))
-        objectives = min(EJECTION_OBJECTIVES * 2**ejection.count, MAX_EJECTION_OBJECTIVES)
+        objectives = min(INITIAL_EJECTION_OBJECTIVES * 2**ejection.count, MAX_EJECTION_OBJECTIVES)
         ejection.count = min(ejection.count + 1, MAX_COUNTED_EJECTIONS)
         ejection.until = context.time_after(objectives)
 
--- a/tulipnotch/load_balancing/metrics/cost_estimates.py
+++ b/tulipnotch/load_balancing/metrics/cost_estimates.py
@@ -6,10 +6,10 @@
 
 from tulipnotch.load_balancing.settings import ServiceClass
 
-CLASS_STEP = 0.02  # the mean cost of a class follows its last fifty estimates or so
-MEAN_STEP = 0.02  # and so does the mean work of all
-MAX_MEANS = 2.0  # one estimate counts for at most so many: a heavy request may be retried many times
-PRIOR_HINTS = 2.0  # estimates that the likely mean counts for, before there are any
+CLASS_MEAN_STEP = 0.02  # the mean cost of a class follows its last fifty estimates or so
+WORK_MEAN_STEP = 0.02  # and so does the mean work of all
+MAX_ESTIMATE_MEANS = 2.0  # one estimate counts for at most so many: a heavy request may be retried many times
+PRIOR_ESTIMATES = 2.0  # estimates that the likely mean counts for, before there are any
 
 
 class ClassCosts:
@@ -28,7 +28,7 @@
         if not cost_us or cost_us < 0:
             return 1.0
         mean_us = self._means.get(service_class.name, float(cost_us))
-        self._means[service_class.name] = mean_us + CLASS_STEP * (cost_us - mean_us)
+        self._means[service_class.name] = mean_us + CLASS_MEAN_STEP * (cost_us - mean_us)
         return cost_us / mean_us if mean_us > 0 else 1.0
 
 
@@ -45,14 +45,14 @@
     def relative(self, work_us: int | None, likely_us: float) -> float:
         """Learn from an estimate in microseconds on a standard core (None or 0: none, counts as the mean).
 
-        `likely_us` is what to take for the mean before any estimate; it counts for `PRIOR_HINTS` of them.  A
-        request is compared with those before it: one heavy one among few would pass for a usual one.
+        `likely_us` is what to take for the mean before any estimate; it counts for `PRIOR_ESTIMATES` of them.
+        A request is compared with those before it: one heavy one among few would pass for a usual one.
         """
         if not work_us or work_us < 0:
             return 1.0
         if self._weight == 0.0:
-            self._mean_us, self._weight = max(likely_us, 1.0), PRIOR_HINTS
+            self._mean_us, self._weight = max(likely_us, 1.0), PRIOR_ESTIMATES
         relative = work_us / self._mean_us
-        self._weight = min(self._weight + 1.0, 1.0 / MEAN_STEP)
-        self._mean_us += (min(work_us, MAX_MEANS * self._mean_us) - self._mean_us) / self._weight
+        self._weight = min(self._weight + 1.0, 1.0 / WORK_MEAN_STEP)
+        self._mean_us += (min(work_us, MAX_ESTIMATE_MEANS * self._mean_us) - self._mean_us) / self._weight
         return relative
--- a/tulipnotch/load_balancing/metrics/demand.py
+++ b/tulipnotch/load_balancing/metrics/demand.py
@@ -8,7 +8,7 @@
 from tulipnotch.load_balancing.metrics.rate import Rate
 from tulipnotch.load_balancing.settings import ServiceClass
 
-RATE_OBJECTIVES = 4.0  # rates are averaged over this many of the longest latency objective
+RATE_WINDOW_OBJECTIVES = 4.0  # rates are averaged over this many of the longest latency objective
 
 
 class Traffic:
@@ -44,12 +44,12 @@
         """Begin with no traffic."""
         self._context = context
         self._traffic: dict[tuple[str, str | None], Traffic] = {}
-        self._barred_load = Rate(RATE_OBJECTIVES * context.max_latency_objective_us)
+        self._barred_load = Rate(RATE_WINDOW_OBJECTIVES * context.max_latency_objective_us)
 
     def settings_changed(self) -> None:
         """Apply new classes and objectives; drop the traffic of classes that no longer exist."""
         classes = self._context.classes
-        window_us = RATE_OBJECTIVES * self._context.max_latency_objective_us
+        window_us = RATE_WINDOW_OBJECTIVES * self._context.max_latency_objective_us
         self._traffic = {key: each for key, each in self._traffic.items() if key[0] in classes}
         for (name, _), each in self._traffic.items():
             each.service_class = classes[name]
@@ -61,7 +61,7 @@
         key = (service_class.name, tenant)
         traffic = self._traffic.get(key)
         if traffic is None:
-            window_us = RATE_OBJECTIVES * self._context.max_latency_objective_us
+            window_us = RATE_WINDOW_OBJECTIVES * self._context.max_latency_objective_us
             traffic = self._traffic[key] = Traffic(service_class, tenant, window_us)
         traffic.rate.add(self._context.now, 1.0)
         return traffic
--- a/tulipnotch/load_balancing/metrics/latency.py
+++ b/tulipnotch/load_balancing/metrics/latency.py
@@ -14,8 +14,8 @@
 
 RATIO_STEP = 0.1  # a latency ratio follows the last ten responses or so, fewer where few are in flight
 MAX_RATIO = 4.0  # one response counts for at most this many usual ones: heavy requests show little
-USUAL_STEP = 0.02  # the usual time of a class follows its last fifty responses or so
-UNSEEN_OBJECTIVES = 0.3  # the usual time before any response, as a part of the objective
+EXPECTED_STEP = 0.02  # the usual time of a class follows its last fifty responses or so
+INITIAL_EXPECTED_OBJECTIVES = 0.3  # the usual time before any response, as a part of the objective
 
 
 class Latency:
@@ -24,25 +24,25 @@
     def __init__(self, load: Load) -> None:
         """Begin with no response seen."""
         self._load = load
-        self.usual_us: dict[tuple[str, int], float] = {}  # of a class and cost bucket, over all endpoints
+        self.expected_us: dict[tuple[str, int], float] = {}  # of a class and cost bucket, over all endpoints
 
     def retain_classes(self, names: Container[str]) -> None:
         """Drop what was learnt of other classes."""
-        self.usual_us = {key: usual for key, usual in self.usual_us.items() if key[0] in names}
+        self.expected_us = {key: usual for key, usual in self.expected_us.items() if key[0] in names}
 
     def usual(self, request: Request) -> float:
         """The usual time of such a request, over all endpoints, in microseconds."""
-        return self.usual_us.get(
+        return self.expected_us.get(
             (request.service_class.name, request.cost_bucket),
-            UNSEEN_OBJECTIVES * request.service_class.latency_objective_us,
+            INITIAL_EXPECTED_OBJECTIVES * request.service_class.latency_objective_us,
         )
 
     def response_received(self, endpoint: Endpoint, request: Request, elapsed_us: int) -> None:
         """Learn from a response, of the endpoint and of such requests."""
         key = (request.service_class.name, request.cost_bucket)
-        usual = self.usual_us.setdefault(key, float(elapsed_us))  # the first response of its kind is usual
+        usual = self.expected_us.setdefault(key, float(elapsed_us))  # the first response of its kind is usual
         self._update_ratio(endpoint, request, elapsed_us)
-        self.usual_us[key] = usual + USUAL_STEP * (elapsed_us - usual)
+        self.expected_us[key] = usual + EXPECTED_STEP * (elapsed_us - usual)
 
     def attempt_abandoned(self, endpoint: Endpoint, request: Request, elapsed_us: int) -> None:
         """Learn from an attempt without a response that took longer than usual at this endpoint."""
--- a/tulipnotch/load_balancing/metrics/load.py
+++ b/tulipnotch/load_balancing/metrics/load.py
@@ -9,7 +9,7 @@
 from tulipnotch.load_balancing.endpoints.endpoint import Endpoint
 
 LOW_LOAD = 8.0  # with fewer own requests in flight than this, much of what is measured is chance
-MAX_STRETCH = 4.0  # so the fewer, the longer loads are averaged and the larger the steps, up to this
+MAX_LOW_LOAD_FACTOR = 4.0  # so the fewer, the longer loads are averaged and the larger the steps, up to this
 
 
 class Load:
@@ -38,7 +38,7 @@
 
     def stretch(self) -> float:
         """How much longer than in a busy balancer it takes to distinguish a change from chance."""
-        return max(1.0, min(LOW_LOAD / max(self.mean, 1e-9), MAX_STRETCH))
+        return max(1.0, min(LOW_LOAD / max(self.mean, 1e-9), MAX_LOW_LOAD_FACTOR))
 
     def update(self, limit: float) -> None:
         """Follow the mean up to the time of this event; `limit` is the concurrency limit in force."""
--- a/tulipnotch/load_balancing/metrics/response_times.py
+++ b/tulipnotch/load_balancing/metrics/response_times.py
@@ -7,13 +7,13 @@
 from tulipnotch.load_balancing.metrics.load import Load
 
 TYPICAL_STEP = 0.06  # the typical response is the geometric mean of the last fifteen or so
-MAX_TYPICAL_PART = 1.0  # it is not followed past the objective: from there it must recover
-MIN_RESPONSE_PART = 0.02  # of the objective; what is quicker shows nothing more
-LOST_OBJECTIVES = 2.0  # what a request that got no response in time counts as: late by far
+MAX_TYPICAL_FRACTION = 1.0  # it is not followed past the objective: from there it must recover
+MIN_RESPONSE_FRACTION = 0.02  # of the objective; what is quicker shows nothing more
+LOST_REQUEST_OBJECTIVES = 2.0  # what a request that got no response in time counts as: late by far
 LATE_STEP = 0.02  # the part that is late is one of the last fifty responses or so
-IDLE_RISE = 0.0008  # the idle time may rise by this part of the objective at each response
-IDLE_RISE_LOADED = 0.00008  # and by this one while requests are rejected
-MIN_IDLE_PART = 0.04  # part of the objective below which idle times are treated alike
+IDLE_INCREASE = 0.0008  # the idle time may rise by this part of the objective at each response
+IDLE_INCREASE_LOADED = 0.00008  # and by this one while requests are rejected
+MIN_IDLE_FRACTION = 0.04  # part of the objective below which idle times are treated alike
 CPU_UTILIZATION_STEP = 0.1  # of the last ten reports or so
 
 
@@ -55,9 +55,9 @@
             self._has_started = True
             self.typical = self.idle = min(part, self._max_first_part)
         stretch = self._load.stretch()
-        before = max(self.typical, MIN_RESPONSE_PART)
-        ratio = max(min(part, LOST_OBJECTIVES), MIN_RESPONSE_PART) / before
-        self.typical = min(before * math.pow(ratio, stretch * TYPICAL_STEP), MAX_TYPICAL_PART)
+        before = max(self.typical, MIN_RESPONSE_FRACTION)
+        ratio = max(min(part, LOST_REQUEST_OBJECTIVES), MIN_RESPONSE_FRACTION) / before
+        self.typical = min(before * math.pow(ratio, stretch * TYPICAL_STEP), MAX_TYPICAL_FRACTION)
         self.late += stretch * LATE_STEP * ((1.0 if part > 1.0 else 0.0) - self.late)
-        rise = IDLE_RISE if is_unrestricted else IDLE_RISE_LOADED
-        self.idle = min(self.idle + rise, max(self.typical, MIN_IDLE_PART))
+        rise = IDLE_INCREASE if is_unrestricted else IDLE_INCREASE_LOADED
+        self.idle = min(self.idle + rise, max(self.typical, MIN_IDLE_FRACTION))
--- a/tulipnotch/load_balancing/retries/attempt_timeouts.py
+++ b/tulipnotch/load_balancing/retries/attempt_timeouts.py
@@ -19,7 +19,7 @@
 OVERDUE_FACTOR = 2.5  # usual times (at this endpoint's latency ratio) after which an attempt is overdue
 MIN_OVERDUE_OBJECTIVES = 0.1  # but never less than this part of the objective: short times are all jitter
 HANDSHAKE_OBJECTIVES = 0.5  # or this on a new connection, which begins with a handshake
-OTHER_RESPONSES = 4  # from other endpoints, since the attempt began, that single out its endpoint
+MIN_OTHER_RESPONSES = 4  # from other endpoints, since the attempt began, that single out its endpoint
 UNRESPONSIVE_FACTOR = 2.0  # overdue by this factor more, its endpoint is taken to be unresponsive
 MIN_UNRESPONSIVE_OBJECTIVES = 0.5  # but never before this part of the objective
 
@@ -89,4 +89,4 @@
     def _is_only_unresponsive(self, attempt: Attempt) -> bool:
         """Whether others responded meanwhile, so that only this endpoint is unresponsive."""
         responses = self._outlier_detection.healthy_response_count - attempt.responses_before
-        return attempt.endpoint.ejection is None and responses >= OTHER_RESPONSES
+        return attempt.endpoint.ejection is None and responses >= MIN_OTHER_RESPONSES
--- a/tulipnotch/load_balancing/retries/retry_policy.py
+++ b/tulipnotch/load_balancing/retries/retry_policy.py
@@ -7,8 +7,8 @@
 from tulipnotch.load_balancing.retries import idempotency_rule
 
 RETRIES_PER_REQUEST = 0.2  # retries after failures that each request adds to the budget: no retry storms
-MAX_SAVED_REQUESTS = 50.0  # requests whose part of the budget may be saved up
-MAX_RETRY_BUDGET = RETRIES_PER_REQUEST * MAX_SAVED_REQUESTS
+RETRY_BUDGET_REQUESTS = 50.0  # requests whose part of the budget may be saved up
+MAX_RETRY_BUDGET = RETRIES_PER_REQUEST * RETRY_BUDGET_REQUESTS
 
 
 class RetryPolicy:
--- a/tulipnotch/load_balancing/selection/best_of_k.py
+++ b/tulipnotch/load_balancing/selection/best_of_k.py
@@ -22,9 +22,13 @@
 from tulipnotch.load_balancing.slow_start.warm_up_budget import SlowStart, warm_up_factor
 
 CHOICE_COUNT = 4  # k: counts are mostly small here, where two choices find too little
-REMOTE_SLOWNESS = 2.0  # of endpoints as busy, one in a zone that is drawn less counts as this much slower
-MAX_SLOWNESS_POWER = 3.0  # of the latency ratio, for a request of four times the mean cost or more
-BACK_OFF_OBJECTIVES = 0.5  # of the longest objective: back-off of a class after an overloaded response
+REMOTE_LATENCY_FACTOR = (
+    2.0  # of endpoints as busy, one in a zone that is drawn less counts as this much slower
+)
+MAX_LATENCY_EXPONENT = 3.0  # of the latency ratio, for a request of four times the mean cost or more
+INITIAL_BACK_OFF_OBJECTIVES = (
+    0.5  # of the longest objective: back-off of a class after an overloaded response
+)
 MAX_BACK_OFF_OBJECTIVES = 4.0  # it doubles at each further one in a row, up to this
 
 
@@ -38,7 +42,7 @@
     _slow_start: SlowStart
     _outlier_detection: OutlierDetection
 
-    def choose(self, request: Request) -> Endpoint | None:
+    def choose_endpoint(self, request: Request) -> Endpoint | None:
         """The endpoint to send a request to; None where none is eligible."""
         probation = self._outlier_detection.probation_due(request)
         if probation is not None:
@@ -52,7 +56,7 @@
         zone = context.settings.zone
         # Not always, or nothing would be learnt of other zones.
         is_remote_slower = remote_weight < 1.0 and context.random.random() >= remote_weight * remote_weight
-        remote_slowness = REMOTE_SLOWNESS if is_remote_slower else 1.0
+        remote_slowness = REMOTE_LATENCY_FACTOR if is_remote_slower else 1.0
         best: Endpoint | None = None
         best_rank = (0, 0.0)
         count = CHOICE_COUNT << request.overloaded_responses
@@ -83,7 +87,7 @@
         back_off.latency_objectives = (
             min(2.0 * back_off.latency_objectives, MAX_BACK_OFF_OBJECTIVES)
             if back_off.latency_objectives
-            else BACK_OFF_OBJECTIVES
+            else INITIAL_BACK_OFF_OBJECTIVES
         )
         back_off.until = self._context.time_after(back_off.latency_objectives)
 
@@ -159,7 +163,7 @@
         """
         now, settings = self._context.now, self._context.settings
         rules, zone = settings.rules, settings.zone
-        power = min(max(1.0, float(request.cost_bucket)), MAX_SLOWNESS_POWER)
+        power = min(max(1.0, float(request.cost_bucket)), MAX_LATENCY_EXPONENT)
         weights = []
         for endpoint in pool:
             slowness = math.pow(max(endpoint.latency_ratio, 1.0 / MAX_RATIO), power)
--- a/tulipnotch/load_balancing/selection/locality_weights.py
+++ b/tulipnotch/load_balancing/selection/locality_weights.py
@@ -6,15 +6,17 @@
 
 from __future__ import annotations
 
-from tulipnotch.load_balancing.admission.concurrency_limit import UNRESTRICTED_FILL, ConcurrencyLimit
+from tulipnotch.load_balancing.admission.concurrency_limit import UNRESTRICTED_UTILIZATION, ConcurrencyLimit
 from tulipnotch.load_balancing.context import Context
 from tulipnotch.load_balancing.metrics.latency import zone_lag
 from tulipnotch.load_balancing.metrics.response_times import ResponseTimes
 
 MIN_REMOTE_WEIGHT = 0.25  # of an endpoint in another zone, while the own zone is as quick
-EVEN_LAG = 0.3  # with the own zone this far behind the others by latency ratio, all zones are drawn alike
-EVEN_TYPICAL = 0.12  # or with the typical response at twice this part of its objective
-EVEN_LATE = 0.05  # or with this part of the responses late
+EQUAL_WEIGHT_SLOWDOWN = (
+    0.3  # with the own zone this far behind the others by latency ratio, all zones are drawn alike
+)
+EQUAL_WEIGHT_TYPICAL_FRACTION = 0.12  # or with the typical response at twice this part of its objective
+EQUAL_WEIGHT_LATE_FRACTION = 0.05  # or with this part of the responses late
 
 
 class LocalityWeights:
@@ -48,10 +50,13 @@
     def _current_weight(self) -> float:
         if self._context.settings.cost_weights.cross_zone <= 0.0:
             return 1.0
-        if self._response_times.late >= EVEN_LATE or self._limit.fill() > UNRESTRICTED_FILL:
+        if (
+            self._response_times.late >= EQUAL_WEIGHT_LATE_FRACTION
+            or self._limit.fill() > UNRESTRICTED_UTILIZATION
+        ):
             return 1.0  # capacity anywhere is worth more than the cost of another zone
         lag = zone_lag(self._context.ready_endpoints, self._context.settings.zone)
         if lag is None:
             return 1.0
-        load = (self._response_times.typical - EVEN_TYPICAL) / EVEN_TYPICAL
-        return max(MIN_REMOTE_WEIGHT, min(max(lag / EVEN_LAG, load), 1.0))
+        load = (self._response_times.typical - EQUAL_WEIGHT_TYPICAL_FRACTION) / EQUAL_WEIGHT_TYPICAL_FRACTION
+        return max(MIN_REMOTE_WEIGHT, min(max(lag / EQUAL_WEIGHT_SLOWDOWN, load), 1.0))
--- a/tulipnotch/load_balancing/slow_start/warm_capacity.py
+++ b/tulipnotch/load_balancing/slow_start/warm_capacity.py
@@ -12,7 +12,7 @@
 from tulipnotch.load_balancing.settings import Rules
 
 RATE_WINDOWS = 2.0  # rates are averaged over this many overload windows
-SERVED_FADE_PART = 0.5  # what a warm endpoint served fades e-fold in this part of the warm-up time
+SERVED_DECAY_FRACTION = 0.5  # what a warm endpoint served fades e-fold in this part of the warm-up time
 ARRIVALS_PER_REQUEST = 1.25  # requests for each that clients want, where most are rejected and retried
 
 
@@ -60,7 +60,7 @@
         now = self._context.now
         if self._rate_at != now:
             elapsed_us = now - self._rate_at if self._rate_at >= 0 else 0
-            fade_us = max(SERVED_FADE_PART * self._context.settings.rules.warm_up_us, 1.0)
+            fade_us = max(SERVED_DECAY_FRACTION * self._context.settings.rules.warm_up_us, 1.0)
             faded = math.exp(-elapsed_us / fade_us)
             self._rate_at = now
             self._rate_per_us = max(self._served_per_endpoint(), self._rate_per_us * faded)
--- a/tulipnotch/load_balancing/slow_start/warm_up_budget.py
+++ b/tulipnotch/load_balancing/slow_start/warm_up_budget.py
@@ -23,10 +23,12 @@
 from tulipnotch.load_balancing.slow_start.token_bucket import ExpiringTokenBucket
 from tulipnotch.load_balancing.slow_start.warm_capacity import WarmCapacity, is_warming_up
 
-FILL_PART = 0.25  # part of the overload rate that all buckets together fill at
-BURST_PART = 0.18  # part of that rate that may arrive at once
-LAPSE_WINDOWS = 1.0 / FILL_PART  # overload windows after which an unused token lapses: together one budget
-MAX_COST_ROOTS = 0.1  # a request may cost 1 + this x the square root of the budget, in means
+FILL_FRACTION = 0.25  # part of the overload rate that all buckets together fill at
+BURST_FRACTION = 0.18  # part of that rate that may arrive at once
+EXPIRY_WINDOWS = (
+    1.0 / FILL_FRACTION
+)  # overload windows after which an unused token lapses: together one budget
+MAX_COST_ROOT_FACTOR = 0.1  # a request may cost 1 + this x the square root of the budget, in means
 
 
 def phase(
@@ -53,15 +55,15 @@
 
 def max_cost(budget: float) -> float:
     """The most that a request may cost if a server can serve `budget` of mean cost in an overload window."""
-    return 1.0 + MAX_COST_ROOTS * math.sqrt(max(budget, 0.0))
+    return 1.0 + MAX_COST_ROOT_FACTOR * math.sqrt(max(budget, 0.0))
 
 
 def has_budget(
     bucket: ExpiringTokenBucket, now: int, rate: float, overload_window_us: int, cost: float
 ) -> bool:
     """Whether a request of this cost may pass; `rate` is the own part of the overload rate, per us."""
-    capacity = max(1.0, BURST_PART * rate * overload_window_us)
-    bucket.fill(now, FILL_PART * rate, capacity, LAPSE_WINDOWS * overload_window_us)
+    capacity = max(1.0, BURST_FRACTION * rate * overload_window_us)
+    bucket.fill(now, FILL_FRACTION * rate, capacity, EXPIRY_WINDOWS * overload_window_us)
     return bucket.holds(min(cost, capacity))
 
 
--- a/tulipnotch/load_balancing/timer_queue.py
+++ b/tulipnotch/load_balancing/timer_queue.py
@@ -10,7 +10,7 @@
 
 REQUEST_DEADLINE = -1  # in place of an attempt: the entry is for the request's deadline
 DISCOVERY = -1  # in place of a request, which are never negative: the entry is for a poll of discovery
-TOKEN = "agenda"  # of the one timer; the simulator's lines show it
+TIMER_TOKEN = "agenda"  # of the one timer; the simulator's lines show it
 
 
 class TimerEntry(NamedTuple):
@@ -62,7 +62,7 @@
             if not is_obsolete(head):
                 if self._timer_due is None or head.due < self._timer_due:
                     self._timer_due = head.due
-                    return SetTimer(max(head.due - now, 0), TOKEN)
+                    return SetTimer(max(head.due - now, 0), TIMER_TOKEN)
                 return None
             heapq.heappop(entries)
         return None
--- a/tulipnotch/sidecar/service_level_monitor.py
+++ b/tulipnotch/sidecar/service_level_monitor.py
@@ -54,7 +54,7 @@
 
     def start(self, lifecycle: Lifecycle) -> None:
         """Observes now and each interval from now on, until the process stops."""
-        change = self._controller.observe(self._clock.now(), self._balancer.pressure())
+        change = self._controller.observe_pressure(self._clock.now(), self._balancer.pressure())
         if change is not None:
             self._log(
                 "service_level_changed",
