--- a/tests/load_balancing/admission/test_service_levels.py
+++ b/tests/load_balancing/admission/test_service_levels.py
@@ -23,7 +23,7 @@
 
 HOLD_S = 30
 RATE = 400  # requests a second
-REJECTED_PARTS = {
+REJECTED_FRACTIONS = {
     "full": 0.0,
     "spare": 0.15,
     "orders-only": 0.6,
@@ -40,7 +40,7 @@
     changes = []
     for second in range(seconds):
         load = load_at(second) * generator.gauss(1.0, 0.05)
-        admitted_load = load * (1.0 - REJECTED_PARTS[controller.name])
+        admitted_load = load * (1.0 - REJECTED_FRACTIONS[controller.name])
         arrived = int(rate * admitted_load)
         offered += arrived
         rejected += round(arrived * max(1.0 - 1.0 / admitted_load, 0.0)) if admitted_load > 0 else 0
@@ -61,7 +61,7 @@
     assert first <= 25  # twenty seconds of refusing are enough
     assert changes[1][1].effect.rejected_classes == {"consulter"}
     assert changes[-1][1].effect.rejected_classes == frozenset()
-    assert "refused over" in changes[0][1].reason
+    assert "rejected over" in changes[0][1].reason
     assert "of the window" in changes[-1][1].reason
 
 
@@ -82,8 +82,10 @@
 def test_service_levels_change_often_when_left_by_rejections_alone(monkeypatch: pytest.MonkeyPatch) -> None:
     # Under a level the limit rejects little, since the level removed the load; hence `leave_utilization`.
     def leave_reason(self: ServiceLevelController, now: int, level: levels.ServiceLevel) -> str | None:
-        rejected_part = self._summary(now, level.enter_us).rejected_part
-        leave_reason = self._covers(level.enter_us) and rejected_part <= level.enter_rejected_fraction / 2
+        rejected_fraction = self._summarize(now, level.enter_us).rejected_fraction
+        leave_reason = (
+            self._covers_span(level.enter_us) and rejected_fraction <= level.enter_rejected_fraction / 2
+        )
         return "little is refused" if leave_reason else None
 
     monkeypatch.setattr(ServiceLevelController, "_leave_reason", leave_reason)
--- a/tests/load_balancing/metrics/test_cost_estimates.py
+++ b/tests/load_balancing/metrics/test_cost_estimates.py
@@ -9,11 +9,11 @@
 
 def test_mean_work_compares_with_all_requests_before() -> None:
     mean = MeanWork()
-    assert mean.relative(None, 10_000.0) == 1.0
-    assert mean.relative(0, 10_000.0) == 1.0
-    assert mean.relative(400_000, 10_000.0) == 40.0  # the first is compared with what is likely
+    assert mean.relative_work(None, 10_000.0) == 1.0
+    assert mean.relative_work(0, 10_000.0) == 1.0
+    assert mean.relative_work(400_000, 10_000.0) == 40.0  # the first is compared with what is likely
     for _ in range(200):
-        mean.relative(10_000, 10_000.0)
-    assert mean.relative(10_000, 0.0) == pytest.approx(1.0, rel=0.1)
-    second = [mean.relative(400_000, 0.0) for _ in range(4)]  # refused, and asked for again
+        mean.relative_work(10_000, 10_000.0)
+    assert mean.relative_work(10_000, 0.0) == pytest.approx(1.0, rel=0.1)
+    second = [mean.relative_work(400_000, 0.0) for _ in range(4)]  # refused, and asked for again
     assert min(second) > 30.0
--- a/tests/load_balancing/selection/test_best_of_k.py
+++ b/tests/load_balancing/selection/test_best_of_k.py
@@ -83,7 +83,12 @@
     third = stage.request("pay")
     assert stage.target(third) in names(2)
     stage.wait(S)
-    assert stage.balancer._components.selection.busy(stage.balancer._context.endpoints[abandoned_at]) <= 1
+    assert (
+        stage.balancer._components.selection.estimated_in_flight(
+            stage.balancer._context.endpoints[abandoned_at]
+        )
+        <= 1
+    )
 
 
 def test_best_of_k_draws_slow_endpoints_less_for_heavy_requests(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/load_balancing/selection/test_locality_weights.py
+++ b/tests/load_balancing/selection/test_locality_weights.py
@@ -11,7 +11,7 @@
     return [EndpointDescription(name, "east" if index < 4 else "west") for index, name in enumerate(names(8))]
 
 
-def _remote_part(stage: Stage, near_us: int, far_us: int) -> float:
+def _remote_fraction(stage: Stage, near_us: int, far_us: int) -> float:
     stage.servers(_two_zones())
     near = set(names(8)[:4])
     for _ in range(600):
@@ -24,17 +24,17 @@
 
 def test_locality_weights_prefer_own_zone_that_is_as_quick() -> None:
     spared = sum(
-        _remote_part(Stage(settings(cost_weights={"cross_zone": 0.03}), seed=seed), 40 * MS, 44 * MS)
+        _remote_fraction(Stage(settings(cost_weights={"cross_zone": 0.03}), seed=seed), 40 * MS, 44 * MS)
         for seed in range(5)
     )
     assert spared < 5 * 0.3
 
 
 def test_locality_weights_leave_own_zone_that_is_slow() -> None:
-    assert _remote_part(Stage(settings(cost_weights={"cross_zone": 0.03})), 90 * MS, 40 * MS) > 0.5
+    assert _remote_fraction(Stage(settings(cost_weights={"cross_zone": 0.03})), 90 * MS, 40 * MS) > 0.5
 
 
-def _remote_part_of_small_balancer(price: float, taking_us: int) -> float:
+def _remote_fraction_of_small_balancer(price: float, taking_us: int) -> float:
     """The part of a small balancer's requests that leaves its zone; one server in four is in it."""
     far = 0
     for seed in range(6):
@@ -52,11 +52,12 @@
 
 
 def test_locality_weights_keep_subset_of_small_balancer_in_own_zone_at_a_cost() -> None:
-    assert _remote_part_of_small_balancer(0.05, 40 * MS) < 0.4
-    assert _remote_part_of_small_balancer(0.0, 40 * MS) > 0.6
+    assert _remote_fraction_of_small_balancer(0.05, 40 * MS) < 0.4
+    assert _remote_fraction_of_small_balancer(0.0, 40 * MS) > 0.6
 
 
 def test_locality_weights_even_out_as_responses_get_slower() -> None:
     assert (
-        _remote_part_of_small_balancer(0.05, 180 * MS) > _remote_part_of_small_balancer(0.05, 40 * MS) + 0.15
+        _remote_fraction_of_small_balancer(0.05, 180 * MS)
+        > _remote_fraction_of_small_balancer(0.05, 40 * MS) + 0.15
     )
--- a/tests/load_balancing/slow_start/test_warm_up_budget.py
+++ b/tests/load_balancing/slow_start/test_warm_up_budget.py
@@ -17,7 +17,7 @@
 
 
 def phases(size: int, started_at: int | None = START, name: str = "s-1") -> list[float]:
-    return sorted(slow_start.phase(name, started_at, me, size, 0.5) for me in range(size))
+    return sorted(slow_start.initial_phase(name, started_at, me, size, 0.5) for me in range(size))
 
 
 @pytest.mark.parametrize("size", [2, 5, 30, 200])
@@ -30,12 +30,12 @@
 
 
 def test_phase_differs_for_each_start_of_each_server() -> None:
-    first = slow_start.phase("s-1", START, 3, 30, 0.5)
-    second = slow_start.phase("s-1", START + 4 * S, 3, 30, 0.5)  # restarted
-    third = slow_start.phase("s-1", START + 8 * S, 3, 30, 0.5)  # and once more
-    other = slow_start.phase("s-2", START, 3, 30, 0.5)
+    first = slow_start.initial_phase("s-1", START, 3, 30, 0.5)
+    second = slow_start.initial_phase("s-1", START + 4 * S, 3, 30, 0.5)  # restarted
+    third = slow_start.initial_phase("s-1", START + 8 * S, 3, 30, 0.5)  # and once more
+    other = slow_start.initial_phase("s-2", START, 3, 30, 0.5)
     assert len({first, second, third, other}) == 4
-    assert slow_start.phase("s-1", START, 3, 30, 0.9) == first  # nothing of chance in it
+    assert slow_start.initial_phase("s-1", START, 3, 30, 0.9) == first  # nothing of chance in it
 
 
 @pytest.mark.parametrize(
@@ -44,7 +44,7 @@
 def test_phase_is_random_without_start_or_instance_index(
     started_at: int | None, instance_index: int, size: int
 ) -> None:
-    assert slow_start.phase("s-1", started_at, instance_index, size, 0.73) == 0.73
+    assert slow_start.initial_phase("s-1", started_at, instance_index, size, 0.73) == 0.73
 
 
 def test_warm_up_factor_rises_evenly_also_for_a_clock_that_is_behind() -> None:
@@ -77,7 +77,7 @@
     admitted = sorted(
         at + apart * (me % 2)
         for me in range(30)
-        for at in admitted_at(slow_start.phase("s-1", START, me, 30, 0.5), limit, arrivals)
+        for at in admitted_at(slow_start.initial_phase("s-1", START, me, 30, 0.5), limit, arrivals)
     )
     highest = max(sum(1 for at in admitted if since <= at < since + 1 * S) for since in admitted)
     assert len(admitted) == pytest.approx(0.25 * 8 * 20, abs=2)
@@ -105,7 +105,8 @@
     # Two hundred instances ask nothing for 60 s, then all at once; N is 3.
     limit = 3.0 / S / 200
     open_at_once = sum(
-        len(admitted_at(slow_start.phase("s-1", START, me, 200, 0.5), limit, [60 * S])) for me in range(200)
+        len(admitted_at(slow_start.initial_phase("s-1", START, me, 200, 0.5), limit, [60 * S]))
+        for me in range(200)
     )
     assert 1 <= open_at_once <= 4
 
--- a/tests/load_balancing/test_long_service.py
+++ b/tests/load_balancing/test_long_service.py
@@ -27,7 +27,7 @@
     stage.wait(20 * S)
     balancer = stage.balancer
     assert len(balancer._context.endpoints) == 5
-    assert len(balancer._requests) == len(balancer._components.load._abandoned) == 0
+    assert len(balancer._requests) == len(balancer._components.load._abandoned_until) == 0
     assert len(balancer._components.timers) <= 2
     assert all(each.state is EndpointState.READY for each in balancer._components.outlier_detection._ejected)
 
--- a/tulipnotch/load_balancing/__init__.py
+++ b/tulipnotch/load_balancing/__init__.py
@@ -1,4 +1,4 @@
-"""The decisions of a sidecar balancer, by best-of-k with redraw: events in, actions out."""
+"""Load balancing decisions of the sidecar, by best of k with redraw: takes events and returns actions."""
 
 from tulipnotch.load_balancing.balancer import Balancer
 from tulipnotch.load_balancing.settings import Settings
--- a/tulipnotch/load_balancing/actions.py
+++ b/tulipnotch/load_balancing/actions.py
@@ -1,6 +1,6 @@
-"""Actions: what a balancer asks its host to do, in order.
+"""Actions that a balancer asks its host to carry out, in order.
 
-Times are whole microseconds.  Actions are plain slotted dataclasses; treat them as values.
+Times are whole microseconds. Actions are plain slotted dataclasses; treat them as immutable values.
 """
 
 from __future__ import annotations
@@ -12,25 +12,26 @@
 
 @dataclass(slots=True)
 class StartAttempt:
-    """Start an attempt; a request's attempts are numbered from 0 in the order they are started."""
+    """Start an attempt. The attempts of a request are numbered from 0, in the order in which they start."""
 
     request: int
     endpoint: str
-    deadline: int  # clock time at which the attempt is abandoned; NEVER: the request's time has not begun
+    # clock time at which to abandon the attempt; NEVER: the request's time limit does not run yet
+    deadline: int
 
 
 @dataclass(slots=True)
 class RejectRequest:
-    """Final response: rejected; a retry by the client is harmless.  `reason` is for records only."""
+    """Send the final response "rejected": a retry by the client is harmless. `reason` is only recorded."""
 
     request: int
-    retry_after_us: int = 0  # 0: no advice
+    retry_after_us: int = 0  # when the client should retry; 0: no advice
     reason: TerminationReason = field(default=TerminationReason.NO_ENDPOINT, compare=False)
 
 
 @dataclass(slots=True)
 class FailRequest:
-    """Final response: failed; a server may have executed the request.  `reason` is for records only."""
+    """Send the final response "failed": a server may have executed the request. `reason` is only recorded."""
 
     request: int
     reason: TerminationReason = field(default=TerminationReason.NO_RETRY, compare=False)
@@ -38,7 +39,7 @@
 
 @dataclass(slots=True)
 class CancelAttempt:
-    """Stop waiting for an attempt."""
+    """Cancel an attempt, whose response is no longer needed."""
 
     request: int
     attempt: int
@@ -46,7 +47,7 @@
 
 @dataclass(slots=True)
 class SetTimer:
-    """Request a TimerFired."""
+    """Set a timer that is reported as `TimerFired` with the same token."""
 
     delay_us: int
     token: str
@@ -61,14 +62,14 @@
 
 @dataclass(slots=True)
 class CloseIdleConnections:
-    """Close the idle connections to an endpoint."""
+    """Close all idle connections to an endpoint."""
 
     endpoint: str
 
 
 @dataclass(slots=True)
 class SendPeerMessage:
-    """Send a message to one balancer of the tier, or to all (None)."""
+    """Send a message to one balancer of the tier; receiver None: to all."""
 
     receiver: int | None
     payload: bytes
@@ -76,7 +77,7 @@
 
 @dataclass(slots=True)
 class Subscribe:
-    """Subscribe to changes of the endpoint list, or end the subscription."""
+    """Subscribe to changes of the endpoint list, or unsubscribe."""
 
     is_subscribed: bool = True
 
@@ -88,7 +89,7 @@
 
 @dataclass(slots=True)
 class LogEvent:
-    """An event for the operators: its name, and its fields among those that the sidecar's log defines."""
+    """Write an event to the log; `event` must be one that the sidecar's log defines."""
 
     event: str
     endpoint: str
@@ -96,7 +97,7 @@
 
     @property
     def fields(self) -> dict[str, str]:
-        """The fields of the log event that are not empty."""
+        """Fields of the log event that are not empty."""
         fields = {"server": self.endpoint, "reason": self.reason}
         return {name: value for name, value in fields.items() if value}
 
--- a/tulipnotch/load_balancing/admission/__init__.py
+++ b/tulipnotch/load_balancing/admission/__init__.py
@@ -1,1 +1,1 @@
-"""Which requests are accepted under load."""
+"""Admission control: which requests are accepted under load."""
--- a/tulipnotch/load_balancing/admission/pressure.py
+++ b/tulipnotch/load_balancing/admission/pressure.py
@@ -1,4 +1,4 @@
-"""How much of the concurrency limit is in use: what service levels are decided by."""
+"""Pressure: how much of the concurrency limit is in use, by which service levels are chosen."""
 
 from __future__ import annotations
 
@@ -7,8 +7,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Pressure:
-    """The pressure on the concurrency limit; counts are from the start of the process."""
+    """Usage of the concurrency limit; the counts are totals since the start of the process."""
 
-    offered: int  # requests that reached the limit: those that no service level rejected
-    rejected: int  # of these, rejected by it
-    utilization: float  # what is in flight, and what a level rejects would add, as a part of the limit
+    offered: int  # requests that reached the limit, because no service level rejected them
+    rejected: int  # requests among these that the limit rejected
+    # Requests in flight, and those that a service level keeps out, as a fraction of the limit.
+    utilization: float
--- a/tulipnotch/load_balancing/admission/service_levels.py
+++ b/tulipnotch/load_balancing/admission/service_levels.py
@@ -1,11 +1,11 @@
-"""Service levels: observations of pressure in, at most one change of level out; no clock and no sockets.
-
-A level is entered where the part of requests that the concurrency limit rejects stays above a bound, and left
-where the load that the level rejects would fit into the limit again.  The two conditions use different
-measures: under a level the limit rejects little, since the level itself has removed the load, so that a
-single measure would leave at once and enter again.  Hysteresis, a minimum time between changes, and a leave
-time that doubles when a level was left too early prevent a load near a threshold from changing the level
-repeatedly.
+"""Service levels: takes observations of the pressure and returns changes of level; reads no clock itself.
+
+A level is entered if the fraction of requests that the concurrency limit rejects stays above a threshold, and
+left if the load that the level rejects would fit into the limit again. The two conditions use different
+measurements: under a level the limit rejects little, because the level itself has removed the load, so a
+single measurement would leave the level at once and enter it again. Hysteresis, a minimum time between
+changes, and a leave time that doubles when a level was left too early keep a load near a threshold from
+changing the level repeatedly.
 """
 
 from __future__ import annotations
@@ -19,33 +19,36 @@
 
 OBSERVATION_INTERVAL_US = 1_000_000
 MIN_HOLD_US = 30_000_000
-MIN_OFFERED = 50  # requests within the time to enter: with fewer, a trend can't be told from chance
-EARLY_RETURN_HOLDS = 4  # a level entered again within so many minimum times was left too early
-MAX_LEAVE_FACTOR = 8  # the time to leave is at most this many times the configured one
-MAX_OBSERVATION_GAP_INTERVALS = (
-    3  # intervals; after a longer gap the process stood still, and earlier ones are void
-)
+MIN_OFFERED = 50  # requests within `enter_us`; with fewer, the rejected fraction is mostly random variation
+EARLY_RETURN_HOLDS = 4  # a level that is entered again within this many minimum times was left too early
+MAX_LEAVE_FACTOR = 8  # the leave time is at most this many times the configured one
+# After a longer gap the process was suspended, and earlier observations are dropped.
+MAX_OBSERVATION_GAP_INTERVALS = 3
 FULL_SERVICE = "full"
 _FULL_SERVICE_EFFECT = ServiceLevelChanged(frozenset(), frozenset())
 
 
 @dataclass(frozen=True, slots=True)
 class ServiceLevel:
-    """A level, what it rejects, and its two conditions; times in microseconds, parts from 0 to 1."""
+    """A service level: its effect, and the conditions to enter and leave it.
+
+    Times are in microseconds, fractions are from 0 to 1.
+    """
 
     name: str
     effect: ServiceLevelChanged
-    enter_rejected_fraction: float  # entered when the limit rejected more than this part of what reached it
-    enter_us: int  # over so long
-    leave_utilization: (
-        float  # left when load and what the level rejects would use less than this of the limit
-    )
-    leave_us: int  # over so long, while the limit rejected less than half of `enter_rejected_fraction`
+    # Entered if the limit rejected more than this fraction of the requests that reached it, over `enter_us`.
+    enter_rejected_fraction: float
+    enter_us: int
+    # Left if the load, with what the level rejects, would use less than this fraction of the limit, and the
+    # limit rejected at most half of `enter_rejected_fraction`, both over `leave_us`.
+    leave_utilization: float
+    leave_us: int
 
 
 @dataclass(frozen=True, slots=True)
 class ServiceLevelTransition:
-    """The level from now on, its effect on admission, and the reason."""
+    """A change of level, with its effect on admission and its reason."""
 
     previous: str
     current: str
@@ -55,7 +58,7 @@
 
 
 class _Observation(NamedTuple):
-    at: int
+    observed_at: int
     duration_us: int
     offered: int
     rejected: int
@@ -63,81 +66,87 @@
 
 
 class _Summary(NamedTuple):
-    """Observations over a span of time."""
+    """Totals and means of the observations in a time span."""
 
-    rejected_part: float
+    rejected_fraction: float
     offered: int
     mean_utilization: float
 
 
 class ServiceLevelController:
-    """Which level is in force.  Call `observe_pressure` about every second; it reads no clock."""
+    """Decides which service level applies; call `observe_pressure` about every second."""
 
     def __init__(self, levels: tuple[ServiceLevel, ...], hold_us: int, started_at: int) -> None:
-        """Begin at full service.
+        """Starts at full service.
 
         Args:
-            levels: The levels, from the first that is entered.
+            levels: The levels, in the order in which they are entered.
             hold_us: The minimum time between changes; at least `MIN_HOLD_US` applies.
             started_at: Clock time now, in microseconds.
         """
         self._levels = levels
         self._hold_us = max(hold_us, MIN_HOLD_US)
-        self._index = 0  # of the level in force, from 1; 0: full service
+        self._index = 0  # number of the current level, from 1; 0: full service
         self._entered_at = started_at
         self._changes = 0
         self._last: tuple[int, Pressure] | None = None
-        self._observations: deque[_Observation] = deque()  # since the last change, no more than `_retain_us`
+        # Observations since the last change, going back `_retain_us` at most.
+        self._observations: deque[_Observation] = deque()
         self._leave_factor = 1
-        self._left_at: dict[int, int] = {}  # when each level was last left
+        # Clock time at which each level was last left, keyed by index in `levels`.
+        self._left_at: dict[int, int] = {}
         longest = max((max(each.enter_us, MAX_LEAVE_FACTOR * each.leave_us) for each in levels), default=0)
         self._retain_us = longest + 2 * OBSERVATION_INTERVAL_US
 
     @property
     def index(self) -> int:
-        """The number of the level in force, from 1; 0: full service."""
+        """Number of the current level, from 1; 0: full service."""
         return self._index
 
     @property
     def changes(self) -> int:
-        """How often the level changed since the start."""
+        """How often the level has changed since the start."""
         return self._changes
 
     @property
     def name(self) -> str:
-        """The name of the level in force."""
+        """Name of the current level."""
         return self._levels[self._index - 1].name if self._index else FULL_SERVICE
 
     def describe(self, now: int) -> str:
-        """The level for operators: its name, for how long, and the state of the concurrency limit."""
-        recent = self._summary(now, max((each.enter_us for each in self._levels), default=0))
+        """Describes the level for operators: its name, its duration, and the state of the concurrency limit.
+
+        In the text, "refused" is the fraction that the limit rejected, "the window" is the limit, and "wanted"
+        is what all requests together would use of it.
+        """
+        recent = self._summarize(now, max((each.enter_us for each in self._levels), default=0))
         duration_s = (now - self._entered_at) / 1e6
         return (
             f"{self.name} for {duration_s:.0f} s; "
-            f"refused {recent.rejected_part:.1%}, wanted {recent.mean_utilization:.0%} of the window"
+            f"refused {recent.rejected_fraction:.1%}, wanted {recent.mean_utilization:.0%} of the window"
         )
 
     def observe_pressure(self, now: int, pressure: Pressure) -> ServiceLevelTransition | None:
-        """Take an observation; return the change of level that it causes, if any.
+        """Records an observation; returns the change of level that it causes, if any.
 
-        Observations closer than the interval are ignored.
+        Ignores observations that come sooner than `OBSERVATION_INTERVAL_US` after the last one.
         """
-        if not self._record(now, pressure):
+        if not self._record_observation(now, pressure):
             return None
         if self._changes and now - self._entered_at < self._hold_us:
             return None
         if self._index < len(self._levels):
             reason = self._enter_reason(now, self._levels[self._index])
             if reason is not None:
-                return self._enter_next(now, reason)
+                return self._enter_next_level(now, reason)
         if self._index:
             reason = self._leave_reason(now, self._levels[self._index - 1])
             if reason is not None:
-                return self._leave(now, reason)
+                return self._leave_level(now, reason)
         return None
 
-    def _record(self, now: int, pressure: Pressure) -> bool:
-        """Record an observation; return whether there is a new one to decide by."""
+    def _record_observation(self, now: int, pressure: Pressure) -> bool:
+        """Records an observation; returns whether there is a new one to decide by."""
         if self._last is None:
             self._last = now, pressure
             return False
@@ -152,17 +161,17 @@
         offered = pressure.offered - last.offered
         rejected = pressure.rejected - last.rejected
         self._observations.append(_Observation(now, elapsed_us, offered, rejected, pressure.utilization))
-        while self._observations[0].at < now - self._retain_us:
+        while self._observations[0].observed_at < now - self._retain_us:
             self._observations.popleft()
         return True
 
-    def _covers(self, span_us: int) -> bool:
-        """Whether the observations since the last change reach back so far."""
+    def _covers_span(self, span_us: int) -> bool:
+        """Returns whether the observations since the last change cover a span of this length."""
         return sum(each.duration_us for each in self._observations) >= span_us
 
-    def _summary(self, now: int, span_us: int) -> _Summary:
-        """The observations over this last span."""
-        recent = [each for each in self._observations if each.at > now - span_us]
+    def _summarize(self, now: int, span_us: int) -> _Summary:
+        """Summarizes the observations in the last `span_us` microseconds."""
+        recent = [each for each in self._observations if each.observed_at > now - span_us]
         offered = sum(each.offered for each in recent)
         rejected = sum(each.rejected for each in recent)
         duration_us = sum(each.duration_us for each in recent)
@@ -170,46 +179,47 @@
         return _Summary(rejected / max(offered, 1), offered, weighted / max(duration_us, 1))
 
     def _enter_reason(self, now: int, level: ServiceLevel) -> str | None:
-        """Why this level is to be entered; None: it is not."""
-        if not self._covers(level.enter_us):
+        """Returns why this level should be entered; None if it should not."""
+        if not self._covers_span(level.enter_us):
             return None
-        recent = self._summary(now, level.enter_us)
-        if recent.offered < MIN_OFFERED or recent.rejected_part <= level.enter_rejected_fraction:
+        recent = self._summarize(now, level.enter_us)
+        if recent.offered < MIN_OFFERED or recent.rejected_fraction <= level.enter_rejected_fraction:
             return None
         span_s = level.enter_us / 1e6
         return (
-            f"{recent.rejected_part:.1%} refused over {span_s:g} s, above {level.enter_rejected_fraction:.1%}"
+            f"{recent.rejected_fraction:.1%} rejected over {span_s:g} s, "
+            f"above {level.enter_rejected_fraction:.1%}"
         )
 
     def _leave_reason(self, now: int, level: ServiceLevel) -> str | None:
-        """Why this level is to be left; None: it is not."""
+        """Returns why this level should be left; None if it should not."""
         span_us = level.leave_us * self._leave_factor
-        if not self._covers(span_us):
+        if not self._covers_span(span_us):
             return None
-        recent = self._summary(now, span_us)
+        recent = self._summarize(now, span_us)
         if recent.mean_utilization >= level.leave_utilization:
             return None
-        if recent.rejected_part > level.enter_rejected_fraction / 2:
+        if recent.rejected_fraction > level.enter_rejected_fraction / 2:
             return None
         return (
-            f"all of it would fill {recent.mean_utilization:.0%} of the window, "
-            f"under {level.leave_utilization:.0%}"
+            f"all requests together would use {recent.mean_utilization:.0%} of the window, "
+            f"below {level.leave_utilization:.0%}"
         )
 
-    def _enter_next(self, now: int, reason: str) -> ServiceLevelTransition:
+    def _enter_next_level(self, now: int, reason: str) -> ServiceLevelTransition:
         left_at = self._left_at.get(self._index)
         early_return_us = EARLY_RETURN_HOLDS * self._hold_us * self._leave_factor
         if left_at is not None and now - left_at < early_return_us:
             self._leave_factor = min(2 * self._leave_factor, MAX_LEAVE_FACTOR)
         else:
             self._leave_factor = 1
-        return self._change(now, self._index + 1, reason)
+        return self._change_level(now, self._index + 1, reason)
 
-    def _leave(self, now: int, reason: str) -> ServiceLevelTransition:
+    def _leave_level(self, now: int, reason: str) -> ServiceLevelTransition:
         self._left_at[self._index - 1] = now
-        return self._change(now, self._index - 1, reason)
+        return self._change_level(now, self._index - 1, reason)
 
-    def _change(self, now: int, index: int, reason: str) -> ServiceLevelTransition:
+    def _change_level(self, now: int, index: int, reason: str) -> ServiceLevelTransition:
         previous, duration_us = self.name, now - self._entered_at
         self._index, self._entered_at = index, now
         self._changes += 1
@@ -219,7 +229,7 @@
 
 
 def standard_levels(lowest_priority_class: str) -> tuple[ServiceLevel, ...]:
-    """The standard levels: that class's traffic over its quota is rejected first, then all of it."""
+    """Returns the standard levels: the first rejects the class's traffic over quota, the second all of it."""
     rejected = frozenset((lowest_priority_class,))
     return (
         ServiceLevel("spare", ServiceLevelChanged(rejected, frozenset()), 0.10, 20_000_000, 0.6, 30_000_000),
--- a/tulipnotch/load_balancing/balancer.py
+++ b/tulipnotch/load_balancing/balancer.py
@@ -1,9 +1,8 @@
-"""The balancer: takes events, lets the components decide, and returns actions in order.
+"""The balancer: takes events, asks the components for decisions, and returns actions in order.
 
-Best of k with redraw (`selection`).  Every attempt passes the gate `_start_attempt`, and every final response
-that is not a server's passes the gate `_terminate`; these two enforce the rules, whatever the components
-decide.  Event and action types are in `events` and `actions`; docs/design.md gives the reasons for each
-departure from the paper.
+Endpoints are selected by best of k with redraw (`selection`). All attempts pass `_start_attempt`, and all
+final responses that are not a server's pass `_terminate_request`; these two enforce rules 1 to 4, whatever
+the components decide. docs/design.md gives the reason for each departure from the paper.
 """
 
 from __future__ import annotations
@@ -33,25 +32,25 @@
 from tulipnotch.load_balancing.settings import ServiceClass, Settings
 from tulipnotch.load_balancing.timer_queue import DISCOVERY, REQUEST_DEADLINE, TimerEntry
 
-RESPONSE_MARGIN_TICKS = 2  # a final response is sent this many clock ticks before the request's time is up
+RESPONSE_MARGIN_TICKS = 2  # final responses are sent this many clock ticks before the request's deadline
 
 
 class Balancer:
-    """The decisions of one instance.  Feed it events in order; carry out the actions it returns in order."""
+    """Makes the decisions of one instance; takes events in order, returns actions to carry out in order."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        """Begin with no endpoint and no request; `seed` determines all random numbers."""
+        """Starts with no endpoints and no requests; `seed` determines all random numbers."""
         self._components = Components(settings, seed)
         self._context = self._components.context
         self._requests: dict[int, Request] = {}
         self._has_polled = False
 
     def handle(self, now: int, event: Event) -> list[Action]:
-        """Take one event at clock time `now` (microseconds); return what to do, in order."""
+        """Handles one event at clock time `now` (in microseconds); returns the actions to carry out."""
         context = self._context
         context.now = now
         context.actions = []
-        self._components.load.update(self._components.concurrency_limit.limit)
+        self._components.load.update_mean(self._components.concurrency_limit.limit)
         if not self._has_polled:
             self._has_polled = True
             self._components.discovery_polling.poll()
@@ -69,44 +68,44 @@
             case ResponseStarted():
                 self._response_started(event)
             case _:
-                self._update(event)
+                self._apply_update(event)
         timer = self._components.timers.next_timer(now, self._is_obsolete)
         if timer is not None:
             context.actions.append(timer)
         return context.actions
 
     def endpoint_counts(self) -> EndpointCounts:
-        """The number of listed endpoints, and how many of these get no ordinary request now."""
-        return self._components.endpoint_list.count()
+        """Returns the number of listed endpoints, and how many of these get no regular requests now."""
+        return self._components.endpoint_list.count_endpoints()
 
     def pressure(self) -> Pressure:
-        """What service levels are decided by."""
+        """Returns the measurements by which service levels are chosen."""
         return self._components.admission.pressure()
 
     def attempt_written(self, request: int, attempt: int, now: int) -> None:
-        """Note that an attempt's last byte was written at clock time `now`, which bounds later attempts."""
-        written = self._attempt(request, attempt)
-        if written is not None:
-            written.request_written_at = now
-            written.zone, written.cell = written.endpoint.zone, written.endpoint.cell
+        """Records that an attempt's last byte was written at clock time `now`; this bounds later attempts."""
+        found = self._find_attempt(request, attempt)
+        if found is not None:
+            found.request_written_at = now
+            found.zone, found.cell = found.endpoint.zone, found.endpoint.cell
 
     def write_deadline(self, request: int, attempt: int) -> int:
-        """Clock time from which on an attempt's last byte may not be written any more; NEVER: no bound.
+        """Returns the clock time from which an attempt's last byte must not be written; NEVER: no bound.
 
-        To be called in the instant in which it would be written: what held when the attempt was chosen may
-        have changed since, as others that were chosen later have begun.
+        Must be called immediately before that byte is written. The bound may have changed since the attempt
+        was started, because attempts started later may have been written first.
         """
-        own = self._attempt(request, attempt)
-        return 0 if own is None else self._components.retries.write_deadline(self._requests[request], own)
+        found = self._find_attempt(request, attempt)
+        return 0 if found is None else self._components.retries.write_deadline(self._requests[request], found)
 
-    def _attempt(self, request: int, attempt: int) -> Attempt | None:
-        retained = self._requests.get(request)
-        if retained is None or attempt >= len(retained.attempts):
+    def _find_attempt(self, request: int, attempt: int) -> Attempt | None:
+        found = self._requests.get(request)
+        if found is None or attempt >= len(found.attempts):
             return None
-        return retained.attempts[attempt]
+        return found.attempts[attempt]
 
-    def _update(self, event: Event) -> None:
-        """Apply an event that concerns no single request."""
+    def _apply_update(self, event: Event) -> None:
+        """Applies an event that does not belong to a single request."""
         match event:
             case EndpointsUpdated():
                 self._components.endpoints_updated(event)
@@ -115,27 +114,27 @@
             case ServiceLevelChanged():
                 self._components.admission.level_changed(event)
             case _:
-                pass  # health checks and peer messages: none are sent, so none are expected
+                pass  # events of health checks and peer messages; the balancer sends neither
 
     # Requests
 
     def _request_arrived(self, event: RequestArrived) -> None:
         service_class = self._context.classes.get(event.service_class)
         if service_class is None:
-            # The settings do not name the class, so the defaults apply, which permit the least.
+            # The settings do not define this class; the defaults of `ServiceClass` permit the least.
             time_us = max(event.remaining_us, 1)
             service_class = ServiceClass(event.service_class, time_us, time_us)
         components = self._components
         components.warm_capacity.request_arrived()
         components.retries.request_arrived()
-        cost = components.class_costs.relative(service_class, event.cost_us)
-        likely_us = INITIAL_EXPECTED_OBJECTIVES * service_class.latency_objective_us
-        work = components.mean_work.relative(event.cost_us, likely_us)
+        cost = components.class_costs.relative_cost(service_class, event.cost_us)
+        assumed_mean_us = INITIAL_EXPECTED_OBJECTIVES * service_class.latency_objective_us
+        work = components.mean_work.relative_work(event.cost_us, assumed_mean_us)
         request = self._requests[event.request] = Request(event.request, service_class, cost, work)
         if not event.body_incomplete:
             self._set_deadline(request, event.remaining_us)
         if components.admission.rejects(request, event.tenant):
-            self._terminate(request, TerminationReason.ADMISSION)
+            self._terminate_request(request, TerminationReason.ADMISSION)
         else:
             self._start_or_terminate(request)
 
@@ -147,7 +146,7 @@
         self._components.timers.schedule(request.respond_by, request.request_id, REQUEST_DEADLINE)
 
     def _request_body_completed(self, event: RequestBodyCompleted) -> None:
-        """Start the request's time; the attempt that its body was streamed to is in flight from here on."""
+        """Starts the request's time limit; attempts that its body was streamed to are now in flight."""
         request = self._requests.get(event.request)
         if request is None or request.is_responded or not request.body_incomplete:
             return
@@ -161,34 +160,34 @@
     def _client_disconnected(self, event: ClientDisconnected) -> None:
         request = self._requests.get(event.request)
         if request is not None and not request.is_responded:
-            self._complete(request)
+            self._complete_request(request)
 
     def _response_started(self, event: ResponseStarted) -> None:
-        attempt = self._attempt(event.request, event.attempt)
+        attempt = self._find_attempt(event.request, event.attempt)
         if attempt is not None:
             attempt.response_started = True
 
     def _start_or_terminate(self, request: Request) -> None:
-        """Start an attempt at the best of k; terminate the request if no attempt is possible or pending."""
+        """Starts an attempt at the best of k, or terminates the request if none is possible or pending."""
         endpoint = self._components.selection.choose_endpoint(request)
         if endpoint is not None and self._start_attempt(request, endpoint):
             return
         if not request.has_pending_attempt:
-            self._terminate(request, TerminationReason.NO_ENDPOINT)
+            self._terminate_request(request, TerminationReason.NO_ENDPOINT)
 
-    # The gate for attempts
+    # Checks before every attempt
 
     def _start_attempt(self, request: Request, endpoint: Endpoint) -> bool:
-        """Start an attempt if all rules permit it; return whether they do.  No attempt starts otherwise."""
+        """Starts an attempt and returns True if all rules permit it. Attempts are started nowhere else."""
         if not self._is_permitted(request, endpoint):
             return False
         components = self._components
         now = self._context.now
-        components.slow_start.consume(endpoint, request.work)
+        components.slow_start.consume_budget(endpoint, request.work)
         attempt = Attempt(
             len(request.attempts), endpoint, now, components.outlier_detection.healthy_response_count
         )
-        attempt.connection_idle_us = components.idle_connections.reuse(endpoint)
+        attempt.connection_idle_us = components.idle_connections.reuse_connection(endpoint)
         request.attempts.append(attempt)
         if endpoint.ejection is not None:
             endpoint.health.probation_attempt = attempt
@@ -200,30 +199,30 @@
     def _is_permitted(self, request: Request, endpoint: Endpoint) -> bool:
         now, limits = self._context.now, self._context.settings.limits
         if request.is_responded or now >= request.respond_by:
-            return False  # rule 1: nothing after the final response, nothing that can't be in time
+            return False  # rule 1: one final response, in time; no attempt after it
         if len(request.attempts) >= limits.max_attempts:
             return False
         if not limits.hedged_requests and request.has_pending_attempt:
-            return False  # rule 2
+            return False  # rule 2: no duplicate effects; hedged requests need permission
         if now >= self._components.retries.retry_deadline(request):
-            return False  # rule 2
+            return False  # rule 2: too late for another execution
         if not idempotency_rule.is_in_deduplication_scope(request.service_class, endpoint, request.attempts):
-            return False  # rule 2
+            return False  # rule 2: its server would not deduplicate
         if endpoint.state is not EndpointState.READY:
-            return False  # rule 3: from the update on, without use of the drain grace
-        return self._components.slow_start.has_budget(endpoint, request.work)  # rule 4
+            return False  # rule 3: no attempt to draining endpoints, even within the drain grace period
+        return self._components.slow_start.has_budget(endpoint, request.work)  # rule 4: warm-up budget
 
     def _attempt_in_flight(self, request: Request, attempt: Attempt) -> None:
-        """Count an attempt as in flight: its server has the complete request, or will in a moment."""
+        """Counts an attempt as in flight: its server has the complete request, or will shortly."""
         attempt.state = AttemptState.IN_FLIGHT
         self._components.load.attempt_started(attempt.endpoint)
         self._components.idle_connections.attempt_started(attempt)
-        self._components.attempt_timeouts.watch(request, attempt)
+        self._components.attempt_timeouts.schedule_check(request, attempt)
 
-    # The gate for final responses
+    # Checks before every final response that is not a server's
 
-    def _terminate(self, request: Request, reason: TerminationReason) -> None:
-        """Send a final response that is not a server's: a rejection if that is harmless, else a failure."""
+    def _terminate_request(self, request: Request, reason: TerminationReason) -> None:
+        """Sends a final response of its own: a rejection if a client retry is harmless, else a failure."""
         if request.is_responded:
             return
         response: RejectRequest | FailRequest = FailRequest(request.request_id, reason)
@@ -231,26 +230,26 @@
             retry_after_us = self._components.admission.retry_after(request)
             response = RejectRequest(request.request_id, retry_after_us, reason)
         self._context.actions.append(response)
-        self._complete(request)
+        self._complete_request(request)
 
-    def _complete(self, request: Request) -> None:
-        """Note that no response is pending any more; cancel pending attempts where that is permitted."""
+    def _complete_request(self, request: Request) -> None:
+        """Marks the request as responded, and cancels its pending attempts where that is permitted."""
         request.is_responded = True
         context = self._context
         if context.settings.limits.may_cancel:
             for attempt in request.attempts:
                 if attempt.state in PENDING and not attempt.response_started:
                     context.actions.append(CancelAttempt(request.request_id, attempt.index))
-        self._forget_if_ended(request)
+        self._delete_if_ended(request)
 
-    def _forget_if_ended(self, request: Request) -> None:
+    def _delete_if_ended(self, request: Request) -> None:
         if request.is_responded and not request.has_pending_attempt:
             self._requests.pop(request.request_id, None)
 
     # Ends of attempts
 
     def _attempt_ended(self, event: AttemptEnded) -> None:
-        attempt = self._attempt(event.request, event.attempt)
+        attempt = self._find_attempt(event.request, event.attempt)
         if attempt is None or attempt.state not in PENDING:
             return
         components = self._components
@@ -265,34 +264,34 @@
         components.idle_connections.attempt_ended(attempt.endpoint, event)
         components.feedback.attempt_ended(request, attempt, event, was_in_flight=was_in_flight)
         self._respond_or_retry(request, attempt, event)
-        self._forget_if_ended(request)
-        components.endpoint_list.forget_if_removed(attempt.endpoint)
+        self._delete_if_ended(request)
+        components.endpoint_list.delete_if_removed(attempt.endpoint)
 
     def _respond_or_retry(self, request: Request, attempt: Attempt, event: AttemptEnded) -> None:
         if request.is_responded:
             return
         if event.is_responded:
-            self._complete(request)
+            self._complete_request(request)
         elif event.outcome is Outcome.CLIENT_ERROR:
             self._context.actions.append(FailRequest(request.request_id, TerminationReason.CLIENT_ERROR))
-            self._complete(request)
+            self._complete_request(request)
         else:
             self._retry_or_terminate(request, attempt, event)
 
     def _retry_or_terminate(self, request: Request, attempt: Attempt, event: AttemptEnded) -> None:
-        """Retry if that is permitted; else terminate the request, unless another attempt is pending."""
+        """Retries if that is permitted; else terminates the request, unless another attempt is pending."""
         retries = self._components.retries
         is_overload_retry = event.outcome is Outcome.OVERLOADED
         request.failed_endpoints.append(attempt.endpoint)
         request.overloaded_responses += is_overload_retry
         if event.is_retryable and retries.may_retry(request, is_overload_retry=is_overload_retry):
             if not is_overload_retry:
-                retries.consume()
+                retries.consume_budget()
             self._start_or_terminate(request)
         elif not request.has_pending_attempt:
-            self._terminate(request, TerminationReason.NO_RETRY)
+            self._terminate_request(request, TerminationReason.NO_RETRY)
         if is_overload_retry and request.is_responded:
-            # No redraw found an endpoint with capacity: the fleet is overloaded, not one server.
+            # No redraw found an endpoint with capacity, so the fleet is overloaded, not just one server.
             self._components.concurrency_limit.request_lost()
 
     # Timers
@@ -305,34 +304,34 @@
             if entry.request == DISCOVERY:
                 self._components.discovery_polling.poll_if_due()
             else:
-                self._request_due(entry)
+                self._request_entry_due(entry)
 
-    def _request_due(self, entry: TimerEntry) -> None:
+    def _request_entry_due(self, entry: TimerEntry) -> None:
         request = self._requests.get(entry.request)
         if request is None or request.is_responded or any(each.response_started for each in request.attempts):
             return
         if entry.attempt == REQUEST_DEADLINE:
-            self._terminate(request, TerminationReason.DEADLINE)
+            self._terminate_request(request, TerminationReason.DEADLINE)
         elif request.attempts[entry.attempt].is_pending:
             self._attempt_overdue(request, request.attempts[entry.attempt])
 
     def _attempt_overdue(self, request: Request, attempt: Attempt) -> None:
-        """Start a hedged request, or cancel the attempt so that its end leads to a retry."""
+        """Starts a hedged request, or cancels the attempt so that its end triggers a retry."""
         if not self._components.attempt_timeouts.check_overdue(request, attempt):
             return
         if not self._components.retries.may_hedge(request):
             return
         limits = self._context.settings.limits
         if limits.hedged_requests:
-            self._components.retries.consume()
+            self._components.retries.consume_budget()
             self._start_or_terminate(request)
         elif limits.may_cancel:
             self._context.actions.append(CancelAttempt(request.request_id, attempt.index))
 
     def _is_obsolete(self, entry: TimerEntry) -> bool:
-        """Whether nothing would be done when this entry of the timer queue falls due."""
+        """Returns whether this entry of the timer queue has nothing left to trigger."""
         if entry.request == DISCOVERY:
-            return entry.due != self._components.discovery_polling.due_at
+            return entry.due_at != self._components.discovery_polling.due_at
         request = self._requests.get(entry.request)
         if request is None or request.is_responded:
             return True
--- a/tulipnotch/load_balancing/clock_time.py
+++ b/tulipnotch/load_balancing/clock_time.py
@@ -2,4 +2,4 @@
 
 from __future__ import annotations
 
-NEVER = 2**62  # a clock time that is never reached
+NEVER = 2**62  # a clock time that is never reached, for "no bound"
--- a/tulipnotch/load_balancing/components.py
+++ b/tulipnotch/load_balancing/components.py
@@ -1,4 +1,4 @@
-"""The components of one balancer: built once, and updated together for new settings and endpoint lists."""
+"""The components of one balancer: built once, and updated together on new settings or endpoint lists."""
 
 from __future__ import annotations
 
@@ -27,10 +27,10 @@
 
 
 class Components:
-    """Everything that decides for one balancer, or retains what the decisions need."""
+    """Holds all components that make decisions for one balancer, or keep state for these decisions."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        """Build all components; `seed` determines all random numbers."""
+        """Creates all components; `seed` determines all random numbers."""
         context = self.context = Context(settings, seed)
         timers = self.timers = TimerQueue()
         load = self.load = Load(context)
@@ -55,24 +55,24 @@
         self.endpoint_list = EndpointList(context, slow_start, idle_connections, outliers)
 
     def settings_changed(self, settings: Settings) -> None:
-        """Apply new settings; what was learnt of endpoints is retained, and of classes that still exist."""
-        self.context.apply(settings)
+        """Applies new settings; keeps the measurements of endpoints, and of classes that still exist."""
+        self.context.apply_settings(settings)
         self.latency.retain_classes(self.context.classes)
         self.class_costs.retain_classes(self.context.classes)
         if "util" not in settings.report_columns:
-            self.response_times.forget_cpu_utilization()
+            self.response_times.reset_cpu_utilization()
         self.admission.settings_changed()
         self.warm_capacity.settings_changed()
         self.locality_weights.settings_changed()
         self.selection.settings_changed()
 
     def endpoints_updated(self, event: EndpointsUpdated) -> None:
-        """Apply an update of the endpoint list, or note that a poll for it failed."""
+        """Applies an update of the endpoint list, or schedules the next poll if a poll for it failed."""
         if event.kind is EndpointUpdateKind.FAILED:
             self.discovery_polling.poll_failed()
             return
         if event.kind is not EndpointUpdateKind.CACHED:
             self.discovery_polling.endpoints_received()
-        self.endpoint_list.apply(event)
+        self.endpoint_list.apply_update(event)
         self.locality_weights.endpoints_updated()
-        self.concurrency_limit.start()
+        self.concurrency_limit.set_initial_limit()
--- a/tulipnotch/load_balancing/endpoints/__init__.py
+++ b/tulipnotch/load_balancing/endpoints/__init__.py
@@ -1,1 +1,1 @@
-"""The endpoints that a balancer knows: their records, the list of them, and when it is polled."""
+"""Endpoints that a balancer knows: their records, the endpoint list, and the schedule of polls for it."""
--- a/tulipnotch/load_balancing/endpoints/discovery_polling.py
+++ b/tulipnotch/load_balancing/endpoints/discovery_polling.py
@@ -1,4 +1,4 @@
-"""When to poll discovery for the endpoint list, where changes are not pushed."""
+"""Discovery polling: when to poll for the endpoint list, in deployments that do not push changes of it."""
 
 from __future__ import annotations
 
@@ -7,50 +7,55 @@
 from tulipnotch.load_balancing.settings import DiscoveryMode
 from tulipnotch.load_balancing.timer_queue import DISCOVERY, REQUEST_DEADLINE, TimerQueue
 
-MIN_POLL_BACK_OFF = 0.05  # before the next poll after a failed one, as a part of the longest poll interval
-MAX_POLL_BACK_OFF = 0.25  # of the same: three failed polls in a row still fit
-MIN_POLL_JITTER = 0.5  # a wait lasts at least this part of the nominal one, so that instances spread out
-MAX_COUNTED_FAILURES = 8  # the wait is at its longest long before
+MIN_POLL_BACK_OFF = 0.05  # shortest wait after a failed poll, as a fraction of the maximum poll interval
+# Longest wait, as a fraction of the same interval; three failed polls in a row still fit into it.
+MAX_POLL_BACK_OFF = 0.25
+# A wait lasts at least this fraction of the nominal one; jitter keeps instances from polling in step.
+MIN_POLL_JITTER = 0.5
+MAX_COUNTED_FAILURES = 8  # more failures would not change the wait, which reaches its maximum much earlier
 
 
 class DiscoveryPolling:
-    """The schedule of polls of discovery."""
+    """Schedules the polls of discovery."""
 
     def __init__(self, context: Context, timers: TimerQueue) -> None:
-        """Begin with no poll scheduled."""
+        """Starts with no poll scheduled."""
         self._context = context
         self._timers = timers
-        self.failed_calls = 0  # in a row
-        self.due_at: int | None = None  # clock time of the next poll; None: a subscription is in force
+        self.failed_calls = 0  # number of failed polls in a row
+        self.due_at: int | None = None  # clock time of the next poll; None: a subscription is active
 
     def poll(self) -> None:
-        """Subscribe to the list where it must be polled for.
+        """Polls for the endpoint list by subscribing to it, in deployments where discovery is polled.
 
-        A poll that gets no response is repeated: an instance may not pass `max_poll_interval_us` without one.
+        A poll without a response is repeated, because an instance must not go without one for longer than
+        `max_poll_interval_us`.
         """
         settings = self._context.settings
         if settings.discovery_mode is DiscoveryMode.POLLED:
             self._context.actions.append(Subscribe(is_subscribed=True))
-            self._poll_in(MAX_POLL_BACK_OFF * settings.rules.max_poll_interval_us)
+            self._schedule_poll(MAX_POLL_BACK_OFF * settings.rules.max_poll_interval_us)
 
     def poll_if_due(self) -> None:
-        """Poll, unless a response or a later schedule has replaced the entry that fell due."""
+        """Polls if the scheduled time has come, and neither a response nor a new schedule has replaced it."""
         if self.due_at is not None and self.due_at <= self._context.now:
             self.poll()
 
     def poll_failed(self) -> None:
-        """Schedule the next poll, after twice the wait at each failed one in a row, with jitter."""
+        """Schedules the next poll; the wait doubles with each failure in a row, and has jitter."""
         interval = self._context.settings.rules.max_poll_interval_us
         wait = min(MIN_POLL_BACK_OFF * interval * 2**self.failed_calls, MAX_POLL_BACK_OFF * interval)
         self.failed_calls = min(self.failed_calls + 1, MAX_COUNTED_FAILURES)
-        self._poll_in(wait * (MIN_POLL_JITTER + (1.0 - MIN_POLL_JITTER) * self._context.random.random()))
+        self._schedule_poll(
+            wait * (MIN_POLL_JITTER + (1.0 - MIN_POLL_JITTER) * self._context.random.random())
+        )
 
     def endpoints_received(self) -> None:
-        """Discovery has responded, so the subscription is in force."""
+        """Records that discovery has responded, so that the subscription is active."""
         self.failed_calls = 0
         self.due_at = None
 
-    def _poll_in(self, wait_us: float) -> None:
-        """Poll after this wait, in place of any earlier schedule."""
+    def _schedule_poll(self, wait_us: float) -> None:
+        """Schedules a poll after this wait; replaces any earlier schedule."""
         self.due_at = self._context.now + int(wait_us)
         self._timers.schedule(self.due_at, DISCOVERY, REQUEST_DEADLINE)
--- a/tulipnotch/load_balancing/endpoints/endpoint.py
+++ b/tulipnotch/load_balancing/endpoints/endpoint.py
@@ -1,4 +1,4 @@
-"""Records of the endpoints that a balancer knows: data only, they import no policy."""
+"""Records of the endpoints that a balancer knows: data only; this module imports no policy."""
 
 from __future__ import annotations
 
@@ -7,60 +7,62 @@
 
 
 class WarmUp:
-    """The last start of an endpoint's process, and what this balancer may send to it while it warms up."""
+    """Warm-up of an endpoint: the last start of its process, and its request budget while it warms up."""
 
     __slots__ = ("budget", "is_start_announced", "started_at")
 
     def __init__(self, started_at: int, budget: ExpiringTokenBucket, *, is_start_announced: bool) -> None:
-        """`started_at` is a clock time in microseconds; `is_start_announced`: discovery announced it."""
+        """Starts at clock time `started_at` (in microseconds), announced by discovery or assumed."""
         self.started_at = started_at
         self.budget = budget
         self.is_start_announced = is_start_announced
 
 
 class Ejection:
-    """How long an endpoint gets no ordinary request, and how often that was extended."""
+    """Ejection of an endpoint: how long it gets no regular requests, and how often that was extended."""
 
-    __slots__ = ("count", "until")
+    __slots__ = ("consecutive_ejections", "until")
 
     def __init__(self) -> None:
-        """Begin with no end; outlier detection sets it."""
-        self.until = 0  # clock time in microseconds; a probation attempt is due from then on
-        self.count = 0  # consecutive ejections, none readmitted in between
+        """Starts without an end time; outlier detection sets it."""
+        self.until = 0  # clock time in microseconds from which a probation attempt is due
+        self.consecutive_ejections = 0  # ejections without a readmission in between
 
 
 class Health:
-    """What the ends of attempts show of an endpoint's health."""
+    """Health of an endpoint, as observed from the ends of its attempts."""
 
     __slots__ = ("consecutive_failures", "consecutive_malformed", "last_response_at", "probation_attempt")
 
     def __init__(self) -> None:
-        """Begin healthy, with no response seen."""
+        """Starts as healthy, with no responses."""
         self.consecutive_failures = 0
         self.consecutive_malformed = 0
         self.last_response_at = -1
-        self.probation_attempt: object | None = None  # the one that may readmit it; compared by identity
+        # The attempt that may readmit the endpoint; compared by identity.
+        self.probation_attempt: object | None = None
 
 
 class BackOff:
-    """An endpoint's overloaded responses to one class: requests of the class avoid it for a while."""
+    """Back-off after overloaded responses to one class: requests of this class avoid the endpoint."""
 
     __slots__ = ("latency_objectives", "until")
 
     def __init__(self) -> None:
-        """Begin with no back-off."""
-        self.latency_objectives = 0.0  # its length, as a multiple of the longest latency objective
+        """Starts with no back-off."""
+        # Length of the back-off, as a multiple of the longest latency objective.
+        self.latency_objectives = 0.0
         self.until = 0  # clock time in microseconds
 
 
 class Endpoint:
-    """What this balancer knows of one server."""
+    """One server, as listed by discovery and as observed by this balancer."""
 
     __slots__ = (
-        "abandoned",
+        "abandoned_until",
         "back_offs",
         "cell",
-        "connections",
+        "connection_count",
         "ejection",
         "health",
         "idle_since",
@@ -76,22 +78,24 @@
     )
 
     def __init__(self, name: str, sort_key: float) -> None:
-        """Begin unlisted; `sort_key` is random, drawn once: this balancer's own order of the endpoints."""
+        """Starts as not listed; `sort_key` is a random number, drawn once, for this balancer's own order."""
         self.name = name
         self.sort_key = sort_key
-        # As listed by discovery.
+        # Fields as listed by discovery:
         self.zone = ""
         self.cell = 0
         self.nominal_capacity = 1.0
         self.state = EndpointState.REMOVED
-        self.started_at: int | None = None  # None: long ago
-        # As observed by this balancer.
-        self.latency_ratio = 1.0  # its response times, relative to what is usual for such requests
+        self.started_at: int | None = None  # clock time at which its process started; None: long ago
+        # Fields as observed by this balancer:
+        self.latency_ratio = 1.0  # its response times relative to the expected ones
         self.in_flight = 0
-        self.abandoned: list[int] = []  # when each abandoned attempt stops counting as in flight
-        self.connections = 0  # that are open, as far as attempts show
-        self.idle_since: int | None = None  # when a connection was last used; None: there is none to reuse
-        self.back_offs: dict[str, BackOff] = {}  # by name of the class
+        # Clock times at which its abandoned attempts stop counting as in flight.
+        self.abandoned_until: list[int] = []
+        self.connection_count = 0  # open connections, as far as the attempts tell
+        # Clock time at which a connection became idle; None: there is none to reuse.
+        self.idle_since: int | None = None
+        self.back_offs: dict[str, BackOff] = {}  # keyed by class name
         self.health = Health()
         self.ejection: Ejection | None = None
-        self.warm_up: WarmUp | None = None  # None: its start is not known, or was long ago
+        self.warm_up: WarmUp | None = None  # None: its start is not known, or it was long ago
--- a/tulipnotch/load_balancing/endpoints/endpoint_list.py
+++ b/tulipnotch/load_balancing/endpoints/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list: applies updates from discovery, and decides how long an endpoint is retained."""
+"""Endpoint list: applies updates from discovery, and decides how long the record of an endpoint is kept."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 from tulipnotch.load_balancing.health.outlier_detection import OutlierDetection
 from tulipnotch.load_balancing.slow_start.warm_up_budget import SlowStart
 
-UNSET_RATIO = 0.0  # a latency ratio that is to be set from the nominal capacity
+UNSET_RATIO = 0.0  # placeholder for a latency ratio that is still to be derived from the nominal capacity
 
 
 class EndpointCounts(NamedTuple):
-    """How many endpoints are listed, and how many of these get no ordinary request now."""
+    """Counts of the listed endpoints, and of those among them that get no regular requests now."""
 
     listed: int
     unavailable: int
@@ -29,15 +29,15 @@
 
 @dataclass(eq=False)
 class EndpointList:
-    """Applies updates to the endpoints that the balancer knows."""
+    """Applies updates from discovery to the endpoints that the balancer knows."""
 
     _context: Context
     _slow_start: SlowStart
     _idle_connections: IdleConnections
     _outlier_detection: OutlierDetection
 
-    def apply(self, event: EndpointsUpdated) -> None:
-        """Apply a complete list or a change of it."""
+    def apply_update(self, event: EndpointsUpdated) -> None:
+        """Applies a complete list, or a list of changes."""
         endpoints = self._context.endpoints
         if event.kind is not EndpointUpdateKind.DELTA:
             listed = {each.name for each in event.endpoints}
@@ -47,19 +47,19 @@
         for description in event.endpoints:
             self._description_received(description)
         for endpoint in [each for each in endpoints.values() if each.state is EndpointState.REMOVED]:
-            self.forget_if_removed(endpoint)
+            self.delete_if_removed(endpoint)
         ready = [each for each in endpoints.values() if each.state is EndpointState.READY]
         ready.sort(key=lambda each: each.sort_key)
         self._context.ready_endpoints = ready
         self._set_latency_ratios(ready)
 
-    def count(self) -> EndpointCounts:
-        """Count the endpoints as of the last event."""
+    def count_endpoints(self) -> EndpointCounts:
+        """Counts the endpoints as of the last event."""
         listed = [
             each for each in self._context.endpoints.values() if each.state is not EndpointState.REMOVED
         ]
         now = self._context.now
-        # One whose ejection has expired is due for a probation attempt, so it is not avoided any more.
+        # An endpoint whose ejection has expired is due for a probation attempt, so it counts as available.
         avoided = [
             each
             for each in listed
@@ -68,16 +68,16 @@
         ]
         return EndpointCounts(listed=len(listed), unavailable=len(avoided))
 
-    def forget_if_removed(self, endpoint: Endpoint) -> None:
-        """Retain nothing of a removed endpoint once its last attempt has ended.
+    def delete_if_removed(self, endpoint: Endpoint) -> None:
+        """Deletes the record of a removed endpoint once its last attempt has ended.
 
-        Prevents growth where servers are replaced all day.  One that is listed again comes with its start
-        time, and warms up by that.
+        Prevents unbounded growth where servers are replaced all the time. An endpoint that is listed again
+        comes with its start time, and warms up accordingly.
         """
         if endpoint.state is EndpointState.REMOVED and endpoint.in_flight == 0:
             if self._context.endpoints.get(endpoint.name) is endpoint:
                 del self._context.endpoints[endpoint.name]
-            self._outlier_detection.forget(endpoint)
+            self._outlier_detection.endpoint_removed(endpoint)
 
     def _description_received(self, description: EndpointDescription) -> None:
         endpoints = self._context.endpoints
@@ -99,19 +99,19 @@
 
     def _process_started(self, endpoint: Endpoint, started_at: int) -> None:
         endpoint.started_at = started_at
-        endpoint.connections = endpoint.in_flight  # those to the previous process are closed
+        endpoint.connection_count = endpoint.in_flight  # connections to the previous process are closed
         self._slow_start.process_started(endpoint, started_at)
         if endpoint.ejection is not None and endpoint.state is EndpointState.READY:
-            self._outlier_detection.readmit(endpoint)  # the failures were another process's
+            self._outlier_detection.readmit(endpoint)  # the failures were those of the previous process
 
     def _state_received(self, endpoint: Endpoint, state: EndpointState) -> None:
         changed, endpoint.state = endpoint.state is not state, state
         if changed:
-            self._idle_connections.close_unless_ready(endpoint)
+            self._idle_connections.close_idle_unless_ready(endpoint)
 
     @staticmethod
     def _set_latency_ratios(ready: list[Endpoint]) -> None:
-        """Until responses show how quick an endpoint is, it is as quick as its nominal capacity."""
+        """Derives the latency ratio from the nominal capacity for endpoints without measured responses."""
         mean_capacity = sum(each.nominal_capacity for each in ready) / max(len(ready), 1)
         for endpoint in ready:
             if endpoint.latency_ratio <= UNSET_RATIO:
--- a/tulipnotch/load_balancing/events.py
+++ b/tulipnotch/load_balancing/events.py
@@ -1,6 +1,6 @@
-"""Events: what a balancer is notified of.
+"""Events that a balancer is notified of.
 
-Times are whole microseconds.  Events are plain slotted dataclasses; treat them as values.
+Times are whole microseconds. Events are plain slotted dataclasses; treat them as immutable values.
 """
 
 from __future__ import annotations
@@ -26,10 +26,10 @@
 class EndpointUpdateKind(Enum):
     """How an update of the endpoint list is applied."""
 
-    DELTA = "changes"  # changed entries only
-    COMPLETE = "complete"  # endpoints that are missing are removed
-    CACHED = "remembered"  # complete, as last stored before a restart
-    FAILED = "failed"  # a call failed or the subscription broke; nothing changes
+    DELTA = "changes"  # only the entries that changed
+    COMPLETE = "complete"  # the complete list; endpoints that are missing in it are removed
+    CACHED = "remembered"  # the complete list, as stored before the last restart
+    FAILED = "failed"  # a poll failed or the subscription broke; the endpoint list does not change
 
 
 @dataclass(slots=True)
@@ -42,7 +42,7 @@
     cell: int = 0
     state: EndpointState = EndpointState.READY
     nominal_capacity: float = 1.0
-    started_at: int | None = None  # None: long ago
+    started_at: int | None = None  # clock time at which the server's process started; None: long ago
 
 
 @dataclass(slots=True)
@@ -56,22 +56,22 @@
 
 @dataclass(slots=True)
 class RequestArrived:
-    """A client's request; a final response to it is pending from here on."""
+    """A request arrived from a client; a final response to it is pending from now on."""
 
     request: int
     service_class: str
     tenant: str | None
     key: int | None
     remaining_us: int
-    cost_us: int | None = None  # the estimated work on a standard core, where the client sent one
+    cost_us: int | None = None  # estimated work on a standard core; None: the client sent no estimate
     client_retry: bool = False
     is_write: bool = False
-    body_incomplete: bool = False  # its time has not begun; RequestBodyCompleted follows
+    body_incomplete: bool = False  # its time limit does not run yet; RequestBodyCompleted follows
 
 
 @dataclass(slots=True)
 class RequestBodyCompleted:
-    """The last byte of a request has arrived: its time runs, and servers may begin it."""
+    """The last byte of a request arrived; its time limit runs from now on, and servers may execute it."""
 
     request: int
     remaining_us: int
@@ -79,7 +79,7 @@
 
 @dataclass(slots=True)
 class ResponseStarted:
-    """The streamed response of an attempt has begun; the attempt is committed to from here on."""
+    """The streamed response of an attempt began; the attempt can no longer be replaced by another."""
 
     request: int
     attempt: int
@@ -89,7 +89,7 @@
 
 @dataclass(slots=True)
 class AttemptEnded:
-    """An attempt ended.  `is_responded`: the client has its final response, by this or another attempt."""
+    """An attempt ended; `is_responded`: the client has its final response, from this or another attempt."""
 
     request: int
     attempt: int
@@ -98,10 +98,9 @@
     elapsed_us: int
     is_responded: bool
     report: Mapping[str, float] | None = None
-    is_retryable: bool = True  # whether the complete request is still there to be written again
-    is_response_certain: bool = (
-        True  # whether the response can belong to no earlier request of its connection
-    )
+    is_retryable: bool = True  # whether the complete request is still stored and can be sent again
+    # whether the response is certain not to belong to an earlier request on its connection
+    is_response_certain: bool = True
 
 
 @dataclass(slots=True)
@@ -113,7 +112,7 @@
 
 @dataclass(slots=True)
 class TimerFired:
-    """A timer set earlier is due."""
+    """A timer that was set earlier fired."""
 
     token: str
 
@@ -130,7 +129,7 @@
 
 @dataclass(slots=True)
 class PeerMessageReceived:
-    """A message from another balancer of the tier."""
+    """A message from another balancer of the tier was received."""
 
     sender: int
     payload: bytes
@@ -138,14 +137,18 @@
 
 @dataclass(slots=True)
 class SettingsChanged:
-    """New settings are in force from now on; accepted requests retain the class that they arrived with."""
+    """New settings apply from now on; requests accepted earlier keep the service class they arrived with."""
 
     settings: Settings
 
 
 @dataclass(frozen=True, slots=True)
 class ServiceLevelChanged:
-    """Reject these classes from now on: of some the part above a tenant's quota, of others all of it."""
+    """The service level changed; it names the classes to reject from now on, in part or completely.
+
+    Of `over_quota_classes`, the traffic above the quota of its tenant is rejected; of `rejected_classes`, all
+    traffic.
+    """
 
     over_quota_classes: frozenset[str]
     rejected_classes: frozenset[str]
--- a/tulipnotch/load_balancing/health/attempt_feedback.py
+++ b/tulipnotch/load_balancing/health/attempt_feedback.py
@@ -51,7 +51,7 @@
         elif outcome is Outcome.SERVER_ERROR:
             self._latency.error_received(endpoint, request)
         elif outcome is Outcome.OVERLOADED:
-            self._selection.overloaded_received(endpoint, request.service_class.name)
+            self._selection.overloaded_response_received(endpoint, request.service_class.name)
 
     def _response_delivered(self, request: Request, attempt: Attempt, elapsed_us: int) -> None:
         """Learn from a response that was delivered to its client.
@@ -63,8 +63,12 @@
         opens_connection = attempt.opens_connection
         self._selection.response_received(attempt.endpoint, service_class.name)
         self._concurrency_limit.response_delivered(service_class.latency_objective_us)
-        part = elapsed_us / service_class.latency_objective_us - HANDSHAKE_OBJECTIVES * opens_connection
+        objective_fraction = (
+            elapsed_us / service_class.latency_objective_us - HANDSHAKE_OBJECTIVES * opens_connection
+        )
         if not opens_connection:
             self._latency.response_received(attempt.endpoint, request, elapsed_us)
-        if not attempt.counted_late and (not opens_connection or part > self._response_times.typical):
-            self._concurrency_limit.response_took(part)
+        if not attempt.counted_late and (
+            not opens_connection or objective_fraction > self._response_times.typical_fraction
+        ):
+            self._concurrency_limit.record_response_time(objective_fraction)
--- a/tulipnotch/load_balancing/health/idle_connections.py
+++ b/tulipnotch/load_balancing/health/idle_connections.py
@@ -32,11 +32,11 @@
     def __init__(self, context: Context) -> None:
         """Begin with no sign of stale connections."""
         self._context = context
-        self._stale_odds = 0.0  # as of _stale_odds_at
-        self._stale_odds_at = 0
+        self._stale_probability = 0.0  # as of _stale_probability_at
+        self._stale_probability_at = 0
         self._stale_after_us = 0  # the shortest idle time at which one was stale
 
-    def reuse(self, endpoint: Endpoint) -> int:
+    def reuse_connection(self, endpoint: Endpoint) -> int:
         """How long the connection that an attempt would reuse has been idle, in microseconds; 0: it is fresh.
 
         A suspect one is closed first.  That costs handshakes while a few unresponsive servers are mistaken
@@ -51,51 +51,53 @@
         ):
             return 0
         if (
-            self._current_odds() >= SUSPECT_PROBABILITY
+            self._current_stale_probability() >= SUSPECT_PROBABILITY
             and idle_us >= SUSPECT_IDLE_FRACTION * self._stale_after_us
         ):
-            self.close(endpoint)
+            self.close_idle(endpoint)
             return 0
         return idle_us
 
     def attempt_started(self, attempt: Attempt) -> None:
         """Note the connection of an attempt that is in flight from now on."""
         endpoint = attempt.endpoint
-        attempt.opens_connection = endpoint.in_flight > endpoint.connections
-        endpoint.connections = max(endpoint.connections, endpoint.in_flight)
+        attempt.opens_connection = endpoint.in_flight > endpoint.connection_count
+        endpoint.connection_count = max(endpoint.connection_count, endpoint.in_flight)
 
     def attempt_ended(self, endpoint: Endpoint, event: AttemptEnded) -> None:
         """Note whether the connection of an attempt that ended is still open."""
         stays_open = event.outcome in CONNECTION_STAYS_OPEN and event.is_response_certain
         if event.outcome is not Outcome.DELIVERED and not stays_open:
-            endpoint.connections = max(endpoint.connections - 1, endpoint.in_flight)
-        self.close_unless_ready(endpoint)
+            endpoint.connection_count = max(endpoint.connection_count - 1, endpoint.in_flight)
+        self.close_idle_unless_ready(endpoint)
 
-    def is_blamed_for(self, attempt: Attempt) -> bool:
+    def check_stale_connection(self, attempt: Attempt) -> bool:
         """Learn from an attempt that got no response; return whether its idle connection may be the cause."""
-        if attempt.silence_recorded:
+        if attempt.no_response_recorded:
             return attempt.is_connection_suspect
-        attempt.silence_recorded = True
-        odds = self._current_odds()
+        attempt.no_response_recorded = True
+        probability = self._current_stale_probability()
         if not attempt.connection_idle_us:
-            self._stale_odds = odds * (1.0 - FAILURE_STEP)  # a live connection, and no response all the same
+            self._stale_probability = probability * (
+                1.0 - FAILURE_STEP
+            )  # a live connection, and no response all the same
             return False
-        if odds < SUSPECT_PROBABILITY or attempt.connection_idle_us < self._stale_after_us:
+        if probability < SUSPECT_PROBABILITY or attempt.connection_idle_us < self._stale_after_us:
             self._stale_after_us = attempt.connection_idle_us
-        self._stale_odds = odds + FAILURE_STEP * (1.0 - odds)
-        self.close(attempt.endpoint)
+        self._stale_probability = probability + FAILURE_STEP * (1.0 - probability)
+        self.close_idle(attempt.endpoint)
         attempt.endpoint.idle_since = None
         return True
 
     def response_received(self, attempt: Attempt) -> None:
         """Learn from an attempt that got a response; its connection is idle from now on."""
         attempt.endpoint.idle_since = self._context.now
-        if attempt.silence_recorded:
-            self._stale_odds = 0.0  # it was slow, not stale
+        if attempt.no_response_recorded:
+            self._stale_probability = 0.0  # it was slow, not stale
         elif attempt.connection_idle_us and attempt.connection_idle_us >= self._stale_after_us:
-            self._stale_odds = self._current_odds() * (1.0 - RESPONSE_STEP)
+            self._stale_probability = self._current_stale_probability() * (1.0 - RESPONSE_STEP)
 
-    def close_unless_ready(self, endpoint: Endpoint) -> None:
+    def close_idle_unless_ready(self, endpoint: Endpoint) -> None:
         """Close idle connections to a draining or removed endpoint, where a rule requires it.
 
         From the update of the list on, and whenever an attempt that was pending there ends and leaves its
@@ -103,16 +105,16 @@
         """
         within_us = self._context.settings.rules.close_idle_within_us
         if within_us is not None and endpoint.state is not EndpointState.READY:
-            self.close(endpoint)
+            self.close_idle(endpoint)
 
-    def close(self, endpoint: Endpoint) -> None:
+    def close_idle(self, endpoint: Endpoint) -> None:
         """Close the idle connections to an endpoint."""
-        endpoint.connections = endpoint.in_flight
+        endpoint.connection_count = endpoint.in_flight
         self._context.actions.append(CloseIdleConnections(endpoint.name))
 
-    def _current_odds(self) -> float:
+    def _current_stale_probability(self) -> float:
         now = self._context.now
-        fade_us = STALE_DECAY_OBJECTIVES * self._context.max_latency_objective_us
-        self._stale_odds *= math.exp((self._stale_odds_at - now) / fade_us)
-        self._stale_odds_at = now
-        return self._stale_odds
+        decay_us = STALE_DECAY_OBJECTIVES * self._context.max_latency_objective_us
+        self._stale_probability *= math.exp((self._stale_probability_at - now) / decay_us)
+        self._stale_probability_at = now
+        return self._stale_probability
--- a/tulipnotch/load_balancing/health/outlier_detection.py
+++ b/tulipnotch/load_balancing/health/outlier_detection.py
@@ -90,7 +90,11 @@
         health = endpoint.health
         if outcome is Outcome.TIMED_OUT and health.last_response_at > attempt.started_at:
             return  # it is slow, and no outlier: it responded to others meanwhile
-        if outcome in NO_RESPONSE and self._idle_connections.is_blamed_for(attempt) and not was_probation:
+        if (
+            outcome in NO_RESPONSE
+            and self._idle_connections.check_stale_connection(attempt)
+            and not was_probation
+        ):
             return
         health.consecutive_failures += 1
         is_lost = outcome is Outcome.CONNECTION_LOST
@@ -108,24 +112,26 @@
         """Eject an endpoint that has not responded for long, unless too many are ejected already."""
         self._eject(endpoint, UNRESPONSIVE, MAX_UNRESPONSIVE_FRACTION)
 
-    def _eject(self, endpoint: Endpoint, reason: str, max_part: float = MAX_EJECTED_FRACTION) -> None:
+    def _eject(self, endpoint: Endpoint, reason: str, max_fraction: float = MAX_EJECTED_FRACTION) -> None:
         """Eject an endpoint, or extend its ejection.
 
-        At most `max_part` of the endpoints in use is ejected at a time, since the rest would be overloaded.
+        At most `max_fraction` of the endpoints in use is ejected at a time, since the rest would be overloaded.
         """
         context = self._context
         ejection = endpoint.ejection
         if ejection is None:
             known = min(len(context.ready_endpoints), subset_size(self._load.mean))
-            if len(self._ejected) + 1 > max_part * known:
+            if len(self._ejected) + 1 > max_fraction * known:
                 return
             ejection = endpoint.ejection = Ejection()
             self._ejected.append(endpoint)
             self._load.endpoint_ejected(endpoint)
             context.actions.append(LogEvent("ejected", endpoint.name, reason))
-        objectives = min(INITIAL_EJECTION_OBJECTIVES * 2**ejection.count, MAX_EJECTION_OBJECTIVES)
-        ejection.count = min(ejection.count + 1, MAX_COUNTED_EJECTIONS)
-        ejection.until = context.time_after(objectives)
+        objectives = min(
+            INITIAL_EJECTION_OBJECTIVES * 2**ejection.consecutive_ejections, MAX_EJECTION_OBJECTIVES
+        )
+        ejection.consecutive_ejections = min(ejection.consecutive_ejections + 1, MAX_COUNTED_EJECTIONS)
+        ejection.until = context.jittered_time_after(objectives)
 
     def readmit(self, endpoint: Endpoint) -> None:
         """End an endpoint's ejection; its process may have been replaced meanwhile, and so warm up again."""
@@ -137,7 +143,7 @@
             self._slow_start.process_started(endpoint)
         self._context.actions.append(LogEvent("readmitted", endpoint.name))
 
-    def forget(self, endpoint: Endpoint) -> None:
+    def endpoint_removed(self, endpoint: Endpoint) -> None:
         """Stop counting a removed endpoint as ejected."""
         if endpoint in self._ejected:
             self._ejected.remove(endpoint)
--- a/tulipnotch/load_balancing/mapping_reader.py
+++ b/tulipnotch/load_balancing/mapping_reader.py
@@ -1,4 +1,4 @@
-"""Reads typed values from nested mappings, and names the path of each value that is invalid."""
+"""Reads typed values from nested mappings, and reports the path of each invalid value."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 from enum import Enum
 from typing import Any, TypeGuard, TypeVar
 
-MAX_EXACT_INTEGER = 2**53  # every integer up to here is exact as a double
-ROOT = "settings"  # how errors name the outermost mapping
+MAX_EXACT_INTEGER = 2**53  # every integer up to this value is exact as a double
+ROOT = "settings"  # path of the outermost mapping in errors
 
 _Choice = TypeVar("_Choice", bound=Enum)
 
 
 class SettingsError(ValueError):
-    """A setting that is missing or invalid.
+    """A setting is missing or invalid.
 
     Attributes:
         path: The path of its key, as in `classes[0].deadline_us`.
@@ -21,14 +21,14 @@
     """
 
     def __init__(self, path: str, problem: str) -> None:
-        """The text of the error is the path, a colon and the problem."""
+        """Builds the message from the path and the problem."""
         super().__init__(f"{path}: {problem}")
         self.path = path
         self.problem = problem
 
 
 class ChoiceError(SettingsError):
-    """A setting with a value that is none of those allowed.
+    """A setting has a value that is not one of the allowed values.
 
     Attributes:
         value: The invalid value.
@@ -36,45 +36,45 @@
     """
 
     def __init__(self, path: str, value: object, choices: Sequence[str]) -> None:
-        """The problem lists the allowed values."""
+        """Builds the problem from the allowed values and the invalid one."""
         super().__init__(path, f"must be one of {', '.join(choices)}, got {value!r:.60}")
         self.value = value
         self.choices = tuple(choices)
 
 
 class MappingReader:
-    """Reads the values of one mapping by key.  A value that is None counts as absent.
+    """Reads the values of one mapping by key. A value of None counts as absent.
 
-    An absent or invalid value yields the default; an invalid one is an error besides.  Errors are raised, or
-    appended to `errors` if that list is given.
+    An absent value yields the default. An invalid value is an error and yields the default, too. Errors are
+    raised, or appended to `errors` if that list is given.
     """
 
-    def __init__(self, given: object, path: str = "", errors: list[SettingsError] | None = None) -> None:
-        """Read from `given`, which is found at this path.
+    def __init__(self, source: object, path: str = "", errors: list[SettingsError] | None = None) -> None:
+        """Reads from `source`; `path` is its path within the outermost mapping.
 
         Raises:
-            SettingsError: It is no mapping.
+            SettingsError: `source` is not a mapping, and `errors` is not given.
         """
         self._errors = errors
         self._path = path
-        if not isinstance(given, Mapping):
+        if not isinstance(source, Mapping):
             self.add_error(SettingsError(path or ROOT, "must be a mapping"))
-            given = {}
-        self._given: Mapping[str, Any] = given
+            source = {}
+        self._source: Mapping[str, Any] = source
 
     def add_error(self, error: SettingsError) -> None:
-        """Raise the error, or append it where errors are collected."""
+        """Raises the error, or appends it to the list of errors if there is one."""
         if self._errors is None:
             raise error
         self._errors.append(error)
 
     def mapping(self, key: str) -> MappingReader:
-        """A reader of the mapping at this key; absent: of an empty one."""
-        value = self._given.get(key)
+        """Returns a reader of the mapping at this key; if it is absent, of an empty one."""
+        value = self._source.get(key)
         return MappingReader({} if value is None else value, self._path_of(key), self._errors)
 
     def mappings(self, key: str) -> list[MappingReader]:
-        """Readers of the mappings in the list at this key."""
+        """Returns readers of the mappings in the list at this key."""
         path = self._path_of(key)
         return [
             MappingReader(each, f"{path}[{index}]", self._errors)
@@ -82,8 +82,8 @@
         ]
 
     def string(self, key: str, default: str | None = None) -> str:
-        """The string at this key; with no default it is required."""
-        value = self._given.get(key)
+        """Returns the string at this key; it is required unless there is a default."""
+        value = self._source.get(key)
         if value is None and default is not None:
             return default
         if not isinstance(value, str):
@@ -92,7 +92,7 @@
         return value
 
     def strings(self, key: str) -> tuple[str, ...]:
-        """The list of strings at this key."""
+        """Returns the list of strings at this key."""
         values = self._sequence(key)
         if not all(isinstance(each, str) for each in values):
             self._reject(key, "a list of strings")
@@ -100,8 +100,8 @@
         return tuple(values)
 
     def boolean(self, key: str, *, default: bool) -> bool:
-        """The boolean at this key."""
-        value = self._given.get(key)
+        """Returns the boolean at this key."""
+        value = self._source.get(key)
         if value is None:
             return default
         if not isinstance(value, bool):
@@ -112,8 +112,8 @@
     def number(
         self, key: str, default: float, *, minimum: float = 0.0, maximum: float = MAX_EXACT_INTEGER
     ) -> float:
-        """The number at this key, within these bounds."""
-        value = self._given.get(key)
+        """Returns the number at this key, which must lie within these bounds."""
+        value = self._source.get(key)
         if value is None:
             return default
         if not _is_number(value) or not minimum <= value <= maximum:
@@ -123,8 +123,8 @@
         return float(value)
 
     def integer(self, key: str, default: int | None = None, *, minimum: int = 0) -> int:
-        """The integer at this key; with no default it is required."""
-        value = self._given.get(key)
+        """Returns the integer at this key; it is required unless there is a default."""
+        value = self._source.get(key)
         if value is None and default is not None:
             return default
         if _is_number(value) and minimum <= value <= MAX_EXACT_INTEGER and value == int(value):
@@ -133,12 +133,12 @@
         return max(minimum, 1) if default is None else default
 
     def optional_integer(self, key: str) -> int | None:
-        """The integer at this key, or None where it is absent."""
-        return None if self._given.get(key) is None else self.integer(key)
+        """Returns the integer at this key; None if it is absent."""
+        return None if self._source.get(key) is None else self.integer(key)
 
     def choice(self, key: str, choices: type[_Choice], default: _Choice) -> _Choice:
-        """The member of an enum whose value is at this key."""
-        value = self._given.get(key)
+        """Returns the enum member whose value is at this key."""
+        value = self._source.get(key)
         if value is None:
             return default
         for each in choices:
@@ -151,11 +151,11 @@
         return f"{self._path}.{key}" if self._path else key
 
     def _reject(self, key: str, expected: str) -> None:
-        value = self._given.get(key)
+        value = self._source.get(key)
         self.add_error(SettingsError(self._path_of(key), f"must be {expected}, got {value!r:.60}"))
 
     def _sequence(self, key: str) -> Sequence[Any]:
-        value = self._given.get(key)
+        value = self._source.get(key)
         if value is None:
             return ()
         if not isinstance(value, Sequence) or isinstance(value, (str, bytes)):
--- a/tulipnotch/load_balancing/metrics/cost_estimates.py
+++ b/tulipnotch/load_balancing/metrics/cost_estimates.py
@@ -23,7 +23,7 @@
         """Drop what was learnt of other classes."""
         self._means = {name: mean for name, mean in self._means.items() if name in names}
 
-    def relative(self, service_class: ServiceClass, cost_us: int | None) -> float:
+    def relative_cost(self, service_class: ServiceClass, cost_us: int | None) -> float:
         """Learn from an estimate (None or 0: there is none, and it counts as the mean)."""
         if not cost_us or cost_us < 0:
             return 1.0
@@ -35,24 +35,26 @@
 class MeanWork:
     """The work of a request relative to the mean of all requests, whatever their class."""
 
-    __slots__ = ("_mean_us", "_weight")
+    __slots__ = ("_estimate_count", "_mean_us")
 
     def __init__(self) -> None:
         """Begin with no estimate seen."""
         self._mean_us = 0.0
-        self._weight = 0.0
+        self._estimate_count = 0.0
 
-    def relative(self, work_us: int | None, likely_us: float) -> float:
+    def relative_work(self, work_us: int | None, assumed_mean_us: float) -> float:
         """Learn from an estimate in microseconds on a standard core (None or 0: none, counts as the mean).
 
-        `likely_us` is what to take for the mean before any estimate; it counts for `PRIOR_ESTIMATES` of them.
+        `assumed_mean_us` is what to take for the mean before any estimate; it counts for `PRIOR_ESTIMATES` of them.
         A request is compared with those before it: one heavy one among few would pass for a usual one.
         """
         if not work_us or work_us < 0:
             return 1.0
-        if self._weight == 0.0:
-            self._mean_us, self._weight = max(likely_us, 1.0), PRIOR_ESTIMATES
+        if self._estimate_count == 0.0:
+            self._mean_us, self._estimate_count = max(assumed_mean_us, 1.0), PRIOR_ESTIMATES
         relative = work_us / self._mean_us
-        self._weight = min(self._weight + 1.0, 1.0 / WORK_MEAN_STEP)
-        self._mean_us += (min(work_us, MAX_ESTIMATE_MEANS * self._mean_us) - self._mean_us) / self._weight
+        self._estimate_count = min(self._estimate_count + 1.0, 1.0 / WORK_MEAN_STEP)
+        self._mean_us += (
+            min(work_us, MAX_ESTIMATE_MEANS * self._mean_us) - self._mean_us
+        ) / self._estimate_count
         return relative
--- a/tulipnotch/load_balancing/metrics/demand.py
+++ b/tulipnotch/load_balancing/metrics/demand.py
@@ -44,7 +44,7 @@
         """Begin with no traffic."""
         self._context = context
         self._traffic: dict[tuple[str, str | None], Traffic] = {}
-        self._barred_load = Rate(RATE_WINDOW_OBJECTIVES * context.max_latency_objective_us)
+        self._load_rejected_by_level = Rate(RATE_WINDOW_OBJECTIVES * context.max_latency_objective_us)
 
     def settings_changed(self) -> None:
         """Apply new classes and objectives; drop the traffic of classes that no longer exist."""
@@ -54,7 +54,7 @@
         for (name, _), each in self._traffic.items():
             each.service_class = classes[name]
             each.rate.set_window(window_us)
-        self._barred_load.set_window(window_us)
+        self._load_rejected_by_level.set_window(window_us)
 
     def request_arrived(self, service_class: ServiceClass, tenant: str | None) -> Traffic:
         """Count a request; return the traffic that it is a part of."""
@@ -66,14 +66,14 @@
         traffic.rate.add(self._context.now, 1.0)
         return traffic
 
-    def request_barred(self, usual_us: float) -> None:
+    def request_rejected_by_level(self, expected_us: float) -> None:
         """Count a request that a service level rejected, by the usual time of such requests."""
-        self._barred_load.add(self._context.now, usual_us)
+        self._load_rejected_by_level.add(self._context.now, expected_us)
 
-    def barred_load(self) -> float:
+    def load_rejected_by_level(self) -> float:
         """The requests that a service level rejects, as if they were in flight."""
-        return self._barred_load.per_us(self._context.now)
+        return self._load_rejected_by_level.per_us(self._context.now)
 
-    def current(self) -> Demand:
+    def current_demand(self) -> Demand:
         """The demand at the time of this event."""
         return Demand(self._traffic.values(), self._context.now)
--- a/tulipnotch/load_balancing/metrics/latency.py
+++ b/tulipnotch/load_balancing/metrics/latency.py
@@ -28,9 +28,9 @@
 
     def retain_classes(self, names: Container[str]) -> None:
         """Drop what was learnt of other classes."""
-        self.expected_us = {key: usual for key, usual in self.expected_us.items() if key[0] in names}
+        self.expected_us = {key: expected for key, expected in self.expected_us.items() if key[0] in names}
 
-    def usual(self, request: Request) -> float:
+    def expected_latency_us(self, request: Request) -> float:
         """The usual time of such a request, over all endpoints, in microseconds."""
         return self.expected_us.get(
             (request.service_class.name, request.cost_bucket),
@@ -40,13 +40,15 @@
     def response_received(self, endpoint: Endpoint, request: Request, elapsed_us: int) -> None:
         """Learn from a response, of the endpoint and of such requests."""
         key = (request.service_class.name, request.cost_bucket)
-        usual = self.expected_us.setdefault(key, float(elapsed_us))  # the first response of its kind is usual
+        expected = self.expected_us.setdefault(
+            key, float(elapsed_us)
+        )  # the first response of its kind is usual
         self._update_ratio(endpoint, request, elapsed_us)
-        self.expected_us[key] = usual + EXPECTED_STEP * (elapsed_us - usual)
+        self.expected_us[key] = expected + EXPECTED_STEP * (elapsed_us - expected)
 
     def attempt_abandoned(self, endpoint: Endpoint, request: Request, elapsed_us: int) -> None:
         """Learn from an attempt without a response that took longer than usual at this endpoint."""
-        if elapsed_us > self.usual(request) * endpoint.latency_ratio:
+        if elapsed_us > self.expected_latency_us(request) * endpoint.latency_ratio:
             self._update_ratio(endpoint, request, elapsed_us)
 
     def error_received(self, endpoint: Endpoint, request: Request) -> None:
@@ -54,14 +56,14 @@
 
         Prevents taking a server that fails quickly for a quick server.
         """
-        self._update_ratio(endpoint, request, int(MAX_RATIO * self.usual(request)))
+        self._update_ratio(endpoint, request, int(MAX_RATIO * self.expected_latency_us(request)))
 
     def _update_ratio(self, endpoint: Endpoint, request: Request, elapsed_us: int) -> None:
-        ratio = min(elapsed_us / max(self.usual(request), 1.0), MAX_RATIO)
-        endpoint.latency_ratio += RATIO_STEP * self._load.stretch() * (ratio - endpoint.latency_ratio)
+        ratio = min(elapsed_us / max(self.expected_latency_us(request), 1.0), MAX_RATIO)
+        endpoint.latency_ratio += RATIO_STEP * self._load.low_load_factor() * (ratio - endpoint.latency_ratio)
 
 
-def zone_lag(endpoints: Iterable[Endpoint], zone: str) -> float | None:
+def zone_slowdown(endpoints: Iterable[Endpoint], zone: str) -> float | None:
     """How much slower the endpoints of this zone are than the others, by latency ratio, without ejected ones.
 
     0: as quick; None: one of the two has no endpoints to compare.
--- a/tulipnotch/load_balancing/metrics/load.py
+++ b/tulipnotch/load_balancing/metrics/load.py
@@ -22,33 +22,33 @@
         """Begin with nothing in flight."""
         self._context = context
         self.mean = 0.0
-        self.busy_at = 0  # clock time of the last event at which anything was in flight
+        self.last_busy_at = 0  # clock time of the last event at which anything was in flight
         self._updated_at = 0
         self._in_flight = 0
         self._at_ejected = 0  # of these, at ejected endpoints
-        self._abandoned: list[int] = []  # when each abandoned attempt stops counting, soonest first
+        self._abandoned_until: list[int] = []  # when each abandoned attempt stops counting, soonest first
 
     def current(self) -> int:
         """The load at the time of this event."""
-        abandoned = self._abandoned
+        abandoned_until = self._abandoned_until
         now = self._context.now
-        while abandoned and abandoned[0] <= now:
-            heapq.heappop(abandoned)
-        return self._in_flight - self._at_ejected + len(abandoned)
+        while abandoned_until and abandoned_until[0] <= now:
+            heapq.heappop(abandoned_until)
+        return self._in_flight - self._at_ejected + len(abandoned_until)
 
-    def stretch(self) -> float:
+    def low_load_factor(self) -> float:
         """How much longer than in a busy balancer it takes to distinguish a change from chance."""
         return max(1.0, min(LOW_LOAD / max(self.mean, 1e-9), MAX_LOW_LOAD_FACTOR))
 
-    def update(self, limit: float) -> None:
+    def update_mean(self, limit: float) -> None:
         """Follow the mean up to the time of this event; `limit` is the concurrency limit in force."""
         elapsed_us = self._context.now - self._updated_at
         if elapsed_us > 0:
             self._updated_at = self._context.now
-            window_us = self.stretch() * self._context.max_latency_objective_us
+            window_us = self.low_load_factor() * self._context.max_latency_objective_us
             load = self.current()
             if load > 0:
-                self.busy_at = self._updated_at
+                self.last_busy_at = self._updated_at
             self.mean = min(self.mean, max(load, limit, 1.0))  # more would delay relief
             self.mean += (load - self.mean) * (1.0 - math.exp(-elapsed_us / window_us))
 
@@ -68,9 +68,9 @@
 
     def attempt_abandoned(self, endpoint: Endpoint, until: int) -> None:
         """Count an abandoned attempt as in flight until that clock time, since it may still be executing."""
-        endpoint.abandoned.append(until)
+        endpoint.abandoned_until.append(until)
         if endpoint.ejection is None:
-            heapq.heappush(self._abandoned, until)
+            heapq.heappush(self._abandoned_until, until)
 
     def endpoint_ejected(self, endpoint: Endpoint) -> None:
         """Exclude what is in flight at an endpoint that is ejected now."""
--- a/tulipnotch/load_balancing/metrics/rate.py
+++ b/tulipnotch/load_balancing/metrics/rate.py
@@ -23,15 +23,15 @@
 
     def add(self, now: int, amount: float) -> None:
         """Count so much at clock time `now`, in microseconds."""
-        self._fade(now)
+        self._decay(now)
         self._count += amount
 
     def per_us(self, now: int) -> float:
         """The amount per microsecond, as of `now`."""
-        self._fade(now)
+        self._decay(now)
         return self._count / self._window_us
 
-    def _fade(self, now: int) -> None:
+    def _decay(self, now: int) -> None:
         if now > self._updated_at:
             self._count *= math.exp((self._updated_at - now) / self._window_us)
             self._updated_at = now
--- a/tulipnotch/load_balancing/metrics/response_times.py
+++ b/tulipnotch/load_balancing/metrics/response_times.py
@@ -20,19 +20,19 @@
 class ResponseTimes:
     """What responses and servers' reports show of how busy the fleet is."""
 
-    def __init__(self, load: Load, max_first_part: float) -> None:
-        """The first response is taken for typical up to `max_first_part` of its objective."""
+    def __init__(self, load: Load, max_first_fraction: float) -> None:
+        """The first response is taken for typical up to `max_first_fraction` of its objective."""
         self._load = load
-        self._max_first_part = max_first_part
-        self.typical = 0.0  # the part of its objective that the typical response takes
-        self.late = 0.0  # the part of the responses that come after their objective
-        self.idle = 0.0  # the least that the typical response has lately taken
+        self._max_first_fraction = max_first_fraction
+        self.typical_fraction = 0.0  # the part of its objective that the typical response takes
+        self.late_fraction = 0.0  # the part of the responses that come after their objective
+        self.idle_fraction = 0.0  # the least that the typical response has lately taken
         self.cpu_utilization: float | None = (
             None  # utilization of servers' cores, from 0 to 1; None: not reported
         )
-        self._has_started = False
+        self._has_response = False
 
-    def forget_cpu_utilization(self) -> None:
+    def reset_cpu_utilization(self) -> None:
         """Drop the last reports of core utilization, as servers send none any more."""
         self.cpu_utilization = None
 
@@ -44,20 +44,24 @@
             else self.cpu_utilization + CPU_UTILIZATION_STEP * (utilization - self.cpu_utilization)
         )
 
-    def response_took(self, part: float, *, is_unrestricted: bool) -> None:
+    def record_response_time(self, objective_fraction: float, *, is_unrestricted: bool) -> None:
         """Follow a response that took this part of its objective; `is_unrestricted`: nothing is rejected now.
 
         A geometric mean: one heavy request or slow server moves it little; the further the usual is from
         what was typical, the more evidence it takes.  Prevents small balancers, whose few responses are
         mostly chance, from taking chance for overload.
         """
-        if not self._has_started:
-            self._has_started = True
-            self.typical = self.idle = min(part, self._max_first_part)
-        stretch = self._load.stretch()
-        before = max(self.typical, MIN_RESPONSE_FRACTION)
-        ratio = max(min(part, LOST_REQUEST_OBJECTIVES), MIN_RESPONSE_FRACTION) / before
-        self.typical = min(before * math.pow(ratio, stretch * TYPICAL_STEP), MAX_TYPICAL_FRACTION)
-        self.late += stretch * LATE_STEP * ((1.0 if part > 1.0 else 0.0) - self.late)
-        rise = IDLE_INCREASE if is_unrestricted else IDLE_INCREASE_LOADED
-        self.idle = min(self.idle + rise, max(self.typical, MIN_IDLE_FRACTION))
+        if not self._has_response:
+            self._has_response = True
+            self.typical_fraction = self.idle_fraction = min(objective_fraction, self._max_first_fraction)
+        low_load_factor = self._load.low_load_factor()
+        previous = max(self.typical_fraction, MIN_RESPONSE_FRACTION)
+        ratio = max(min(objective_fraction, LOST_REQUEST_OBJECTIVES), MIN_RESPONSE_FRACTION) / previous
+        self.typical_fraction = min(
+            previous * math.pow(ratio, low_load_factor * TYPICAL_STEP), MAX_TYPICAL_FRACTION
+        )
+        self.late_fraction += (
+            low_load_factor * LATE_STEP * ((1.0 if objective_fraction > 1.0 else 0.0) - self.late_fraction)
+        )
+        increase = IDLE_INCREASE if is_unrestricted else IDLE_INCREASE_LOADED
+        self.idle_fraction = min(self.idle_fraction + increase, max(self.typical_fraction, MIN_IDLE_FRACTION))
--- a/tulipnotch/load_balancing/retries/attempt_timeouts.py
+++ b/tulipnotch/load_balancing/retries/attempt_timeouts.py
@@ -35,17 +35,21 @@
     _idle_connections: IdleConnections
     _outlier_detection: OutlierDetection
 
-    def watch(self, request: Request, attempt: Attempt) -> None:
+    def schedule_check(self, request: Request, attempt: Attempt) -> None:
         """Schedule a check of an attempt that begins now, for when it is overdue."""
         due = self._context.now + self._overdue_after_us(request, attempt)
         self._timers.schedule(due, request.request_id, attempt.index)
 
     def _overdue_after_us(self, request: Request, attempt: Attempt) -> int:
-        usual_us = OVERDUE_FACTOR * self._latency.usual(request) * max(attempt.endpoint.latency_ratio, 1.0)
+        overdue_us = (
+            OVERDUE_FACTOR
+            * self._latency.expected_latency_us(request)
+            * max(attempt.endpoint.latency_ratio, 1.0)
+        )
         min_objectives = HANDSHAKE_OBJECTIVES if attempt.opens_connection else MIN_OVERDUE_OBJECTIVES
         return int(
             max(
-                usual_us,
+                overdue_us,
                 min_objectives * request.service_class.latency_objective_us,
                 self._context.settings.clock_resolution_us,
             )
@@ -68,7 +72,9 @@
             self._timers.schedule(
                 attempt.started_at + unresponsive_after_us, request.request_id, attempt.index
             )
-        elif self._is_only_unresponsive(attempt) and not self._idle_connections.is_blamed_for(attempt):
+        elif self._is_endpoint_outlier(attempt) and not self._idle_connections.check_stale_connection(
+            attempt
+        ):
             self._outlier_detection.eject_unresponsive(endpoint)
         return endpoint.ejection is not None or attempt.is_connection_suspect
 
@@ -86,7 +92,7 @@
             attempt.counted_late = True
             self._concurrency_limit.request_overdue()
 
-    def _is_only_unresponsive(self, attempt: Attempt) -> bool:
+    def _is_endpoint_outlier(self, attempt: Attempt) -> bool:
         """Whether others responded meanwhile, so that only this endpoint is unresponsive."""
         responses = self._outlier_detection.healthy_response_count - attempt.responses_before
         return attempt.endpoint.ejection is None and responses >= MIN_OTHER_RESPONSES
--- a/tulipnotch/load_balancing/retries/idempotency_rule.py
+++ b/tulipnotch/load_balancing/retries/idempotency_rule.py
@@ -37,7 +37,7 @@
         """Whether a server may have executed it."""
 
     @property
-    def may_run_from(self) -> int:
+    def earliest_execution_at(self) -> int:
         """The earliest clock time at which a server may have begun it."""
 
 
@@ -50,12 +50,14 @@
     """
     if service_class.idempotency is Idempotency.IDEMPOTENT:
         return NEVER
-    first = min((each.may_run_from for each in attempts if each.may_have_run), default=NEVER)
-    if first == NEVER:
+    first_execution_at = min(
+        (each.earliest_execution_at for each in attempts if each.may_have_run), default=NEVER
+    )
+    if first_execution_at == NEVER:
         return NEVER
     if service_class.idempotency is Idempotency.NON_IDEMPOTENT:
         return 0
-    return first + service_class.deduplication_window_us - clock_resolution_us
+    return first_execution_at + service_class.deduplication_window_us - clock_resolution_us
 
 
 def is_in_deduplication_scope(
--- a/tulipnotch/load_balancing/retries/retry_policy.py
+++ b/tulipnotch/load_balancing/retries/retry_policy.py
@@ -29,18 +29,18 @@
             request.service_class, self._context.settings.clock_resolution_us, request.attempts
         )
 
-    def write_deadline(self, request: Request, own: Attempt) -> int:
+    def write_deadline(self, request: Request, attempt: Attempt) -> int:
         """Clock time from which on the last byte of an attempt may not be written; NEVER: no bound.
 
         Bounded by the attempts whose last byte was written; 0: it may not be written at all.
         """
         settings = self._context.settings
         others = [
-            each for each in request.attempts if each is not own and each.request_written_at is not None
+            each for each in request.attempts if each is not attempt and each.request_written_at is not None
         ]
         if not settings.limits.hedged_requests and any(each.is_pending for each in others):
             return 0
-        if not idempotency_rule.is_in_deduplication_scope(request.service_class, own.endpoint, others):
+        if not idempotency_rule.is_in_deduplication_scope(request.service_class, attempt.endpoint, others):
             return 0
         return idempotency_rule.write_deadline(request.service_class, settings.clock_resolution_us, others)
 
@@ -58,7 +58,7 @@
             return False
         return self.budget >= 1.0
 
-    def consume(self) -> None:
+    def consume_budget(self) -> None:
         """Take one retry out of the budget."""
         self.budget -= 1.0
 
--- a/tulipnotch/load_balancing/selection/best_of_k.py
+++ b/tulipnotch/load_balancing/selection/best_of_k.py
@@ -55,29 +55,29 @@
         context = self._context
         zone = context.settings.zone
         # Not always, or nothing would be learnt of other zones.
-        is_remote_slower = remote_weight < 1.0 and context.random.random() >= remote_weight * remote_weight
-        remote_slowness = REMOTE_LATENCY_FACTOR if is_remote_slower else 1.0
+        is_remote_penalized = remote_weight < 1.0 and context.random.random() >= remote_weight * remote_weight
+        remote_latency_factor = REMOTE_LATENCY_FACTOR if is_remote_penalized else 1.0
         best: Endpoint | None = None
         best_rank = (0, 0.0)
         count = CHOICE_COUNT << request.overloaded_responses
         for endpoint in weighted_sample(context.random, pool, weights, count):
-            slowness = 1.0 if endpoint.zone == zone else remote_slowness
-            rank = (self.busy(endpoint), endpoint.latency_ratio * slowness)
+            latency_factor = 1.0 if endpoint.zone == zone else remote_latency_factor
+            rank = (self.estimated_in_flight(endpoint), endpoint.latency_ratio * latency_factor)
             if best is None or rank < best_rank:
                 best, best_rank = endpoint, rank
         return best
 
-    def busy(self, endpoint: Endpoint) -> int:
+    def estimated_in_flight(self, endpoint: Endpoint) -> int:
         """Own requests in flight at an endpoint, with abandoned ones, which may still be executing.
 
         Prevents a slow or unresponsive server from appearing idle because its attempts were cancelled.
         """
-        if endpoint.abandoned:
+        if endpoint.abandoned_until:
             now = self._context.now
-            endpoint.abandoned = [until for until in endpoint.abandoned if until > now]
-        return endpoint.in_flight + len(endpoint.abandoned)
+            endpoint.abandoned_until = [until for until in endpoint.abandoned_until if until > now]
+        return endpoint.in_flight + len(endpoint.abandoned_until)
 
-    def overloaded_received(self, endpoint: Endpoint, class_name: str) -> None:
+    def overloaded_response_received(self, endpoint: Endpoint, class_name: str) -> None:
         """Avoid an endpoint that was overloaded for a class, for requests of this class.
 
         Prevents redraws at servers that reject one class or tenant while they have capacity for others.  An
@@ -89,7 +89,7 @@
             if back_off.latency_objectives
             else INITIAL_BACK_OFF_OBJECTIVES
         )
-        back_off.until = self._context.time_after(back_off.latency_objectives)
+        back_off.until = self._context.jittered_time_after(back_off.latency_objectives)
 
     def response_received(self, endpoint: Endpoint, class_name: str) -> None:
         """End an endpoint's back-off for a class, since it has capacity again."""
@@ -108,7 +108,7 @@
         than servers accept, and none would learn much of any.  A busy balancer reaches all.
         """
         size = subset_size(self._load.mean)
-        local_slots, remote_slots = self._slots(size)
+        local_slots, remote_slots = self._zone_slots(size)
         zone = self._context.settings.zone
         class_name = request.service_class.name
         pool: list[Endpoint] = []
@@ -132,12 +132,12 @@
         pool += surplus[: size - len(pool)]
         return pool or backing_off[:size]
 
-    def _slots(self, size: int) -> tuple[int, int]:
+    def _zone_slots(self, size: int) -> tuple[int, int]:
         """How many endpoints of the own zone, and of others, the subset has; the surplus may fill it up."""
         if self._context.settings.cost_weights.cross_zone <= 0.0:
             return size, size
         weights = self._locality_weights
-        remote = max(round(size * weights.remote_weight() * weights.remote_part), 1)
+        remote = max(round(size * weights.remote_weight() * weights.remote_fraction), 1)
         return size - remote, remote
 
     def _is_eligible(self, endpoint: Endpoint, request: Request) -> bool:
@@ -163,11 +163,11 @@
         """
         now, settings = self._context.now, self._context.settings
         rules, zone = settings.rules, settings.zone
-        power = min(max(1.0, float(request.cost_bucket)), MAX_LATENCY_EXPONENT)
+        exponent = min(max(1.0, float(request.cost_bucket)), MAX_LATENCY_EXPONENT)
         weights = []
         for endpoint in pool:
-            slowness = math.pow(max(endpoint.latency_ratio, 1.0 / MAX_RATIO), power)
+            latency_factor = math.pow(max(endpoint.latency_ratio, 1.0 / MAX_RATIO), exponent)
             warm_up = endpoint.warm_up
-            factor = 1.0 if warm_up is None else warm_up_factor(rules, warm_up.started_at, now)
-            weights.append(factor / slowness * (1.0 if endpoint.zone == zone else remote_weight))
+            warm_factor = 1.0 if warm_up is None else warm_up_factor(rules, warm_up.started_at, now)
+            weights.append(warm_factor / latency_factor * (1.0 if endpoint.zone == zone else remote_weight))
         return weights
--- a/tulipnotch/load_balancing/selection/locality_weights.py
+++ b/tulipnotch/load_balancing/selection/locality_weights.py
@@ -8,7 +8,7 @@
 
 from tulipnotch.load_balancing.admission.concurrency_limit import UNRESTRICTED_UTILIZATION, ConcurrencyLimit
 from tulipnotch.load_balancing.context import Context
-from tulipnotch.load_balancing.metrics.latency import zone_lag
+from tulipnotch.load_balancing.metrics.latency import zone_slowdown
 from tulipnotch.load_balancing.metrics.response_times import ResponseTimes
 
 MIN_REMOTE_WEIGHT = 0.25  # of an endpoint in another zone, while the own zone is as quick
@@ -29,7 +29,7 @@
         self._limit = limit
         self._remote_weight = 1.0  # as of _remote_weight_at
         self._remote_weight_at = -1
-        self.remote_part = 0.0  # part of the ready endpoints that are in other zones
+        self.remote_fraction = 0.0  # part of the ready endpoints that are in other zones
 
     def settings_changed(self) -> None:
         """Compute the weight again, even within the same instant."""
@@ -39,7 +39,7 @@
         """Count the ready endpoints that are in other zones."""
         ready = self._context.ready_endpoints
         zone = self._context.settings.zone
-        self.remote_part = sum(each.zone != zone for each in ready) / max(len(ready), 1)
+        self.remote_fraction = sum(each.zone != zone for each in ready) / max(len(ready), 1)
 
     def remote_weight(self) -> float:
         """The weight of an endpoint in another zone, computed once for each instant."""
@@ -51,12 +51,14 @@
         if self._context.settings.cost_weights.cross_zone <= 0.0:
             return 1.0
         if (
-            self._response_times.late >= EQUAL_WEIGHT_LATE_FRACTION
-            or self._limit.fill() > UNRESTRICTED_UTILIZATION
+            self._response_times.late_fraction >= EQUAL_WEIGHT_LATE_FRACTION
+            or self._limit.utilization() > UNRESTRICTED_UTILIZATION
         ):
             return 1.0  # capacity anywhere is worth more than the cost of another zone
-        lag = zone_lag(self._context.ready_endpoints, self._context.settings.zone)
-        if lag is None:
+        slowdown = zone_slowdown(self._context.ready_endpoints, self._context.settings.zone)
+        if slowdown is None:
             return 1.0
-        load = (self._response_times.typical - EQUAL_WEIGHT_TYPICAL_FRACTION) / EQUAL_WEIGHT_TYPICAL_FRACTION
-        return max(MIN_REMOTE_WEIGHT, min(max(lag / EQUAL_WEIGHT_SLOWDOWN, load), 1.0))
+        typical_excess = (
+            self._response_times.typical_fraction - EQUAL_WEIGHT_TYPICAL_FRACTION
+        ) / EQUAL_WEIGHT_TYPICAL_FRACTION
+        return max(MIN_REMOTE_WEIGHT, min(max(slowdown / EQUAL_WEIGHT_SLOWDOWN, typical_excess), 1.0))
--- a/tulipnotch/load_balancing/settings.py
+++ b/tulipnotch/load_balancing/settings.py
@@ -1,9 +1,9 @@
-"""The settings of one balancer: what the deployment permits and asks for.
+"""Settings of one balancer: what its deployment permits and asks for.
 
-Times are whole microseconds.  Settings hold what a decision of the balancer or its host can act on; the
-balancer itself does not read all of them.  The names of zones and tiers and the family of the service are
-left out, since a decision that depends on a name is wrong in another deployment, and so are the costs of what
-no action can cause.
+Times are whole microseconds. Settings hold what the balancer or its host can act on; the balancer itself does
+not read all of them. The names of zones and tiers and the family of the service are left out, because a
+decision that depends on a name would be wrong in another deployment. Costs that no action can cause are left
+out too.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
     """Whether the requests of a class may be executed more than once."""
 
     IDEMPOTENT = "idempotent"  # may be executed any number of times
-    # Servers of one deduplication scope execute it once within the deduplication window.
+    # Servers in the same deduplication scope execute it only once within the deduplication window.
     IDEMPOTENT_WITH_KEY = "idempotent_with_key"
     NON_IDEMPOTENT = "non_idempotent"  # must not be executed twice
 
@@ -62,7 +62,7 @@
 
 @unique
 class PriorityWeightBasis(Enum):
-    """What the priority weight of a class is counted for."""
+    """Whether the priority weight of a class counts for each request or for each unit of work."""
 
     REQUEST = "request"
     WORK = "work"
@@ -70,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceClass:
-    """One class of requests."""
+    """A class of requests with the same latency objective, priority and idempotency."""
 
     name: str
     deadline_us: int
@@ -86,7 +86,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """One tenant, and its quota of the fleet."""
+    """A tenant and its quota of the fleet's capacity."""
 
     name: str
     weight: float = 1.0
@@ -95,7 +95,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What the deployment permits; times in microseconds."""
+    """Limits on what the sidecar may do and use; times are in microseconds."""
 
     max_attempts: int = 1
     hedged_requests: bool = False
@@ -107,14 +107,15 @@
     connect_timeout_us: int = 250_000
     idle_timeout_us: int = 15_000_000
     streams_per_connection: int = 1
-    max_open_requests: int | None = None  # at once, enforced by the sidecar; None: no limit
-    cpu_us_per_s: int | None = None  # of CPU time, for the instance; None: no limit
-    cpu_us_per_request: float = 0.0  # of CPU time, on average, with the outcomes; 0: no limit
+    max_open_requests: int | None = None  # open requests at a time, enforced by the sidecar; None: no limit
+    cpu_us_per_s: int | None = None  # CPU time for the whole instance; None: no limit
+    # Average CPU time for a request, including the processing of its outcomes; 0: no limit.
+    cpu_us_per_request: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """Parameters of the four rules; the defaults are the most cautious values."""
+    """Parameters of the four rules that the balancer enforces; the defaults are the most cautious values."""
 
     response_slack_us: int = 0
     max_poll_interval_us: int = 10_000_000
@@ -123,13 +124,15 @@
     warm_up_us: int = 30_000_000
     overload_multiple: float = 1.0
     overload_window_us: int = 2_000_000
-    overloaded_may_have_run: bool = False  # an overloaded response may follow work that had begun
-    close_idle_within_us: int | None = None  # to draining endpoints; None: no such rule
+    # Whether a server may respond "overloaded" after it has begun to execute the request.
+    overloaded_may_have_run: bool = False
+    # Idle connections to draining endpoints are closed within this time; None: they may stay open.
+    close_idle_within_us: int | None = None
 
     def proves_not_executed(self, outcome: Outcome, *, is_response_certain: bool = True) -> bool:
-        """Whether the outcome proves that the server did not execute the request, not even in part.
+        """Returns whether the outcome proves that the server did not execute the request, not even in part.
 
-        A response proves nothing unless it is certain that it belongs to this request.
+        A response proves nothing unless it certainly belongs to this request.
         """
         if outcome is Outcome.OVERLOADED:
             return is_response_certain and not self.overloaded_may_have_run
@@ -138,38 +141,41 @@
 
 @dataclass(frozen=True, slots=True)
 class CostWeights:
-    """What extra traffic costs, as a part of all service, at one event a request unless said otherwise."""
+    """Costs of extra traffic, as fractions of the worth of all service.
+
+    Unless stated otherwise, a weight is the cost of one such event for each request.
+    """
 
     cross_zone: float = 0.0
     health_check: float = 0.0
-    peer_message: float = 0.0  # for 256 bytes a request, delivered
-    wasted_work: float = 0.0  # for work of servers that ends without a response, as much as was requested
+    peer_message: float = 0.0  # for 256 bytes delivered for each request
+    wasted_work: float = 0.0  # for as much server work ending without a response as was requested in total
     handshake: float = 0.0
-    connection: float = 0.0  # for a hundred open connections a server
-    discovery: float = 0.0  # for a hundred entries of endpoint lists a request
+    connection: float = 0.0  # for a hundred open connections to each server
+    discovery: float = 0.0  # for a hundred endpoint list entries received for each request
     late_failure: float = 0.0  # for all requests, by weight, failing after their latency objective
 
 
 @dataclass(frozen=True, slots=True)
 class ObjectiveWeights:
-    """The weights of the parts of the overall objective; all zero: not given."""
+    """Weights of the parts of the overall objective; all zero: not given."""
 
     overall: float = 0.0
     worst_window: float = 0.0
     worst_class: float = 0.0
     worst_tenant: float = 0.0
     tail: float = 0.0
-    tail_slack: float = 0.0  # the part of requests that may miss their latency objective at no cost
+    tail_slack: float = 0.0  # fraction of requests that may miss their latency objective at no cost
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """The complete settings of one instance."""
+    """The complete settings of one sidecar instance."""
 
     classes: tuple[ServiceClass, ...]
     tenants: tuple[Tenant, ...] = ()
     zone: str = ""
-    instance_index: int = -1  # this instance's number in the group, from 0; -1: not given
+    instance_index: int = -1  # this instance's number in its group, from 0; -1: not given
     instance_count: int = 1
     clock_resolution_us: int = 1_000
     discovery_mode: DiscoveryMode = DiscoveryMode.POLLED
@@ -182,6 +188,7 @@
     rules: Rules = field(default_factory=Rules)
     cost_weights: CostWeights = field(default_factory=CostWeights)
     objective_weights: ObjectiveWeights = field(default_factory=ObjectiveWeights)
-    machine_types: tuple[str, ...] = ()  # those that endpoint lists may name
+    machine_types: tuple[str, ...] = ()  # machine types that endpoint lists may name
     clients_mark_retries: bool = False
-    has_key_affinity: bool = False  # a server that saw a key lately needs less work for it
+    # Whether a server that served a key recently needs less work for its next request.
+    has_key_affinity: bool = False
--- a/tulipnotch/load_balancing/settings_reader.py
+++ b/tulipnotch/load_balancing/settings_reader.py
@@ -1,7 +1,7 @@
 """Reads `Settings` from plain nested mappings.
 
-Keys are the names of the fields; `_BOUNDS` is the table of those with other bounds than 0 or more.  An absent
-key has the default of its field.
+Keys are the names of the fields. A number must be 0 or more, unless `_BOUNDS` has other bounds for it. An
+absent key gets the default of its field.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
     Tenant,
 )
 
-_BOUNDS: Mapping[str, tuple[float, float]] = {  # the least and the greatest value, by the name of the field
+_BOUNDS: Mapping[str, tuple[float, float]] = {  # minimum and maximum, keyed by field name
     "clock_resolution_us": (1, MAX_EXACT_INTEGER),
     "initial_capacity": (0.001, 1.0),
     "instance_count": (1, MAX_EXACT_INTEGER),
@@ -40,10 +40,10 @@
 
 
 def settings_from_mapping(given: Mapping[str, Any], errors: list[SettingsError] | None = None) -> Settings:
-    """Read settings from plain nested mappings; unknown keys are ignored.
+    """Reads settings from plain nested mappings; ignores unknown keys.
 
     Args:
-        given: The settings, by the names of their fields.
+        given: The settings, keyed by field name.
         errors: If given, every error is appended to it; the settings are valid only if it stays empty.
 
     Raises:
@@ -59,7 +59,7 @@
     )
     for key, names in (("classes", [c.name for c in classes]), ("tenants", [t.name for t in tenants])):
         if len(set(names)) != len(names):
-            reader.add_error(SettingsError(key, "a name occurs twice"))
+            reader.add_error(SettingsError(key, "names must be unique"))
     report = reader.mapping("report")
     return Settings(
         classes=classes,
@@ -90,20 +90,20 @@
 
 
 def _top_level(reader: MappingReader) -> dict[str, Any]:
-    """The fields of `Settings` that are plain values at the top of the mapping."""
+    """Returns the fields of `Settings` that are plain values at the top level of the mapping."""
     defaults = {each.name: each.default for each in dataclasses.fields(Settings)}
     return {name: _value(reader, name, defaults[name]) for name in _TOP_LEVEL}
 
 
 def _record(record: type[_Record], reader: MappingReader) -> _Record:
-    """A record whose fields are plain values with defaults."""
+    """Returns a record whose fields are all plain values with defaults."""
     return record(
         **{each.name: _value(reader, each.name, each.default) for each in dataclasses.fields(record)}
     )
 
 
 def _value(reader: MappingReader, key: str, default: object) -> Any:
-    """The value at this key, of the type of its default, where None stands for an optional integer."""
+    """Returns the value at this key, in the type of its default; None as default: an optional integer."""
     minimum, maximum = _BOUNDS.get(key, _UNBOUNDED)
     match default:
         case bool():
@@ -121,7 +121,7 @@
         case None:
             return reader.optional_integer(key)
         case _:
-            raise TypeError(f"{key}: no reader for {default!r}")
+            raise TypeError(f"{key}: no reader for a default of {default!r}")
 
 
 def _service_class(reader: MappingReader) -> ServiceClass:
--- a/tulipnotch/load_balancing/slow_start/token_bucket.py
+++ b/tulipnotch/load_balancing/slow_start/token_bucket.py
@@ -16,8 +16,8 @@
         self._updated_at = now
         self._full_since: int | None = None
 
-    def fill(self, now: int, rate: float, capacity: float, lapse_after_us: float) -> None:
-        """Fill by `rate` tokens per microsecond up to `capacity`; lapse if full for `lapse_after_us`."""
+    def fill(self, now: int, rate: float, capacity: float, expire_after_us: float) -> None:
+        """Fill by `rate` tokens per microsecond up to `capacity`; lapse if full for `expire_after_us`."""
         before, self._tokens = self._tokens, self._tokens + rate * max(now - self._updated_at, 0)
         if self._tokens >= capacity:
             full_since = self._full_since
@@ -26,7 +26,7 @@
                 full_since = max(now - int(since_full_us), self._updated_at)
             self._full_since = full_since
             self._tokens = capacity
-            self._lapse(now - full_since, now, rate, capacity, lapse_after_us)
+            self._expire(now - full_since, now, rate, capacity, expire_after_us)
         self._updated_at = now
 
     def holds(self, tokens: float) -> bool:
@@ -38,13 +38,15 @@
         self._tokens -= tokens
         self._full_since = None
 
-    def _lapse(self, full_for_us: int, now: int, rate: float, capacity: float, lapse_after_us: float) -> None:
+    def _expire(
+        self, full_for_us: int, now: int, rate: float, capacity: float, expire_after_us: float
+    ) -> None:
         """If full for too long, continue as if it had been emptied in the instant in which it became full."""
         period_us = max(capacity / rate, 1.0) if rate > 0.0 else math.inf
-        if full_for_us < lapse_after_us or period_us <= lapse_after_us:
+        if full_for_us < expire_after_us or period_us <= expire_after_us:
             return
-        in_period_us = int(math.fmod(full_for_us, period_us))
-        if in_period_us < lapse_after_us:
-            self._full_since = now - in_period_us
+        since_period_start_us = int(math.fmod(full_for_us, period_us))
+        if since_period_start_us < expire_after_us:
+            self._full_since = now - since_period_start_us
         else:
-            self._full_since, self._tokens = None, min(rate * in_period_us, capacity)
+            self._full_since, self._tokens = None, min(rate * since_period_start_us, capacity)
--- a/tulipnotch/load_balancing/slow_start/warm_capacity.py
+++ b/tulipnotch/load_balancing/slow_start/warm_capacity.py
@@ -34,7 +34,7 @@
         self._served_warm = Rate(window_us)  # responses of warm endpoints
         self._rate_per_us = 0.0  # as of _rate_at
         self._rate_at = -1
-        self.selected_part = 1.0  # of the endpoints that served it, those that this balancer sends to
+        self.selected_fraction = 1.0  # of the endpoints that served it, those that this balancer sends to
         self.mean_nominal_capacity = 1.0  # of these endpoints
 
     def settings_changed(self) -> None:
@@ -60,10 +60,10 @@
         now = self._context.now
         if self._rate_at != now:
             elapsed_us = now - self._rate_at if self._rate_at >= 0 else 0
-            fade_us = max(SERVED_DECAY_FRACTION * self._context.settings.rules.warm_up_us, 1.0)
-            faded = math.exp(-elapsed_us / fade_us)
+            decay_us = max(SERVED_DECAY_FRACTION * self._context.settings.rules.warm_up_us, 1.0)
+            decay = math.exp(-elapsed_us / decay_us)
             self._rate_at = now
-            self._rate_per_us = max(self._served_per_endpoint(), self._rate_per_us * faded)
+            self._rate_per_us = max(self._served_per_endpoint(), self._rate_per_us * decay)
         return self._rate_per_us
 
     def _served_per_endpoint(self) -> float:
@@ -79,6 +79,6 @@
             selected = len(serving)
             served = self._arrivals.per_us(now) / (ARRIVALS_PER_REQUEST * max(selected, 1))
         count = max(len(serving), 1)
-        self.selected_part = selected / count
+        self.selected_fraction = selected / count
         self.mean_nominal_capacity = sum(each.nominal_capacity for each in serving) / count
         return served
--- a/tulipnotch/load_balancing/slow_start/warm_up_budget.py
+++ b/tulipnotch/load_balancing/slow_start/warm_up_budget.py
@@ -31,7 +31,7 @@
 MAX_COST_ROOT_FACTOR = 0.1  # a request may cost 1 + this x the square root of the budget, in means
 
 
-def phase(
+def initial_phase(
     name: str, started_at: int | None, instance_index: int, instance_count: int, random_phase: float
 ) -> float:
     """The part of a token that an instance begins with, from 0 to below 1.
@@ -82,7 +82,7 @@
         """
         now, settings = self._context.now, self._context.settings
         random_phase = self._context.random.random()
-        tokens = phase(
+        tokens = initial_phase(
             endpoint.name, started_at, settings.instance_index, settings.instance_count, random_phase
         )
         endpoint.warm_up = WarmUp(
@@ -110,12 +110,12 @@
             per_us *= min(endpoint.nominal_capacity / self._capacity.mean_nominal_capacity, 1.0)
         rate = rules.overload_multiple * warm_up_factor(rules, warm_up.started_at, now) * per_us
         # What all instances together may send to it, if all are like this one.
-        budget = rate * rules.overload_window_us * settings.instance_count * self._capacity.selected_part
+        budget = rate * rules.overload_window_us * settings.instance_count * self._capacity.selected_fraction
         if work > max_cost(budget):
             return False
         return has_budget(warm_up.budget, now, rate, rules.overload_window_us, work)
 
-    def consume(self, endpoint: Endpoint, work: float) -> None:
+    def consume_budget(self, endpoint: Endpoint, work: float) -> None:
         """Take a request of this much work out of the endpoint's warm-up budget."""
         if endpoint.warm_up is not None and self.is_warming_up(endpoint):
             endpoint.warm_up.budget.consume(work)
--- a/tulipnotch/load_balancing/timer_queue.py
+++ b/tulipnotch/load_balancing/timer_queue.py
@@ -1,4 +1,4 @@
-"""Timers: one queue for all that falls due, and one timer at a time, for its head."""
+"""Timer queue: holds all scheduled entries, and has one timer set at a time, for the earliest entry."""
 
 from __future__ import annotations
 
@@ -8,61 +8,61 @@
 
 from tulipnotch.load_balancing.actions import SetTimer
 
-REQUEST_DEADLINE = -1  # in place of an attempt: the entry is for the request's deadline
-DISCOVERY = -1  # in place of a request, which are never negative: the entry is for a poll of discovery
-TIMER_TOKEN = "agenda"  # of the one timer; the simulator's lines show it
+REQUEST_DEADLINE = -1  # takes the place of an attempt's index: the entry is for the request's deadline
+DISCOVERY = -1  # takes the place of a request id, which is never negative: the entry is for a discovery poll
+TIMER_TOKEN = "agenda"  # token of the only timer; it is part of the simulator's protocol
 
 
 class TimerEntry(NamedTuple):
-    """One thing that falls due; entries are ordered by due time, and then as they were scheduled."""
+    """A scheduled entry; entries are ordered by due time, then in the order in which they were scheduled."""
 
-    due: int
-    order: int
-    request: int  # or DISCOVERY
-    attempt: int  # or REQUEST_DEADLINE
+    due_at: int
+    sequence: int
+    request: int  # id of the request, or DISCOVERY
+    attempt: int  # index of the attempt, or REQUEST_DEADLINE
 
 
 class TimerQueue:
-    """What falls due when, for requests by number; due times are clock times in microseconds."""
+    """Queue of deadlines, attempt checks and discovery polls; due times are clock times in microseconds."""
 
     def __init__(self) -> None:
-        """Begin with nothing scheduled."""
+        """Starts with nothing scheduled."""
         self._entries: list[TimerEntry] = []
-        self._order = 0
-        self._timer_due: int | None = None
+        self._sequence = 0
+        self._timer_due_at: int | None = None
 
     def __len__(self) -> int:
-        """The number of entries."""
+        """Returns the number of entries."""
         return len(self._entries)
 
-    def schedule(self, due: int, request: int, attempt: int) -> None:
-        """Add an entry."""
-        self._order += 1
-        heapq.heappush(self._entries, TimerEntry(due, self._order, request, attempt))
+    def schedule(self, due_at: int, request: int, attempt: int) -> None:
+        """Adds an entry."""
+        self._sequence += 1
+        heapq.heappush(self._entries, TimerEntry(due_at, self._sequence, request, attempt))
 
     def timer_fired(self, now: int) -> None:
-        """Note that the timer has fired, unless it was one that an earlier timer replaced."""
-        if self._timer_due is not None and now >= self._timer_due:
-            self._timer_due = None
+        """Records that the timer has fired; ignores a timer that was replaced by an earlier one."""
+        if self._timer_due_at is not None and now >= self._timer_due_at:
+            self._timer_due_at = None
 
     def pop_due(self, now: int) -> TimerEntry | None:
-        """Remove and return the next entry that has fallen due, if there is one."""
+        """Removes and returns the next entry that is due; None if there is none."""
         if self._entries and self._entries[0][0] <= now:
             return heapq.heappop(self._entries)
         return None
 
     def next_timer(self, now: int, is_obsolete: Callable[[TimerEntry], bool]) -> SetTimer | None:
-        """The timer to set, if none is set or the one that is set fires too late for the head of the queue.
+        """Returns the timer to set; None if the one that is set fires in time for the earliest entry.
 
-        Obsolete entries at the head are dropped.
+        Drops obsolete entries at the head of the queue.
         """
         entries = self._entries
         while entries:
             head = entries[0]
             if not is_obsolete(head):
-                if self._timer_due is None or head.due < self._timer_due:
-                    self._timer_due = head.due
-                    return SetTimer(max(head.due - now, 0), TIMER_TOKEN)
+                if self._timer_due_at is None or head.due_at < self._timer_due_at:
+                    self._timer_due_at = head.due_at
+                    return SetTimer(max(head.due_at - now, 0), TIMER_TOKEN)
                 return None
             heapq.heappop(entries)
         return None
