--- a/tulipnotch/load_balancing/admission/service_levels.py
+++ b/tulipnotch/load_balancing/admission/service_levels.py
@@ -116,8 +116,8 @@
     def describe(self, now: int) -> str:
         """Describes the level for operators: its name, its duration, and the state of the concurrency limit.
 
-        In the text, "refused" is the fraction that the limit rejected, "the window" is the limit, and "wanted"
-        is what all requests together would use of it.
+        In the text, "refused" is the fraction that the limit rejected, "the window" is the limit, and
+        "wanted" is the part of it that all requests together would use.
         """
         recent = self._summarize(now, max((each.enter_us for each in self._levels), default=0))
         duration_s = (now - self._entered_at) / 1e6
--- a/tulipnotch/load_balancing/health/__init__.py
+++ b/tulipnotch/load_balancing/health/__init__.py
@@ -1,1 +1,1 @@
-"""Which endpoints are ejected, and what the end of an attempt says of one."""
+"""Endpoint health: which endpoints are ejected, and what the end of an attempt tells about its endpoint."""
--- a/tulipnotch/load_balancing/health/attempt_feedback.py
+++ b/tulipnotch/load_balancing/health/attempt_feedback.py
@@ -1,4 +1,4 @@
-"""Feedback: what the end of an attempt shows of its endpoint and of the fleet."""
+"""Attempt feedback: what the end of an attempt tells about its endpoint and about the fleet."""
 
 from __future__ import annotations
 
@@ -16,13 +16,14 @@
 from tulipnotch.load_balancing.retries.attempt_timeouts import HANDSHAKE_OBJECTIVES
 from tulipnotch.load_balancing.selection.best_of_k import Selection
 
-ABANDONED_FRACTION = 0.3  # an abandoned attempt counts as in flight for this part of its duration more
-ABANDONED_OUTCOMES = (Outcome.TIMED_OUT, Outcome.CANCELLED)  # the server may still be executing it
+# Fraction of its duration for which an abandoned attempt goes on to count as in flight.
+ABANDONED_FRACTION = 0.3
+ABANDONED_OUTCOMES = (Outcome.TIMED_OUT, Outcome.CANCELLED)  # the server may still be executing the attempt
 
 
 @dataclass(eq=False)
 class AttemptFeedback:
-    """Passes what attempts show to outlier detection, latency ratios, selection and concurrency limit."""
+    """Passes results of attempts to outlier detection, latency ratios, selection and concurrency limit."""
 
     _context: Context
     _load: Load
@@ -35,7 +36,7 @@
     def attempt_ended(
         self, request: Request, attempt: Attempt, event: AttemptEnded, *, was_in_flight: bool
     ) -> None:
-        """Learn from an attempt that ended."""
+        """Updates all measurements with an attempt that ended."""
         endpoint, outcome = attempt.endpoint, event.outcome
         was_abandoned = was_in_flight and outcome in ABANDONED_OUTCOMES
         is_late = was_abandoned and event.elapsed_us >= request.service_class.latency_objective_us
@@ -54,10 +55,11 @@
             self._selection.overloaded_response_received(endpoint, request.service_class.name)
 
     def _response_delivered(self, request: Request, attempt: Attempt, elapsed_us: int) -> None:
-        """Learn from a response that was delivered to its client.
+        """Updates measurements with a response that was delivered to its client.
 
-        Prevents taking handshakes for load: after a start, or when servers are replaced, most connections
-        are new, and each first response comes as late as an overloaded server's.  If it is later, it counts.
+        Prevents handshakes from being counted as overload: after a start, or when servers are replaced, most
+        connections are new, and the first response on each comes as late as from an overloaded server. A
+        response that is later than a handshake explains is counted.
         """
         service_class = request.service_class
         opens_connection = attempt.opens_connection
--- a/tulipnotch/load_balancing/health/outlier_detection.py
+++ b/tulipnotch/load_balancing/health/outlier_detection.py
@@ -1,6 +1,6 @@
-"""Outlier detection: endpoints that fail are ejected for a while, and readmitted by one probation attempt.
+"""Outlier detection: ejects endpoints that fail for a while; one probation attempt readmits them.
 
-Prevents a server that fails quickly from appearing idle and so attracting more requests.
+Prevents a server that fails fast from appearing idle and thereby attracting more requests.
 """
 
 from __future__ import annotations
@@ -18,22 +18,26 @@
 from tulipnotch.load_balancing.slow_start.warm_capacity import WarmCapacity
 from tulipnotch.load_balancing.slow_start.warm_up_budget import SlowStart
 
-HEALTHY = (Outcome.DELIVERED, Outcome.CLIENT_ERROR)  # outcomes that show a server to be healthy
+HEALTHY = (Outcome.DELIVERED, Outcome.CLIENT_ERROR)  # outcomes of a healthy server
 FAILURES = (Outcome.TIMED_OUT, Outcome.CONNECTION_LOST, Outcome.CONNECT_FAILED, Outcome.SERVER_ERROR)
 NO_RESPONSE = (Outcome.TIMED_OUT, Outcome.CONNECTION_LOST)  # failures that a stale connection may cause
-CONSECUTIVE_FAILURES = 2  # that eject an endpoint, with no response in between
-CONSECUTIVE_LOST_CONNECTIONS = 3  # or so many ending in a lost connection, which may be the network's fault
-CONSECUTIVE_MALFORMED = 6  # or so many malformed responses: fewer may be the network's fault
-INITIAL_EJECTION_OBJECTIVES = 2.0  # first ejection, in longest objectives; it doubles at each further one
-MAX_EJECTION_OBJECTIVES = 16.0  # its maximum: a server that has recovered is found again
-MAX_COUNTED_EJECTIONS = 8  # the length is at its maximum long before
-MAX_EJECTED_FRACTION = 0.6  # of the list, at most: more would overload the rest
-MAX_UNRESPONSIVE_FRACTION = 0.34  # of the list, ejected as unresponsive: more is overload, no outlier
-UNRESPONSIVE = "silent"  # the reason that is logged for these
+CONSECUTIVE_FAILURES = 2  # failures without a response in between that eject an endpoint
+# The same, if the last of them is a lost connection, which may be the network's fault.
+CONSECUTIVE_LOST_CONNECTIONS = 3
+CONSECUTIVE_MALFORMED = 6  # malformed responses that eject an endpoint; fewer may be the network's fault
+# First ejection, in longest latency objectives; the time doubles with each further one.
+INITIAL_EJECTION_OBJECTIVES = 2.0
+MAX_EJECTION_OBJECTIVES = 16.0  # maximum of this time; a server that has recovered must be found again
+MAX_COUNTED_EJECTIONS = 8  # more ejections would not change the time, which reaches its maximum much earlier
+# Maximum fraction of the endpoints in use that is ejected at a time; more would overload the rest.
+MAX_EJECTED_FRACTION = 0.6
+# The same for unresponsive endpoints; more of them means overload, not outliers.
+MAX_UNRESPONSIVE_FRACTION = 0.34
+UNRESPONSIVE = "silent"  # logged as the reason for ejecting an unresponsive endpoint
 
 
 class OutlierDetection:
-    """The health of endpoints, by how attempts end."""
+    """Ejects and readmits endpoints by how their attempts end."""
 
     def __init__(
         self,
@@ -43,17 +47,17 @@
         slow_start: SlowStart,
         idle_connections: IdleConnections,
     ) -> None:
-        """Begin with no endpoint ejected."""
+        """Starts with no endpoint ejected."""
         self._context = context
         self._load = load
         self._capacity = capacity
         self._slow_start = slow_start
         self._idle_connections = idle_connections
         self._ejected: list[Endpoint] = []
-        self.healthy_response_count = 0  # responses so far, from all endpoints
+        self.healthy_response_count = 0  # healthy responses from all endpoints since the start
 
     def attempt_ended(self, attempt: Attempt, outcome: Outcome) -> None:
-        """Learn of an endpoint's health from the end of an attempt."""
+        """Updates the health of an endpoint with an attempt that ended."""
         health = attempt.endpoint.health
         was_probation = health.probation_attempt is attempt
         if was_probation:
@@ -77,7 +81,7 @@
             self.readmit(endpoint)
 
     def _malformed_response_received(self, endpoint: Endpoint, *, was_probation: bool) -> None:
-        """Eject for many in a row only, since the network may damage the responses of all servers alike."""
+        """Ejects only after many in a row, since the network may damage responses of all servers alike."""
         health = endpoint.health
         health.consecutive_malformed += 1
         health.last_response_at = self._context.now
@@ -89,7 +93,7 @@
         endpoint = attempt.endpoint
         health = endpoint.health
         if outcome is Outcome.TIMED_OUT and health.last_response_at > attempt.started_at:
-            return  # it is slow, and no outlier: it responded to others meanwhile
+            return  # slow but not an outlier, since it responded to others meanwhile
         if (
             outcome in NO_RESPONSE
             and self._idle_connections.check_stale_connection(attempt)
@@ -104,18 +108,20 @@
             return
         self._eject(endpoint, outcome.value)
         if was_probation and outcome is Outcome.CONNECT_FAILED:
-            # Its process ended, and another may start before discovery announces it.  Lost connections say
-            # less: the network may cause them, and a fleet that all warms up has capacity for nobody.
+            # The process has ended, and a new one may start before discovery announces it. Lost connections
+            # are weaker evidence: the network may cause them, and a fleet that warms up all at once has
+            # capacity for nobody.
             self._slow_start.process_started(endpoint)
 
     def eject_unresponsive(self, endpoint: Endpoint) -> None:
-        """Eject an endpoint that has not responded for long, unless too many are ejected already."""
+        """Ejects an endpoint that has not responded for long, unless too many are ejected already."""
         self._eject(endpoint, UNRESPONSIVE, MAX_UNRESPONSIVE_FRACTION)
 
     def _eject(self, endpoint: Endpoint, reason: str, max_fraction: float = MAX_EJECTED_FRACTION) -> None:
-        """Eject an endpoint, or extend its ejection.
+        """Ejects an endpoint, or extends its ejection.
 
-        At most `max_fraction` of the endpoints in use is ejected at a time, since the rest would be overloaded.
+        At most `max_fraction` of the endpoints in use is ejected at a time, because the rest would be
+        overloaded.
         """
         context = self._context
         ejection = endpoint.ejection
@@ -134,7 +140,11 @@
         ejection.until = context.jittered_time_after(objectives)
 
     def readmit(self, endpoint: Endpoint) -> None:
-        """End an endpoint's ejection; its process may have been replaced meanwhile, and so warm up again."""
+        """Ends an endpoint's ejection.
+
+        If its last start was assumed, not announced by discovery, it warms up again, because its process may
+        have been replaced meanwhile.
+        """
         endpoint.ejection = None
         self._ejected.remove(endpoint)
         self._load.endpoint_readmitted(endpoint)
@@ -144,12 +154,15 @@
         self._context.actions.append(LogEvent("readmitted", endpoint.name))
 
     def endpoint_removed(self, endpoint: Endpoint) -> None:
-        """Stop counting a removed endpoint as ejected."""
+        """Stops counting a removed endpoint as ejected."""
         if endpoint in self._ejected:
             self._ejected.remove(endpoint)
 
     def probation_due(self, request: Request) -> Endpoint | None:
-        """The ejected endpoint to try with this request, which must be idempotent and have no attempt yet."""
+        """Returns an ejected endpoint to try with this request; None if no probation attempt is due.
+
+        The request must be idempotent and have no attempt yet.
+        """
         if (
             not self._ejected
             or request.service_class.idempotency is not Idempotency.IDEMPOTENT
--- a/tulipnotch/load_balancing/metrics/__init__.py
+++ b/tulipnotch/load_balancing/metrics/__init__.py
@@ -1,1 +1,1 @@
-"""What is measured for the decisions."""
+"""Measurements that the decisions are based on."""
--- a/tulipnotch/load_balancing/metrics/cost_estimates.py
+++ b/tulipnotch/load_balancing/metrics/cost_estimates.py
@@ -1,4 +1,4 @@
-"""Costs: the work that clients estimate, relative to the mean of a class and to the mean of all requests."""
+"""Cost estimates: the work that clients estimate, relative to the mean of a class and of all requests."""
 
 from __future__ import annotations
 
@@ -6,25 +6,26 @@
 
 from tulipnotch.load_balancing.settings import ServiceClass
 
-CLASS_MEAN_STEP = 0.02  # the mean cost of a class follows its last fifty estimates or so
-WORK_MEAN_STEP = 0.02  # and so does the mean work of all
-MAX_ESTIMATE_MEANS = 2.0  # one estimate counts for at most so many: a heavy request may be retried many times
-PRIOR_ESTIMATES = 2.0  # estimates that the likely mean counts for, before there are any
+CLASS_MEAN_STEP = 0.02  # moving average of the cost of a class: about its last fifty estimates
+WORK_MEAN_STEP = 0.02  # moving average of the work of all requests, likewise over about fifty
+# One estimate counts for at most this many means, because a heavy request may be retried many times.
+MAX_ESTIMATE_MEANS = 2.0
+PRIOR_ESTIMATES = 2.0  # number of estimates that the initially assumed mean counts for
 
 
 class ClassCosts:
-    """The cost of a request relative to the mean of its class."""
+    """Computes the cost of a request relative to the mean of its class."""
 
     def __init__(self) -> None:
         """Begin with no estimate seen."""
         self._means: dict[str, float] = {}
 
     def retain_classes(self, names: Container[str]) -> None:
-        """Drop what was learnt of other classes."""
+        """Drops the means of all other classes."""
         self._means = {name: mean for name, mean in self._means.items() if name in names}
 
     def relative_cost(self, service_class: ServiceClass, cost_us: int | None) -> float:
-        """Learn from an estimate (None or 0: there is none, and it counts as the mean)."""
+        """Returns the relative cost and updates the mean; without an estimate (None or 0) it is the mean."""
         if not cost_us or cost_us < 0:
             return 1.0
         mean_us = self._means.get(service_class.name, float(cost_us))
@@ -33,7 +34,7 @@
 
 
 class MeanWork:
-    """The work of a request relative to the mean of all requests, whatever their class."""
+    """Computes the work of a request relative to the mean of all requests, whatever their class."""
 
     __slots__ = ("_estimate_count", "_mean_us")
 
@@ -43,10 +44,11 @@
         self._estimate_count = 0.0
 
     def relative_work(self, work_us: int | None, assumed_mean_us: float) -> float:
-        """Learn from an estimate in microseconds on a standard core (None or 0: none, counts as the mean).
+        """Returns the relative work and updates the mean; without an estimate (None or 0) it is the mean.
 
-        `assumed_mean_us` is what to take for the mean before any estimate; it counts for `PRIOR_ESTIMATES` of them.
-        A request is compared with those before it: one heavy one among few would pass for a usual one.
+        Estimates are in microseconds on a standard core. `assumed_mean_us` is the mean before any estimate;
+        it counts for `PRIOR_ESTIMATES` of them. A request is compared only with those before it; otherwise a
+        heavy one among few would look like a typical one.
         """
         if not work_us or work_us < 0:
             return 1.0
--- a/tulipnotch/load_balancing/metrics/demand.py
+++ b/tulipnotch/load_balancing/metrics/demand.py
@@ -1,4 +1,4 @@
-"""Demand: the rate of requests, by class and tenant."""
+"""Demand: the rate of arriving requests, by class and tenant."""
 
 from __future__ import annotations
 
@@ -8,28 +8,28 @@
 from tulipnotch.load_balancing.metrics.rate import Rate
 from tulipnotch.load_balancing.settings import ServiceClass
 
-RATE_WINDOW_OBJECTIVES = 4.0  # rates are averaged over this many of the longest latency objective
+RATE_WINDOW_OBJECTIVES = 4.0  # averaging window of the rates, in longest latency objectives
 
 
 class Traffic:
-    """One tenant's requests of one class."""
+    """The requests of one tenant and one class."""
 
     __slots__ = ("rate", "service_class", "tenant")
 
     def __init__(self, service_class: ServiceClass, tenant: str | None, window_us: float) -> None:
-        """Begin at rate 0, averaged over `window_us`."""
+        """Starts at rate 0, averaged over `window_us`."""
         self.service_class = service_class
         self.tenant = tenant
         self.rate = Rate(window_us)
 
 
 class Demand:
-    """Requests per microsecond at one instant: by class and tenant, by tenant, and in all."""
+    """Requests per microsecond at one instant: by class and tenant, by tenant, and in total."""
 
     __slots__ = ("by_tenant", "by_traffic", "total")
 
     def __init__(self, traffic: Iterable[Traffic], now: int) -> None:
-        """Sum up these rates as of clock time `now`."""
+        """Sums up these rates as of clock time `now`."""
         self.by_traffic = [(each, each.rate.per_us(now)) for each in traffic]
         self.by_tenant: dict[str | None, float] = {}
         for each, rate in self.by_traffic:
@@ -38,16 +38,16 @@
 
 
 class DemandMeter:
-    """Measures the demand."""
+    """Measures the demand by counting arriving requests."""
 
     def __init__(self, context: Context) -> None:
-        """Begin with no traffic."""
+        """Starts with no traffic."""
         self._context = context
         self._traffic: dict[tuple[str, str | None], Traffic] = {}
         self._load_rejected_by_level = Rate(RATE_WINDOW_OBJECTIVES * context.max_latency_objective_us)
 
     def settings_changed(self) -> None:
-        """Apply new classes and objectives; drop the traffic of classes that no longer exist."""
+        """Applies new classes and objectives; drops the traffic of classes that no longer exist."""
         classes = self._context.classes
         window_us = RATE_WINDOW_OBJECTIVES * self._context.max_latency_objective_us
         self._traffic = {key: each for key, each in self._traffic.items() if key[0] in classes}
@@ -57,7 +57,7 @@
         self._load_rejected_by_level.set_window(window_us)
 
     def request_arrived(self, service_class: ServiceClass, tenant: str | None) -> Traffic:
-        """Count a request; return the traffic that it is a part of."""
+        """Counts a request; returns the traffic that it belongs to."""
         key = (service_class.name, tenant)
         traffic = self._traffic.get(key)
         if traffic is None:
@@ -67,13 +67,13 @@
         return traffic
 
     def request_rejected_by_level(self, expected_us: float) -> None:
-        """Count a request that a service level rejected, by the usual time of such requests."""
+        """Counts a request that a service level rejected, weighted by its expected latency."""
         self._load_rejected_by_level.add(self._context.now, expected_us)
 
     def load_rejected_by_level(self) -> float:
-        """The requests that a service level rejects, as if they were in flight."""
+        """Returns how many requests would be in flight in addition if the service level rejected none."""
         return self._load_rejected_by_level.per_us(self._context.now)
 
     def current_demand(self) -> Demand:
-        """The demand at the time of this event."""
+        """Returns the demand at the time of this event."""
         return Demand(self._traffic.values(), self._context.now)
--- a/tulipnotch/load_balancing/metrics/latency.py
+++ b/tulipnotch/load_balancing/metrics/latency.py
@@ -1,7 +1,7 @@
-"""Latency ratios: how long an endpoint takes, relative to what is usual for such requests.
+"""Latency ratios: how long an endpoint takes, relative to the expected latency of such requests.
 
-A request is compared with others of its class and cost, over all endpoints, so that heavy requests show
-little of the endpoint that had them.
+A request is compared with others of its class and cost over all endpoints, so that heavy requests tell little
+about the endpoint that executed them.
 """
 
 from __future__ import annotations
@@ -12,49 +12,50 @@
 from tulipnotch.load_balancing.metrics.load import Load
 from tulipnotch.load_balancing.requests import Request
 
-RATIO_STEP = 0.1  # a latency ratio follows the last ten responses or so, fewer where few are in flight
-MAX_RATIO = 4.0  # one response counts for at most this many usual ones: heavy requests show little
-EXPECTED_STEP = 0.02  # the usual time of a class follows its last fifty responses or so
-INITIAL_EXPECTED_OBJECTIVES = 0.3  # the usual time before any response, as a part of the objective
+RATIO_STEP = 0.1  # moving average of a latency ratio: about its last ten responses, fewer at low load
+MAX_RATIO = 4.0  # one response counts for at most this ratio, so that heavy requests have little influence
+EXPECTED_STEP = 0.02  # moving average of the expected latency: about the last fifty responses
+# Expected latency before any response, as a fraction of the latency objective.
+INITIAL_EXPECTED_OBJECTIVES = 0.3
 
 
 class Latency:
-    """The usual times of classes, and the latency ratios of endpoints by them."""
+    """Tracks the expected latencies of classes, and the latency ratios of endpoints relative to them."""
 
     def __init__(self, load: Load) -> None:
-        """Begin with no response seen."""
+        """Starts with no responses."""
         self._load = load
-        self.expected_us: dict[tuple[str, int], float] = {}  # of a class and cost bucket, over all endpoints
+        # Expected latency over all endpoints, keyed by class name and cost bucket.
+        self.expected_us: dict[tuple[str, int], float] = {}
 
     def retain_classes(self, names: Container[str]) -> None:
-        """Drop what was learnt of other classes."""
+        """Drops the expected latencies of all other classes."""
         self.expected_us = {key: expected for key, expected in self.expected_us.items() if key[0] in names}
 
     def expected_latency_us(self, request: Request) -> float:
-        """The usual time of such a request, over all endpoints, in microseconds."""
+        """Returns the expected latency of such a request over all endpoints, in microseconds."""
         return self.expected_us.get(
             (request.service_class.name, request.cost_bucket),
             INITIAL_EXPECTED_OBJECTIVES * request.service_class.latency_objective_us,
         )
 
     def response_received(self, endpoint: Endpoint, request: Request, elapsed_us: int) -> None:
-        """Learn from a response, of the endpoint and of such requests."""
+        """Updates the endpoint's latency ratio and the expected latency with a response."""
         key = (request.service_class.name, request.cost_bucket)
-        expected = self.expected_us.setdefault(
-            key, float(elapsed_us)
-        )  # the first response of its kind is usual
+        # The first response of its kind sets the expected latency.
+        expected = self.expected_us.setdefault(key, float(elapsed_us))
         self._update_ratio(endpoint, request, elapsed_us)
         self.expected_us[key] = expected + EXPECTED_STEP * (elapsed_us - expected)
 
     def attempt_abandoned(self, endpoint: Endpoint, request: Request, elapsed_us: int) -> None:
-        """Learn from an attempt without a response that took longer than usual at this endpoint."""
+        """Updates the latency ratio with an attempt without response that took longer than expected there."""
         if elapsed_us > self.expected_latency_us(request) * endpoint.latency_ratio:
             self._update_ratio(endpoint, request, elapsed_us)
 
     def error_received(self, endpoint: Endpoint, request: Request) -> None:
-        """Count an error as the slowest response there is.
+        """Counts an error as the slowest possible response.
 
-        Prevents taking a server that fails quickly for a quick server.
+        Prevents a server that fails fast from appearing fast.
         """
         self._update_ratio(endpoint, request, int(MAX_RATIO * self.expected_latency_us(request)))
 
@@ -64,9 +65,9 @@
 
 
 def zone_slowdown(endpoints: Iterable[Endpoint], zone: str) -> float | None:
-    """How much slower the endpoints of this zone are than the others, by latency ratio, without ejected ones.
+    """Returns how much slower this zone's endpoints are than the others, by latency ratio.
 
-    0: as quick; None: one of the two has no endpoints to compare.
+    Ejected endpoints are left out. 0: as fast as the others; None: one side has no endpoints to compare.
     """
     local_sum = remote_sum = 0.0
     local_count = remote_count = 0
--- a/tulipnotch/load_balancing/metrics/load.py
+++ b/tulipnotch/load_balancing/metrics/load.py
@@ -8,28 +8,30 @@
 from tulipnotch.load_balancing.context import Context
 from tulipnotch.load_balancing.endpoints.endpoint import Endpoint
 
-LOW_LOAD = 8.0  # with fewer own requests in flight than this, much of what is measured is chance
-MAX_LOW_LOAD_FACTOR = 4.0  # so the fewer, the longer loads are averaged and the larger the steps, up to this
+LOW_LOAD = 8.0  # with fewer own requests in flight than this, much of what is measured is random variation
+# Maximum factor by which averaging windows and steps grow as the load falls below `LOW_LOAD`.
+MAX_LOW_LOAD_FACTOR = 4.0
 
 
 class Load:
-    """Own requests in flight, with those abandoned, at endpoints that are not ejected.
+    """Counts own requests in flight, with abandoned ones, at endpoints that are not ejected.
 
-    Running counts, not a sum over the list, since the load is read at every event.
+    Keeps running counts rather than a sum over all endpoints, because the load is read at every event.
     """
 
     def __init__(self, context: Context) -> None:
-        """Begin with nothing in flight."""
+        """Starts with nothing in flight."""
         self._context = context
         self.mean = 0.0
         self.last_busy_at = 0  # clock time of the last event at which anything was in flight
         self._updated_at = 0
         self._in_flight = 0
-        self._at_ejected = 0  # of these, at ejected endpoints
-        self._abandoned_until: list[int] = []  # when each abandoned attempt stops counting, soonest first
+        self._at_ejected = 0  # requests in flight at ejected endpoints
+        # Clock times at which abandoned attempts stop counting, as a heap.
+        self._abandoned_until: list[int] = []
 
     def current(self) -> int:
-        """The load at the time of this event."""
+        """Returns the load at the time of this event."""
         abandoned_until = self._abandoned_until
         now = self._context.now
         while abandoned_until and abandoned_until[0] <= now:
@@ -37,11 +39,11 @@
         return self._in_flight - self._at_ejected + len(abandoned_until)
 
     def low_load_factor(self) -> float:
-        """How much longer than in a busy balancer it takes to distinguish a change from chance."""
+        """Returns how many times longer than at high load it takes to tell a change from random variation."""
         return max(1.0, min(LOW_LOAD / max(self.mean, 1e-9), MAX_LOW_LOAD_FACTOR))
 
     def update_mean(self, limit: float) -> None:
-        """Follow the mean up to the time of this event; `limit` is the concurrency limit in force."""
+        """Updates the mean to the time of this event; `limit` is the current concurrency limit."""
         elapsed_us = self._context.now - self._updated_at
         if elapsed_us > 0:
             self._updated_at = self._context.now
@@ -49,33 +51,33 @@
             load = self.current()
             if load > 0:
                 self.last_busy_at = self._updated_at
-            self.mean = min(self.mean, max(load, limit, 1.0))  # more would delay relief
+            self.mean = min(self.mean, max(load, limit, 1.0))  # a higher mean would delay recovery
             self.mean += (load - self.mean) * (1.0 - math.exp(-elapsed_us / window_us))
 
     def attempt_started(self, endpoint: Endpoint) -> None:
-        """Count an attempt as in flight."""
+        """Counts an attempt as in flight."""
         endpoint.in_flight += 1
         self._in_flight += 1
         if endpoint.ejection is not None:
             self._at_ejected += 1
 
     def attempt_ended(self, endpoint: Endpoint) -> None:
-        """Count an attempt as in flight no longer."""
+        """Counts an attempt as no longer in flight."""
         endpoint.in_flight -= 1
         self._in_flight -= 1
         if endpoint.ejection is not None:
             self._at_ejected -= 1
 
     def attempt_abandoned(self, endpoint: Endpoint, until: int) -> None:
-        """Count an abandoned attempt as in flight until that clock time, since it may still be executing."""
+        """Counts an abandoned attempt as in flight until clock time `until`; it may still be executing."""
         endpoint.abandoned_until.append(until)
         if endpoint.ejection is None:
             heapq.heappush(self._abandoned_until, until)
 
     def endpoint_ejected(self, endpoint: Endpoint) -> None:
-        """Exclude what is in flight at an endpoint that is ejected now."""
+        """Excludes requests in flight at an endpoint that has just been ejected."""
         self._at_ejected += endpoint.in_flight
 
     def endpoint_readmitted(self, endpoint: Endpoint) -> None:
-        """Include what is in flight at an endpoint that is ejected no longer."""
+        """Includes requests in flight at an endpoint that has just been readmitted."""
         self._at_ejected -= endpoint.in_flight
--- a/tulipnotch/load_balancing/metrics/rate.py
+++ b/tulipnotch/load_balancing/metrics/rate.py
@@ -6,28 +6,28 @@
 
 
 class Rate:
-    """A rate whose past fades exponentially; the window is the time constant."""
+    """A rate in which past events decay exponentially; the window is the time constant."""
 
     __slots__ = ("_count", "_updated_at", "_window_us")
 
     def __init__(self, window_us: float) -> None:
-        """Begin at 0."""
+        """Starts at 0."""
         self._window_us = window_us
         self._count = 0.0
         self._updated_at = 0
 
     def set_window(self, window_us: float) -> None:
-        """Average over another window from now on; the rate stays."""
+        """Changes the window; keeps the current rate."""
         self._count *= window_us / self._window_us
         self._window_us = window_us
 
     def add(self, now: int, amount: float) -> None:
-        """Count so much at clock time `now`, in microseconds."""
+        """Adds an amount at clock time `now`, in microseconds."""
         self._decay(now)
         self._count += amount
 
     def per_us(self, now: int) -> float:
-        """The amount per microsecond, as of `now`."""
+        """Returns the amount per microsecond, as of `now`."""
         self._decay(now)
         return self._count / self._window_us
 
--- a/tulipnotch/load_balancing/metrics/response_times.py
+++ b/tulipnotch/load_balancing/metrics/response_times.py
@@ -1,4 +1,4 @@
-"""Response times: how much of its objective the typical response takes, now and when the fleet is idle."""
+"""Response times: how much of its latency objective the typical response takes, now and in an idle fleet."""
 
 from __future__ import annotations
 
@@ -6,38 +6,38 @@
 
 from tulipnotch.load_balancing.metrics.load import Load
 
-TYPICAL_STEP = 0.06  # the typical response is the geometric mean of the last fifteen or so
-MAX_TYPICAL_FRACTION = 1.0  # it is not followed past the objective: from there it must recover
-MIN_RESPONSE_FRACTION = 0.02  # of the objective; what is quicker shows nothing more
-LOST_REQUEST_OBJECTIVES = 2.0  # what a request that got no response in time counts as: late by far
-LATE_STEP = 0.02  # the part that is late is one of the last fifty responses or so
-IDLE_INCREASE = 0.0008  # the idle time may rise by this part of the objective at each response
-IDLE_INCREASE_LOADED = 0.00008  # and by this one while requests are rejected
-MIN_IDLE_FRACTION = 0.04  # part of the objective below which idle times are treated alike
-CPU_UTILIZATION_STEP = 0.1  # of the last ten reports or so
+TYPICAL_STEP = 0.06  # geometric moving average of the typical response: about the last fifteen responses
+MAX_TYPICAL_FRACTION = 1.0  # upper bound of the typical fraction; a higher one would delay recovery
+# Lower bound of the measured fraction; faster responses carry no further information.
+MIN_RESPONSE_FRACTION = 0.02
+LOST_REQUEST_OBJECTIVES = 2.0  # fraction that a request without a response in time counts as: very late
+LATE_STEP = 0.02  # moving average of the late fraction: about the last fifty responses
+IDLE_INCREASE = 0.0008  # amount by which the idle fraction may rise at each response
+IDLE_INCREASE_LOADED = 0.00008  # the same while requests are rejected
+MIN_IDLE_FRACTION = 0.04  # idle fractions below this are treated alike
+CPU_UTILIZATION_STEP = 0.1  # moving average of the CPU utilization: about the last ten reports
 
 
 class ResponseTimes:
-    """What responses and servers' reports show of how busy the fleet is."""
+    """Measures how busy the fleet is, by responses and by load reports from servers."""
 
     def __init__(self, load: Load, max_first_fraction: float) -> None:
-        """The first response is taken for typical up to `max_first_fraction` of its objective."""
+        """Starts with no responses; the first one counts as typical up to `max_first_fraction`."""
         self._load = load
         self._max_first_fraction = max_first_fraction
-        self.typical_fraction = 0.0  # the part of its objective that the typical response takes
-        self.late_fraction = 0.0  # the part of the responses that come after their objective
-        self.idle_fraction = 0.0  # the least that the typical response has lately taken
-        self.cpu_utilization: float | None = (
-            None  # utilization of servers' cores, from 0 to 1; None: not reported
-        )
+        self.typical_fraction = 0.0  # fraction of its objective that the typical response takes
+        self.late_fraction = 0.0  # fraction of the responses that come after their objective
+        self.idle_fraction = 0.0  # recent minimum of the typical fraction
+        # CPU utilization of servers, from 0 to 1; None: not reported.
+        self.cpu_utilization: float | None = None
         self._has_response = False
 
     def reset_cpu_utilization(self) -> None:
-        """Drop the last reports of core utilization, as servers send none any more."""
+        """Drops the reported CPU utilization, because servers do not report it any more."""
         self.cpu_utilization = None
 
     def cpu_utilization_reported(self, utilization: float) -> None:
-        """Follow a report of how busy a server's cores are, from 0 to 1."""
+        """Updates the CPU utilization with a server's report, from 0 to 1."""
         self.cpu_utilization = (
             utilization
             if self.cpu_utilization is None
@@ -45,11 +45,12 @@
         )
 
     def record_response_time(self, objective_fraction: float, *, is_unrestricted: bool) -> None:
-        """Follow a response that took this part of its objective; `is_unrestricted`: nothing is rejected now.
+        """Records a response that took this fraction of its latency objective.
 
-        A geometric mean: one heavy request or slow server moves it little; the further the usual is from
-        what was typical, the more evidence it takes.  Prevents small balancers, whose few responses are
-        mostly chance, from taking chance for overload.
+        `is_unrestricted` tells whether all requests are admitted now. The typical fraction is a geometric
+        mean, so that one heavy request or slow server changes it little, and a larger change needs more
+        evidence. Prevents small balancers, whose few responses are mostly random variation, from detecting an
+        overload in it.
         """
         if not self._has_response:
             self._has_response = True
--- a/tulipnotch/load_balancing/retries/__init__.py
+++ b/tulipnotch/load_balancing/retries/__init__.py
@@ -1,1 +1,1 @@
-"""Whether, when and where a request may be attempted again."""
+"""Retries: whether, when and at which endpoints a request may be attempted again."""
--- a/tulipnotch/load_balancing/retries/attempt_timeouts.py
+++ b/tulipnotch/load_balancing/retries/attempt_timeouts.py
@@ -1,7 +1,8 @@
-"""Overdue attempts: when an attempt is overdue, and when its endpoint counts as unresponsive.
+"""Attempt timeouts: when an attempt is overdue, and when its endpoint counts as unresponsive.
 
-Prevents sending to servers that accept work and respond to nothing until time-outs show it.  A server that
-responded to anything since is slow, not unresponsive; if the others are as slow, all are overloaded.
+Prevents sending requests to servers that accept them and respond to none until deadlines pass. A server that
+has responded to any request since the attempt started is slow, not unresponsive. If the other servers are
+just as slow, all of them are overloaded.
 """
 
 from __future__ import annotations
@@ -16,17 +17,20 @@
 from tulipnotch.load_balancing.requests import Attempt, Request
 from tulipnotch.load_balancing.timer_queue import TimerQueue
 
-OVERDUE_FACTOR = 2.5  # usual times (at this endpoint's latency ratio) after which an attempt is overdue
-MIN_OVERDUE_OBJECTIVES = 0.1  # but never less than this part of the objective: short times are all jitter
-HANDSHAKE_OBJECTIVES = 0.5  # or this on a new connection, which begins with a handshake
-MIN_OTHER_RESPONSES = 4  # from other endpoints, since the attempt began, that single out its endpoint
-UNRESPONSIVE_FACTOR = 2.0  # overdue by this factor more, its endpoint is taken to be unresponsive
-MIN_UNRESPONSIVE_OBJECTIVES = 0.5  # but never before this part of the objective
+# An attempt is overdue after this many times its expected latency (at its endpoint's latency ratio).
+OVERDUE_FACTOR = 2.5
+MIN_OVERDUE_OBJECTIVES = 0.1  # minimum of this time, in latency objectives; shorter times are mostly jitter
+HANDSHAKE_OBJECTIVES = 0.5  # the same on a new connection, which begins with a handshake
+# After this many responses from other endpoints since an attempt started, only its own endpoint is
+# unresponsive.
+MIN_OTHER_RESPONSES = 4
+UNRESPONSIVE_FACTOR = 2.0  # the endpoint counts as unresponsive after this many times the overdue time
+MIN_UNRESPONSIVE_OBJECTIVES = 0.5  # minimum of this time, in latency objectives
 
 
 @dataclass(eq=False)
 class AttemptTimeouts:
-    """Watches attempts that take far longer than usual."""
+    """Detects attempts that take much longer than expected."""
 
     _context: Context
     _timers: TimerQueue
@@ -36,7 +40,7 @@
     _outlier_detection: OutlierDetection
 
     def schedule_check(self, request: Request, attempt: Attempt) -> None:
-        """Schedule a check of an attempt that begins now, for when it is overdue."""
+        """Schedules a check of an attempt that starts now, for when it becomes overdue."""
         due = self._context.now + self._overdue_after_us(request, attempt)
         self._timers.schedule(due, request.request_id, attempt.index)
 
@@ -56,7 +60,10 @@
         )
 
     def check_overdue(self, request: Request, attempt: Attempt) -> bool:
-        """Learn from an overdue attempt; return whether no response to it is to be expected any more."""
+        """Checks an attempt that may be overdue; returns whether a response to it is no longer expected.
+
+        Ejects its endpoint if that has become unresponsive, and counts a late attempt as a sign of overload.
+        """
         endpoint = attempt.endpoint
         elapsed_us = self._context.now - attempt.started_at
         self._count_if_late(request, attempt, elapsed_us)
@@ -79,7 +86,7 @@
         return endpoint.ejection is not None or attempt.is_connection_suspect
 
     def _count_if_late(self, request: Request, attempt: Attempt, elapsed_us: int) -> None:
-        """Count the attempt as a sign of overload once it is late, unless its endpoint is the cause."""
+        """Counts the attempt as a sign of overload once it is late, unless its endpoint is the cause."""
         objective_us = request.service_class.latency_objective_us
         late_after_us = int(objective_us * (1.0 + HANDSHAKE_OBJECTIVES * attempt.opens_connection))
         if elapsed_us < late_after_us:
@@ -93,6 +100,6 @@
             self._concurrency_limit.request_overdue()
 
     def _is_endpoint_outlier(self, attempt: Attempt) -> bool:
-        """Whether others responded meanwhile, so that only this endpoint is unresponsive."""
+        """Returns whether other endpoints responded meanwhile, so that only this one is unresponsive."""
         responses = self._outlier_detection.healthy_response_count - attempt.responses_before
         return attempt.endpoint.ejection is None and responses >= MIN_OTHER_RESPONSES
--- a/tulipnotch/load_balancing/retries/idempotency_rule.py
+++ b/tulipnotch/load_balancing/retries/idempotency_rule.py
@@ -1,11 +1,12 @@
-"""Rule 2, no double effects: until when and where an attempt may start while others may have been executed.
+"""Rule 2, no duplicate effects: until when and where an attempt may start if others may have been executed.
 
-Functions of a request's class and of its attempts, for both callers: the decision on a further attempt, and
-the instant in which the last byte of an attempt that was chosen earlier is about to be written.
+The functions depend only on a request's class and attempts. There are two callers: the decision to start
+another attempt, and the check immediately before the last byte of an attempt is written.
 
-An idempotent class has no bound.  A non-idempotent one may begin only while no other attempt may have run.
-One that is idempotent with a key may begin in the deduplication scope of whatever may have run, and only
-within the deduplication window of the first of these attempts.
+An idempotent class has no restriction. Attempts of a non-idempotent class may start only while no other
+attempt may have been executed. Attempts of a class that is idempotent with a key may start only in the
+deduplication scope of all attempts that may have been executed, and only within the deduplication window of
+the first of them.
 """
 
 from __future__ import annotations
@@ -18,35 +19,36 @@
 
 
 class Locality(Protocol):
-    """Where something runs, by the endpoint list."""
+    """A location in the endpoint list."""
 
     @property
     def zone(self) -> str:
-        """The zone's name."""
+        """Name of the zone."""
 
     @property
     def cell(self) -> int:
-        """The cell's number."""
+        """Number of the cell."""
 
 
 class PriorAttempt(Locality, Protocol):
-    """An attempt of the same request, as far as it bounds another one."""
+    """An earlier attempt of the same request, with the properties that restrict further attempts."""
 
     @property
     def may_have_run(self) -> bool:
-        """Whether a server may have executed it."""
+        """Whether a server may have executed the attempt."""
 
     @property
     def earliest_execution_at(self) -> int:
-        """The earliest clock time at which a server may have begun it."""
+        """Earliest clock time at which a server may have begun to execute the attempt."""
 
 
 def write_deadline(
     service_class: ServiceClass, clock_resolution_us: int, attempts: Iterable[PriorAttempt]
 ) -> int:
-    """Clock time from which on no attempt may start concurrently with these; NEVER: no bound, 0: not at all.
+    """Returns the clock time from which no attempt may start in addition to these.
 
-    One clock tick less than the deduplication window, since a clock may be read once a tick.
+    NEVER: no bound; 0: no attempt may start at all. The bound is one clock tick less than the deduplication
+    window, because the clock may be read only once a tick.
     """
     if service_class.idempotency is Idempotency.IDEMPOTENT:
         return NEVER
@@ -63,7 +65,7 @@
 def is_in_deduplication_scope(
     service_class: ServiceClass, locality: Locality, attempts: Sequence[PriorAttempt]
 ) -> bool:
-    """Whether servers at this locality deduplicate whatever may have run in these attempts."""
+    """Returns whether servers at this location deduplicate all attempts that may have been executed."""
     if (
         service_class.idempotency is not Idempotency.IDEMPOTENT_WITH_KEY
         or service_class.deduplication_scope is DeduplicationScope.ALL
@@ -76,7 +78,7 @@
 
 
 def is_safe_to_resend(service_class: ServiceClass) -> bool:
-    """Whether a request that may have run may also be sent as a new one, to any endpoint."""
+    """Returns whether a request that may have been executed may be resent as a new one, to any endpoint."""
     return service_class.idempotency is Idempotency.IDEMPOTENT or (
         service_class.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
         and service_class.deduplication_scope is DeduplicationScope.ALL
--- a/tulipnotch/load_balancing/selection/__init__.py
+++ b/tulipnotch/load_balancing/selection/__init__.py
@@ -1,1 +1,1 @@
-"""Which endpoint an attempt goes to."""
+"""Selection: which endpoint an attempt goes to."""
--- a/tulipnotch/load_balancing/selection/best_of_k.py
+++ b/tulipnotch/load_balancing/selection/best_of_k.py
@@ -1,7 +1,8 @@
-"""Selection: best of k.  Of k random distinct endpoints, the one with the fewest own requests in flight.
+"""Selection by best of k: of k distinct random endpoints, the one with the fewest own requests in flight.
 
-The draw is from a subset of the list, by weights: slower endpoints, those that warm up and those of other
-zones are drawn less.  With few requests most counts are zero, so that the draw decides.
+The k endpoints are sampled by weight from a subset of the list: slower endpoints, those that are warming up
+and those in other zones are sampled less often. With few requests most counts are zero, so the sampling
+decides.
 """
 
 from __future__ import annotations
@@ -21,20 +22,21 @@
 from tulipnotch.load_balancing.selection.weighted_sampling import weighted_sample
 from tulipnotch.load_balancing.slow_start.warm_up_budget import SlowStart, warm_up_factor
 
-CHOICE_COUNT = 4  # k: counts are mostly small here, where two choices find too little
-REMOTE_LATENCY_FACTOR = (
-    2.0  # of endpoints as busy, one in a zone that is drawn less counts as this much slower
-)
-MAX_LATENCY_EXPONENT = 3.0  # of the latency ratio, for a request of four times the mean cost or more
-INITIAL_BACK_OFF_OBJECTIVES = (
-    0.5  # of the longest objective: back-off of a class after an overloaded response
-)
-MAX_BACK_OFF_OBJECTIVES = 4.0  # it doubles at each further one in a row, up to this
+CHOICE_COUNT = 4  # k; with the small counts of one balancer, two choices find too little difference
+# Factor on the latency ratio of endpoints in other zones, when these are compared while they are sampled
+# less.
+REMOTE_LATENCY_FACTOR = 2.0
+# Maximum exponent of the latency ratio, for requests of four times the mean cost or more.
+MAX_LATENCY_EXPONENT = 3.0
+# Back-off of a class after an overloaded response, in longest latency objectives.
+INITIAL_BACK_OFF_OBJECTIVES = 0.5
+# Maximum of the back-off, which doubles with each further such response in a row.
+MAX_BACK_OFF_OBJECTIVES = 4.0
 
 
 @dataclass(eq=False)
 class Selection:
-    """The endpoint that an attempt goes to."""
+    """Selects the endpoint that an attempt goes to."""
 
     _context: Context
     _load: Load
@@ -43,7 +45,7 @@
     _outlier_detection: OutlierDetection
 
     def choose_endpoint(self, request: Request) -> Endpoint | None:
-        """The endpoint to send a request to; None where none is eligible."""
+        """Returns the endpoint to send a request to; None if none is eligible."""
         probation = self._outlier_detection.probation_due(request)
         if probation is not None:
             return probation
@@ -54,7 +56,7 @@
         weights = self._weights(pool, request, remote_weight)
         context = self._context
         zone = context.settings.zone
-        # Not always, or nothing would be learnt of other zones.
+        # Applied at random, so that the latency of other zones is still measured now and then.
         is_remote_penalized = remote_weight < 1.0 and context.random.random() >= remote_weight * remote_weight
         remote_latency_factor = REMOTE_LATENCY_FACTOR if is_remote_penalized else 1.0
         best: Endpoint | None = None
@@ -68,7 +70,7 @@
         return best
 
     def estimated_in_flight(self, endpoint: Endpoint) -> int:
-        """Own requests in flight at an endpoint, with abandoned ones, which may still be executing.
+        """Returns the own requests in flight at an endpoint, with abandoned ones that may still be executing.
 
         Prevents a slow or unresponsive server from appearing idle because its attempts were cancelled.
         """
@@ -78,10 +80,10 @@
         return endpoint.in_flight + len(endpoint.abandoned_until)
 
     def overloaded_response_received(self, endpoint: Endpoint, class_name: str) -> None:
-        """Avoid an endpoint that was overloaded for a class, for requests of this class.
+        """Starts or extends an endpoint's back-off for a class to which it responded that it is overloaded.
 
-        Prevents redraws at servers that reject one class or tenant while they have capacity for others.  An
-        avoided endpoint is used where no other is eligible.
+        Prevents redraws at servers that reject one class or tenant while they have capacity for others.
+        Endpoints in back-off are used if no other is eligible.
         """
         back_off = endpoint.back_offs.setdefault(class_name, BackOff())
         back_off.latency_objectives = (
@@ -92,20 +94,21 @@
         back_off.until = self._context.jittered_time_after(back_off.latency_objectives)
 
     def response_received(self, endpoint: Endpoint, class_name: str) -> None:
-        """End an endpoint's back-off for a class, since it has capacity again."""
+        """Ends an endpoint's back-off for a class, because it has capacity again."""
         endpoint.back_offs.pop(class_name, None)
 
     def settings_changed(self) -> None:
-        """Drop the back-offs of classes that no longer exist."""
+        """Drops the back-offs of classes that no longer exist."""
         classes = self._context.classes
         for endpoint in self._context.endpoints.values():
             endpoint.back_offs = {name: each for name, each in endpoint.back_offs.items() if name in classes}
 
     def _subset(self, request: Request) -> list[Endpoint]:
-        """The first eligible endpoints in this balancer's own order, as many as its traffic can learn of.
+        """Returns the first eligible endpoints in this balancer's order, as many as its traffic can measure.
 
-        Prevents many small balancers from holding a connection each to every server of a large fleet: more
-        than servers accept, and none would learn much of any.  A busy balancer reaches all.
+        Prevents many small balancers from each holding a connection to every server of a large fleet: that is
+        more than servers accept, and none of them would measure much of any server. A busy balancer uses all
+        endpoints.
         """
         size = subset_size(self._load.mean)
         local_slots, remote_slots = self._zone_slots(size)
@@ -133,7 +136,10 @@
         return pool or backing_off[:size]
 
     def _zone_slots(self, size: int) -> tuple[int, int]:
-        """How many endpoints of the own zone, and of others, the subset has; the surplus may fill it up."""
+        """Returns how many endpoints of the own zone, and of other zones, the subset has.
+
+        Endpoints beyond these numbers are used only to fill up the subset.
+        """
         if self._context.settings.cost_weights.cross_zone <= 0.0:
             return size, size
         weights = self._locality_weights
@@ -149,7 +155,7 @@
             ):
                 return False
             if any(each.is_pending and each.endpoint is endpoint for each in request.attempts):
-                return False  # a hedged request goes to another endpoint
+                return False  # a hedged request must go to another endpoint
         return endpoint.warm_up is None or self._slow_start.has_budget(endpoint, request.work)
 
     def _is_backing_off(self, endpoint: Endpoint, class_name: str) -> bool:
@@ -157,9 +163,10 @@
         return back_off is not None and self._context.now < back_off.until
 
     def _weights(self, pool: list[Endpoint], request: Request, remote_weight: float) -> list[float]:
-        """Slower endpoints weigh less, still less for heavy requests; the warm-up factor counts too.
+        """Returns sampling weights: lower for slower endpoints, for those warming up, and for other zones.
 
-        Only quick servers can respond to heavy requests in time.
+        Slower endpoints weigh even less for heavy requests, because only fast servers can respond to these in
+        time.
         """
         now, settings = self._context.now, self._context.settings
         rules, zone = settings.rules, settings.zone
--- a/tulipnotch/load_balancing/selection/weighted_sampling.py
+++ b/tulipnotch/load_balancing/selection/weighted_sampling.py
@@ -11,7 +11,7 @@
 def weighted_sample(
     generator: random.Random, pool: list[_Item], weights: list[float], count: int
 ) -> list[_Item]:
-    """Draw up to `count` distinct items by weight, in random order."""
+    """Draws up to `count` distinct items by weight, in random order."""
     sample = []
     remaining = list(range(len(pool)))
     total = sum(weights)
--- a/tulipnotch/load_balancing/slow_start/__init__.py
+++ b/tulipnotch/load_balancing/slow_start/__init__.py
@@ -1,1 +1,1 @@
-"""How much load an endpoint takes while it warms up."""
+"""Slow start: how much load an endpoint gets while it warms up."""
--- a/tulipnotch/load_balancing/slow_start/token_bucket.py
+++ b/tulipnotch/load_balancing/slow_start/token_bucket.py
@@ -1,4 +1,4 @@
-"""A token bucket whose full state lapses: tokens that are not used for long are not saved up."""
+"""Token bucket that expires: tokens that are not used for long are lost rather than saved up."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 
 
 class ExpiringTokenBucket:
-    """Tokens that fill up to a capacity; a bucket that stays full for too long begins again, nearly empty."""
+    """Token bucket that starts again, almost empty, after it has been full for too long."""
 
     __slots__ = ("_full_since", "_tokens", "_updated_at")
 
     def __init__(self, now: int, tokens: float) -> None:
-        """Begin with so many tokens at clock time `now` (microseconds)."""
+        """Starts with `tokens` tokens at clock time `now` (in microseconds)."""
         self._tokens = tokens
         self._updated_at = now
         self._full_since: int | None = None
 
     def fill(self, now: int, rate: float, capacity: float, expire_after_us: float) -> None:
-        """Fill by `rate` tokens per microsecond up to `capacity`; lapse if full for `expire_after_us`."""
+        """Adds `rate` tokens per microsecond up to `capacity`; expires if full for `expire_after_us`."""
         before, self._tokens = self._tokens, self._tokens + rate * max(now - self._updated_at, 0)
         if self._tokens >= capacity:
             full_since = self._full_since
@@ -30,18 +30,18 @@
         self._updated_at = now
 
     def holds(self, tokens: float) -> bool:
-        """Whether there are so many tokens."""
+        """Returns whether the bucket has at least this many tokens."""
         return self._tokens >= tokens
 
     def consume(self, tokens: float) -> None:
-        """Take so many tokens out; the rest may become negative."""
+        """Removes this many tokens; the remainder may become negative."""
         self._tokens -= tokens
         self._full_since = None
 
     def _expire(
         self, full_for_us: int, now: int, rate: float, capacity: float, expire_after_us: float
     ) -> None:
-        """If full for too long, continue as if it had been emptied in the instant in which it became full."""
+        """If full for too long, continues as if the bucket had been emptied when it became full."""
         period_us = max(capacity / rate, 1.0) if rate > 0.0 else math.inf
         if full_for_us < expire_after_us or period_us <= expire_after_us:
             return
--- a/tulipnotch/load_balancing/slow_start/warm_capacity.py
+++ b/tulipnotch/load_balancing/slow_start/warm_capacity.py
@@ -1,4 +1,4 @@
-"""Warm capacity: what an endpoint that has warmed up has lately served for this balancer."""
+"""Warm capacity: the rate at which warm endpoints have lately served this balancer's requests."""
 
 from __future__ import annotations
 
@@ -11,51 +11,53 @@
 from tulipnotch.load_balancing.selection.subset import subset_size
 from tulipnotch.load_balancing.settings import Rules
 
-RATE_WINDOWS = 2.0  # rates are averaged over this many overload windows
-SERVED_DECAY_FRACTION = 0.5  # what a warm endpoint served fades e-fold in this part of the warm-up time
-ARRIVALS_PER_REQUEST = 1.25  # requests for each that clients want, where most are rejected and retried
+RATE_WINDOWS = 2.0  # averaging window of the rates, in overload windows
+# Time constant for the decay of the served rate, as a fraction of the warm-up time.
+SERVED_DECAY_FRACTION = 0.5
+# Requests that arrive for each one that clients want served, where most are rejected and retried.
+ARRIVALS_PER_REQUEST = 1.25
 
 
 def is_warming_up(endpoint: Endpoint, rules: Rules, now: int) -> bool:
-    """Whether an endpoint still warms up."""
+    """Returns whether an endpoint is still warming up."""
     warm_up = endpoint.warm_up
     return warm_up is not None and now < warm_up.started_at + rules.warm_up_us
 
 
 class WarmCapacity:
-    """A running measure of what each warm endpoint serves, as a rate for an endpoint of mean capacity."""
+    """Measures what each warm endpoint serves, as a rate for an endpoint of mean nominal capacity."""
 
     def __init__(self, context: Context, load: Load) -> None:
-        """Begin with nothing served."""
+        """Starts with nothing served."""
         self._context = context
         self._load = load
         window_us = RATE_WINDOWS * context.settings.rules.overload_window_us
         self._arrivals = Rate(window_us)
-        self._served_warm = Rate(window_us)  # responses of warm endpoints
-        self._rate_per_us = 0.0  # as of _rate_at
+        self._served_warm = Rate(window_us)  # responses from warm endpoints
+        self._rate_per_us = 0.0  # as of `_rate_at`
         self._rate_at = -1
-        self.selected_fraction = 1.0  # of the endpoints that served it, those that this balancer sends to
-        self.mean_nominal_capacity = 1.0  # of these endpoints
+        self.selected_fraction = 1.0  # fraction of the serving endpoints that this balancer sends requests to
+        self.mean_nominal_capacity = 1.0  # mean nominal capacity of the serving endpoints
 
     def settings_changed(self) -> None:
-        """Average over the new overload window."""
+        """Changes the averaging window to that of the new settings."""
         for rate in (self._arrivals, self._served_warm):
             rate.set_window(RATE_WINDOWS * self._context.settings.rules.overload_window_us)
 
     def request_arrived(self) -> None:
-        """Count a request."""
+        """Counts a request."""
         self._arrivals.add(self._context.now, 1.0)
 
     def response_received(self, endpoint: Endpoint) -> None:
-        """Count a response, if its endpoint is warm."""
+        """Counts a response, if its endpoint is warm."""
         if not is_warming_up(endpoint, self._context.settings.rules, self._context.now):
             self._served_warm.add(self._context.now, 1.0)
 
     def per_us(self) -> float:
-        """Requests that a warm endpoint serves per microsecond; computed once for each instant.
+        """Returns the requests that a warm endpoint serves per microsecond; computed once for each instant.
 
-        The highest counts, and fades.  Prevents a feedback loop: what is served falls where requests are
-        rejected, and would reduce the budgets of endpoints that warm up, just when these are needed.
+        The result is a decaying maximum, which prevents a feedback loop: less is served where requests are
+        rejected, which would reduce the budgets of endpoints that are warming up just when these are needed.
         """
         now = self._context.now
         if self._rate_at != now:
@@ -67,11 +69,14 @@
         return self._rate_per_us
 
     def _served_per_endpoint(self) -> float:
-        """What each selected endpoint serves just now; with no warm one all count, as all are selected."""
+        """Returns what each selected endpoint serves at present.
+
+        Without any warm endpoint, all ready endpoints count as serving and as selected.
+        """
         now, rules = self._context.now, self._context.settings.rules
         ready = self._context.ready_endpoints
         warm = [each for each in ready if not is_warming_up(each, rules, now)]
-        serving = warm or ready  # ejected ones too: they served a part of what is counted
+        serving = warm or ready  # includes ejected ones, which served some of what is counted
         if warm:
             selected = min(len(warm), subset_size(self._load.mean))
             served = self._served_warm.per_us(now) / max(selected, 1)
