--- a/tulipnotch/load_balancing/actions.py
+++ b/tulipnotch/load_balancing/actions.py
@@ -16,7 +16,7 @@
 
     request: int
     endpoint: str
-    # clock time at which to abandon the attempt; NEVER: the request's time limit does not run yet
+    # Clock time at which to abandon the attempt; NEVER: the request's time limit does not run yet.
     deadline: int
 
 
--- a/tulipnotch/load_balancing/admission/concurrency_limit.py
+++ b/tulipnotch/load_balancing/admission/concurrency_limit.py
@@ -94,8 +94,8 @@
     def request_overdue(self) -> None:
         """Counts a pending attempt as late; waiting for its response would detect a surge too late."""
         if self._response_times.cpu_utilization is not None:
-            # A missing response brings no report, so the reports that do arrive show too low a CPU
-            # utilization.
+            # A missing response brings no report, so the reports that do arrive look better than the servers
+            # are.
             self._response_times.cpu_utilization_reported(1.0)
         self.request_lost()
 
@@ -145,8 +145,8 @@
         """Returns how far the typical response is above the target, in multiples of the target, from -1 to 1.
 
         Late responses from servers with idle cores are caused by a few slow servers, not by too many
-        requests. This is considered only at low load: a busy balancer sees it in its responses, and reports
-        from overloaded servers would arrive too late.
+        requests. Reports count at low load only: a busy balancer can tell this from its responses, and
+        reports from crowded servers would show an overload too late.
         """
         excess = (self._response_times.typical_fraction - target) / target
         cpu_utilization = self._response_times.cpu_utilization
--- a/tulipnotch/load_balancing/admission/service_levels.py
+++ b/tulipnotch/load_balancing/admission/service_levels.py
@@ -89,14 +89,14 @@
         self._index = 0  # number of the current level, from 1; 0: full service
         self._entered_at = started_at
         self._changes = 0
-        self._last: tuple[int, Pressure] | None = None
+        self._last_sample: tuple[int, Pressure] | None = None
         # Observations since the last change, going back `_retain_us` at most.
         self._observations: deque[_Observation] = deque()
         self._leave_factor = 1
         # Clock time at which each level was last left, keyed by index in `levels`.
         self._left_at: dict[int, int] = {}
-        longest = max((max(each.enter_us, MAX_LEAVE_FACTOR * each.leave_us) for each in levels), default=0)
-        self._retain_us = longest + 2 * OBSERVATION_INTERVAL_US
+        longest_us = max((max(each.enter_us, MAX_LEAVE_FACTOR * each.leave_us) for each in levels), default=0)
+        self._retain_us = longest_us + 2 * OBSERVATION_INTERVAL_US
 
     @property
     def index(self) -> int:
@@ -147,19 +147,19 @@
 
     def _record_observation(self, now: int, pressure: Pressure) -> bool:
         """Records an observation; returns whether there is a new one to decide by."""
-        if self._last is None:
-            self._last = now, pressure
+        if self._last_sample is None:
+            self._last_sample = now, pressure
             return False
-        last_at, last = self._last
+        last_at, last_pressure = self._last_sample
         elapsed_us = now - last_at
         if elapsed_us < OBSERVATION_INTERVAL_US:
             return False
-        self._last = now, pressure
+        self._last_sample = now, pressure
         if elapsed_us > MAX_OBSERVATION_GAP_INTERVALS * OBSERVATION_INTERVAL_US:
             self._observations.clear()
             return False
-        offered = pressure.offered - last.offered
-        rejected = pressure.rejected - last.rejected
+        offered = pressure.offered - last_pressure.offered
+        rejected = pressure.rejected - last_pressure.rejected
         self._observations.append(_Observation(now, elapsed_us, offered, rejected, pressure.utilization))
         while self._observations[0].observed_at < now - self._retain_us:
             self._observations.popleft()
--- a/tulipnotch/load_balancing/events.py
+++ b/tulipnotch/load_balancing/events.py
@@ -99,7 +99,7 @@
     is_responded: bool
     report: Mapping[str, float] | None = None
     is_retryable: bool = True  # whether the complete request is still stored and can be sent again
-    # whether the response is certain not to belong to an earlier request on its connection
+    # Whether the response is certain not to belong to an earlier request on its connection.
     is_response_certain: bool = True
 
 
--- a/tulipnotch/load_balancing/outcomes.py
+++ b/tulipnotch/load_balancing/outcomes.py
@@ -15,10 +15,10 @@
     TIMED_OUT = "expired"  # no response before the deadline; the server may still execute it
     CONNECT_FAILED = "dial_failed"  # not connected, or not completely written, before the deadline
     CONNECTION_LOST = "dropped"  # the connection was lost after the request's last byte was written
-    # cancelled by the sidecar after the last byte was written; the server may execute it
+    # Cancelled by the sidecar after the last byte was written; the server may execute it.
     CANCELLED = "cancelled"
     NOT_SENT = "unsent"  # withdrawn by the sidecar before the last byte was written, so it was never executed
-    # the response is invalid, stalled or too large; only several in a row eject an endpoint
+    # The response is invalid, stalled or too large; only several in a row eject an endpoint.
     MALFORMED_RESPONSE = "spoilt"
     CLIENT_ERROR = "rejected"  # a healthy server rejected the request as invalid
 
--- a/tulipnotch/load_balancing/requests.py
+++ b/tulipnotch/load_balancing/requests.py
@@ -10,7 +10,7 @@
 from tulipnotch.load_balancing.settings import ServiceClass
 
 MIN_COST_BUCKET = -3  # all costs below an eighth of the class mean share this bucket
-# all costs above eight times the class mean share this one; too few such requests come to measure each
+# All costs above eight times the class mean share this one; too few such requests come to measure each.
 MAX_COST_BUCKET = 4
 
 
@@ -18,7 +18,7 @@
 class AttemptState(Enum):
     """State of an attempt: awaiting its body, then in flight, then one of two ended states."""
 
-    # the last byte of the request has not arrived, so its server has no complete request to execute
+    # The last byte of the request has not arrived, so its server has no complete request to execute.
     AWAITING_BODY = "awaiting_body"
     IN_FLIGHT = "in_flight"  # the server has the complete request, or will have it shortly
     POSSIBLY_EXECUTED = "possibly_executed"  # ended, and nothing proves that the server did not execute it
@@ -53,19 +53,19 @@
         self.responses_before = responses_before
         self.index = index
         self.endpoint = endpoint
-        # as listed when the last byte was written; until then, when the attempt started
+        # Zone and cell as listed when the last byte was written; until then, when the attempt started.
         self.zone = endpoint.zone
         self.cell = endpoint.cell
         self.started_at = started_at
-        # clock time at which the last byte was written; None: not yet, or not known
+        # Clock time at which the last byte was written; None: not yet, or not known.
         self.request_written_at: int | None = None
         self.state = AttemptState.AWAITING_BODY
         self.response_started = False  # whether its streamed response has begun
-        # how long its connection had been idle; 0: the connection is new or was in constant use
+        # How long its connection had been idle; 0: the connection is new or was in constant use.
         self.connection_idle_us = 0
-        # whether its missing response is already counted for or against stale connections
+        # Whether its missing response is already counted for or against stale connections.
         self.no_response_recorded = False
-        # whether it is the first on its connection, and so includes the handshake
+        # Whether it is the first on its connection, and so includes the handshake.
         self.opens_connection = False
         self.counted_late = False  # whether it was already counted as late by the concurrency limit
 
@@ -111,12 +111,12 @@
         """Creates a request with `cost` relative to the mean of its class, `work` to that of all requests."""
         self.request_id = request_id
         self.respond_by = NEVER
-        # whether its last byte has not arrived; until then its time limit does not run
+        # Whether its last byte has not arrived; until then its time limit does not run.
         self.body_incomplete = True
         self.service_class = service_class
         self.cost = cost
         self.work = work
-        # one bucket for each power of two
+        # One bucket for each power of two.
         self.cost_bucket = max(MIN_COST_BUCKET, min(math.frexp(cost)[1], MAX_COST_BUCKET))
         self.attempts: list[Attempt] = []
         self.failed_endpoints: list[Endpoint] = []  # endpoints that failed or rejected this request
--- a/tulipnotch/load_balancing/retries/attempt_timeouts.py
+++ b/tulipnotch/load_balancing/retries/attempt_timeouts.py
@@ -21,8 +21,7 @@
 OVERDUE_FACTOR = 2.5
 MIN_OVERDUE_OBJECTIVES = 0.1  # minimum of this time, in latency objectives; shorter times are mostly jitter
 HANDSHAKE_OBJECTIVES = 0.5  # the same on a new connection, which begins with a handshake
-# After this many responses from other endpoints since an attempt started, only its own endpoint is
-# unresponsive.
+# Responses from other endpoints since an attempt started that show that only its endpoint is unresponsive.
 MIN_OTHER_RESPONSES = 4
 UNRESPONSIVE_FACTOR = 2.0  # the endpoint counts as unresponsive after this many times the overdue time
 MIN_UNRESPONSIVE_OBJECTIVES = 0.5  # minimum of this time, in latency objectives
--- a/tulipnotch/load_balancing/selection/best_of_k.py
+++ b/tulipnotch/load_balancing/selection/best_of_k.py
@@ -22,9 +22,9 @@
 from tulipnotch.load_balancing.selection.weighted_sampling import weighted_sample
 from tulipnotch.load_balancing.slow_start.warm_up_budget import SlowStart, warm_up_factor
 
-CHOICE_COUNT = 4  # k; with the small counts of one balancer, two choices find too little difference
-# Factor on the latency ratio of endpoints in other zones, when these are compared while they are sampled
-# less.
+# K of best of k; the counts are mostly small, so that two choices would show too few differences.
+CHOICE_COUNT = 4
+# Factor on the latency ratio of endpoints in other zones in the comparison, while these are sampled less.
 REMOTE_LATENCY_FACTOR = 2.0
 # Maximum exponent of the latency ratio, for requests of four times the mean cost or more.
 MAX_LATENCY_EXPONENT = 3.0
--- a/tulipnotch/load_balancing/timer_queue.py
+++ b/tulipnotch/load_balancing/timer_queue.py
@@ -10,7 +10,7 @@
 
 REQUEST_DEADLINE = -1  # takes the place of an attempt's index: the entry is for the request's deadline
 DISCOVERY = -1  # takes the place of a request id, which is never negative: the entry is for a discovery poll
-TIMER_TOKEN = "agenda"  # token of the only timer; it is part of the simulator's protocol
+TIMER_TOKEN = "agenda"  # token of the only timer; it appears in the simulator's protocol
 
 
 class TimerEntry(NamedTuple):
