--- a/tests/load_balancing/admission/test_admission_control.py
+++ b/tests/load_balancing/admission/test_admission_control.py
@@ -11,9 +11,10 @@
 
 
 def _overload(stage: Stage, spans: int) -> set[int]:
-    """Servers that answer ever later as more is in flight, asked for far more than they can do.
+    """Sends far more requests than the servers can serve; they respond later the more are in flight.
 
-    Gives the requests of the less worthy class, half of all; neither class is always the first to ask.
+    Returns the requests of the class with lower priority, which is half of them. The order of the two classes
+    alternates.
     """
     stage.servers(names(4))
     in_flight: list[int] = []
@@ -33,7 +34,7 @@
     return low_priority
 
 
-def test_admission_control_rejects_surge_before_sending_and_low_priority_first() -> None:
+def test_admission_control_rejects_low_priority_first_and_before_sending_in_a_surge() -> None:
     stage = Stage()
     stage.servers(names(4))
     stage.serve(200)
@@ -45,7 +46,7 @@
     assert len(unsent) > 0.5 * len(stage.said(RejectRequest))
 
 
-def test_admission_control_admits_all_after_overload_ends() -> None:
+def test_admission_control_admits_everything_after_overload_ends() -> None:
     stage = Stage()
     stage.serve(1)
     _overload(stage, 400)
@@ -69,7 +70,7 @@
     assert stage.said(CancelAttempt) == []
 
 
-def test_admission_control_of_small_balancer_rejects_a_part_while_responses_are_late() -> None:
+def test_admission_control_of_small_balancer_rejects_some_requests_while_responses_are_late() -> None:
     stage = Stage()
     stage.servers(names(8))
     for _ in range(120):  # hardly ever two in flight, so a window of two would never refuse
@@ -87,7 +88,7 @@
     assert len(stage.said(RejectRequest)) == rejected_count
 
 
-def test_admission_control_of_small_balancer_admits_two_at_once() -> None:
+def test_admission_control_of_small_balancer_admits_two_concurrent_requests() -> None:
     stage = Stage()
     stage.servers(names(8))
     stage.balancer._components.concurrency_limit.limit = 1.0
@@ -140,7 +141,7 @@
     assert len(stage.said(RejectRequest)) > 50
 
 
-def test_admission_control_rejects_without_responses_whatever_the_last_report() -> None:
+def test_admission_control_rejects_when_responses_stop_despite_reports_of_idle_cores() -> None:
     stage = Stage()
     stage.servers(names(8))
     for _ in range(20):
@@ -154,7 +155,7 @@
     assert len(stage.said(RejectRequest)) > 100
 
 
-def test_admission_control_ignores_overloaded_responses_with_successful_redraw() -> None:
+def test_admission_control_ignores_overloaded_responses_when_redraw_succeeds() -> None:
     stage = Stage()
     stage.servers(names(12))
     for _ in range(200):
@@ -166,7 +167,7 @@
     assert stage.said(RejectRequest) == []
 
 
-def test_admission_control_counts_overloaded_responses_without_successful_redraw() -> None:
+def test_admission_control_counts_overloaded_responses_when_redraw_fails() -> None:
     stage = Stage(settings(limits={"max_attempts": 3}))
     stage.servers(names(12))
     unsent = 0
@@ -180,7 +181,7 @@
     assert unsent > 20
 
 
-def test_admission_control_of_small_balancer_admits_quick_but_uneven_responses() -> None:
+def test_admission_control_of_small_balancer_rejects_little_when_responses_are_fast_but_variable() -> None:
     rejected_count = 0
     for seed in range(4):
         generator = random.Random(seed)
--- a/tests/load_balancing/admission/test_concurrency_limit.py
+++ b/tests/load_balancing/admission/test_concurrency_limit.py
@@ -1,4 +1,4 @@
-"""An instance whose servers answered nothing for a while goes on trying, and soon serves when they answer."""
+"""Concurrency limit: an instance whose servers stop responding keeps trying, and recovers when they do."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @dataclass
 class Traffic:
-    """Requests at a steady rate, each answered after `ANSWER_US` or given up at its deadline."""
+    """Requests at a steady rate, each responded to after `RESPONSE_US` or abandoned at its deadline."""
 
     every_us: int
     instance_count: int
@@ -37,7 +37,7 @@
         self.stage.servers(names(SERVERS))
 
     def run(self, span_us: int, outcome: Outcome) -> None:
-        """Let requests come for so long, whose attempts all end like this."""
+        """Sends requests for this long; all of their attempts end with `outcome`."""
         duration_us = RESPONSE_US if outcome is Outcome.DELIVERED else DEADLINE_US
         until = self.stage.now + span_us
         while self.stage.now < until:
@@ -58,12 +58,12 @@
             self._in_flight.sort()
 
     def longest_idle_time(self, since: int) -> int:
-        """The longest time without an attempt, from `since` to now."""
+        """Returns the longest time without an attempt, from `since` until now."""
         times = [since, *(each for each in self.attempts if each > since), self.stage.now]
         return max(later - earlier for earlier, later in itertools.pairwise(times))
 
 
-# An attempt that was given up on counts as in flight for a while more.
+# An abandoned attempt counts as in flight for a while longer.
 MAX_IDLE_US = 1.3 * DEADLINE_US + concurrency_limit.MAX_IDLE_OBJECTIVES * OBJECTIVE_US
 
 
--- a/tests/load_balancing/admission/test_service_levels.py
+++ b/tests/load_balancing/admission/test_service_levels.py
@@ -1,7 +1,7 @@
-"""The ladder of service levels, above a fleet modelled by two numbers: what is asked for and what it bears.
+"""Service levels, over a model of a fleet with two numbers: its load and its capacity.
 
-Times are seconds here and microseconds for the ladder.  Each property is also shown to fail with a defect in
-the ladder, so that the tests can tell.
+Times are seconds in these tests and microseconds in the controller. Some properties are also shown to fail
+with a defect in the controller, so that the tests are known to detect it.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 def transitions(
     load_at: Callable[[int], float], seconds: int, rate: int = RATE
 ) -> list[tuple[int, ServiceLevelTransition]]:
-    """Changes by second, for a load relative to what the fleet bears, with noise on both readings."""
+    """Returns the changes of level, with their second, for a load relative to the capacity, with noise."""
     generator = random.Random(5)
     controller = ServiceLevelController(standard_levels("consulter"), HOLD_S * 1_000_000, 0)
     offered = rejected = 0
@@ -65,7 +65,7 @@
     assert "of the window" in changes[-1][1].reason
 
 
-def test_service_levels_hold_for_the_minimum_time() -> None:
+def test_service_levels_keep_the_minimum_time_between_changes() -> None:
     seconds = [second for second, _ in transitions(lambda second: 2.5 if second % 80 < 40 else 0.1, 1200)]
     assert len(seconds) >= 4
     assert all(later - sooner >= HOLD_S for sooner, later in pairwise(seconds))
@@ -75,12 +75,13 @@
     return 1.15 + 0.35 * math.sin(second / 11.0)
 
 
-def test_service_levels_change_little_for_load_at_the_threshold() -> None:
+def test_service_levels_change_rarely_when_load_is_at_the_threshold() -> None:
     assert len(transitions(load_at_threshold, 600)) <= 2
 
 
 def test_service_levels_change_often_when_left_by_rejections_alone(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Under a level the limit rejects little, since the level removed the load; hence `leave_utilization`.
+    # Under a service level the limit rejects little, because the level removed the load; hence
+    # `leave_utilization`.
     def leave_reason(self: ServiceLevelController, now: int, level: levels.ServiceLevel) -> str | None:
         rejected_fraction = self._summarize(now, level.enter_us).rejected_fraction
         leave_reason = (
@@ -93,11 +94,11 @@
 
 
 def load_with_pauses(second: int) -> float:
-    """Busy, with pauses just long enough to leave the level each time."""
+    """Overload with pauses just long enough to leave the level each time."""
     return 1.17 if second % 90 < 45 else 0.5
 
 
-def test_service_levels_are_left_later_after_early_return(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_service_levels_are_left_later_after_an_early_return(monkeypatch: pytest.MonkeyPatch) -> None:
     patient = len(transitions(load_with_pauses, 1800))
     monkeypatch.setattr(levels, "MAX_LEAVE_FACTOR", 1)
     assert len(transitions(load_with_pauses, 1800)) > 2 * patient
@@ -115,13 +116,13 @@
         assert (
             controller.observe_pressure(second * 1_000_000, Pressure(400 * second, 200 * second, 2.0)) is None
         )
-    # The clock jumps by an hour, as after a suspend: the readings before say nothing of now.
+    # The clock jumps by an hour, as after a suspend; earlier observations tell nothing about the present.
     assert controller.observe_pressure(3_600_000_000, Pressure(8_000, 4_000, 2.0)) is None
     assert controller.observe_pressure(3_601_000_000, Pressure(8_400, 4_200, 2.0)) is None
     assert controller.name == "full"
 
 
-def test_service_levels_bound_their_observations() -> None:
+def test_service_levels_limit_the_number_of_observations() -> None:
     controller = ServiceLevelController(standard_levels("consulter"), HOLD_S * 1_000_000, 0)
     for second in range(5_000):
         controller.observe_pressure(second * 1_000_000, Pressure(10 * second, 0, 0.1))
--- a/tests/load_balancing/admission/test_service_levels_in_force.py
+++ b/tests/load_balancing/admission/test_service_levels_in_force.py
@@ -1,4 +1,4 @@
-"""What a level keeps out: through the decisions, the operators' door and the operator file."""
+"""Effects of a service level: on the balancer, at the control endpoint and in the operator file."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def serve(given: Stage, name: str, tenant: str | None, count: int) -> int:
-    """How many of these requests, one every 20 ms and each answered after 10 ms, get through."""
+    """Returns how many of these requests, one every 20 ms and each responded to after 10 ms, are admitted."""
     admitted = 0
     for _ in range(count):
         number, given._next = given._next, given._next + 1
@@ -38,7 +38,7 @@
     return admitted
 
 
-def test_level_rejects_its_class_at_once_and_no_other() -> None:
+def test_level_rejects_only_its_class_at_once() -> None:
     given = Stage(settings(limits=WITH_RETRY_AFTER))
     given.servers(names(6))
     given.play(CLASS_REJECTED)
@@ -70,7 +70,7 @@
 
 
 def utilization_under_a_level(given: Stage) -> float:
-    """How full the window would be with all that is asked for, long after the cause of its shrinking went."""
+    """Returns the utilization under a level, long after the cause that shrank the limit has gone."""
     given.servers(names(6))
     serve(given, "look", None, 100)
     given.balancer._components.concurrency_limit.limit = 0.2
@@ -85,7 +85,7 @@
     assert utilization_under_a_level(Stage()) < 0.6
 
 
-def test_level_is_never_left_unless_the_limit_grows(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_utilization_stays_high_under_a_level_unless_the_limit_grows(monkeypatch: pytest.MonkeyPatch) -> None:
     never = property(lambda _: False, lambda *_: None)
     monkeypatch.setattr(ConcurrencyLimit, "has_rejected", never, raising=False)
     assert utilization_under_a_level(Stage()) > 0.6
@@ -98,7 +98,7 @@
     assert len(given.said(RejectRequest)) == 50
 
 
-def test_level_shows_at_control_endpoint_and_in_log(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_level_is_shown_at_control_endpoint_and_in_log(monkeypatch: pytest.MonkeyPatch) -> None:
     async def work() -> None:
         monkeypatch.setattr("tulipnotch.sidecar.service_level_monitor.OBSERVATION_INTERVAL_US", 10_000)
         change = levels.ServiceLevelTransition(
@@ -154,7 +154,9 @@
     ],
     ids=lambda each: each if isinstance(each, str) else "",
 )
-def test_level_file_errors_name_their_line(change: tuple[str, str], fault: str, tmp_path: Path) -> None:
+def test_operator_file_errors_name_line_of_invalid_level(
+    change: tuple[str, str], fault: str, tmp_path: Path
+) -> None:
     path = tmp_path / "operator.toml"
     path.write_text(GOOD_LEVELS)
     assert [each.name for each in load(path).overload.levels] == ["spare", "orders-only"]
@@ -164,6 +166,6 @@
     assert fault in str(found.value)
 
 
-def test_level_of_unknown_class_stops_the_start(tmp_path: Path) -> None:
+def test_start_fails_when_level_names_unknown_class(tmp_path: Path) -> None:
     said = started_in_vain(tmp_path, json.dumps(GOOD), GOOD_LEVELS.replace("check", "chek"))
     assert "overload.levels[0]: no class 'chek'; known are check, amend, lodge" in said
--- a/tests/load_balancing/endpoints/test_discovery_polling.py
+++ b/tests/load_balancing/endpoints/test_discovery_polling.py
@@ -1,4 +1,4 @@
-"""When discovery is polled."""
+"""Discovery polling: when discovery is polled."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
     assert waits[-1] > 2 * waits[0]
 
 
-def test_discovery_polling_repeats_poll_without_response() -> None:
+def test_discovery_polling_repeats_poll_when_no_response_comes() -> None:
     stage = Stage()
     stage.servers(names(2), EndpointUpdateKind.CACHED)
     stage.wait(10 * S)
--- a/tests/load_balancing/endpoints/test_endpoint_list.py
+++ b/tests/load_balancing/endpoints/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list: draining and missing endpoints get nothing from the update on."""
+"""Endpoint list: draining and missing endpoints get no requests from the update on."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     assert targets == {"10.0.0.2:80", "10.0.0.3:80", "10.0.0.9:80"}
 
 
-def test_endpoint_list_readies_endpoint_that_is_listed_again() -> None:
+def test_endpoint_list_uses_removed_endpoint_when_it_is_listed_again() -> None:
     stage = Stage()
     stage.servers(["10.0.0.1:80"])
     stage.drain("10.0.0.1:80", EndpointState.REMOVED)
--- a/tests/load_balancing/health/test_idle_connections.py
+++ b/tests/load_balancing/health/test_idle_connections.py
@@ -1,4 +1,4 @@
-"""Idle connections: when they are closed, and when they are blamed."""
+"""Idle connections: when they are closed, and when they are the cause of missing responses."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
     assert len(stage.said(CloseIdleConnections)) == 1
 
 
-def test_idle_connections_stay_open_without_a_rule() -> None:
+def test_idle_connections_stay_open_when_no_rule_closes_them() -> None:
     stage = Stage()
     stage.servers(names(2))
     stage.drain("10.0.0.1:80")
@@ -49,7 +49,7 @@
 
 
 def _with_stale_connections(stage: Stage, count: int) -> list[int]:
-    """Connections unused for a second are dead: what is sent on one is lost; gives what was."""
+    """Models connections that are dead after a second without use; returns the requests lost on them."""
     stage.servers(names(12))
     last_used: dict[str, int] = {}
     lost_requests: list[int] = []
--- a/tests/load_balancing/health/test_outlier_detection.py
+++ b/tests/load_balancing/health/test_outlier_detection.py
@@ -10,7 +10,7 @@
 
 
 def _with_one_unresponsive(stage: Stage, rounds: int) -> tuple[str, list[int]]:
-    """Good traffic, except that one server answers nothing from some moment on."""
+    """Sends requests to healthy servers, except that one of them stops responding at some point."""
     stage.servers(names(6))
     stage.serve(120)
     first = stage.request()
@@ -54,7 +54,7 @@
     assert stage.said(LogEvent)[-1].text == f"readmitted {unresponsive}"
 
 
-def test_outlier_detection_ejects_few_where_all_are_unresponsive() -> None:
+def test_outlier_detection_ejects_few_when_all_are_unresponsive() -> None:
     stage = Stage()
     stage.servers(names(6))
     stage.serve(120)
@@ -65,7 +65,7 @@
     assert len(ejected) <= 2
 
 
-def test_outlier_detection_keeps_requests_from_endpoint_with_quick_errors() -> None:
+def test_outlier_detection_sends_few_requests_to_endpoint_with_fast_errors() -> None:
     stage = Stage()
     stage.servers(names(6))
     failing = names(6)[2]
@@ -95,7 +95,7 @@
     assert not any("ejected" in each.text for each in stage.said(LogEvent))
 
 
-def test_outlier_detection_readmits_restarted_process_that_warms_up() -> None:
+def test_outlier_detection_readmits_restarted_endpoint_which_warms_up() -> None:
     stage = Stage()
     unresponsive, _ = _with_one_unresponsive(stage, 20)
     stage.servers([EndpointDescription(unresponsive, "east", started_at=stage.now)], EndpointUpdateKind.DELTA)
--- a/tests/load_balancing/metrics/test_cost_estimates.py
+++ b/tests/load_balancing/metrics/test_cost_estimates.py
@@ -1,4 +1,4 @@
-"""The work of requests, relative to the mean."""
+"""Cost estimates: the work of requests relative to the mean."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from tulipnotch.load_balancing.metrics.cost_estimates import MeanWork
 
 
-def test_mean_work_compares_with_all_requests_before() -> None:
+def test_mean_work_compares_request_with_all_earlier_ones() -> None:
     mean = MeanWork()
     assert mean.relative_work(None, 10_000.0) == 1.0
     assert mean.relative_work(0, 10_000.0) == 1.0
--- a/tests/load_balancing/metrics/test_latency.py
+++ b/tests/load_balancing/metrics/test_latency.py
@@ -1,11 +1,11 @@
-"""Latency ratios."""
+"""Latency ratios of endpoints."""
 
 from __future__ import annotations
 
 from helpers import MS, Stage, names
 
 
-def test_latency_ratio_moves_faster_with_few_responses() -> None:
+def test_latency_ratio_changes_faster_at_low_load() -> None:
     def change(every_us: int, taking_us: int, *, singly: bool) -> float:
         stage = Stage()
         stage.servers(names(4))
--- a/tests/load_balancing/retries/test_attempt_timeouts.py
+++ b/tests/load_balancing/retries/test_attempt_timeouts.py
@@ -1,12 +1,13 @@
-"""Times that fall between two microseconds."""
+"""Attempt timeouts that are not whole microseconds."""
 
 from __future__ import annotations
 
 from helpers import SAFE, Stage, names, settings
 
 
-def test_attempt_timeouts_end_between_two_microseconds() -> None:
-    # Guards against an entry of the agenda that is due at once, again and again, within one event.
+def test_attempt_timeouts_terminate_when_due_between_two_microseconds() -> None:
+    # Guards against an endless loop within one event: a timer entry that is due at once schedules itself
+    # again.
     given = settings(classes=[{**SAFE, "latency_objective_us": 500_001}])
     stage = Stage(given)
     stage.servers(names(1))
--- a/tests/load_balancing/retries/test_retry_policy.py
+++ b/tests/load_balancing/retries/test_retry_policy.py
@@ -1,4 +1,4 @@
-"""The retry budget."""
+"""Retry policy: the retry budget."""
 
 from __future__ import annotations
 
--- a/tests/load_balancing/selection/test_best_of_k.py
+++ b/tests/load_balancing/selection/test_best_of_k.py
@@ -1,4 +1,4 @@
-"""Best of k: which endpoint an attempt goes to."""
+"""Selection by best of k: which endpoint an attempt goes to."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from tulipnotch.load_balancing.selection.weighted_sampling import weighted_sample
 
 
-def test_best_of_k_chooses_least_busy_endpoint(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_best_of_k_chooses_endpoint_with_fewest_requests_in_flight(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(concurrency_limit, "INITIAL_LIMIT_PER_ENDPOINT", 1e9)  # else some are refused
     stage = Stage()
     stage.servers(names(4))  # all are drawn
@@ -26,7 +26,7 @@
     assert set(Counter(each.endpoint for _, each in stage.sends()).values()) == {10}
 
 
-def test_best_of_k_redraws_over_all_endpoints_after_overloaded_responses() -> None:
+def test_best_of_k_redraws_from_all_endpoints_after_overloaded_responses() -> None:
     stage = Stage()
     stage.servers(names(5))
     request = stage.request("pay")
@@ -44,7 +44,7 @@
     assert stage.target(stage.request()) == names(1)[0]
 
 
-def test_best_of_k_draws_slower_endpoints_less() -> None:
+def test_best_of_k_selects_slower_endpoints_less_often() -> None:
     stage = Stage()
     stage.servers(names(12))
     slow = names(12)[0]
@@ -56,7 +56,7 @@
     assert later[slow] < 0.6 * sum(later.values()) / 12
 
 
-def test_best_of_k_goes_by_nominal_capacity_before_any_response() -> None:
+def test_best_of_k_uses_nominal_capacity_before_any_response() -> None:
     stage = Stage()
     stage.servers(
         [
@@ -71,7 +71,7 @@
     assert first[names(8)[0]] > 40 / 8
 
 
-def test_best_of_k_counts_abandoned_attempt_for_a_while() -> None:
+def test_best_of_k_counts_abandoned_attempt_as_in_flight_for_a_while() -> None:
     stage = Stage()
     stage.servers(names(2))
     request = stage.request("pay", remaining_us=400 * MS)
@@ -91,7 +91,9 @@
     )
 
 
-def test_best_of_k_draws_slow_endpoints_less_for_heavy_requests(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_best_of_k_selects_slow_endpoints_less_often_for_heavy_requests(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     stage = Stage()
     stage.servers(
         [
@@ -111,7 +113,7 @@
     assert seen[2] < 0.5 * seen[0]
 
 
-def test_best_of_k_draws_endpoint_with_every_other_response_an_error_less() -> None:
+def test_best_of_k_selects_endpoint_less_often_when_half_its_responses_are_errors() -> None:
     stage = Stage()
     stage.servers(names(12))
     bad = names(12)[3]
@@ -125,7 +127,7 @@
     assert sum(1 for _, each in stage.sends()[400:] if each.endpoint == bad) < 0.5 * 800 / 12
 
 
-def test_best_of_k_avoids_endpoint_overloaded_for_a_class_for_this_class_only() -> None:
+def test_best_of_k_avoids_endpoint_only_for_the_class_that_it_rejected() -> None:
     stage = Stage()
     stage.servers(names(12))
     stage.serve_singly(10)
@@ -149,7 +151,7 @@
     assert used > 30
 
 
-def test_best_of_k_uses_avoided_endpoint_where_no_other_is_eligible() -> None:
+def test_best_of_k_uses_avoided_endpoint_when_no_other_is_eligible() -> None:
     stage = Stage(settings(limits={"max_attempts": 1}))
     stage.servers(names(1))
     stage.end(stage.request("pay"), Outcome.OVERLOADED)
--- a/tests/load_balancing/selection/test_locality_weights.py
+++ b/tests/load_balancing/selection/test_locality_weights.py
@@ -1,4 +1,4 @@
-"""Locality weights: what goes to other zones."""
+"""Locality weights: the fraction of requests that goes to other zones."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     return sum(1 for _, each in late if each.endpoint not in near) / len(late)
 
 
-def test_locality_weights_prefer_own_zone_that_is_as_quick() -> None:
+def test_locality_weights_prefer_own_zone_when_it_is_as_fast() -> None:
     spared = sum(
         _remote_fraction(Stage(settings(cost_weights={"cross_zone": 0.03}), seed=seed), 40 * MS, 44 * MS)
         for seed in range(5)
@@ -30,12 +30,12 @@
     assert spared < 5 * 0.3
 
 
-def test_locality_weights_leave_own_zone_that_is_slow() -> None:
+def test_locality_weights_prefer_other_zones_when_own_zone_is_slow() -> None:
     assert _remote_fraction(Stage(settings(cost_weights={"cross_zone": 0.03})), 90 * MS, 40 * MS) > 0.5
 
 
 def _remote_fraction_of_small_balancer(price: float, taking_us: int) -> float:
-    """The part of a small balancer's requests that leaves its zone; one server in four is in it."""
+    """Returns the fraction of a small balancer's requests that leave its zone; it has one server in four."""
     far = 0
     for seed in range(6):
         stage = Stage(settings(cost_weights={"cross_zone": price}), seed=seed)
@@ -51,12 +51,12 @@
     return far / (6 * 100)
 
 
-def test_locality_weights_keep_subset_of_small_balancer_in_own_zone_at_a_cost() -> None:
+def test_locality_weights_keep_subset_of_small_balancer_in_own_zone_when_cross_zone_costs() -> None:
     assert _remote_fraction_of_small_balancer(0.05, 40 * MS) < 0.4
     assert _remote_fraction_of_small_balancer(0.0, 40 * MS) > 0.6
 
 
-def test_locality_weights_even_out_as_responses_get_slower() -> None:
+def test_locality_weights_become_equal_as_responses_get_slower() -> None:
     assert (
         _remote_fraction_of_small_balancer(0.05, 180 * MS)
         > _remote_fraction_of_small_balancer(0.05, 40 * MS) + 0.15
--- a/tests/load_balancing/selection/test_subset.py
+++ b/tests/load_balancing/selection/test_subset.py
@@ -1,11 +1,11 @@
-"""The subset of endpoints that a balancer sends to."""
+"""Subset: the endpoints that a balancer sends requests to."""
 
 from __future__ import annotations
 
 from helpers import MS, Stage, names
 
 
-def test_subset_of_small_balancer_is_small_and_replaced_when_it_drains() -> None:
+def test_subset_of_small_balancer_is_small_and_is_replaced_when_drained() -> None:
     stage = Stage()
     stage.servers(names(60))
     stage.serve_singly(200)
@@ -19,7 +19,7 @@
     assert not later & first
 
 
-def test_subset_of_busy_balancer_has_all_endpoints() -> None:
+def test_subset_of_busy_balancer_contains_all_endpoints() -> None:
     stage = Stage()
     stage.servers(names(30))
     stage.serve(2_000, every_us=5 * MS, taking_us=250 * MS)
--- a/tests/load_balancing/slow_start/test_slow_start_load.py
+++ b/tests/load_balancing/slow_start/test_slow_start_load.py
@@ -1,4 +1,4 @@
-"""Slow start, by the load of endpoints that warm up."""
+"""Slow start: the load of endpoints that are warming up."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 @pytest.mark.parametrize(("every_us", "burst"), [(10 * MS, 1), (200 * MS, 20), (500 * MS, 1)])
-def test_slow_start_limits_load_of_endpoint_that_warms_up(every_us: int, burst: int) -> None:
+def test_slow_start_limits_load_of_endpoint_that_is_warming_up(every_us: int, burst: int) -> None:
     stage = Stage()
     stage.servers(names(6))
     stage.serve(300, every_us=10 * MS)
@@ -58,8 +58,9 @@
     assert 3 < early < 80  # some within the first second, and by no means all
 
 
-def test_warm_capacity_fades_slowly_while_nothing_is_served() -> None:
-    # Guards against a loop: less served, so smaller budgets for cold servers, so more refused.
+def test_warm_capacity_decays_slowly_while_nothing_is_served() -> None:
+    # Guards against a feedback loop: fewer requests served, so smaller budgets for endpoints that are warming
+    # up, so more rejections.
     stage = Stage()
     stage.servers(names(4))
     stage.serve(200)
--- a/tests/load_balancing/slow_start/test_warm_up_budget.py
+++ b/tests/load_balancing/slow_start/test_warm_up_budget.py
@@ -1,4 +1,4 @@
-"""Slow start: phases, turns that ripen and lapse, heavy requests.  Clocks are given, nothing waits."""
+"""Warm-up budget: phases, tokens that fill up and expire, heavy requests; clock times are arguments."""
 
 from __future__ import annotations
 
@@ -16,20 +16,20 @@
 START = 1_700_000_000 * S
 
 
-def phases(size: int, started_at: int | None = START, name: str = "s-1") -> list[float]:
+def sorted_phases(size: int, started_at: int | None = START, name: str = "s-1") -> list[float]:
     return sorted(slow_start.initial_phase(name, started_at, me, size, 0.5) for me in range(size))
 
 
 @pytest.mark.parametrize("size", [2, 5, 30, 200])
-def test_phase_is_evenly_spread_over_the_group(size: int) -> None:
-    found = phases(size)
+def test_initial_phase_is_evenly_spread_over_the_group(size: int) -> None:
+    found = sorted_phases(size)
     gaps = [b - a for a, b in itertools.pairwise(found)]
     assert all(math.isclose(gap, 1.0 / size, rel_tol=1e-6) for gap in gaps)
     assert found[0] >= 0.0
     assert found[-1] < 1.0
 
 
-def test_phase_differs_for_each_start_of_each_server() -> None:
+def test_initial_phase_differs_for_each_start_of_each_server() -> None:
     first = slow_start.initial_phase("s-1", START, 3, 30, 0.5)
     second = slow_start.initial_phase("s-1", START + 4 * S, 3, 30, 0.5)  # restarted
     third = slow_start.initial_phase("s-1", START + 8 * S, 3, 30, 0.5)  # and once more
@@ -41,13 +41,13 @@
 @pytest.mark.parametrize(
     ("started_at", "instance_index", "size"), [(None, 3, 30), (START, -1, 30), (START, 30, 30), (START, 0, 1)]
 )
-def test_phase_is_random_without_start_or_instance_index(
+def test_initial_phase_is_random_without_start_or_instance_index(
     started_at: int | None, instance_index: int, size: int
 ) -> None:
     assert slow_start.initial_phase("s-1", started_at, instance_index, size, 0.73) == 0.73
 
 
-def test_warm_up_factor_rises_evenly_also_for_a_clock_that_is_behind() -> None:
+def test_warm_up_factor_rises_linearly_even_if_clock_is_behind() -> None:
     assert slow_start.warm_up_factor(RULES, None, START) == 1.0
     assert (
         slow_start.warm_up_factor(RULES, START, START - 200 * MS) == 0.2
@@ -57,8 +57,8 @@
     assert slow_start.warm_up_factor(RULES, START, START + 10 * S) == 1.0
 
 
-def admitted_at(begins_with: float, limit: float, arrivals: list[int]) -> list[int]:
-    """When requests of mean cost, asked for at these times, were let through."""
+def admission_times(begins_with: float, limit: float, arrivals: list[int]) -> list[int]:
+    """Returns when requests of mean cost that arrive at these times are admitted."""
     bucket = ExpiringTokenBucket(0, begins_with)
     admitted = []
     for at in arrivals:
@@ -69,50 +69,50 @@
 
 
 @pytest.mark.parametrize("apart", [0, 200 * MS])
-def test_warm_up_budget_releases_requests_of_all_instances_evenly(apart: int) -> None:
-    # Thirty instances, each asking all the time: together a quarter of N = 8 in each second, never a burst.
-    # Their clocks may be apart, every other one behind.
+def test_warm_up_budget_admits_requests_of_all_instances_evenly(apart: int) -> None:
+    # Thirty instances, each with constant demand: together they may admit a quarter of N = 8 in each second,
+    # never a burst. Their clocks may differ; every other one is behind.
     limit = 8.0 / S / 30
     arrivals = list(range(0, 20 * S, 50 * MS))
     admitted = sorted(
         at + apart * (me % 2)
         for me in range(30)
-        for at in admitted_at(slow_start.initial_phase("s-1", START, me, 30, 0.5), limit, arrivals)
+        for at in admission_times(slow_start.initial_phase("s-1", START, me, 30, 0.5), limit, arrivals)
     )
     highest = max(sum(1 for at in admitted if since <= at < since + 1 * S) for since in admitted)
     assert len(admitted) == pytest.approx(0.25 * 8 * 20, abs=2)
     assert highest <= 4
 
 
-def test_warm_up_budget_lapses_unless_used() -> None:
+def test_warm_up_budget_expires_unless_used() -> None:
     limit = 0.2 / S  # a turn fills in 20 s, and stays open for 4
-    assert admitted_at(0.0, limit, [19 * S]) == []
-    assert admitted_at(0.0, limit, [21 * S]) == [21 * S]
-    assert admitted_at(0.0, limit, [25 * S]) == []  # it lapsed at 24 s
-    assert admitted_at(0.0, limit, [25 * S, 41 * S]) == [
+    assert admission_times(0.0, limit, [19 * S]) == []
+    assert admission_times(0.0, limit, [21 * S]) == [21 * S]
+    assert admission_times(0.0, limit, [25 * S]) == []  # it lapsed at 24 s
+    assert admission_times(0.0, limit, [25 * S, 41 * S]) == [
         41 * S
     ]  # the next is open, as if the first had been used
-    assert admitted_at(0.0, limit, [23 * S, 41 * S, 43 * S + 1]) == [
+    assert admission_times(0.0, limit, [23 * S, 41 * S, 43 * S + 1]) == [
         23 * S,
         43 * S + 1,
     ]  # it fills anew from its use
-    assert admitted_at(0.0, limit, [10_000 * S + 1]) == [10_000 * S + 1]  # the 500th
-    assert admitted_at(0.0, limit, [10_005 * S]) == []
-    assert admitted_at(0.0, 0.0, [10_000 * S]) == []
+    assert admission_times(0.0, limit, [10_000 * S + 1]) == [10_000 * S + 1]  # the 500th
+    assert admission_times(0.0, limit, [10_005 * S]) == []
+    assert admission_times(0.0, 0.0, [10_000 * S]) == []
 
 
-def test_warm_up_budget_of_all_instances_is_bounded_after_quiet_time() -> None:
-    # Two hundred instances ask nothing for 60 s, then all at once; N is 3.
+def test_warm_up_budget_of_all_instances_is_bounded_after_idle_time() -> None:
+    # Two hundred instances have no requests for 60 s, then all at once; N is 3.
     limit = 3.0 / S / 200
     open_at_once = sum(
-        len(admitted_at(slow_start.initial_phase("s-1", START, me, 200, 0.5), limit, [60 * S]))
+        len(admission_times(slow_start.initial_phase("s-1", START, me, 200, 0.5), limit, [60 * S]))
         for me in range(200)
     )
     assert 1 <= open_at_once <= 4
 
 
 def test_warm_up_budget_always_admits_one_request_of_busy_instance() -> None:
-    assert admitted_at(0.0, 8.0 / S, [60 * S, 60 * S, 61 * S]) == [60 * S, 61 * S]
+    assert admission_times(0.0, 8.0 / S, [60 * S, 60 * S, 61 * S]) == [60 * S, 61 * S]
 
 
 def test_warm_up_budget_recovers_from_heavy_request_before_the_next() -> None:
@@ -123,7 +123,7 @@
     assert slow_start.has_budget(bucket, 6 * S + 1, 1.0 / S, 1 * S, 1.0)
 
 
-def test_max_cost_grows_slower_than_the_budget() -> None:
+def test_max_cost_grows_more_slowly_than_the_budget() -> None:
     assert slow_start.max_cost(0.0) == 1.0
     for budget in (1.0, 3.0, 12.0, 50.0):
         tolerance = 2.0 * math.sqrt(budget) + 2.0
--- a/tests/load_balancing/test_balancer.py
+++ b/tests/load_balancing/test_balancer.py
@@ -1,4 +1,4 @@
-"""The balancer and its gates, by scripted events: one final response in time, and no effect twice."""
+"""The balancer under scripted events: one final response in time, and no duplicate effects."""
 
 from __future__ import annotations
 
@@ -45,8 +45,9 @@
     assert [each.request for each in stage.said(RejectRequest)] == [request]
 
 
-def test_balancer_fails_request_in_the_event_of_its_last_attempt() -> None:
-    # Guards against holding back a final answer until near the deadline, so that its client can't ask again.
+def test_balancer_fails_request_at_once_when_last_attempt_ends() -> None:
+    # Guards against a failure response that is held back until near the deadline, when its client has no time
+    # left for a retry.
     stage = Stage()
     stage.servers(names(1))
     request = stage.request("pay", remaining_us=2 * S)
@@ -62,7 +63,7 @@
     assert [each.request for each in stage.said(RejectRequest)] == [request]
 
 
-def test_balancer_rejects_request_without_permitted_attempts() -> None:
+def test_balancer_rejects_request_when_no_attempts_are_permitted() -> None:
     stage = Stage(settings(limits={"max_attempts": 0}))
     stage.servers(names(3))
     request = stage.request("look")
@@ -124,7 +125,7 @@
     return [EndpointDescription(name, zone="east", cell=index % 2) for index, name in enumerate(names(8))]
 
 
-def test_balancer_retries_request_with_key_in_its_cell() -> None:
+def test_balancer_retries_request_with_key_only_in_its_cell() -> None:
     for seed in range(20):
         stage = Stage(seed=seed)
         stage.servers(_cells())
@@ -148,7 +149,7 @@
     assert [each.request for each in stage.said(FailRequest)] == [request]
 
 
-def test_balancer_cancels_before_retry_where_hedging_is_not_permitted() -> None:
+def test_balancer_cancels_before_retry_when_hedging_is_not_permitted() -> None:
     stage = Stage(settings(limits={"hedged_requests": False}))
     stage.servers(names(6))
     stage.serve(100)
@@ -165,7 +166,7 @@
     assert len(stage.sends(request)) == 2
 
 
-def test_attempt_gate_refuses_draining_and_removed_endpoints() -> None:
+def test_start_attempt_rejects_draining_and_removed_endpoints() -> None:
     stage = Stage()
     stage.servers(names(3))
     request = stage.balancer._requests[stage.request()]
@@ -183,7 +184,7 @@
     assert not stage.balancer._start_attempt(other, server)
 
 
-def test_attempt_gate_refuses_hedged_request_unless_permitted() -> None:
+def test_start_attempt_rejects_hedged_request_unless_permitted() -> None:
     for allowed in (False, True):
         stage = Stage(settings(limits={"hedged_requests": allowed}))
         stage.servers(names(3))
@@ -196,14 +197,14 @@
         assert stage.balancer._start_attempt(request, server) is allowed
 
 
-def _overloaded_proves_nothing() -> Stage:
+def _stage_where_overloaded_proves_nothing() -> Stage:
     stage = Stage(settings(rules={"overloaded_may_have_run": True}))
     stage.servers(_cells())
     return stage
 
 
-def test_balancer_fails_non_idempotent_request_on_overloaded_that_proves_nothing() -> None:
-    stage = _overloaded_proves_nothing()
+def test_balancer_fails_non_idempotent_request_when_overloaded_proves_nothing() -> None:
+    stage = _stage_where_overloaded_proves_nothing()
     request = stage.request("pay")
     stage.end(request, Outcome.OVERLOADED)
     assert len(stage.sends(request)) == 1
@@ -211,7 +212,7 @@
     assert stage.said(RejectRequest) == []
 
 
-def test_balancer_retries_request_with_key_within_cell_and_window_on_overloaded_that_proves_nothing() -> None:
+def test_balancer_retries_request_with_key_within_cell_and_window_when_overloaded_proves_nothing() -> None:
     cell_of = {each.name: each.cell for each in _cells()}
     for seed in range(20):
         stage = Stage(settings(rules={"overloaded_may_have_run": True}), seed=seed)
@@ -226,8 +227,8 @@
         assert stage.said(RejectRequest) == []
 
 
-def test_balancer_retries_idempotent_request_on_overloaded_that_proves_nothing() -> None:
-    stage = _overloaded_proves_nothing()
+def test_balancer_retries_idempotent_request_when_overloaded_proves_nothing() -> None:
+    stage = _stage_where_overloaded_proves_nothing()
     request = stage.request("look")
     stage.end(request, Outcome.OVERLOADED)
     assert len(stage.sends(request)) == 2
--- a/tests/load_balancing/test_balancer_any_sequence.py
+++ b/tests/load_balancing/test_balancer_any_sequence.py
@@ -1,4 +1,4 @@
-"""Arbitrary legal sequences of events, judged from outside by the actions alone."""
+"""The balancer under arbitrary valid sequences of events; only its actions are checked."""
 
 from __future__ import annotations
 
@@ -43,168 +43,207 @@
 ]
 
 
-class Referee:
-    """Keeps what a client, the servers and the list know, and checks every action against the rules."""
+class RuleChecker:
+    """Models clients, servers and the endpoint list, and checks every action against the rules."""
 
     def __init__(self, attempts: int, seed: int, *, hedged_requests: bool, strict: bool) -> None:
         """`strict`: overloaded responses prove nothing, and idle connections must be closed in time."""
-        further = {"overloaded_may_have_run": True, "close_idle_within_us": CLOSE_WITHIN} if strict else {}
+        rules = {"overloaded_may_have_run": True, "close_idle_within_us": CLOSE_WITHIN} if strict else {}
         self.settings = settings(
             classes=CLASSES,
             limits={"hedged_requests": hedged_requests, "max_attempts": attempts},
-            rules=further,
+            rules=rules,
         )
-        self.never_ran = [Outcome.CONNECT_FAILED, Outcome.NOT_SENT, *([] if strict else [Outcome.OVERLOADED])]
-        self.to_close: dict[str, int] = {}  # by when idle connections to a leaving server must be closed
+        self.not_executed_outcomes = [
+            Outcome.CONNECT_FAILED,
+            Outcome.NOT_SENT,
+            *([] if strict else [Outcome.OVERLOADED]),
+        ]
+        self.close_idle_by: dict[
+            str, int
+        ] = {}  # By when idle connections to draining or removed endpoints must be closed, keyed by endpoint.
         self.balancer = Balancer(self.settings, seed)
-        self.kinds = {each.name: each for each in self.settings.classes}
+        self.classes = {each.name: each for each in self.settings.classes}
         self.now = START
         self.timers: list[tuple[int, str]] = []
         self.requests: dict[int, dict[str, Any]] = {}
-        self.listed: dict[str, EndpointDescription] = {}
-        self.next = 1
+        self.descriptions: dict[str, EndpointDescription] = {}
+        self.next_request = 1
 
-    def play(self, event: Event) -> None:
+    def handle(self, event: Event) -> None:
         for action in self.balancer.handle(self.now, event):
             match action:
                 case StartAttempt():
-                    self.sent(action)
+                    self.attempt_started(action)
                 case RejectRequest() | FailRequest():
-                    self.answered(action)
+                    self.final_response_sent(action)
                 case CancelAttempt():
                     assert action.attempt < len(self.requests[action.request]["attempts"])
                 case CloseIdleConnections():
-                    self.to_close.pop(action.endpoint, None)
+                    self.close_idle_by.pop(action.endpoint, None)
                 case SetTimer():
                     self.timers.append((self.now + action.delay_us, action.token))
                 case _:
                     pass
-        self.check_counts()
+        self.check_in_flight_counts()
 
-    def sent(self, action: StartAttempt) -> None:
+    def attempt_started(self, action: StartAttempt) -> None:
         request = self.requests[action.request]
-        kind = request["kind"]
-        assert not request["over"], "sent after the final answer"
-        assert self.now < request["deadline"], "sent after the deadline"
-        line = self.listed[action.endpoint]
-        assert line.state is EndpointState.READY, "sent to a draining or gone server"
+        service_class = request["service_class"]
+        assert not request["is_responded"], "attempt started after the final response"
+        assert self.now < request["deadline"], "attempt started after the deadline"
+        description = self.descriptions[action.endpoint]
+        assert description.state is EndpointState.READY, "attempt started at a draining or removed endpoint"
         earlier = request["attempts"]
-        assert len(earlier) < self.settings.limits.max_attempts, "more attempts than allowed"
+        assert len(earlier) < self.settings.limits.max_attempts, "more attempts than permitted"
         if not self.settings.limits.hedged_requests:
-            assert not any(each["pending"] for each in earlier), "two copies out at once"
-        maybe = [each for each in earlier if each["pending"] or each["outcome"] not in self.never_ran]
-        if maybe and kind.idempotency is Idempotency.NON_IDEMPOTENT:
-            raise AssertionError("an unsafe request was sent again")
-        if maybe and kind.idempotency is Idempotency.IDEMPOTENT_WITH_KEY:
-            assert self.now < maybe[0]["at"] + kind.deduplication_window_us, "sent after servers forgot"
-            for each in maybe:
-                scope = kind.deduplication_scope.value
-                assert scope != "zone" or each["line"].zone == line.zone, "left the zone"
-                assert scope != "cell" or each["line"].cell == line.cell, "left the cell"
+            assert not any(each["pending"] for each in earlier), "hedged request without permission"
+        possibly_executed = [
+            each for each in earlier if each["pending"] or each["outcome"] not in self.not_executed_outcomes
+        ]
+        if possibly_executed and service_class.idempotency is Idempotency.NON_IDEMPOTENT:
+            raise AssertionError("non-idempotent request retried after it may have been executed")
+        if possibly_executed and service_class.idempotency is Idempotency.IDEMPOTENT_WITH_KEY:
+            assert self.now < possibly_executed[0]["started_at"] + service_class.deduplication_window_us, (
+                "attempt started after the deduplication window"
+            )
+            for each in possibly_executed:
+                scope = service_class.deduplication_scope.value
+                assert scope != "zone" or each["description"].zone == description.zone, (
+                    "attempt outside the deduplication zone"
+                )
+                assert scope != "cell" or each["description"].cell == description.cell, (
+                    "attempt outside the deduplication cell"
+                )
         earlier.append(
-            {"server": action.endpoint, "line": line, "at": self.now, "pending": True, "outcome": None}
+            {
+                "endpoint": action.endpoint,
+                "description": description,
+                "started_at": self.now,
+                "pending": True,
+                "outcome": None,
+            }
         )
 
-    def answered(self, action: RejectRequest | FailRequest) -> None:
+    def final_response_sent(self, action: RejectRequest | FailRequest) -> None:
         request = self.requests[action.request]
-        assert not request["over"], "two final answers"
-        assert self.now < request["deadline"] or request["late"], "answered after the deadline"
-        if isinstance(action, RejectRequest) and request["kind"].idempotency is not Idempotency.IDEMPOTENT:
-            maybe = [
+        assert not request["is_responded"], "second final response"
+        assert self.now < request["deadline"] or request["may_be_late"], "final response after the deadline"
+        if (
+            isinstance(action, RejectRequest)
+            and request["service_class"].idempotency is not Idempotency.IDEMPOTENT
+        ):
+            possibly_executed = [
                 each
                 for each in request["attempts"]
-                if each["pending"] or each["outcome"] not in self.never_ran
+                if each["pending"] or each["outcome"] not in self.not_executed_outcomes
             ]
-            whole = (
-                request["kind"].idempotency is Idempotency.IDEMPOTENT_WITH_KEY
-                and request["kind"].deduplication_scope.value == "all"
+            is_resend_safe = (
+                request["service_class"].idempotency is Idempotency.IDEMPOTENT_WITH_KEY
+                and request["service_class"].deduplication_scope.value == "all"
+            )
+            assert not possibly_executed or is_resend_safe, (
+                "rejection of a request that may have been executed"
             )
-            assert not maybe or whole, "a refusal that may have run"
-        request["over"] = True
+        request["is_responded"] = True
 
-    def check_counts(self) -> None:
-        out: dict[str, int] = dict.fromkeys(SERVERS, 0)
+    def check_in_flight_counts(self) -> None:
+        in_flight: dict[str, int] = dict.fromkeys(SERVERS, 0)
         for request in self.requests.values():
             for each in request["attempts"]:
-                out[each["server"]] += each["pending"]
+                in_flight[each["endpoint"]] += each["pending"]
         for name, server in self.balancer._context.endpoints.items():
-            assert server.in_flight == out[name], "the count of requests in flight is off"
+            assert server.in_flight == in_flight[name], "wrong number of requests in flight"
 
-    def arrive(self, name: str, remaining_us: int) -> None:
-        number, self.next = self.next, self.next + 1
-        self.requests[number] = {
-            "kind": self.kinds[name],
+    def add_request(self, name: str, remaining_us: int) -> None:
+        request_id, self.next_request = self.next_request, self.next_request + 1
+        self.requests[request_id] = {
+            "service_class": self.classes[name],
             "deadline": self.now + remaining_us,
-            "late": remaining_us <= 2 * TICK,
+            "may_be_late": remaining_us <= 2 * TICK,
             "attempts": [],
-            "over": False,
+            "is_responded": False,
         }
-        self.play(RequestArrived(number, name, None, None, remaining_us))
+        self.handle(RequestArrived(request_id, name, None, None, remaining_us))
 
-    def end(self, choice: int, outcome: Outcome) -> None:
-        out = [
-            (number, index)
-            for number, request in self.requests.items()
+    def end_any_attempt(self, choice: int, outcome: Outcome) -> None:
+        pending = [
+            (request_id, index)
+            for request_id, request in self.requests.items()
             for index, each in enumerate(request["attempts"])
             if each["pending"]
         ]
-        if out:
-            self.end_one(*out[choice % len(out)], outcome)
+        if pending:
+            self.end_attempt(*pending[choice % len(pending)], outcome)
 
-    def end_one(self, number: int, index: int, outcome: Outcome) -> None:
-        request = self.requests[number]
+    def end_attempt(self, request_id: int, index: int, outcome: Outcome) -> None:
+        request = self.requests[request_id]
         each = request["attempts"][index]
         each["pending"], each["outcome"] = False, outcome
         if outcome is Outcome.DELIVERED:
-            request["over"] = True
-        self.used(each["server"])
-        self.play(Ended(number, index, each["server"], outcome, self.now - each["at"], request["over"]))
+            request["is_responded"] = True
+        self.connection_used(each["endpoint"])
+        self.handle(
+            Ended(
+                request_id,
+                index,
+                each["endpoint"],
+                outcome,
+                self.now - each["started_at"],
+                request["is_responded"],
+            )
+        )
 
-    def used(self, server: str) -> None:
-        """Told of a drain or gone, or used since: what is idle there is to be closed."""
-        if self.settings.rules.close_idle_within_us and self.listed[server].state is not EndpointState.READY:
-            self.to_close[server] = self.now + CLOSE_WITHIN
+    def connection_used(self, server: str) -> None:
+        """Updates by when idle connections to a server must be closed, after an update or the use of one."""
+        if (
+            self.settings.rules.close_idle_within_us
+            and self.descriptions[server].state is not EndpointState.READY
+        ):
+            self.close_idle_by[server] = self.now + CLOSE_WITHIN
         else:
-            self.to_close.pop(server, None)
+            self.close_idle_by.pop(server, None)
 
-    def leave(self, choice: int) -> None:
-        waiting = [number for number, request in self.requests.items() if not request["over"]]
+    def disconnect_any_client(self, choice: int) -> None:
+        waiting = [request_id for request_id, request in self.requests.items() if not request["is_responded"]]
         if waiting:
-            number = waiting[choice % len(waiting)]
-            self.requests[number]["over"] = True
-            self.play(ClientDisconnected(number))
+            request_id = waiting[choice % len(waiting)]
+            self.requests[request_id]["is_responded"] = True
+            self.handle(ClientDisconnected(request_id))
 
-    def list(self, kind: EndpointUpdateKind, lines: list[EndpointDescription]) -> None:
-        before = {name: line.state for name, line in self.listed.items()}
+    def update_endpoints(self, kind: EndpointUpdateKind, changed: list[EndpointDescription]) -> None:
+        before = {name: description.state for name, description in self.descriptions.items()}
         if kind is not EndpointUpdateKind.DELTA:
-            for line in self.listed.values():
-                line.state = EndpointState.REMOVED
-        for line in lines:
-            self.listed[line.name] = line
-        for name, line in self.listed.items():
-            if line.state is not before.get(name):
-                self.used(name)
-        self.play(EndpointsUpdated(kind, lines, 1))
+            for description in self.descriptions.values():
+                description.state = EndpointState.REMOVED
+        for description in changed:
+            self.descriptions[description.name] = description
+        for name, description in self.descriptions.items():
+            if description.state is not before.get(name):
+                self.connection_used(name)
+        self.handle(EndpointsUpdated(kind, changed, 1))
 
-    def wait(self, span_us: int) -> None:
-        until = self.now + span_us
+    def advance_time(self, duration_us: int) -> None:
+        until = self.now + duration_us
         while self.timers and min(self.timers)[0] <= until:
             due = min(self.timers)
             self.timers.remove(due)
             self.now = max(self.now, due[0])
-            self.play(TimerFired(due[1]))
+            self.handle(TimerFired(due[1]))
             self.check_deadlines()
         self.now = until
         self.check_deadlines()
 
     def check_deadlines(self) -> None:
-        for server, by in self.to_close.items():
+        for server, by in self.close_idle_by.items():
             assert self.now <= by, f"idle connections to {server} are still open"
         for request in self.requests.values():
-            assert request["over"] or self.now < request["deadline"], "a request was left unanswered"
+            assert request["is_responded"] or self.now < request["deadline"], (
+                "no final response before the deadline"
+            )
 
 
-lines = st.builds(
+descriptions = st.builds(
     EndpointDescription,
     name=st.sampled_from(SERVERS),
     zone=st.sampled_from(ZONES),
@@ -216,23 +255,23 @@
     nominal_capacity=st.sampled_from([0.0, 1.0, 3.0]),
     started_at=st.sampled_from([None, START - 5 * S, START, START + 2 * S]),
 )
-arrivals = st.tuples(
-    st.just("arrive"),
+request_arrivals = st.tuples(
+    st.just("request arrives"),
     st.sampled_from([str(each["name"]) for each in CLASSES]),
     st.integers(1, 2_500).map(lambda ms: ms * MS),
 )
 steps = st.one_of(
-    arrivals,
-    arrivals,
-    st.tuples(st.just("end"), st.integers(0, 50), st.sampled_from(list(Outcome))),
-    st.tuples(st.just("end"), st.integers(0, 50), st.just(Outcome.DELIVERED)),
-    st.tuples(st.just("end"), st.integers(0, 50), st.just(Outcome.OVERLOADED)),
-    st.tuples(st.just("leave"), st.integers(0, 50)),
-    st.tuples(st.just("wait"), st.integers(1, 1_500).map(lambda ms: ms * MS)),
+    request_arrivals,
+    request_arrivals,
+    st.tuples(st.just("attempt ends"), st.integers(0, 50), st.sampled_from(list(Outcome))),
+    st.tuples(st.just("attempt ends"), st.integers(0, 50), st.just(Outcome.DELIVERED)),
+    st.tuples(st.just("attempt ends"), st.integers(0, 50), st.just(Outcome.OVERLOADED)),
+    st.tuples(st.just("client disconnects"), st.integers(0, 50)),
+    st.tuples(st.just("time passes"), st.integers(1, 1_500).map(lambda ms: ms * MS)),
     st.tuples(
-        st.just("list"),
+        st.just("endpoints updated"),
         st.sampled_from([EndpointUpdateKind.DELTA, EndpointUpdateKind.COMPLETE, EndpointUpdateKind.FAILED]),
-        st.lists(lines, max_size=5, unique_by=lambda each: each.name),
+        st.lists(descriptions, max_size=5, unique_by=lambda each: each.name),
     ),
 )
 
@@ -245,25 +284,25 @@
     seed=st.integers(0, 1_000),
     script=st.lists(steps, min_size=5, max_size=60),
 )
-def test_balancer_breaks_no_rule_in_any_sequence(
+def test_balancer_obeys_rules_in_any_event_sequence(
     *, strict: bool, hedged_requests: bool, attempts: int, seed: int, script: list[Any]
 ) -> None:
-    referee = Referee(attempts, seed, hedged_requests=hedged_requests, strict=strict)
+    checker = RuleChecker(attempts, seed, hedged_requests=hedged_requests, strict=strict)
     ready = [EndpointDescription(name, "east", "box", index % 3) for index, name in enumerate(SERVERS)]
-    referee.list(EndpointUpdateKind.CACHED, ready)
+    checker.update_endpoints(EndpointUpdateKind.CACHED, ready)
     for step in script:
         match step:
-            case ("arrive", name, remaining):
-                referee.arrive(name, remaining)
-            case ("end", choice, outcome):
-                referee.end(choice, outcome)
-            case ("leave", choice):
-                referee.leave(choice)
-            case ("wait", span):
-                referee.wait(span)
-            case ("list", kind, changed):
+            case ("request arrives", name, remaining):
+                checker.add_request(name, remaining)
+            case ("attempt ends", choice, outcome):
+                checker.end_any_attempt(choice, outcome)
+            case ("client disconnects", choice):
+                checker.disconnect_any_client(choice)
+            case ("time passes", span):
+                checker.advance_time(span)
+            case ("endpoints updated", kind, changed):
                 if kind is EndpointUpdateKind.FAILED:
-                    referee.play(EndpointsUpdated(kind))
+                    checker.handle(EndpointsUpdated(kind))
                 else:
-                    referee.list(kind, changed)
-    referee.wait(4 * S)
+                    checker.update_endpoints(kind, changed)
+    checker.advance_time(4 * S)
--- a/tests/load_balancing/test_long_service.py
+++ b/tests/load_balancing/test_long_service.py
@@ -1,4 +1,4 @@
-"""What a long life in service asks of the decisions: little kept, and no server blamed unjustly."""
+"""Long operation: the balancer keeps little state, and ejects no server without reason."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
     return [each.text for each in stage.said(LogEvent) if each.text.startswith("ejected")]
 
 
-def test_balancer_retains_nothing_of_servers_that_were_replaced() -> None:
-    # Guards against growth: every id is new, and all servers are replaced over and over.
+def test_balancer_deletes_state_of_replaced_servers() -> None:
+    # Guards against unbounded growth: request ids never repeat, and all servers are replaced again and again.
     stage = Stage(settings(limits={"hedged_requests": False}))
     for round_ in range(200):
         stage.servers([f"{name}-{round_}" for name in names(5)])
@@ -32,7 +32,7 @@
     assert all(each.state is EndpointState.READY for each in balancer._components.outlier_detection._ejected)
 
 
-def test_removed_server_is_retained_until_its_last_attempt_has_ended() -> None:
+def test_balancer_keeps_removed_endpoint_until_its_last_attempt_ends() -> None:
     stage = Stage()
     stage.servers(names(1))
     request = stage.request("pay")
@@ -44,8 +44,8 @@
     assert stage.balancer._components.load.current() == 0
 
 
-def test_malformed_responses_eject_a_server_only_when_it_gives_no_others() -> None:
-    # Guards against ejecting half the fleet for noise on the way that meets any server alike.
+def test_balancer_ejects_endpoint_for_malformed_responses_only_without_valid_ones() -> None:
+    # Guards against ejecting half the fleet for a network fault that damages responses of any server.
     stage = Stage()
     stage.servers(names(4))
     for number in range(60):
@@ -60,7 +60,7 @@
     assert any(each.endswith("spoilt") for each in _ejected(stage))
 
 
-def test_request_with_a_malformed_response_may_have_been_executed() -> None:
+def test_balancer_treats_request_with_malformed_response_as_possibly_executed() -> None:
     stage = Stage()
     stage.servers(names(4))
     for kind in ("look", "pay"):
@@ -71,7 +71,7 @@
     assert len(stage.said(FailRequest)) == 1
 
 
-def test_request_fails_at_once_and_blames_no_server_after_a_client_error() -> None:
+def test_balancer_fails_request_and_ejects_no_endpoint_after_client_error() -> None:
     stage = Stage()
     stage.servers(names(4))
     for _ in range(20):
@@ -82,8 +82,9 @@
     assert _ejected(stage) == []
 
 
-def test_handshakes_are_not_taken_for_overload_or_unresponsiveness() -> None:
-    # Guards the first second after a start: every connection is new, and its first answer comes late.
+def test_balancer_detects_no_overload_or_unresponsiveness_during_handshakes() -> None:
+    # Guards against rejections in the first second after a start, when every connection is new and its first
+    # response is late.
     def refused(every_answer_us: int, first_answer_us: int) -> int:
         stage = Stage()
         stage.servers(names(12))
@@ -100,7 +101,7 @@
     assert refused(700 * MS, 700 * MS) > 10
 
 
-def test_rejected_client_is_advised_to_retry_within_its_latency_objective() -> None:
+def test_balancer_advises_rejected_client_to_retry_within_latency_objective() -> None:
     for allowed, most in ((True, 2 * S), (True, 20 * MS), (False, 2 * S)):
         stage = Stage(settings(limits={"retry_after": allowed, "max_retry_after_us": most}))
         stage.servers([])
--- a/tests/load_balancing/test_settings_reader.py
+++ b/tests/load_balancing/test_settings_reader.py
@@ -1,4 +1,4 @@
-"""Reading settings: ignored keys, defaults, and errors."""
+"""Reading settings: ignored keys, defaults and errors."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
     ) == settings_from_mapping(MINIMAL)
 
 
-def test_settings_reader_leaves_absent_instance_index_unset() -> None:
+def test_settings_reader_reads_absent_instance_index_as_minus_one() -> None:
     plain = {"classes": [{"name": "look", "deadline_us": 1_000}], "instance_count": 30}
     assert settings_from_mapping(plain).instance_index == -1
     assert settings_from_mapping({**plain, "instance_index": 0}).instance_index == 0
@@ -108,7 +108,7 @@
         values,
     ),
 )
-def test_settings_reader_yields_working_balancer_or_error(
+def test_settings_reader_returns_usable_settings_or_raises_error(
     service_class: dict[str, Any], others: dict[str, Any]
 ) -> None:
     try:
