--- a/tests/barriers.py
+++ b/tests/barriers.py
@@ -15,7 +15,7 @@
 
 import pytest
 import uvloop
-from loopback import HOST, Heard, Stage, line, until
+from loopback import HOST, ReceivedRequest, SidecarHarness, endpoint_entry, wait_until
 
 from tulipnotch.sidecar.clock import Clock
 from tulipnotch.sidecar.upstream import connection as client
@@ -34,12 +34,12 @@
         self.now_us += span_us
 
 
-class HeldDials:
+class DelayedConnects:
     """Connections to addresses that are held are begun only once they are released."""
 
     def __init__(self, patch: pytest.MonkeyPatch) -> None:
         """Patches the event loop; no address is held yet."""
-        self.waiting = 0
+        self.pending_count = 0
         self._gates: dict[int, asyncio.Event] = {}
         create = uvloop.Loop.create_connection
 
@@ -52,11 +52,11 @@
         ) -> Any:
             gate = self._gates.get(port)
             if gate is not None:
-                self.waiting += 1
+                self.pending_count += 1
                 try:
                     await gate.wait()
                 finally:
-                    self.waiting -= 1
+                    self.pending_count -= 1
             return await create(loop, factory, host, port, **how)
 
         patch.setattr(uvloop.Loop, "create_connection", create_connection)
@@ -70,7 +70,7 @@
         self._gates[int(address.rpartition(":")[2])].set()
 
 
-class NarrowServer:
+class SlowReadingServer:
     """A server that takes little at a time, and nothing until it is told to."""
 
     def __init__(self) -> None:
@@ -91,7 +91,7 @@
         """Accepts the next connection."""
         self.accepted, _ = await asyncio.get_running_loop().sock_accept(self._listener)
 
-    async def read_to(self, end: bytes) -> bytes:
+    async def read_until(self, end: bytes) -> bytes:
         """Take all that comes, until it ends so or its connection ends."""
         assert self.accepted is not None
         loop = asyncio.get_running_loop()
@@ -118,7 +118,7 @@
             self.accepted.close()
 
 
-def narrow_connections(patch: pytest.MonkeyPatch) -> None:
+def shrink_send_buffers(patch: pytest.MonkeyPatch) -> None:
     """Connections to servers hold little: the rest of a request waits in this process."""
     made = client.UpstreamConnection.connection_made
 
@@ -129,7 +129,7 @@
     patch.setattr(client.UpstreamConnection, "connection_made", connection_made)
 
 
-def reset(heard: Heard) -> None:
+def reset_connection(heard: ReceivedRequest) -> None:
     """End the connection that a request came on by a reset, at once."""
     plain = socket.socket(fileno=os.dup(heard.writer.get_extra_info("socket").fileno()))
     plain.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
@@ -137,34 +137,36 @@
     heard.writer.transport.abort()
 
 
-async def tell(scene: Stage, *entries: dict[str, Any]) -> None:
+async def announce_endpoints(harness: SidecarHarness, *entries: dict[str, Any]) -> None:
     """Announce changes of the list, and return once the sidecar has taken them over."""
-    await until(lambda: len(scene.discovery.heard) >= 2)
-    before = len(scene.discovery.heard)
-    scene.discovery.tell(*entries)
-    await until(lambda: len(scene.discovery.heard) > before)
+    await wait_until(lambda: len(harness.discovery.received_requests) >= 2)
+    before = len(harness.discovery.received_requests)
+    harness.discovery.announce(*entries)
+    await wait_until(lambda: len(harness.discovery.received_requests) > before)
 
 
-def server_line(index: int, address: str, **changes: Any) -> dict[str, Any]:
+def server_entry(index: int, address: str, **changes: Any) -> dict[str, Any]:
     """Returns a line of the endpoint list for the server with this index."""
-    return line(f"s-{index}", address, **changes)
+    return endpoint_entry(f"s-{index}", address, **changes)
 
 
-Fate = Callable[[int, bytes], int]  # given a descriptor and what is to be written: how much was, or it raises
+WriteOutcome = Callable[
+    [int, bytes], int
+]  # given a descriptor and what is to be written: how much was, or it raises
 
 
-class Kernel:
+class ScriptedWrites:
     """Writes the ends of requests; a test says what comes of the first writes to one server."""
 
-    def __init__(self, patch: pytest.MonkeyPatch, server: str, fates: tuple[Fate, ...]) -> None:
+    def __init__(self, patch: pytest.MonkeyPatch, server: str, fates: tuple[WriteOutcome, ...]) -> None:
         """`fates` are used up one a write, for this server's address only."""
-        self.left = list(fates)
+        self.remaining_outcomes = list(fates)
         self._server = server
         patch.setattr(client, "os", SimpleNamespace(write=self._write))
 
     def _write(self, descriptor: int, piece: bytes) -> int:
         with socket.socket(fileno=os.dup(descriptor)) as own:
             host, port = own.getpeername()
-        if self.left and f"{host}:{port}" == self._server:
-            return self.left.pop(0)(descriptor, piece)
+        if self.remaining_outcomes and f"{host}:{port}" == self._server:
+            return self.remaining_outcomes.pop(0)(descriptor, piece)
         return os.write(descriptor, piece)
--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -15,8 +15,8 @@
 import click
 import pytest
 from click.testing import CliRunner, Result
-from loopback import HOST, OK, play, soon
-from running import GOOD, ROOT, program, started_in_vain
+from loopback import HOST, OK_RESPONSE, run_async, within_timeout
+from running import ROOT, VALID_CONFIG, run_expecting_failure, sidecar_with_server
 
 from tulipnotch.cli.root import LazyGroup, root
 
@@ -73,7 +73,7 @@
 
 def test_run_becomes_the_sidecar_with_the_files_of_its_options(tmp_path: Path) -> None:
     config, operator = tmp_path / "config.json", tmp_path / "operator.toml"
-    config.write_text(json.dumps(GOOD))
+    config.write_text(json.dumps(VALID_CONFIG))
     operator.write_text('[log]\nformat = "json"\n')
     process = subprocess.Popen(
         [*COMMAND, "run", "--config", str(config), "--operator", str(operator)],
@@ -101,7 +101,9 @@
 
 
 def test_start_fails_with_all_faults_of_an_invalid_operator_file_on_one_line(tmp_path: Path) -> None:
-    said = started_in_vain(tmp_path, json.dumps(GOOD), '[log]\nformat = "yaml"\nlines_pers = 3\n')
+    said = run_expecting_failure(
+        tmp_path, json.dumps(VALID_CONFIG), '[log]\nformat = "yaml"\nlines_pers = 3\n'
+    )
     assert said.startswith("tulipnotch: config: BALANCER_OPERATOR: ")
     assert "line 2: log.format" in said
     assert "line 3: log.lines_pers" in said
@@ -113,7 +115,13 @@
         "lanes": [{"name": "look", "giveUpUs": -1, "repeat": "sometimes"}, {"name": "look", "giveUpUs": 5}],
         "bounds": {"sendCap": 0, "retryAfter": "yes"},
     }
-    bad = {**GOOD, "listen": "localhost:80", "seed": "xyz", "limits": {"sockets": 3}, "settings": settings}
+    bad = {
+        **VALID_CONFIG,
+        "listen": "localhost:80",
+        "seed": "xyz",
+        "limits": {"sockets": 3},
+        "settings": settings,
+    }
     path.write_text(json.dumps(bad, indent=1))
     result = invoke("check", str(path), "--json")
     assert result.exit_code == 2
@@ -130,7 +138,7 @@
 
 def test_check_accepts_the_example_and_valid_files(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
-    path.write_text(json.dumps(GOOD))
+    path.write_text(json.dumps(VALID_CONFIG))
     result = invoke("check", str(path), str(ROOT / "deploy" / "operator.toml"))
     assert (result.exit_code, result.output.count(": a good ")) == (0, 2)
 
@@ -146,18 +154,18 @@
 
 def test_ctl_shows_the_response_and_exits_by_its_status(tmp_path: Path) -> None:
     async def work() -> None:
-        async with program(OK, tmp_path) as running:
+        async with sidecar_with_server(OK_RESPONSE, tmp_path) as running:
             address = f"{HOST}:{running.control_port}"
 
             async def ctl(*arguments: str) -> tuple[int, str]:
                 process = await asyncio.create_subprocess_exec(
                     *COMMAND, "ctl", address, *arguments, stdout=-1, stderr=-2, cwd=ROOT
                 )
-                output, _ = await soon(process.communicate())
+                output, _ = await within_timeout(process.communicate())
                 assert process.returncode is not None
                 return process.returncode, output.decode()
 
-            assert (await (await running.client()).ask("lodge")).status == 200
+            assert (await (await running.connect()).send_request("lodge")).status == 200
             assert await ctl("readyz") == (0, "+OK ready\n")
             code, output = await ctl("telemetry", "--json")
             assert code == 0
@@ -171,7 +179,7 @@
             assert output.startswith(f"{address} does not answer: ")
             assert output.count("\n") == 1
 
-    play(work)
+    run_async(work)
 
 
 def test_ctl_rejects_an_address_that_is_not_numeric() -> None:
--- a/tests/external_names/outside.py
+++ b/tests/external_names/outside.py
@@ -18,7 +18,7 @@
 from typing import Any
 
 import pytest
-from loopback import HOST, Stage
+from loopback import HOST, SidecarHarness
 from running import ROOT
 
 from tulipnotch.load_balancing import Balancer
@@ -165,27 +165,27 @@
 # The sidecar
 
 
-def door(scene: Stage, call: str) -> str:
+def door(harness: SidecarHarness, call: str) -> str:
     """What an operator would be told by a sidecar in this process: the answer's first line."""
     try:
-        return f"+OK {scene.sidecar.command_handlers()[call]()[0]}"
+        return f"+OK {harness.sidecar.command_handlers()[call]()[0]}"
     except CommandRejectedError as reason:
         return f"-ERR {reason}"
 
 
-def figures(scene: Stage) -> list[str]:
+def figures(harness: SidecarHarness) -> list[str]:
     """The figures of a sidecar in this process, as an operator gets them."""
-    return list(scene.sidecar.command_handlers()["telemetry"]())
+    return list(harness.sidecar.command_handlers()["telemetry"]())
 
 
-def listen(scene: Stage) -> None:
+def listen(harness: SidecarHarness) -> None:
     """Let a sidecar in this process take clients before it is ready."""
-    scene.sidecar.downstream.listen(bind_and_listen((HOST, 0)))
+    harness.sidecar.downstream.listen(bind_and_listen((HOST, 0)))
 
 
-def stop(scene: Stage) -> None:
+def stop(harness: SidecarHarness) -> None:
     """Let a sidecar in this process be told to end, without waiting for it."""
-    scene.sidecar.lifecycle.stop()
+    harness.sidecar.lifecycle.stop()
 
 
 def set_by_operator(path: Path) -> list[Any]:
--- a/tests/external_names/test_configuration_names.py
+++ b/tests/external_names/test_configuration_names.py
@@ -15,9 +15,9 @@
 from typing import Any
 
 import pytest
-from loopback import HOST, OK, play, soon
+from loopback import HOST, OK_RESPONSE, run_async, within_timeout
 from outside import COMMAND, CONFIGURATION, command, configuration, faults, put, sidecar_in_vain
-from running import ROOT, running_on, world
+from running import ROOT, running_sidecar, server_with_config
 
 NONSENSE: list[tuple[str, Any, str]] = [
     ("name", 5, "name"),
@@ -132,34 +132,39 @@
 @pytest.mark.parametrize("number", [signal.SIGTERM, signal.SIGINT])
 def test_told_to_end_is_exit_code_0(number: signal.Signals, tmp_path: Path) -> None:
     async def work() -> None:
-        async with world(OK, tmp_path) as (config, server), running_on(config, server) as running:
+        async with (
+            server_with_config(OK_RESPONSE, tmp_path) as (config, server),
+            running_sidecar(config, server) as running,
+        ):
             running.process.send_signal(number)
-            assert await soon(running.process.wait()) == 0
+            assert await within_timeout(running.process.wait()) == 0
 
-    play(work)
+    run_async(work)
 
 
 def test_run_with_files_becomes_the_sidecar(tmp_path: Path) -> None:
     async def work() -> None:
         operator = tmp_path / "operator.toml"
         operator.write_text('[log]\nformat = "json"\n')
-        async with world(OK, tmp_path) as (config, _):
+        async with server_with_config(OK_RESPONSE, tmp_path) as (config, _):
             process = await asyncio.create_subprocess_exec(
                 *COMMAND, "run", "--config", str(config), "--operator", str(operator),
                 stderr=asyncio.subprocess.PIPE, cwd=ROOT, env=dict(os.environ),
             )  # fmt: skip
             assert process.stderr is not None
             try:
-                events = [json.loads(await soon(process.stderr.readline()))["event"] for _ in range(2)]
+                events = [
+                    json.loads(await within_timeout(process.stderr.readline()))["event"] for _ in range(2)
+                ]
                 assert events == ["control_endpoint_listening", "serving"]
                 process.terminate()
-                assert await soon(process.wait()) == 0
+                assert await within_timeout(process.wait()) == 0
             finally:
                 if process.returncode is None:
                     process.kill()
                     await process.wait()
 
-    play(work)
+    run_async(work)
 
 
 def test_command_run_with_a_bad_configuration_is_exit_code_2(tmp_path: Path) -> None:
--- a/tests/external_names/test_control_names.py
+++ b/tests/external_names/test_control_names.py
@@ -7,9 +7,9 @@
 from pathlib import Path
 
 import pytest
-from loopback import HOST, OK, play, request, soon, stage
+from loopback import HOST, OK_RESPONSE, http_request, run_async, sidecar_harness, within_timeout
 from outside import door, stop
-from running import Program, program
+from running import SidecarProcess, sidecar_with_server
 
 FIGURES = """
 app.downstream_requests.check.completed app.downstream_requests.check.rejected
@@ -38,8 +38,8 @@
 """
 
 
-async def figures(running: Program) -> dict[str, str]:
-    first, *lines, last = await running.call("telemetry")
+async def figures(running: SidecarProcess) -> dict[str, str]:
+    first, *lines, last = await running.send_command("telemetry")
     assert (first, last) == ("+OK", ".")
     assert all(re.fullmatch(r"app\.[a-z_.]+=[0-9]+", each) for each in lines)
     return dict(each.split("=") for each in lines)
@@ -47,58 +47,58 @@
 
 def test_calls_and_figures_without_levels(tmp_path: Path) -> None:
     async def work() -> None:
-        async with program(OK, tmp_path) as running:
-            assert await running.call("readyz") == ["+OK ready"]
+        async with sidecar_with_server(OK_RESPONSE, tmp_path) as running:
+            assert await running.send_command("readyz") == ["+OK ready"]
             told = await figures(running)
             assert list(told) == FIGURES
             assert {name for name, value in told.items() if value != "0"} == {"app.members"}
-            client = await running.client()
-            assert (await client.ask("lodge")).status == 200
-            client.send(request("lodge", Connection="close", Request_Class="nobody"))
-            assert (await client.answer()).status == 400
-            assert await soon(client.reader.read()) == b""
+            client = await running.connect()
+            assert (await client.send_request("lodge")).status == 200
+            client.send(http_request("lodge", Connection="close", Request_Class="nobody"))
+            assert (await client.read_response()).status == 400
+            assert await within_timeout(client.reader.read()) == b""
             told = await figures(running)
             assert told["app.downstream_requests.lodge.completed"] == "1"
             assert told["app.upstream_requests"] == told["app.members"] == "1"
-            assert await running.call("level") == ["-ERR no levels are set"]
-            assert await running.call("evacuate") == ["+OK evacuating"]
-            assert await running.call("readyz") == ["-ERR evacuating"]
-            assert await running.call("activate") == ["+OK serving"]
-            assert await running.call("readyz") == ["+OK ready"]
-            assert await running.call("") == ["-ERR empty call"]
-            assert await running.call("nobody") == [
+            assert await running.send_command("level") == ["-ERR no levels are set"]
+            assert await running.send_command("evacuate") == ["+OK evacuating"]
+            assert await running.send_command("readyz") == ["-ERR evacuating"]
+            assert await running.send_command("activate") == ["+OK serving"]
+            assert await running.send_command("readyz") == ["+OK ready"]
+            assert await running.send_command("") == ["-ERR empty call"]
+            assert await running.send_command("nobody") == [
                 "-ERR unknown call; known are readyz, telemetry, level, evacuate, activate"
             ]
-            assert await running.call("x" * 300) == ["-ERR the line is too long"]
-            assert await running.call("\u00e9") == ["-ERR a call is one line of ASCII"]
+            assert await running.send_command("x" * 300) == ["-ERR the line is too long"]
+            assert await running.send_command("\u00e9") == ["-ERR a call is one line of ASCII"]
 
-    play(work)
+    run_async(work)
 
 
 def test_calls_and_figures_with_levels(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     async def work() -> None:
-        async with program(OK, tmp_path) as running:
+        async with sidecar_with_server(OK_RESPONSE, tmp_path) as running:
             assert list(await figures(running)) == [*FIGURES, "app.level", "app.level_changes"]
-            (told,) = await running.call("level")
+            (told,) = await running.send_command("level")
             assert re.fullmatch(r"\+OK full for [0-9]+ s; refused 0\.0%, wanted 0% of the window", told)
 
     (tmp_path / "operator.toml").write_text(LEVELS)
     monkeypatch.setenv("BALANCER_OPERATOR", str(tmp_path / "operator.toml"))
-    play(work)
+    run_async(work)
 
 
 def test_phases_are_told() -> None:
     async def work() -> None:
-        async with stage(OK, started=False) as scene:
-            assert door(scene, "readyz") == "-ERR starting"
-            assert door(scene, "evacuate") == "+OK evacuating"
-            assert door(scene, "activate") == "+OK starting"
-            stop(scene)
-            assert door(scene, "readyz") == "-ERR stopping"
-            assert door(scene, "evacuate") == "+OK stopping"
-            assert door(scene, "activate") == "-ERR stopping"
+        async with sidecar_harness(OK_RESPONSE, started=False) as harness:
+            assert door(harness, "readyz") == "-ERR starting"
+            assert door(harness, "evacuate") == "+OK evacuating"
+            assert door(harness, "activate") == "+OK starting"
+            stop(harness)
+            assert door(harness, "readyz") == "-ERR stopping"
+            assert door(harness, "evacuate") == "+OK stopping"
+            assert door(harness, "activate") == "-ERR stopping"
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize(
@@ -106,11 +106,11 @@
 )
 def test_call_without_an_end_is_none(part: bytes, answer: bytes, tmp_path: Path) -> None:
     async def work() -> None:
-        async with program(OK, tmp_path) as running:
+        async with sidecar_with_server(OK_RESPONSE, tmp_path) as running:
             reader, writer = await asyncio.open_connection(HOST, running.control_port)
             writer.write(part)
             writer.write_eof()
-            assert await soon(reader.read()) == answer
+            assert await within_timeout(reader.read()) == answer
             writer.close()
 
-    play(work)
+    run_async(work)
--- a/tests/external_names/test_discovery_names.py
+++ b/tests/external_names/test_discovery_names.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 import pytest
-from loopback import OK, line, play, reply, stage, until
+from loopback import OK_RESPONSE, endpoint_entry, http_response, run_async, sidecar_harness, wait_until
 from outside import ACTIONS, CONFIGURATION, adapter, decisions, faults, figures, put
 
 ENTRY: dict[str, Any] = {
@@ -61,14 +61,14 @@
 def test_entry_and_kinds_of_lists_reach_the_decisions(monkeypatch: pytest.MonkeyPatch) -> None:
     async def work() -> list[list[Any]]:
         heard = decisions(monkeypatch)
-        async with stage(given={"known": LISTING}) as scene:
-            scene.discovery.servers = [ENTRY]
-            await until(lambda: len([each for each in heard.heard if each[-1] == 1]) > 0)
-            scene.discovery.tell({**ENTRY, "cell": 4})
-            await until(lambda: len(heard.of(4)) > 0)
+        async with sidecar_harness(config_overrides={"known": LISTING}) as harness:
+            harness.discovery.servers = [ENTRY]
+            await wait_until(lambda: len([each for each in heard.heard if each[-1] == 1]) > 0)
+            harness.discovery.announce({**ENTRY, "cell": 4})
+            await wait_until(lambda: len(heard.of(4)) > 0)
             return heard.heard
 
-    known, *_, change = [each for each in play(work) if "s-5be2a07c" in each]
+    known, *_, change = [each for each in run_async(work) if "s-5be2a07c" in each]
     kind, name, zone, machine, cell, state, nominal, started, version = known
     assert (name, zone, machine, cell, nominal) == ("s-5be2a07c", "east", "m2", 3, 1.5)
     assert (started, version) == (61_000_000, 41)
@@ -91,54 +91,54 @@
 )
 def test_state_tells_whether_a_server_is_used(state: str, is_used: bool, members: int) -> None:
     async def work() -> None:
-        async with stage(OK, OK) as scene:
-            told = line("s-1", scene.servers[1].address, state=state, cell=9)
-            scene.discovery.tell(told)
+        async with sidecar_harness(OK_RESPONSE, OK_RESPONSE) as harness:
+            told = endpoint_entry("s-1", harness.servers[1].address, state=state, cell=9)
+            harness.discovery.announce(told)
             figure = f"app.members={members}"
-            await until(lambda: scene.discovery.news.empty() and figure in figures(scene))
+            await wait_until(lambda: harness.discovery.watch_responses.empty() and figure in figures(harness))
             if state != "active":
-                await until(lambda: len(scene.discovery.heard) > 2)
+                await wait_until(lambda: len(harness.discovery.received_requests) > 2)
             for _ in range(30):
-                assert (await scene.ask()).status == 200
-            assert (len(scene.servers[1].heard) > 0) == is_used
-            assert len(scene.servers[0].heard) > 0
+                assert (await harness.send_request()).status == 200
+            assert (len(harness.servers[1].received_requests) > 0) == is_used
+            assert len(harness.servers[0].received_requests) > 0
 
-    play(work)
+    run_async(work)
 
 
 def test_list_is_asked_for_by_path_and_query() -> None:
     async def work() -> None:
         known = {"version": 41, "full": True, "servers": []}
-        async with stage(OK, given={"known": known}, started=False) as scene:
-            scene.discovery.version = 42
-            await scene.sidecar.start()
-            await until(lambda: len(scene.discovery.heard) > 1)
-            first, second = scene.discovery.heard[:2]
+        async with sidecar_harness(OK_RESPONSE, config_overrides={"known": known}, started=False) as harness:
+            harness.discovery.version = 42
+            await harness.sidecar.start()
+            await wait_until(lambda: len(harness.discovery.received_requests) > 1)
+            first, second = harness.discovery.received_requests[:2]
             assert (first.method, first.target) == ("GET", "/catalog/members?after=41&wait_ms=0")
             assert re.fullmatch(r"/catalog/members\?after=42&wait_ms=[1-9][0-9]*", second.target)
             assert list(first.headers) == ["host"]
 
-    play(work)
+    run_async(work)
 
 
 def test_whole_list_is_asked_for_by_path_alone(monkeypatch: pytest.MonkeyPatch) -> None:
     async def work() -> None:
         decisions(monkeypatch, lambda values: [ACTIONS["REFRESH"]()] if len(values) == 2 else [])
-        async with stage(listed=False) as scene:
-            await until(lambda: len(scene.discovery.heard) > 0)
-            assert scene.discovery.heard[0].target == "/catalog/members"
+        async with sidecar_harness(servers_listed=False) as harness:
+            await wait_until(lambda: len(harness.discovery.received_requests) > 0)
+            assert harness.discovery.received_requests[0].target == "/catalog/members"
 
-    play(work)
+    run_async(work)
 
 
 def test_new_servers_of_an_answer_are_used() -> None:
     async def work() -> None:
-        async with stage(OK, listed=False) as scene:
-            listed = [{"id": "s-9", "addr": scene.servers[0].address, "state": "active"}]
-            scene.discovery.news.put_nowait(
-                reply(json.dumps({"version": 7, "full": True, "servers": listed}).encode())
+        async with sidecar_harness(OK_RESPONSE, servers_listed=False) as harness:
+            listed = [{"id": "s-9", "addr": harness.servers[0].address, "state": "active"}]
+            harness.discovery.watch_responses.put_nowait(
+                http_response(json.dumps({"version": 7, "full": True, "servers": listed}).encode())
             )
-            await until(lambda: "app.members=1" in figures(scene))
-            assert (await scene.ask()).status == 200
+            await wait_until(lambda: "app.members=1" in figures(harness))
+            assert (await harness.send_request()).status == 200
 
-    play(work)
+    run_async(work)
--- a/tests/external_names/test_http_names.py
+++ b/tests/external_names/test_http_names.py
@@ -8,10 +8,24 @@
 from typing import Any
 
 import pytest
-from loopback import ERROR, FULL, HOST, OK, Heard, Stage, holding, line, play, request, soon, stage, until
+from loopback import (
+    ERROR_RESPONSE,
+    HOST,
+    OK_RESPONSE,
+    REJECTION_RESPONSE,
+    ReceivedRequest,
+    SidecarHarness,
+    blocking_script,
+    endpoint_entry,
+    http_request,
+    run_async,
+    sidecar_harness,
+    wait_until,
+    within_timeout,
+)
 from outside import ACTIONS, decisions, door, listen, stop
 
-TEXT = OK.replace(
+TEXT = OK_RESPONSE.replace(
     b"Content-Length", b"Content-Type: text/x\r\nContent-Encoding: x\r\nX-Own: 1\r\nContent-Length"
 )
 REQUEST = (
@@ -35,17 +49,17 @@
 TENANTS = [{"name": "acme", "portion": 1.0}]
 
 
-async def ask(scene: Stage, raw: bytes) -> bytes:
+async def ask(harness: SidecarHarness, raw: bytes) -> bytes:
     """All bytes that come back on a connection of its own until the sidecar ends it."""
-    client = await scene.client()
+    client = await harness.connect()
     client.send(raw)
-    return await soon(client.reader.read())
+    return await within_timeout(client.reader.read())
 
 
 def test_request_passes_on_with_its_headers_and_the_answer_comes_back() -> None:
     async def work() -> None:
-        async with stage(TEXT) as scene:
-            answer = await ask(scene, REQUEST)
+        async with sidecar_harness(TEXT) as harness:
+            answer = await ask(harness, REQUEST)
             head, _, body = answer.partition(b"\r\n\r\n")
             first, *lines = head.split(b"\r\n")
             assert (first, body) == (b"HTTP/1.1 200 OK", b"served")
@@ -55,7 +69,7 @@
                 b"content-length: 6",
                 b"content-type: text/x",
             ]
-            (heard,) = scene.heard
+            (heard,) = harness.received_requests
             assert (heard.method, heard.target) == ("POST", "/api/7f3a9c21e0b4d655?x=1")
             assert heard.body == b"body"
             told = heard.headers.pop("request-timeout")
@@ -73,7 +87,7 @@
                 "content-length": "4",
             }
 
-    play(work)
+    run_async(work)
 
 
 def test_request_line_towards_a_server_is_that_of_http_1_1() -> None:
@@ -82,18 +96,18 @@
 
         async def served(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             lines.append(await reader.readline())
-            writer.write(OK)
+            writer.write(OK_RESPONSE)
             writer.close()
 
         server = await asyncio.start_server(served, HOST, 0)
         address = f"{HOST}:{server.sockets[0].getsockname()[1]}"
-        known = {"version": 1, "full": True, "servers": [line("s-0", address)]}
-        async with stage(given={"known": known}, silent_discovery=True) as scene:
-            await scene.ask("lodge")
+        known = {"version": 1, "full": True, "servers": [endpoint_entry("s-0", address)]}
+        async with sidecar_harness(config_overrides={"known": known}, unresponsive_discovery=True) as harness:
+            await harness.send_request("lodge")
         server.close()
         assert lines == [b"POST /api/7f3a?x=1 HTTP/1.1\r\n"]
 
-    play(work)
+    run_async(work)
 
 
 def arrival(raw: bytes, monkeypatch: pytest.MonkeyPatch) -> list[Any]:
@@ -101,12 +115,12 @@
 
     async def work() -> list[Any]:
         heard = decisions(monkeypatch)
-        async with stage(OK, realms=TENANTS) as scene:
-            await ask(scene, raw)
+        async with sidecar_harness(OK_RESPONSE, realms=TENANTS) as harness:
+            await ask(harness, raw)
             (event,) = [each for each in heard.of("amend") if "amend" in each[:2]]
             return event[1:]
 
-    return play(work)
+    return run_async(work)
 
 
 def test_headers_of_a_request_reach_the_decisions(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -159,13 +173,13 @@
 )  # fmt: skip
 def test_request_without_a_header_that_it_needs_is_400(was: bytes, now: bytes, text: bytes) -> None:
     async def work() -> None:
-        async with stage(OK) as scene:
-            answer = await ask(scene, REQUEST.replace(was, now))
+        async with sidecar_harness(OK_RESPONSE) as harness:
+            answer = await ask(harness, REQUEST.replace(was, now))
             assert answer.startswith(b"HTTP/1.1 400 ")
             assert answer.endswith(b"\r\n\r\n" + text)
-            assert scene.heard == []
+            assert harness.received_requests == []
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize(
@@ -182,27 +196,31 @@
 )
 def test_class_decides_the_method(kind: str, method: str, status: bytes) -> None:
     async def work() -> None:
-        async with stage(OK.removesuffix(b"served") if method == "HEAD" else OK) as scene:
-            raw = request(kind, Connection="close").partition(b" ")[2]
-            answer = await ask(scene, method.encode() + b" " + raw)
+        async with sidecar_harness(
+            OK_RESPONSE.removesuffix(b"served") if method == "HEAD" else OK_RESPONSE
+        ) as harness:
+            raw = http_request(kind, Connection="close").partition(b" ")[2]
+            answer = await ask(harness, method.encode() + b" " + raw)
             assert answer.startswith(b"HTTP/1.1 " + status + b" ")
-            assert [each.method for each in scene.heard] == ([method] if status == b"200" else [])
+            assert [each.method for each in harness.received_requests] == (
+                [method] if status == b"200" else []
+            )
 
-    play(work)
+    run_async(work)
 
 
 def test_headers_of_one_connection_do_not_pass_and_those_of_the_protocol_always_do() -> None:
     async def work() -> None:
-        async with stage(OK) as scene:
+        async with sidecar_harness(OK_RESPONSE) as harness:
             named = b"Connection: close, x-hop, host, request-id, idempotency-key\r\nX-Hop: 1\r\n"
-            answer = await ask(scene, REQUEST.replace(b"Connection: close\r\n", named))
+            answer = await ask(harness, REQUEST.replace(b"Connection: close\r\n", named))
             assert answer.startswith(b"HTTP/1.1 200 ")
-            (heard,) = scene.heard
+            (heard,) = harness.received_requests
             assert heard.headers.keys() >= {"host", "request-id", "idempotency-key"}
             assert "x-hop" not in heard.headers
             assert "connection" not in heard.headers
 
-    play(work)
+    run_async(work)
 
 
 NOT_STARTED_LATE = b"HTTP/1.1 504 Late\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"
@@ -213,51 +231,53 @@
 @pytest.mark.parametrize(
     ("answer", "status"),
     [
-        (OK, 200),
-        (FULL, 503),
+        (OK_RESPONSE, 200),
+        (REJECTION_RESPONSE, 503),
         (NOT_STARTED_LATE, 503),
         (STARTED, 502),
         (FULL_UNSAID, 502),
-        (ERROR, 502),
+        (ERROR_RESPONSE, 502),
         (None, 504),
     ],
 )
 def test_answer_of_the_only_server_decides_the_status(answer: bytes | None, status: int) -> None:
     async def work() -> None:
-        async with stage(answer) as scene:
-            assert (await scene.ask("lodge", timeout="0.3")).status == status
+        async with sidecar_harness(answer) as harness:
+            assert (await harness.send_request("lodge", timeout="0.3")).status == status
 
-    play(work)
+    run_async(work)
 
 
 def test_refusal_tells_when_to_come_back() -> None:
     async def work() -> None:
-        async with stage(listed=False, bounds={"retryAfter": True, "maxRetryAfterUs": 2_000_000}) as scene:
-            refused = await scene.ask()
+        async with sidecar_harness(
+            servers_listed=False, limit_overrides={"retryAfter": True, "maxRetryAfterUs": 2_000_000}
+        ) as harness:
+            refused = await harness.send_request()
             assert (refused.status, refused.body) == (503, b"")
             assert re.fullmatch(r"[0-9]+\.[0-9]{3}", refused.headers["retry-after"])
             assert 0 < float(refused.headers["retry-after"]) <= 2
-        async with stage(listed=False, bounds={"retryAfter": False}) as scene:
-            refused = await scene.ask()
+        async with sidecar_harness(servers_listed=False, limit_overrides={"retryAfter": False}) as harness:
+            refused = await harness.send_request()
             assert refused.status == 503
             assert "retry-after" not in refused.headers
 
-    play(work)
+    run_async(work)
 
 
 def test_id_of_an_open_request_is_409_and_one_above_the_bound_503() -> None:
     async def work() -> None:
-        release, hold = holding()
-        async with stage(hold, bounds={"maxOpen": 1}) as scene:
-            first = await scene.client()
-            first.send(request(Request_Id="abc"))
-            await until(lambda: len(scene.heard) == 1)
-            assert (await scene.ask(Request_Id="abc")).status == 409
-            assert (await scene.ask()).status == 503
+        release, hold = blocking_script()
+        async with sidecar_harness(hold, limit_overrides={"maxOpen": 1}) as harness:
+            first = await harness.connect()
+            first.send(http_request(Request_Id="abc"))
+            await wait_until(lambda: len(harness.received_requests) == 1)
+            assert (await harness.send_request(Request_Id="abc")).status == 409
+            assert (await harness.send_request()).status == 503
             release.set()
-            assert (await first.answer()).status == 200
+            assert (await first.read_response()).status == 200
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize(
@@ -271,22 +291,22 @@
 )
 def test_health_tells_the_phase(phase: str, status: bytes, body: bytes) -> None:
     async def work() -> None:
-        async with stage(OK, started=phase != "starting") as scene:
+        async with sidecar_harness(OK_RESPONSE, started=phase != "starting") as harness:
             if phase == "starting":
-                listen(scene)
+                listen(harness)
             if phase == "evacuating":
-                door(scene, "evacuate")
+                door(harness, "evacuate")
             if phase == "stopping":
-                stop(scene)
+                stop(harness)
             answer = b""
             while not answer:  # a connection at rest may be closed while the sidecar empties
                 with suppress(ConnectionResetError):
-                    answer = await ask(scene, HEALTH)
+                    answer = await ask(harness, HEALTH)
             head, _, told = answer.partition(b"\r\n\r\n")
             assert head.startswith(b"HTTP/1.1 " + status + b" ")
             assert told == body
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize(
@@ -303,14 +323,14 @@
         report = {"columns": ["qps", "util"], "source": source}
         body = b"TEXT qps=9, util=0.5, other=3"
         answer = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
-        async with stage(answer, report=report) as scene:
-            assert (await scene.ask()).status in (502, 504)
-            await until(lambda: any(each[0] == "s-0" for each in heard.heard))
-            (probe,) = scene.heard
+        async with sidecar_harness(answer, report=report) as harness:
+            assert (await harness.send_request()).status in (502, 504)
+            await wait_until(lambda: any(each[0] == "s-0" for each in heard.heard))
+            (probe,) = harness.received_requests
             assert (probe.method, probe.target, probe.headers) == ("GET", path, {"host": "s-0"})
             assert heard.hears({"qps": 9.0, "util": 0.5}) == (source != "silent")
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize(("name", "is_read"), [("Server-Load", True), ("Other-Load", False)])
@@ -318,31 +338,33 @@
     async def work() -> None:
         heard = decisions(monkeypatch)
         load = b"%s: TEXT qps=7, queue=2, util=0.61" % name.encode()
-        async with stage(OK.replace(b"Content-Length", load + b"\r\nContent-Length")) as scene:
-            assert (await scene.ask()).status == 200
+        async with sidecar_harness(
+            OK_RESPONSE.replace(b"Content-Length", load + b"\r\nContent-Length")
+        ) as harness:
+            assert (await harness.send_request()).status == 200
             assert heard.hears({"qps": 7.0, "util": 0.61}) == is_read
 
-    play(work)
+    run_async(work)
 
 
 def test_forms_of_a_body_are_those_of_http() -> None:
-    async def echo(heard: Heard) -> bytes:
+    async def echo(heard: ReceivedRequest) -> bytes:
         return b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n"
 
     async def work() -> None:
-        async with stage(echo) as scene:
+        async with sidecar_harness(echo) as harness:
             head = REQUEST.replace(
                 b"Content-Length: 4\r\n", b"Transfer-Encoding: chunked\r\nExpect: 100-continue\r\n"
             )
-            client = await scene.client()
+            client = await harness.connect()
             client.send(head.removesuffix(b"body"))
-            assert await soon(client.reader.readline()) == b"HTTP/1.1 100 Continue\r\n"
+            assert await within_timeout(client.reader.readline()) == b"HTTP/1.1 100 Continue\r\n"
             client.send(b"4\r\nbody\r\n0\r\n\r\n")
-            answer = await soon(client.reader.read())
+            answer = await within_timeout(client.reader.read())
             assert answer.startswith(b"\r\nHTTP/1.1 200 OK\r\n")
             assert answer.endswith(b"\r\n\r\nbody")
-            (heard,) = scene.heard
+            (heard,) = harness.received_requests
             assert (heard.headers["content-length"], heard.body) == ("4", b"body")
             assert "expect" not in heard.headers
 
-    play(work)
+    run_async(work)
--- a/tests/external_names/test_peer_datagrams.py
+++ b/tests/external_names/test_peer_datagrams.py
@@ -6,7 +6,7 @@
 import socket
 
 import pytest
-from loopback import HOST, play, soon
+from loopback import HOST, run_async, within_timeout
 from outside import Peer
 
 
@@ -25,12 +25,14 @@
                 own = free.getsockname()
             async with Peer((own, other.getsockname()), None) as peer:
                 assert peer.tell(1, payload)
-                received, sender = await soon(asyncio.get_running_loop().run_in_executor(None, _next, other))
+                received, sender = await within_timeout(
+                    asyncio.get_running_loop().run_in_executor(None, _next, other)
+                )
                 assert (received, sender) == (payload, own)
                 other.sendto(payload, own)
-                assert await soon(peer.heard.get()) == (1, payload)
+                assert await within_timeout(peer.heard.get()) == (1, payload)
 
-    play(work)
+    run_async(work)
 
 
 def _next(opened: socket.socket) -> tuple[bytes, tuple[str, int]]:
@@ -47,13 +49,15 @@
             async with Peer((own, other.getsockname()), None) as peer:
                 assert not peer.tell(1, b"x" * 257)
                 assert peer.tell(1, b"x" * 256)
-                received, _ = await soon(asyncio.get_running_loop().run_in_executor(None, _next, other))
+                received, _ = await within_timeout(
+                    asyncio.get_running_loop().run_in_executor(None, _next, other)
+                )
                 assert received == b"x" * 256
                 other.sendto(b"x" * 257, own)
                 other.sendto(b"after", own)
-                assert await soon(peer.heard.get()) == (1, b"after")
+                assert await within_timeout(peer.heard.get()) == (1, b"after")
 
-    play(work)
+    run_async(work)
 
 
 def test_payload_for_all_goes_to_each_or_to_their_common_address() -> None:
@@ -66,9 +70,9 @@
             async with Peer(addresses, None) as peer:
                 assert peer.tell(None, b"each")
                 for opened in (one, two):
-                    assert (await soon(loop.run_in_executor(None, _next, opened)))[0] == b"each"
+                    assert (await within_timeout(loop.run_in_executor(None, _next, opened)))[0] == b"each"
             async with Peer(addresses, common.getsockname()) as peer:
                 assert peer.tell(None, b"all")
-                assert (await soon(loop.run_in_executor(None, _next, common)))[0] == b"all"
+                assert (await within_timeout(loop.run_in_executor(None, _next, common)))[0] == b"all"
 
-    play(work)
+    run_async(work)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -22,23 +22,23 @@
 
 MS = 1_000
 S = 1_000_000
-START = 50 * S
+START_US = 50 * S
 
-SAFE = {
+IDEMPOTENT_CLASS = {
     "name": "look",
     "deadline_us": 2 * S,
     "latency_objective_us": 500 * MS,
     "priority_weight": 1,
     "idempotency": "idempotent",
 }
-UNSAFE = {
+NON_IDEMPOTENT_CLASS = {
     "name": "pay",
     "deadline_us": 2 * S,
     "latency_objective_us": 500 * MS,
     "priority_weight": 10,
     "idempotency": "non_idempotent",
 }
-KEYED = {
+IDEMPOTENT_WITH_KEY_CLASS = {
     "name": "amend",
     "deadline_us": 4 * S,
     "latency_objective_us": 500 * MS,
@@ -51,10 +51,10 @@
 _Kind = TypeVar("_Kind")
 
 
-def settings(**changes: Any) -> Settings:
+def make_settings(**changes: Any) -> Settings:
     """Settings of a permissive deployment; `limits` and `rules` are merged, the rest replaced."""
     given: dict[str, Any] = {
-        "classes": [SAFE, UNSAFE, KEYED],
+        "classes": [IDEMPOTENT_CLASS, NON_IDEMPOTENT_CLASS, IDEMPOTENT_WITH_KEY_CLASS],
         "zone": "east",
         "clock_resolution_us": 5 * MS,
         "limits": {"max_attempts": 5, "hedged_requests": True, "may_cancel": True},
@@ -72,68 +72,72 @@
     return settings_from_mapping(given)
 
 
-def names(count: int) -> list[str]:
+def endpoint_names(count: int) -> list[str]:
     """The names of so many endpoints."""
     return [f"10.0.0.{number}:80" for number in range(1, count + 1)]
 
 
-class Stage:
+class BalancerDriver:
     """Plays events to one balancer; timers fire by themselves as time moves on."""
 
-    def __init__(self, given: Settings | None = None, seed: int = 7, now: int = START) -> None:
+    def __init__(self, given: Settings | None = None, seed: int = 7, now: int = START_US) -> None:
         """Begin at clock time `now` with no endpoint."""
         self.now = now
-        self.balancer = Balancer(given or settings(), seed)
-        self.log: list[tuple[int, Action]] = []
+        self.balancer = Balancer(given or make_settings(), seed)
+        self.timed_actions: list[tuple[int, Action]] = []
         self._timers: list[tuple[int, str]] = []
         self._next = 1
 
-    def play(self, event: Event) -> list[Action]:
+    def handle(self, event: Event) -> list[Action]:
         """Play one event; record and return its actions."""
         actions = self.balancer.handle(self.now, event)
         for action in actions:
-            self.log.append((self.now, action))
+            self.timed_actions.append((self.now, action))
             if isinstance(action, SetTimer):
                 self._timers.append((self.now + action.delay_us, action.token))
         return actions
 
-    def servers(
+    def update_endpoints(
         self,
         listed: Iterable[str | EndpointDescription],
         kind: EndpointUpdateKind = EndpointUpdateKind.COMPLETE,
     ) -> list[Action]:
         """Announce endpoints; a name stands for a ready one in the own zone."""
         lines = [EndpointDescription(each, zone="east") if isinstance(each, str) else each for each in listed]
-        return self.play(EndpointsUpdated(kind, lines, 1))
+        return self.handle(EndpointsUpdated(kind, lines, 1))
 
-    def drain(self, server: str, state: EndpointState = EndpointState.DRAINING) -> list[Action]:
+    def drain_endpoint(self, server: str, state: EndpointState = EndpointState.DRAINING) -> list[Action]:
         """Announce one endpoint as draining, or in another state."""
-        return self.servers([EndpointDescription(server, zone="east", state=state)], EndpointUpdateKind.DELTA)
+        return self.update_endpoints(
+            [EndpointDescription(server, zone="east", state=state)], EndpointUpdateKind.DELTA
+        )
 
-    def request(self, name: str = "look", remaining_us: int = 2 * S, cost_us: int | None = None) -> int:
+    def receive_request(
+        self, name: str = "look", remaining_us: int = 2 * S, cost_us: int | None = None
+    ) -> int:
         """Let a request arrive; return its number."""
         number, self._next = self._next, self._next + 1
-        self.play(RequestArrived(number, name, None, None, remaining_us, cost_us))
+        self.handle(RequestArrived(number, name, None, None, remaining_us, cost_us))
         return number
 
-    def end(
+    def end_attempt(
         self,
         request: int,
         outcome: Outcome = Outcome.DELIVERED,
         attempt: int | None = None,
         *,
-        answered: bool | None = None,
+        is_responded: bool | None = None,
         report: dict[str, float] | None = None,
     ) -> list[Action]:
         """End an attempt of a request, by default its last one."""
-        sends = self.sends(request)
+        sends = self.started_attempts(request)
         index = len(sends) - 1 if attempt is None else attempt
         sent_at, send = sends[index]
-        done = outcome is Outcome.DELIVERED if answered is None else answered
+        done = outcome is Outcome.DELIVERED if is_responded is None else is_responded
         took = self.now - sent_at
-        return self.play(AttemptEnded(request, index, send.endpoint, outcome, took, done, report))
+        return self.handle(AttemptEnded(request, index, send.endpoint, outcome, took, done, report))
 
-    def wait(self, span_us: int) -> None:
+    def advance(self, span_us: int) -> None:
         """Let time pass; due timers fire on the way."""
         until = self.now + span_us
         while True:
@@ -142,47 +146,53 @@
                 break
             self._timers.remove(due[0])
             self.now = max(self.now, due[0][0])
-            self.play(TimerFired(due[0][1]))
+            self.handle(TimerFired(due[0][1]))
         self.now = until
 
-    def sends(self, request: int | None = None) -> list[tuple[int, StartAttempt]]:
+    def started_attempts(self, request: int | None = None) -> list[tuple[int, StartAttempt]]:
         """The attempts so far, of one request or of all, with the times of their start."""
         return [
             (at, each)
-            for at, each in self.log
+            for at, each in self.timed_actions
             if isinstance(each, StartAttempt) and (request is None or each.request == request)
         ]
 
-    def target(self, request: int) -> str:
+    def last_endpoint(self, request: int) -> str:
         """The endpoint of a request's last attempt."""
-        return self.sends(request)[-1][1].endpoint
+        return self.started_attempts(request)[-1][1].endpoint
 
-    def said(self, kind: type[_Kind]) -> list[_Kind]:
+    def actions_of_type(self, kind: type[_Kind]) -> list[_Kind]:
         """The actions of this type so far."""
-        return [each for _, each in self.log if isinstance(each, kind)]
+        return [each for _, each in self.timed_actions if isinstance(each, kind)]
 
-    def serve(
-        self, count: int, every_us: int = 20 * MS, taking_us: int = 50 * MS, name: str = "look"
+    def run_traffic(
+        self,
+        count: int,
+        arrival_interval_us: int = 20 * MS,
+        response_time_us: int = 50 * MS,
+        service_class: str = "look",
     ) -> None:
-        """Steady traffic: a request every `every_us`, each with a response after `taking_us`."""
+        """Runs steady traffic: requests arrive at a fixed interval, each with the same response time."""
         pending: list[tuple[int, int]] = []
         for _ in range(count):
-            self.wait(every_us)
-            pending.append((self.now + taking_us, self.request(name)))
+            self.advance(arrival_interval_us)
+            pending.append((self.now + response_time_us, self.receive_request(service_class)))
             while pending and pending[0][0] <= self.now:
                 done = pending.pop(0)[1]
-                if self.sends(done):
-                    self.end(done)
+                if self.started_attempts(done):
+                    self.end_attempt(done)
         for _, done in pending:
-            self.wait(every_us)
-            if self.sends(done):
-                self.end(done)
+            self.advance(arrival_interval_us)
+            if self.started_attempts(done):
+                self.end_attempt(done)
 
-    def serve_singly(self, count: int, taking_us: int = 50 * MS, every_us: int = 400 * MS) -> None:
+    def run_sequential_traffic(
+        self, count: int, response_time_us: int = 50 * MS, arrival_interval_us: int = 400 * MS
+    ) -> None:
         """Traffic of a small balancer: each request gets its response before the next arrives."""
         for _ in range(count):
-            request = self.request()
-            self.wait(taking_us)
-            if self.sends(request):
-                self.end(request)
-            self.wait(every_us - taking_us)
+            request = self.receive_request()
+            self.advance(response_time_us)
+            if self.started_attempts(request):
+                self.end_attempt(request)
+            self.advance(arrival_interval_us - response_time_us)
--- a/tests/load_balancing/admission/test_admission_control.py
+++ b/tests/load_balancing/admission/test_admission_control.py
@@ -4,113 +4,117 @@
 
 import random
 
-from helpers import MS, S, Stage, names, settings
+from helpers import MS, BalancerDriver, S, endpoint_names, make_settings
 
 from tulipnotch.load_balancing.actions import CancelAttempt, RejectRequest
 from tulipnotch.load_balancing.outcomes import Outcome
 
 
-def _overload(stage: Stage, spans: int) -> set[int]:
+def _overload(driver: BalancerDriver, spans: int) -> set[int]:
     """Servers that answer ever later as more is in flight, asked for far more than they can do.
 
     Gives the requests of the less worthy class, half of all; neither class is always the first to ask.
     """
-    stage.servers(names(4))
+    driver.update_endpoints(endpoint_names(4))
     in_flight: list[int] = []
     low_priority: set[int] = set()
     for tick in range(spans):
-        stage.wait(10 * MS)
+        driver.advance(10 * MS)
         for name in ("look", "pay") if tick % 4 < 2 else ("pay", "look"):
-            request = stage.request(name)
+            request = driver.receive_request(name)
             if name == "look":
                 low_priority.add(request)
-            if stage.sends(request):
+            if driver.started_attempts(request):
                 in_flight.append(request)
         if tick % 2 and in_flight:  # one answer for four requests, oldest first
             request = in_flight.pop(0)
-            if request in stage.balancer._requests and not stage.balancer._requests[request].is_responded:
-                stage.end(request, attempt=0)
+            if request in driver.balancer._requests and not driver.balancer._requests[request].is_responded:
+                driver.end_attempt(request, attempt=0)
     return low_priority
 
 
 def test_admission_control_rejects_surge_before_sending_and_low_priority_first() -> None:
-    stage = Stage()
-    stage.servers(names(4))
-    stage.serve(200)
-    low_priority = _overload(stage, 600)
-    rejected = {each.request for each in stage.said(RejectRequest)}
+    driver = BalancerDriver()
+    driver.update_endpoints(endpoint_names(4))
+    driver.run_traffic(200)
+    low_priority = _overload(driver, 600)
+    rejected = {each.request for each in driver.actions_of_type(RejectRequest)}
     assert len(rejected) > 300
     assert len(low_priority & rejected) > 0.53 * len(rejected)
-    unsent = [each.request for each in stage.said(RejectRequest) if not stage.sends(each.request)]
-    assert len(unsent) > 0.5 * len(stage.said(RejectRequest))
+    unsent = [
+        each.request
+        for each in driver.actions_of_type(RejectRequest)
+        if not driver.started_attempts(each.request)
+    ]
+    assert len(unsent) > 0.5 * len(driver.actions_of_type(RejectRequest))
 
 
 def test_admission_control_admits_all_after_overload_ends() -> None:
-    stage = Stage()
-    stage.serve(1)
-    _overload(stage, 400)
-    stage.wait(10 * S)
-    for request in list(stage.balancer._requests.values()):
+    driver = BalancerDriver()
+    driver.run_traffic(1)
+    _overload(driver, 400)
+    driver.advance(10 * S)
+    for request in list(driver.balancer._requests.values()):
         for attempt in request.attempts:
             if attempt.is_pending:
-                stage.end(request.request_id, Outcome.CANCELLED, attempt.index, answered=True)
-    stage.wait(15 * S)  # what was given up on, up to 14 s old, counts for as long again
-    stage.serve(300)  # a small window takes some aims to grow
-    rejected_count = len(stage.said(RejectRequest))
-    stage.serve(300)
-    assert len(stage.said(RejectRequest)) == rejected_count
+                driver.end_attempt(request.request_id, Outcome.CANCELLED, attempt.index, is_responded=True)
+    driver.advance(15 * S)  # what was given up on, up to 14 s old, counts for as long again
+    driver.run_traffic(300)  # a small window takes some aims to grow
+    rejected_count = len(driver.actions_of_type(RejectRequest))
+    driver.run_traffic(300)
+    assert len(driver.actions_of_type(RejectRequest)) == rejected_count
 
 
 def test_admission_control_rejects_nothing_at_low_load() -> None:
-    stage = Stage()
-    stage.servers(names(4))
-    stage.serve(800)
-    assert stage.said(RejectRequest) == []
-    assert stage.said(CancelAttempt) == []
+    driver = BalancerDriver()
+    driver.update_endpoints(endpoint_names(4))
+    driver.run_traffic(800)
+    assert driver.actions_of_type(RejectRequest) == []
+    assert driver.actions_of_type(CancelAttempt) == []
 
 
 def test_admission_control_of_small_balancer_rejects_a_part_while_responses_are_late() -> None:
-    stage = Stage()
-    stage.servers(names(8))
+    driver = BalancerDriver()
+    driver.update_endpoints(endpoint_names(8))
     for _ in range(120):  # hardly ever two in flight, so a window of two would never refuse
-        stage.wait(900 * MS)
-        request = stage.request()
-        if stage.sends(request):
-            stage.wait(700 * MS)
-            stage.end(request)
-    rejected_count = len(stage.said(RejectRequest))
+        driver.advance(900 * MS)
+        request = driver.receive_request()
+        if driver.started_attempts(request):
+            driver.advance(700 * MS)
+            driver.end_attempt(request)
+    rejected_count = len(driver.actions_of_type(RejectRequest))
     assert 20 <= rejected_count < 120
-    stage.wait(10 * S)
-    stage.serve_singly(60)
-    rejected_count = len(stage.said(RejectRequest))
-    stage.serve_singly(60)
-    assert len(stage.said(RejectRequest)) == rejected_count
+    driver.advance(10 * S)
+    driver.run_sequential_traffic(60)
+    rejected_count = len(driver.actions_of_type(RejectRequest))
+    driver.run_sequential_traffic(60)
+    assert len(driver.actions_of_type(RejectRequest)) == rejected_count
 
 
 def test_admission_control_of_small_balancer_admits_two_at_once() -> None:
-    stage = Stage()
-    stage.servers(names(8))
-    stage.balancer._components.concurrency_limit.limit = 1.0
-    stage.balancer._components.concurrency_limit._resized_at = stage.now
+    driver = BalancerDriver()
+    driver.update_endpoints(endpoint_names(8))
+    driver.balancer._components.concurrency_limit.limit = 1.0
+    driver.balancer._components.concurrency_limit._resized_at = driver.now
     for _ in range(10):
-        pair = (stage.request(), stage.request())
-        stage.wait(50 * MS)
+        pair = (driver.receive_request(), driver.receive_request())
+        driver.advance(50 * MS)
         for request in pair:
-            stage.end(request)
-        stage.wait(900 * MS)
-    assert not stage.said(RejectRequest)
+            driver.end_attempt(request)
+        driver.advance(900 * MS)
+    assert not driver.actions_of_type(RejectRequest)
 
 
 def _rejections_with_reports(cores: float, seed: int) -> int:
-    stage = Stage(seed=seed)
-    stage.servers(names(8))
+    driver = BalancerDriver(seed=seed)
+    driver.update_endpoints(endpoint_names(8))
     rejected_count = 0
     for _ in range(300):
-        stage.wait(60 * MS)
-        request = stage.request()
-        if stage.sends(request):
-            stage.wait(550 * MS)
-            stage.end(request, attempt=0, report={"util": cores})
+        driver.advance(60 * MS)
+        request = driver.receive_request()
+        if driver.started_attempts(request):
+            driver.advance(550 * MS)
+            driver.end_attempt(request, attempt=0, report={"util": cores})
         else:
             rejected_count += 1
     return rejected_count
@@ -125,58 +129,58 @@
 
 
 def test_admission_control_ignores_reports_of_idle_cores_at_high_load() -> None:
-    stage = Stage()
-    stage.servers(names(8))
+    driver = BalancerDriver()
+    driver.update_endpoints(endpoint_names(8))
     in_flight: list[tuple[int, int]] = []
     for _ in range(600):
-        stage.wait(10 * MS)
-        request = stage.request()
-        if stage.sends(request):
-            in_flight.append((stage.now, request))
+        driver.advance(10 * MS)
+        request = driver.receive_request()
+        if driver.started_attempts(request):
+            in_flight.append((driver.now, request))
         while (
-            in_flight and stage.now - in_flight[0][0] >= (550 if in_flight[0][1] % 8 == 0 else 300) * MS
+            in_flight and driver.now - in_flight[0][0] >= (550 if in_flight[0][1] % 8 == 0 else 300) * MS
         ):  # one in eight late
-            stage.end(in_flight.pop(0)[1], attempt=0, report={"util": 0.5})
-    assert len(stage.said(RejectRequest)) > 50
+            driver.end_attempt(in_flight.pop(0)[1], attempt=0, report={"util": 0.5})
+    assert len(driver.actions_of_type(RejectRequest)) > 50
 
 
 def test_admission_control_rejects_without_responses_whatever_the_last_report() -> None:
-    stage = Stage()
-    stage.servers(names(8))
+    driver = BalancerDriver()
+    driver.update_endpoints(endpoint_names(8))
     for _ in range(20):
-        stage.wait(50 * MS)
-        request = stage.request()
-        stage.wait(50 * MS)
-        stage.end(request, attempt=0, report={"util": 0.3})
+        driver.advance(50 * MS)
+        request = driver.receive_request()
+        driver.advance(50 * MS)
+        driver.end_attempt(request, attempt=0, report={"util": 0.3})
     for _ in range(400):
-        stage.wait(20 * MS)
-        stage.request("pay")  # none of these is ever answered
-    assert len(stage.said(RejectRequest)) > 100
+        driver.advance(20 * MS)
+        driver.receive_request("pay")  # none of these is ever answered
+    assert len(driver.actions_of_type(RejectRequest)) > 100
 
 
 def test_admission_control_ignores_overloaded_responses_with_successful_redraw() -> None:
-    stage = Stage()
-    stage.servers(names(12))
+    driver = BalancerDriver()
+    driver.update_endpoints(endpoint_names(12))
     for _ in range(200):
-        stage.wait(400 * MS)
-        request = stage.request()
-        stage.end(request, Outcome.OVERLOADED)
-        stage.wait(50 * MS)
-        stage.end(request)
-    assert stage.said(RejectRequest) == []
+        driver.advance(400 * MS)
+        request = driver.receive_request()
+        driver.end_attempt(request, Outcome.OVERLOADED)
+        driver.advance(50 * MS)
+        driver.end_attempt(request)
+    assert driver.actions_of_type(RejectRequest) == []
 
 
 def test_admission_control_counts_overloaded_responses_without_successful_redraw() -> None:
-    stage = Stage(settings(limits={"max_attempts": 3}))
-    stage.servers(names(12))
+    driver = BalancerDriver(make_settings(limits={"max_attempts": 3}))
+    driver.update_endpoints(endpoint_names(12))
     unsent = 0
     for _ in range(100):
-        stage.wait(400 * MS)
-        request = stage.request()
-        unsent += not stage.sends(request)
-        while stage.balancer._requests.get(request) is not None:
-            stage.wait(100 * MS)
-            stage.end(request, Outcome.OVERLOADED)
+        driver.advance(400 * MS)
+        request = driver.receive_request()
+        unsent += not driver.started_attempts(request)
+        while driver.balancer._requests.get(request) is not None:
+            driver.advance(100 * MS)
+            driver.end_attempt(request, Outcome.OVERLOADED)
     assert unsent > 20
 
 
@@ -184,13 +188,13 @@
     rejected_count = 0
     for seed in range(4):
         generator = random.Random(seed)
-        stage = Stage(seed=seed)
-        stage.servers(names(12))
+        driver = BalancerDriver(seed=seed)
+        driver.update_endpoints(endpoint_names(12))
         for _ in range(300):
-            stage.wait(600 * MS)
-            request = stage.request()
-            if stage.sends(request):  # typically a tenth of the aim, one in forty beyond it
-                stage.wait(min(int(50 * MS * generator.lognormvariate(0.0, 1.2)), 900 * MS))
-                stage.end(request, attempt=0)
-        rejected_count += len(stage.said(RejectRequest))
+            driver.advance(600 * MS)
+            request = driver.receive_request()
+            if driver.started_attempts(request):  # typically a tenth of the aim, one in forty beyond it
+                driver.advance(min(int(50 * MS * generator.lognormvariate(0.0, 1.2)), 900 * MS))
+                driver.end_attempt(request, attempt=0)
+        rejected_count += len(driver.actions_of_type(RejectRequest))
     assert rejected_count < 0.01 * 4 * 300
--- a/tests/load_balancing/admission/test_concurrency_limit.py
+++ b/tests/load_balancing/admission/test_concurrency_limit.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 import pytest
-from helpers import MS, SAFE, S, Stage, names, settings
+from helpers import IDEMPOTENT_CLASS, MS, BalancerDriver, S, endpoint_names, make_settings
 
 from tulipnotch.load_balancing.admission import concurrency_limit
 from tulipnotch.load_balancing.outcomes import Outcome
@@ -23,43 +23,43 @@
 
     every_us: int
     instance_count: int
-    stage: Stage = field(init=False)
+    driver: BalancerDriver = field(init=False)
     arrived: int = 0
     attempts: list[int] = field(default_factory=list)  # when each began
     _in_flight: list[tuple[int, int, Outcome]] = field(default_factory=list)
 
     def __post_init__(self) -> None:
-        service_class = {**SAFE, "latency_objective_us": OBJECTIVE_US, "deadline_us": DEADLINE_US}
-        given = settings(
+        service_class = {**IDEMPOTENT_CLASS, "latency_objective_us": OBJECTIVE_US, "deadline_us": DEADLINE_US}
+        given = make_settings(
             classes=[service_class], instance_count=self.instance_count, limits={"max_attempts": 1}
         )
-        self.stage = Stage(given)
-        self.stage.servers(names(SERVERS))
+        self.driver = BalancerDriver(given)
+        self.driver.update_endpoints(endpoint_names(SERVERS))
 
     def run(self, span_us: int, outcome: Outcome) -> None:
         """Let requests come for so long, whose attempts all end like this."""
         duration_us = RESPONSE_US if outcome is Outcome.DELIVERED else DEADLINE_US
-        until = self.stage.now + span_us
-        while self.stage.now < until:
+        until = self.driver.now + span_us
+        while self.driver.now < until:
             self._step(duration_us, outcome)
 
     def _step(self, duration_us: int, outcome: Outcome) -> None:
-        stage, due = self.stage, self.stage.now + self.every_us
+        driver, due = self.driver, self.driver.now + self.every_us
         while self._in_flight and self._in_flight[0][0] <= due:
             at, request, ending = self._in_flight.pop(0)
-            stage.wait(max(at - stage.now, 0))
-            stage.end(request, ending)
-        stage.wait(due - stage.now)
+            driver.advance(max(at - driver.now, 0))
+            driver.end_attempt(request, ending)
+        driver.advance(due - driver.now)
         self.arrived += 1
-        request = stage.request(remaining_us=DEADLINE_US)
-        if stage.sends(request):
-            self.attempts.append(stage.now)
-            self._in_flight.append((stage.now + duration_us, request, outcome))
+        request = driver.receive_request(remaining_us=DEADLINE_US)
+        if driver.started_attempts(request):
+            self.attempts.append(driver.now)
+            self._in_flight.append((driver.now + duration_us, request, outcome))
             self._in_flight.sort()
 
     def longest_idle_time(self, since: int) -> int:
         """The longest time without an attempt, from `since` to now."""
-        times = [since, *(each for each in self.attempts if each > since), self.stage.now]
+        times = [since, *(each for each in self.attempts if each > since), self.driver.now]
         return max(later - earlier for earlier, later in itertools.pairwise(times))
 
 
@@ -72,10 +72,10 @@
 def test_concurrency_limit_admits_request_after_idle_time(every_ms: int, instance_count: int) -> None:
     traffic = Traffic(every_ms * MS, instance_count)
     traffic.run(5 * S, Outcome.DELIVERED)
-    since = traffic.stage.now
+    since = traffic.driver.now
     traffic.run(12 * S, Outcome.TIMED_OUT)
     assert traffic.longest_idle_time(since) <= MAX_IDLE_US + 2 * traffic.every_us
-    since = traffic.stage.now
+    since = traffic.driver.now
     traffic.run(5 * S, Outcome.DELIVERED)  # the servers answer again
     assert traffic.longest_idle_time(since) <= MAX_IDLE_US + 2 * traffic.every_us
     arrived, attempts = traffic.arrived, len(traffic.attempts)
@@ -86,7 +86,7 @@
 def test_concurrency_limit_idles_longer_with_many_instances_per_endpoint() -> None:
     traffic = Traffic(50 * MS, 10 * SERVERS)
     traffic.run(5 * S, Outcome.DELIVERED)
-    since = traffic.stage.now
+    since = traffic.driver.now
     traffic.run(30 * S, Outcome.TIMED_OUT)
     assert (
         traffic.longest_idle_time(since) > MAX_IDLE_US + 4 * OBJECTIVE_US
--- a/tests/load_balancing/admission/test_service_levels_in_force.py
+++ b/tests/load_balancing/admission/test_service_levels_in_force.py
@@ -6,9 +6,9 @@
 from pathlib import Path
 
 import pytest
-from helpers import MS, SAFE, UNSAFE, Stage, names, settings
-from loopback import OK, play, stage, until
-from running import GOOD, started_in_vain
+from helpers import IDEMPOTENT_CLASS, MS, NON_IDEMPOTENT_CLASS, BalancerDriver, endpoint_names, make_settings
+from loopback import OK_RESPONSE, run_async, sidecar_harness, wait_until
+from running import VALID_CONFIG, run_expecting_failure
 
 from tulipnotch.load_balancing.actions import RejectRequest
 from tulipnotch.load_balancing.admission import service_levels as levels
@@ -24,42 +24,46 @@
 WITH_RETRY_AFTER = {"retry_after": True, "max_retry_after_us": 2_000 * MS}
 
 
-def serve(given: Stage, name: str, tenant: str | None, count: int) -> int:
+def serve(given: BalancerDriver, name: str, tenant: str | None, count: int) -> int:
     """How many of these requests, one every 20 ms and each answered after 10 ms, get through."""
     admitted = 0
     for _ in range(count):
         number, given._next = given._next, given._next + 1
-        given.play(RequestArrived(number, name, tenant, None, 2_000 * MS, None))
-        given.wait(10 * MS)
-        if given.sends(number):
+        given.handle(RequestArrived(number, name, tenant, None, 2_000 * MS, None))
+        given.advance(10 * MS)
+        if given.started_attempts(number):
             admitted += 1
-            given.end(number)
-        given.wait(10 * MS)
+            given.end_attempt(number)
+        given.advance(10 * MS)
     return admitted
 
 
 def test_level_rejects_its_class_at_once_and_no_other() -> None:
-    given = Stage(settings(limits=WITH_RETRY_AFTER))
-    given.servers(names(6))
-    given.play(CLASS_REJECTED)
+    given = BalancerDriver(make_settings(limits=WITH_RETRY_AFTER))
+    given.update_endpoints(endpoint_names(6))
+    given.handle(CLASS_REJECTED)
     assert serve(given, "look", None, 50) == 0
     assert serve(given, "pay", None, 50) == 50
-    waits = [each.retry_after_us for each in given.said(RejectRequest)]
+    waits = [each.retry_after_us for each in given.actions_of_type(RejectRequest)]
     assert len(waits) == 50
     assert len(set(waits)) > 40
     assert all(1_000 * MS <= each <= 2_000 * MS for each in waits)
-    given.play(FULL)
+    given.handle(FULL)
     assert serve(given, "look", None, 50) == 50
 
 
 def test_level_rejects_traffic_over_quota_first() -> None:
     tenants = [{"name": "big", "weight": 0.5}, {"name": "small", "weight": 0.5}]
-    given = Stage(settings(classes=[SAFE, UNSAFE], tenants=tenants, limits=WITH_RETRY_AFTER))
-    given.servers(names(6))
+    given = BalancerDriver(
+        make_settings(
+            classes=[IDEMPOTENT_CLASS, NON_IDEMPOTENT_CLASS], tenants=tenants, limits=WITH_RETRY_AFTER
+        )
+    )
+    given.update_endpoints(endpoint_names(6))
     for _ in range(40):
         serve(given, "look", "big", 9)
         serve(given, "look", "small", 1)
-    given.play(OVER_QUOTA_REJECTED)
+    given.handle(OVER_QUOTA_REJECTED)
     admitted = {"big": 0, "small": 0}
     for _ in range(40):
         admitted["big"] += serve(given, "look", "big", 9)
@@ -69,12 +73,12 @@
     assert serve(given, "pay", "big", 20) == 20
 
 
-def utilization_under_a_level(given: Stage) -> float:
+def utilization_under_a_level(given: BalancerDriver) -> float:
     """How full the window would be with all that is asked for, long after the cause of its shrinking went."""
-    given.servers(names(6))
+    given.update_endpoints(endpoint_names(6))
     serve(given, "look", None, 100)
     given.balancer._components.concurrency_limit.limit = 0.2
-    given.play(CLASS_REJECTED)
+    given.handle(CLASS_REJECTED)
     for _ in range(60):
         serve(given, "look", None, 10)
         serve(given, "pay", None, 2)
@@ -82,20 +86,20 @@
 
 
 def test_concurrency_limit_grows_under_a_level() -> None:
-    assert utilization_under_a_level(Stage()) < 0.6
+    assert utilization_under_a_level(BalancerDriver()) < 0.6
 
 
 def test_level_is_never_left_unless_the_limit_grows(monkeypatch: pytest.MonkeyPatch) -> None:
     never = property(lambda _: False, lambda *_: None)
     monkeypatch.setattr(ConcurrencyLimit, "has_rejected", never, raising=False)
-    assert utilization_under_a_level(Stage()) > 0.6
+    assert utilization_under_a_level(BalancerDriver()) > 0.6
 
 
 def test_pressure_ignores_requests_without_endpoints() -> None:
-    given = Stage()
+    given = BalancerDriver()
     serve(given, "look", None, 50)  # there is no list yet: all are refused, and not by the window
     assert given.balancer.pressure().rejected == 0
-    assert len(given.said(RejectRequest)) == 50
+    assert len(given.actions_of_type(RejectRequest)) == 50
 
 
 def test_level_shows_at_control_endpoint_and_in_log(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -109,19 +113,19 @@
             levels.ServiceLevelController, "observe", lambda *_: transitions.pop() if transitions else None
         )
         given = ServiceLevels(levels.standard("check"), 30_000_000)
-        async with stage(OK, levels=given) as scene:
-            await until(
-                lambda: any("service level shut, was full for 41 s: too much" in each for each in scene.log)
+        async with sidecar_harness(OK_RESPONSE, service_levels=given) as harness:
+            await wait_until(
+                lambda: any("service level shut, was full for 41 s: too much" in each for each in harness.log)
             )
-            client = await scene.client()
-            assert (await client.ask()).status == 503
-            assert (await client.ask("lodge")).status == 200
-            calls = scene.sidecar.command_handlers()
+            client = await harness.connect()
+            assert (await client.send_request()).status == 503
+            assert (await client.send_request("lodge")).status == 200
+            calls = harness.sidecar.command_handlers()
             assert "app.level=0" in calls["telemetry"]()
             assert "app.level_changes=0" in calls["telemetry"]()
             assert calls["level"]() == ["full for 0 s; refused 0.0%, wanted 0% of the window"]
 
-    play(work)
+    run_async(work)
 
 
 GOOD_LEVELS = """
@@ -163,5 +167,5 @@
 
 
 def test_level_of_unknown_class_stops_the_start(tmp_path: Path) -> None:
-    said = started_in_vain(tmp_path, json.dumps(GOOD), GOOD_LEVELS.replace("check", "chek"))
+    said = run_expecting_failure(tmp_path, json.dumps(VALID_CONFIG), GOOD_LEVELS.replace("check", "chek"))
     assert "overload.levels[0]: no class 'chek'; known are check, amend, lodge" in said
--- a/tests/load_balancing/endpoints/test_endpoint_list.py
+++ b/tests/load_balancing/endpoints/test_endpoint_list.py
@@ -2,26 +2,26 @@
 
 from __future__ import annotations
 
-from helpers import Stage, names
+from helpers import BalancerDriver, endpoint_names
 
 from tulipnotch.load_balancing.events import EndpointState, EndpointUpdateKind
 
 
 def test_endpoint_list_excludes_draining_and_missing_endpoints_at_once() -> None:
-    stage = Stage()
-    stage.servers(names(4))
-    stage.drain("10.0.0.1:80")
-    stage.servers([*names(3)[1:], "10.0.0.9:80"])
+    driver = BalancerDriver()
+    driver.update_endpoints(endpoint_names(4))
+    driver.drain_endpoint("10.0.0.1:80")
+    driver.update_endpoints([*endpoint_names(3)[1:], "10.0.0.9:80"])
     for _ in range(100):
-        stage.request()
-    targets = {each.endpoint for _, each in stage.sends()}
+        driver.receive_request()
+    targets = {each.endpoint for _, each in driver.started_attempts()}
     assert targets == {"10.0.0.2:80", "10.0.0.3:80", "10.0.0.9:80"}
 
 
 def test_endpoint_list_readies_endpoint_that_is_listed_again() -> None:
-    stage = Stage()
-    stage.servers(["10.0.0.1:80"])
-    stage.drain("10.0.0.1:80", EndpointState.REMOVED)
-    assert stage.sends(stage.request()) == []
-    stage.servers(["10.0.0.1:80"], EndpointUpdateKind.DELTA)
-    assert len(stage.sends(stage.request())) == 1
+    driver = BalancerDriver()
+    driver.update_endpoints(["10.0.0.1:80"])
+    driver.drain_endpoint("10.0.0.1:80", EndpointState.REMOVED)
+    assert driver.started_attempts(driver.receive_request()) == []
+    driver.update_endpoints(["10.0.0.1:80"], EndpointUpdateKind.DELTA)
+    assert len(driver.started_attempts(driver.receive_request())) == 1
--- a/tests/load_balancing/health/test_outlier_detection.py
+++ b/tests/load_balancing/health/test_outlier_detection.py
@@ -2,103 +2,107 @@
 
 from __future__ import annotations
 
-from helpers import MS, S, Stage, names
+from helpers import MS, BalancerDriver, S, endpoint_names
 
 from tulipnotch.load_balancing.actions import LogEvent
 from tulipnotch.load_balancing.events import EndpointDescription, EndpointUpdateKind
 from tulipnotch.load_balancing.outcomes import Outcome
 
 
-def _with_one_unresponsive(stage: Stage, rounds: int) -> tuple[str, list[int]]:
+def _with_one_unresponsive(driver: BalancerDriver, rounds: int) -> tuple[str, list[int]]:
     """Good traffic, except that one server answers nothing from some moment on."""
-    stage.servers(names(6))
-    stage.serve(120)
-    first = stage.request()
-    unresponsive = stage.target(first)
+    driver.update_endpoints(endpoint_names(6))
+    driver.run_traffic(120)
+    first = driver.receive_request()
+    unresponsive = driver.last_endpoint(first)
     pending = [first]
     for _ in range(rounds):
-        stage.wait(10 * MS)
-        request = stage.request()
-        if stage.target(request) == unresponsive:
+        driver.advance(10 * MS)
+        request = driver.receive_request()
+        if driver.last_endpoint(request) == unresponsive:
             pending.append(request)
         else:
-            stage.wait(30 * MS)
-            stage.end(request)
+            driver.advance(30 * MS)
+            driver.end_attempt(request)
     return unresponsive, pending
 
 
 def test_outlier_detection_ejects_unresponsive_endpoint_and_its_requests_are_hedged() -> None:
-    stage = Stage()
-    unresponsive, pending = _with_one_unresponsive(stage, 20)
-    assert any(each.text.startswith(f"ejected {unresponsive}") for each in stage.said(LogEvent))
-    attempts = [each.endpoint for _, each in stage.sends(pending[0])]
+    driver = BalancerDriver()
+    unresponsive, pending = _with_one_unresponsive(driver, 20)
+    assert any(each.text.startswith(f"ejected {unresponsive}") for each in driver.actions_of_type(LogEvent))
+    attempts = [each.endpoint for _, each in driver.started_attempts(pending[0])]
     assert len(attempts) > 1
     assert unresponsive not in attempts[1:]
 
 
 def test_outlier_detection_readmits_by_one_probation_attempt() -> None:
-    stage = Stage()
-    unresponsive, pending = _with_one_unresponsive(stage, 20)
-    before = len([1 for _, each in stage.sends() if each.endpoint == unresponsive])
+    driver = BalancerDriver()
+    unresponsive, pending = _with_one_unresponsive(driver, 20)
+    before = len([1 for _, each in driver.started_attempts() if each.endpoint == unresponsive])
     for request in pending:
-        stage.end(request, Outcome.TIMED_OUT, attempt=0, answered=False)
+        driver.end_attempt(request, Outcome.TIMED_OUT, attempt=0, is_responded=False)
     for _ in range(60):
-        stage.wait(60 * MS)
-        request = stage.request()
-        if stage.target(request) != unresponsive:
-            stage.end(request)
-    trials = len([1 for _, each in stage.sends() if each.endpoint == unresponsive]) - before
+        driver.advance(60 * MS)
+        request = driver.receive_request()
+        if driver.last_endpoint(request) != unresponsive:
+            driver.end_attempt(request)
+    trials = len([1 for _, each in driver.started_attempts() if each.endpoint == unresponsive]) - before
     assert trials == 1
-    trial = next(each.request for _, each in reversed(stage.sends()) if each.endpoint == unresponsive)
-    stage.end(trial, attempt=0)
-    assert stage.said(LogEvent)[-1].text == f"readmitted {unresponsive}"
+    trial = next(
+        each.request for _, each in reversed(driver.started_attempts()) if each.endpoint == unresponsive
+    )
+    driver.end_attempt(trial, attempt=0)
+    assert driver.actions_of_type(LogEvent)[-1].text == f"readmitted {unresponsive}"
 
 
 def test_outlier_detection_ejects_few_where_all_are_unresponsive() -> None:
-    stage = Stage()
-    stage.servers(names(6))
-    stage.serve(120)
+    driver = BalancerDriver()
+    driver.update_endpoints(endpoint_names(6))
+    driver.run_traffic(120)
     for _ in range(200):
-        stage.request("pay")
-        stage.wait(15 * MS)
-    ejected = [each for each in stage.balancer._context.endpoints.values() if each.ejection is not None]
+        driver.receive_request("pay")
+        driver.advance(15 * MS)
+    ejected = [each for each in driver.balancer._context.endpoints.values() if each.ejection is not None]
     assert len(ejected) <= 2
 
 
 def test_outlier_detection_keeps_requests_from_endpoint_with_quick_errors() -> None:
-    stage = Stage()
-    stage.servers(names(6))
-    failing = names(6)[2]
+    driver = BalancerDriver()
+    driver.update_endpoints(endpoint_names(6))
+    failing = endpoint_names(6)[2]
     for _ in range(300):
-        stage.wait(10 * MS)
-        request = stage.request("pay")
-        if stage.target(request) == failing:
-            stage.end(request, Outcome.SERVER_ERROR)
+        driver.advance(10 * MS)
+        request = driver.receive_request("pay")
+        if driver.last_endpoint(request) == failing:
+            driver.end_attempt(request, Outcome.SERVER_ERROR)
         else:
-            stage.wait(40 * MS)
-            stage.end(request)
-    assert sum(1 for _, each in stage.sends() if each.endpoint == failing) < 300 / 6
+            driver.advance(40 * MS)
+            driver.end_attempt(request)
+    assert sum(1 for _, each in driver.started_attempts() if each.endpoint == failing) < 300 / 6
 
 
 def test_outlier_detection_ignores_timeout_of_endpoint_that_responds_to_others() -> None:
-    stage = Stage()
-    stage.servers(names(1))
+    driver = BalancerDriver()
+    driver.update_endpoints(endpoint_names(1))
     for _ in range(6):
-        stage.serve(60)
-        old = stage.request("pay", remaining_us=S)
-        stage.wait(900 * MS)
-        new = stage.request("pay")
-        stage.wait(50 * MS)
-        stage.end(new)
-        stage.wait(30 * MS)
-        stage.end(old, Outcome.TIMED_OUT, answered=False)
-    assert not any("ejected" in each.text for each in stage.said(LogEvent))
+        driver.run_traffic(60)
+        old = driver.receive_request("pay", remaining_us=S)
+        driver.advance(900 * MS)
+        new = driver.receive_request("pay")
+        driver.advance(50 * MS)
+        driver.end_attempt(new)
+        driver.advance(30 * MS)
+        driver.end_attempt(old, Outcome.TIMED_OUT, is_responded=False)
+    assert not any("ejected" in each.text for each in driver.actions_of_type(LogEvent))
 
 
 def test_outlier_detection_readmits_restarted_process_that_warms_up() -> None:
-    stage = Stage()
-    unresponsive, _ = _with_one_unresponsive(stage, 20)
-    stage.servers([EndpointDescription(unresponsive, "east", started_at=stage.now)], EndpointUpdateKind.DELTA)
-    server = stage.balancer._context.endpoints[unresponsive]
+    driver = BalancerDriver()
+    unresponsive, _ = _with_one_unresponsive(driver, 20)
+    driver.update_endpoints(
+        [EndpointDescription(unresponsive, "east", started_at=driver.now)], EndpointUpdateKind.DELTA
+    )
+    server = driver.balancer._context.endpoints[unresponsive]
     assert server.ejection is None
-    assert stage.balancer._components.slow_start.is_warming_up(server)
+    assert driver.balancer._components.slow_start.is_warming_up(server)
--- a/tests/load_balancing/metrics/test_latency.py
+++ b/tests/load_balancing/metrics/test_latency.py
@@ -2,22 +2,22 @@
 
 from __future__ import annotations
 
-from helpers import MS, Stage, names
+from helpers import MS, BalancerDriver, endpoint_names
 
 
 def test_latency_ratio_moves_faster_with_few_responses() -> None:
     def change(every_us: int, taking_us: int, *, singly: bool) -> float:
-        stage = Stage()
-        stage.servers(names(4))
+        driver = BalancerDriver()
+        driver.update_endpoints(endpoint_names(4))
         if singly:
-            stage.serve_singly(400, taking_us, every_us)
+            driver.run_sequential_traffic(400, taking_us, every_us)
         else:
-            stage.serve(400, every_us, taking_us)
-        request = stage.request()
-        server = stage.balancer._context.endpoints[stage.target(request)]
-        stage.wait(2 * taking_us)
+            driver.run_traffic(400, every_us, taking_us)
+        request = driver.receive_request()
+        server = driver.balancer._context.endpoints[driver.last_endpoint(request)]
+        driver.advance(2 * taking_us)
         before = server.latency_ratio
-        stage.end(request)
+        driver.end_attempt(request)
         return server.latency_ratio - before
 
     assert change(400 * MS, 60 * MS, singly=True) > 2 * change(5 * MS, 60 * MS, singly=False) > 0.0
--- a/tests/load_balancing/selection/test_best_of_k.py
+++ b/tests/load_balancing/selection/test_best_of_k.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 import pytest
-from helpers import MS, S, Stage, names, settings
+from helpers import MS, BalancerDriver, S, endpoint_names, make_settings
 
 from tulipnotch.load_balancing.actions import RejectRequest
 from tulipnotch.load_balancing.admission import concurrency_limit
@@ -19,79 +19,79 @@
 
 def test_best_of_k_chooses_least_busy_endpoint(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(concurrency_limit, "INITIAL_LIMIT_PER_ENDPOINT", 1e9)  # else some are refused
-    stage = Stage()
-    stage.servers(names(4))  # all are drawn
+    driver = BalancerDriver()
+    driver.update_endpoints(endpoint_names(4))  # all are drawn
     for _ in range(40):
-        stage.request()
-    assert set(Counter(each.endpoint for _, each in stage.sends()).values()) == {10}
+        driver.receive_request()
+    assert set(Counter(each.endpoint for _, each in driver.started_attempts()).values()) == {10}
 
 
 def test_best_of_k_redraws_over_all_endpoints_after_overloaded_responses() -> None:
-    stage = Stage()
-    stage.servers(names(5))
-    request = stage.request("pay")
+    driver = BalancerDriver()
+    driver.update_endpoints(endpoint_names(5))
+    request = driver.receive_request("pay")
     for _ in range(4):
-        stage.end(request, Outcome.OVERLOADED)
-    targets = [each.endpoint for _, each in stage.sends(request)]
-    assert sorted(targets) == names(5)
-    stage.end(request, Outcome.OVERLOADED)
-    assert [each.request for each in stage.said(RejectRequest)] == [request]
+        driver.end_attempt(request, Outcome.OVERLOADED)
+    targets = [each.endpoint for _, each in driver.started_attempts(request)]
+    assert sorted(targets) == endpoint_names(5)
+    driver.end_attempt(request, Outcome.OVERLOADED)
+    assert [each.request for each in driver.actions_of_type(RejectRequest)] == [request]
 
 
 def test_best_of_k_uses_the_only_endpoint() -> None:
-    stage = Stage()
-    stage.servers(names(1))
-    assert stage.target(stage.request()) == names(1)[0]
+    driver = BalancerDriver()
+    driver.update_endpoints(endpoint_names(1))
+    assert driver.last_endpoint(driver.receive_request()) == endpoint_names(1)[0]
 
 
 def test_best_of_k_draws_slower_endpoints_less() -> None:
-    stage = Stage()
-    stage.servers(names(12))
-    slow = names(12)[0]
+    driver = BalancerDriver()
+    driver.update_endpoints(endpoint_names(12))
+    slow = endpoint_names(12)[0]
     for _ in range(1_500):
-        request = stage.request()
-        stage.wait(90 * MS if stage.target(request) == slow else 30 * MS)
-        stage.end(request)
-    later = Counter(each.endpoint for _, each in stage.sends()[500:])
+        request = driver.receive_request()
+        driver.advance(90 * MS if driver.last_endpoint(request) == slow else 30 * MS)
+        driver.end_attempt(request)
+    later = Counter(each.endpoint for _, each in driver.started_attempts()[500:])
     assert later[slow] < 0.6 * sum(later.values()) / 12
 
 
 def test_best_of_k_goes_by_nominal_capacity_before_any_response() -> None:
-    stage = Stage()
-    stage.servers(
+    driver = BalancerDriver()
+    driver.update_endpoints(
         [
-            EndpointDescription(name, "east", nominal_capacity=4.0 if name == names(8)[0] else 1.0)
-            for name in names(8)
+            EndpointDescription(name, "east", nominal_capacity=4.0 if name == endpoint_names(8)[0] else 1.0)
+            for name in endpoint_names(8)
         ]
     )
     for _ in range(200):
-        request = stage.request()
-        stage.end(request)
-    first = Counter(each.endpoint for _, each in stage.sends()[:40])
-    assert first[names(8)[0]] > 40 / 8
+        request = driver.receive_request()
+        driver.end_attempt(request)
+    first = Counter(each.endpoint for _, each in driver.started_attempts()[:40])
+    assert first[endpoint_names(8)[0]] > 40 / 8
 
 
 def test_best_of_k_counts_abandoned_attempt_for_a_while() -> None:
-    stage = Stage()
-    stage.servers(names(2))
-    request = stage.request("pay", remaining_us=400 * MS)
-    abandoned_at = stage.target(request)
-    stage.wait(395 * MS)  # answered by then, and called off
-    stage.end(request, Outcome.CANCELLED, answered=True)
-    other = stage.request("pay")
-    assert stage.target(other) != abandoned_at
-    third = stage.request("pay")
-    assert stage.target(third) in names(2)
-    stage.wait(S)
-    assert stage.balancer._components.selection.busy(stage.balancer._context.endpoints[abandoned_at]) <= 1
+    driver = BalancerDriver()
+    driver.update_endpoints(endpoint_names(2))
+    request = driver.receive_request("pay", remaining_us=400 * MS)
+    abandoned_at = driver.last_endpoint(request)
+    driver.advance(395 * MS)  # answered by then, and called off
+    driver.end_attempt(request, Outcome.CANCELLED, is_responded=True)
+    other = driver.receive_request("pay")
+    assert driver.last_endpoint(other) != abandoned_at
+    third = driver.receive_request("pay")
+    assert driver.last_endpoint(third) in endpoint_names(2)
+    driver.advance(S)
+    assert driver.balancer._components.selection.busy(driver.balancer._context.endpoints[abandoned_at]) <= 1
 
 
 def test_best_of_k_draws_slow_endpoints_less_for_heavy_requests(monkeypatch: pytest.MonkeyPatch) -> None:
-    stage = Stage()
-    stage.servers(
+    driver = BalancerDriver()
+    driver.update_endpoints(
         [
-            EndpointDescription(name, "east", nominal_capacity=0.5 if name == names(5)[0] else 1.0)
-            for name in names(5)
+            EndpointDescription(name, "east", nominal_capacity=0.5 if name == endpoint_names(5)[0] else 1.0)
+            for name in endpoint_names(5)
         ]
     )
     seen: list[float] = []
@@ -102,50 +102,52 @@
 
     monkeypatch.setattr(best_of_k, "weighted_sample", watch)
     for cost in (20 * MS, 20 * MS, 100 * MS):
-        stage.end(stage.request(cost_us=cost))
+        driver.end_attempt(driver.receive_request(cost_us=cost))
     assert seen[2] < 0.5 * seen[0]
 
 
 def test_best_of_k_draws_endpoint_with_every_other_response_an_error_less() -> None:
-    stage = Stage()
-    stage.servers(names(12))
-    bad = names(12)[3]
+    driver = BalancerDriver()
+    driver.update_endpoints(endpoint_names(12))
+    bad = endpoint_names(12)[3]
     errors = 0
     for _ in range(1_200):
-        request = stage.request("pay")
-        target = stage.target(request)
-        stage.wait(5 * MS if target == bad else 40 * MS)
+        request = driver.receive_request("pay")
+        target = driver.last_endpoint(request)
+        driver.advance(5 * MS if target == bad else 40 * MS)
         errors += target == bad
-        stage.end(request, Outcome.SERVER_ERROR if target == bad and errors % 2 else Outcome.DELIVERED)
-    assert sum(1 for _, each in stage.sends()[400:] if each.endpoint == bad) < 0.5 * 800 / 12
+        driver.end_attempt(
+            request, Outcome.SERVER_ERROR if target == bad and errors % 2 else Outcome.DELIVERED
+        )
+    assert sum(1 for _, each in driver.started_attempts()[400:] if each.endpoint == bad) < 0.5 * 800 / 12
 
 
 def test_best_of_k_avoids_endpoint_overloaded_for_a_class_for_this_class_only() -> None:
-    stage = Stage()
-    stage.servers(names(12))
-    stage.serve_singly(10)
-    first = stage.request()
-    overloaded = stage.target(first)
-    stage.end(first)
+    driver = BalancerDriver()
+    driver.update_endpoints(endpoint_names(12))
+    driver.run_sequential_traffic(10)
+    first = driver.receive_request()
+    overloaded = driver.last_endpoint(first)
+    driver.end_attempt(first)
     attempts = used = 0
     for _ in range(200):
-        stage.wait(200 * MS)
+        driver.advance(200 * MS)
         for class_name in ("pay", "look"):
-            request = stage.request(class_name)
-            is_overloaded = class_name == "pay" and stage.target(request) == overloaded
+            request = driver.receive_request(class_name)
+            is_overloaded = class_name == "pay" and driver.last_endpoint(request) == overloaded
             attempts += is_overloaded
-            used += class_name == "look" and stage.target(request) == overloaded
+            used += class_name == "look" and driver.last_endpoint(request) == overloaded
             if is_overloaded:
-                stage.wait(10 * MS)
-                stage.end(request, Outcome.OVERLOADED)
-            stage.wait(40 * MS)
-            stage.end(request)
+                driver.advance(10 * MS)
+                driver.end_attempt(request, Outcome.OVERLOADED)
+            driver.advance(40 * MS)
+            driver.end_attempt(request)
     assert 1 <= attempts < 30
     assert used > 30
 
 
 def test_best_of_k_uses_avoided_endpoint_where_no_other_is_eligible() -> None:
-    stage = Stage(settings(limits={"max_attempts": 1}))
-    stage.servers(names(1))
-    stage.end(stage.request("pay"), Outcome.OVERLOADED)
-    assert len(stage.sends(stage.request("pay"))) == 1
+    driver = BalancerDriver(make_settings(limits={"max_attempts": 1}))
+    driver.update_endpoints(endpoint_names(1))
+    driver.end_attempt(driver.receive_request("pay"), Outcome.OVERLOADED)
+    assert len(driver.started_attempts(driver.receive_request("pay"))) == 1
--- a/tests/load_balancing/selection/test_subset.py
+++ b/tests/load_balancing/selection/test_subset.py
@@ -2,35 +2,35 @@
 
 from __future__ import annotations
 
-from helpers import MS, Stage, names
+from helpers import MS, BalancerDriver, endpoint_names
 
 
 def test_subset_of_small_balancer_is_small_and_replaced_when_it_drains() -> None:
-    stage = Stage()
-    stage.servers(names(60))
-    stage.serve_singly(200)
-    first = {each.endpoint for _, each in stage.sends()}
+    driver = BalancerDriver()
+    driver.update_endpoints(endpoint_names(60))
+    driver.run_sequential_traffic(200)
+    first = {each.endpoint for _, each in driver.started_attempts()}
     assert 2 <= len(first) <= 8
     for endpoint in first:
-        stage.drain(endpoint)
-    stage.serve_singly(50)
-    later = {each.endpoint for _, each in stage.sends()[200:]}
+        driver.drain_endpoint(endpoint)
+    driver.run_sequential_traffic(50)
+    later = {each.endpoint for _, each in driver.started_attempts()[200:]}
     assert later
     assert not later & first
 
 
 def test_subset_of_busy_balancer_has_all_endpoints() -> None:
-    stage = Stage()
-    stage.servers(names(30))
-    stage.serve(2_000, every_us=5 * MS, taking_us=250 * MS)
-    assert len({each.endpoint for _, each in stage.sends()}) == 30
+    driver = BalancerDriver()
+    driver.update_endpoints(endpoint_names(30))
+    driver.run_traffic(2_000, arrival_interval_us=5 * MS, response_time_us=250 * MS)
+    assert len({each.endpoint for _, each in driver.started_attempts()}) == 30
 
 
 def test_subset_differs_between_small_balancers() -> None:
     first: set[str] = set()
     for seed in range(12):
-        stage = Stage(seed=seed)
-        stage.servers(names(60))
-        stage.serve_singly(20)
-        first |= {each.endpoint for _, each in stage.sends()}
+        driver = BalancerDriver(seed=seed)
+        driver.update_endpoints(endpoint_names(60))
+        driver.run_sequential_traffic(20)
+        first |= {each.endpoint for _, each in driver.started_attempts()}
     assert len(first) > 25
--- a/tests/load_balancing/slow_start/test_slow_start_load.py
+++ b/tests/load_balancing/slow_start/test_slow_start_load.py
@@ -3,27 +3,29 @@
 from __future__ import annotations
 
 import pytest
-from helpers import MS, S, Stage, names
+from helpers import MS, BalancerDriver, S, endpoint_names
 
 from tulipnotch.load_balancing.events import EndpointDescription, EndpointUpdateKind
 
 
 @pytest.mark.parametrize(("every_us", "burst"), [(10 * MS, 1), (200 * MS, 20), (500 * MS, 1)])
 def test_slow_start_limits_load_of_endpoint_that_warms_up(every_us: int, burst: int) -> None:
-    stage = Stage()
-    stage.servers(names(6))
-    stage.serve(300, every_us=10 * MS)
+    driver = BalancerDriver()
+    driver.update_endpoints(endpoint_names(6))
+    driver.run_traffic(300, arrival_interval_us=10 * MS)
     warm_per_s = 100 / 6
-    started_at = stage.now
+    started_at = driver.now
     warming_up = EndpointDescription("10.0.0.6:80", zone="east", started_at=started_at)
-    stage.servers([warming_up], EndpointUpdateKind.DELTA)
-    while stage.now < started_at + 10 * S:
-        requests = [stage.request() for _ in range(burst)]
-        stage.wait(every_us)
+    driver.update_endpoints([warming_up], EndpointUpdateKind.DELTA)
+    while driver.now < started_at + 10 * S:
+        requests = [driver.receive_request() for _ in range(burst)]
+        driver.advance(every_us)
         for each in requests:
-            if stage.sends(each):
-                stage.end(each)
-    times = [at for at, each in stage.sends() if each.endpoint == "10.0.0.6:80" and at >= started_at]
+            if driver.started_attempts(each):
+                driver.end_attempt(each)
+    times = [
+        at for at, each in driver.started_attempts() if each.endpoint == "10.0.0.6:80" and at >= started_at
+    ]
     for end in times:
         factor = 0.2 + 0.8 * max(end - 2 * S - started_at, 0) / (10 * S)
         inside = sum(1 for at in times if end - 2 * S < at <= end)
@@ -32,26 +34,30 @@
 
 
 def test_slow_start_does_not_limit_warm_endpoints() -> None:
-    stage = Stage()
-    stage.servers(names(2))
+    driver = BalancerDriver()
+    driver.update_endpoints(endpoint_names(2))
     for _ in range(50):
-        stage.request()
-    assert len({each.endpoint for _, each in stage.sends()}) == 2
+        driver.receive_request()
+    assert len({each.endpoint for _, each in driver.started_attempts()}) == 2
 
 
 def test_slow_start_spreads_first_requests_of_small_balancers() -> None:
     first: list[int] = []
     for seed in range(120):
-        stage = Stage(seed=seed)
-        stage.servers(names(2))
-        stage.serve(20, every_us=200 * MS)
-        started_at = stage.now
-        warming_up = [EndpointDescription(name, zone="east", started_at=started_at) for name in names(2)[:1]]
-        stage.servers(warming_up, EndpointUpdateKind.DELTA)
-        while stage.now < started_at + 4 * S and not first[seed:]:
-            stage.serve(1, every_us=200 * MS)
+        driver = BalancerDriver(seed=seed)
+        driver.update_endpoints(endpoint_names(2))
+        driver.run_traffic(20, arrival_interval_us=200 * MS)
+        started_at = driver.now
+        warming_up = [
+            EndpointDescription(name, zone="east", started_at=started_at) for name in endpoint_names(2)[:1]
+        ]
+        driver.update_endpoints(warming_up, EndpointUpdateKind.DELTA)
+        while driver.now < started_at + 4 * S and not first[seed:]:
+            driver.run_traffic(1, arrival_interval_us=200 * MS)
             first += [
-                at - started_at for at, each in stage.sends()[-1:] if each.endpoint == warming_up[0].name
+                at - started_at
+                for at, each in driver.started_attempts()[-1:]
+                if each.endpoint == warming_up[0].name
             ]
         first += [] if first[seed:] else [4 * S]
     early = sum(1 for each in first if each < 1 * S)
@@ -60,14 +66,14 @@
 
 def test_warm_capacity_fades_slowly_while_nothing_is_served() -> None:
     # Guards against a loop: less served, so smaller budgets for cold servers, so more refused.
-    stage = Stage()
-    stage.servers(names(4))
-    stage.serve(200)
-    per_us = stage.balancer._components.warm_capacity.per_us()
+    driver = BalancerDriver()
+    driver.update_endpoints(endpoint_names(4))
+    driver.run_traffic(200)
+    per_us = driver.balancer._components.warm_capacity.per_us()
     assert per_us > 0.0
-    stage.wait(5 * S)  # half of the time to warm up, and nothing is served in it
-    stage.request()
-    assert per_us / 4 < stage.balancer._components.warm_capacity.per_us() < per_us / 2
-    stage.wait(60 * S)
-    stage.request()
-    assert stage.balancer._components.warm_capacity.per_us() < per_us / 1_000
+    driver.advance(5 * S)  # half of the time to warm up, and nothing is served in it
+    driver.receive_request()
+    assert per_us / 4 < driver.balancer._components.warm_capacity.per_us() < per_us / 2
+    driver.advance(60 * S)
+    driver.receive_request()
+    assert driver.balancer._components.warm_capacity.per_us() < per_us / 1_000
--- a/tests/load_balancing/test_balancer.py
+++ b/tests/load_balancing/test_balancer.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from helpers import MS, START, S, Stage, names, settings
+from helpers import MS, START_US, BalancerDriver, S, endpoint_names, make_settings
 
 from tulipnotch.load_balancing.actions import CancelAttempt, FailRequest, RejectRequest
 from tulipnotch.load_balancing.events import (
@@ -17,217 +17,219 @@
 
 
 def test_balancer_fails_request_before_its_deadline() -> None:
-    stage = Stage()
-    stage.servers(names(5))
-    request = stage.request("pay", remaining_us=900 * MS)
-    stage.wait(899 * MS)
-    assert [each.request for each in stage.said(FailRequest)] == [request]
+    driver = BalancerDriver()
+    driver.update_endpoints(endpoint_names(5))
+    request = driver.receive_request("pay", remaining_us=900 * MS)
+    driver.advance(899 * MS)
+    assert [each.request for each in driver.actions_of_type(FailRequest)] == [request]
 
 
 def test_balancer_does_nothing_after_final_response() -> None:
-    stage = Stage()
-    stage.servers(names(5))
-    request = stage.request("look", remaining_us=300 * MS)
-    stage.wait(300 * MS)
-    rejections = len(stage.said(RejectRequest))
-    stage.end(request, Outcome.CANCELLED, answered=True)
-    stage.wait(5 * S)
+    driver = BalancerDriver()
+    driver.update_endpoints(endpoint_names(5))
+    request = driver.receive_request("look", remaining_us=300 * MS)
+    driver.advance(300 * MS)
+    rejections = len(driver.actions_of_type(RejectRequest))
+    driver.end_attempt(request, Outcome.CANCELLED, is_responded=True)
+    driver.advance(5 * S)
     assert rejections == 1
-    assert len(stage.said(RejectRequest)) == 1
-    assert len([1 for at, _ in stage.sends(request) if at > START + 300 * MS]) == 0
+    assert len(driver.actions_of_type(RejectRequest)) == 1
+    assert len([1 for at, _ in driver.started_attempts(request) if at > START_US + 300 * MS]) == 0
 
 
 def test_balancer_rejects_request_without_remaining_time() -> None:
-    stage = Stage()
-    stage.servers(names(3))
-    request = stage.request("pay", remaining_us=0)
-    assert stage.sends(request) == []
-    assert [each.request for each in stage.said(RejectRequest)] == [request]
+    driver = BalancerDriver()
+    driver.update_endpoints(endpoint_names(3))
+    request = driver.receive_request("pay", remaining_us=0)
+    assert driver.started_attempts(request) == []
+    assert [each.request for each in driver.actions_of_type(RejectRequest)] == [request]
 
 
 def test_balancer_fails_request_in_the_event_of_its_last_attempt() -> None:
     # Guards against holding back a final answer until near the deadline, so that its client can't ask again.
-    stage = Stage()
-    stage.servers(names(1))
-    request = stage.request("pay", remaining_us=2 * S)
-    stage.wait(20 * MS)
-    actions = stage.end(request, Outcome.SERVER_ERROR)
+    driver = BalancerDriver()
+    driver.update_endpoints(endpoint_names(1))
+    request = driver.receive_request("pay", remaining_us=2 * S)
+    driver.advance(20 * MS)
+    actions = driver.end_attempt(request, Outcome.SERVER_ERROR)
     assert [each.request for each in actions if isinstance(each, FailRequest)] == [request]
-    assert stage.now == START + 20 * MS
+    assert driver.now == START_US + 20 * MS
 
 
 def test_balancer_rejects_request_without_endpoints() -> None:
-    stage = Stage()
-    request = stage.request("pay")
-    assert [each.request for each in stage.said(RejectRequest)] == [request]
+    driver = BalancerDriver()
+    request = driver.receive_request("pay")
+    assert [each.request for each in driver.actions_of_type(RejectRequest)] == [request]
 
 
 def test_balancer_rejects_request_without_permitted_attempts() -> None:
-    stage = Stage(settings(limits={"max_attempts": 0}))
-    stage.servers(names(3))
-    request = stage.request("look")
-    assert stage.sends(request) == []
-    assert [each.request for each in stage.said(RejectRequest)] == [request]
+    driver = BalancerDriver(make_settings(limits={"max_attempts": 0}))
+    driver.update_endpoints(endpoint_names(3))
+    request = driver.receive_request("look")
+    assert driver.started_attempts(request) == []
+    assert [each.request for each in driver.actions_of_type(RejectRequest)] == [request]
 
 
 def test_balancer_ignores_events_of_unknown_requests_and_attempts() -> None:
-    stage = Stage()
-    stage.servers(names(3))
-    request = stage.request()
-    stage.end(request)
-    before = len(stage.log)
-    stage.play(ClientDisconnected(request))
-    stage.play(ClientDisconnected(99))
-    stage.play(AttemptEnded(99, 0, "10.0.0.1:80", Outcome.DELIVERED, 1, is_responded=True))
-    stage.play(AttemptEnded(request, 7, "10.0.0.1:80", Outcome.DELIVERED, 1, is_responded=True))
-    assert len(stage.log) == before
+    driver = BalancerDriver()
+    driver.update_endpoints(endpoint_names(3))
+    request = driver.receive_request()
+    driver.end_attempt(request)
+    before = len(driver.timed_actions)
+    driver.handle(ClientDisconnected(request))
+    driver.handle(ClientDisconnected(99))
+    driver.handle(AttemptEnded(99, 0, "10.0.0.1:80", Outcome.DELIVERED, 1, is_responded=True))
+    driver.handle(AttemptEnded(request, 7, "10.0.0.1:80", Outcome.DELIVERED, 1, is_responded=True))
+    assert len(driver.timed_actions) == before
 
 
 def test_balancer_cancels_attempt_of_disconnected_client() -> None:
-    stage = Stage()
-    stage.servers(names(3))
-    request = stage.request("pay")
-    stage.play(ClientDisconnected(request))
-    stage.wait(3 * S)
-    assert [each.request for each in stage.said(CancelAttempt)] == [request]
-    assert stage.said(FailRequest) == []
-    assert stage.said(RejectRequest) == []
+    driver = BalancerDriver()
+    driver.update_endpoints(endpoint_names(3))
+    request = driver.receive_request("pay")
+    driver.handle(ClientDisconnected(request))
+    driver.advance(3 * S)
+    assert [each.request for each in driver.actions_of_type(CancelAttempt)] == [request]
+    assert driver.actions_of_type(FailRequest) == []
+    assert driver.actions_of_type(RejectRequest) == []
 
 
 @pytest.mark.parametrize(
     "outcome", [Outcome.SERVER_ERROR, Outcome.CONNECTION_LOST, Outcome.TIMED_OUT, Outcome.CANCELLED]
 )
 def test_balancer_fails_non_idempotent_request_that_may_have_run(outcome: Outcome) -> None:
-    stage = Stage()
-    stage.servers(names(5))
-    request = stage.request("pay")
-    stage.wait(10 * MS)
-    stage.end(request, outcome)
-    assert len(stage.sends(request)) == 1
-    assert [each.request for each in stage.said(FailRequest)] == [request]
-    assert stage.said(RejectRequest) == []
+    driver = BalancerDriver()
+    driver.update_endpoints(endpoint_names(5))
+    request = driver.receive_request("pay")
+    driver.advance(10 * MS)
+    driver.end_attempt(request, outcome)
+    assert len(driver.started_attempts(request)) == 1
+    assert [each.request for each in driver.actions_of_type(FailRequest)] == [request]
+    assert driver.actions_of_type(RejectRequest) == []
 
 
 @pytest.mark.parametrize("outcome", [Outcome.OVERLOADED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT])
 def test_balancer_retries_non_idempotent_request_that_was_not_executed(outcome: Outcome) -> None:
-    stage = Stage()
-    stage.servers(names(5))
-    request = stage.request("pay")
-    stage.wait(10 * MS)
-    stage.end(request, outcome)
-    targets = [each.endpoint for _, each in stage.sends(request)]
+    driver = BalancerDriver()
+    driver.update_endpoints(endpoint_names(5))
+    request = driver.receive_request("pay")
+    driver.advance(10 * MS)
+    driver.end_attempt(request, outcome)
+    targets = [each.endpoint for _, each in driver.started_attempts(request)]
     assert len(targets) == 2
     assert targets[0] != targets[1]
 
 
 def _cells() -> list[EndpointDescription]:
-    return [EndpointDescription(name, zone="east", cell=index % 2) for index, name in enumerate(names(8))]
+    return [
+        EndpointDescription(name, zone="east", cell=index % 2) for index, name in enumerate(endpoint_names(8))
+    ]
 
 
 def test_balancer_retries_request_with_key_in_its_cell() -> None:
     for seed in range(20):
-        stage = Stage(seed=seed)
-        stage.servers(_cells())
+        driver = BalancerDriver(seed=seed)
+        driver.update_endpoints(_cells())
         cell_of = {each.name: each.cell for each in _cells()}
-        request = stage.request("amend")
+        request = driver.receive_request("amend")
         for _ in range(3):
-            stage.wait(10 * MS)
-            stage.end(request, Outcome.CONNECTION_LOST)
-        targets = [each.endpoint for _, each in stage.sends(request)]
+            driver.advance(10 * MS)
+            driver.end_attempt(request, Outcome.CONNECTION_LOST)
+        targets = [each.endpoint for _, each in driver.started_attempts(request)]
         assert len(targets) > 1
         assert len({cell_of[each] for each in targets}) == 1
 
 
 def test_balancer_fails_request_with_key_after_its_deduplication_window() -> None:
-    stage = Stage()
-    stage.servers(_cells())
-    request = stage.request("amend", remaining_us=4 * S)
-    stage.wait(2 * S)
-    stage.end(request, Outcome.CONNECTION_LOST)
-    assert len(stage.sends(request)) == 1
-    assert [each.request for each in stage.said(FailRequest)] == [request]
+    driver = BalancerDriver()
+    driver.update_endpoints(_cells())
+    request = driver.receive_request("amend", remaining_us=4 * S)
+    driver.advance(2 * S)
+    driver.end_attempt(request, Outcome.CONNECTION_LOST)
+    assert len(driver.started_attempts(request)) == 1
+    assert [each.request for each in driver.actions_of_type(FailRequest)] == [request]
 
 
 def test_balancer_cancels_before_retry_where_hedging_is_not_permitted() -> None:
-    stage = Stage(settings(limits={"hedged_requests": False}))
-    stage.servers(names(6))
-    stage.serve(100)
-    request = stage.request("look")
-    unresponsive = stage.target(request)
+    driver = BalancerDriver(make_settings(limits={"hedged_requests": False}))
+    driver.update_endpoints(endpoint_names(6))
+    driver.run_traffic(100)
+    request = driver.receive_request("look")
+    unresponsive = driver.last_endpoint(request)
     for _ in range(60):
-        stage.wait(10 * MS)
-        other = stage.request("look")
-        if stage.target(other) != unresponsive:
-            stage.end(other)
-    assert [each.request for each in stage.said(CancelAttempt)][:1] == [request]
-    assert len(stage.sends(request)) == 1
-    stage.end(request, Outcome.CANCELLED, answered=False)
-    assert len(stage.sends(request)) == 2
+        driver.advance(10 * MS)
+        other = driver.receive_request("look")
+        if driver.last_endpoint(other) != unresponsive:
+            driver.end_attempt(other)
+    assert [each.request for each in driver.actions_of_type(CancelAttempt)][:1] == [request]
+    assert len(driver.started_attempts(request)) == 1
+    driver.end_attempt(request, Outcome.CANCELLED, is_responded=False)
+    assert len(driver.started_attempts(request)) == 2
 
 
 def test_attempt_gate_refuses_draining_and_removed_endpoints() -> None:
-    stage = Stage()
-    stage.servers(names(3))
-    request = stage.balancer._requests[stage.request()]
+    driver = BalancerDriver()
+    driver.update_endpoints(endpoint_names(3))
+    request = driver.balancer._requests[driver.receive_request()]
     server = next(
         each
-        for each in stage.balancer._context.endpoints.values()
+        for each in driver.balancer._context.endpoints.values()
         if each is not request.attempts[0].endpoint
     )
-    stage.drain(server.name, EndpointState.DRAINING)
-    assert not stage.balancer._start_attempt(request, server)
-    stage.servers([server.name], EndpointUpdateKind.DELTA)
-    assert stage.balancer._start_attempt(request, server)
-    stage.drain(server.name, EndpointState.REMOVED)
-    other = stage.balancer._requests[stage.request()]
-    assert not stage.balancer._start_attempt(other, server)
+    driver.drain_endpoint(server.name, EndpointState.DRAINING)
+    assert not driver.balancer._start_attempt(request, server)
+    driver.update_endpoints([server.name], EndpointUpdateKind.DELTA)
+    assert driver.balancer._start_attempt(request, server)
+    driver.drain_endpoint(server.name, EndpointState.REMOVED)
+    other = driver.balancer._requests[driver.receive_request()]
+    assert not driver.balancer._start_attempt(other, server)
 
 
 def test_attempt_gate_refuses_hedged_request_unless_permitted() -> None:
     for allowed in (False, True):
-        stage = Stage(settings(limits={"hedged_requests": allowed}))
-        stage.servers(names(3))
-        request = stage.balancer._requests[stage.request()]
+        driver = BalancerDriver(make_settings(limits={"hedged_requests": allowed}))
+        driver.update_endpoints(endpoint_names(3))
+        request = driver.balancer._requests[driver.receive_request()]
         server = next(
             each
-            for each in stage.balancer._context.endpoints.values()
+            for each in driver.balancer._context.endpoints.values()
             if each is not request.attempts[0].endpoint
         )
-        assert stage.balancer._start_attempt(request, server) is allowed
+        assert driver.balancer._start_attempt(request, server) is allowed
 
 
-def _overloaded_proves_nothing() -> Stage:
-    stage = Stage(settings(rules={"overloaded_may_have_run": True}))
-    stage.servers(_cells())
-    return stage
+def _overloaded_proves_nothing() -> BalancerDriver:
+    driver = BalancerDriver(make_settings(rules={"overloaded_may_have_run": True}))
+    driver.update_endpoints(_cells())
+    return driver
 
 
 def test_balancer_fails_non_idempotent_request_on_overloaded_that_proves_nothing() -> None:
-    stage = _overloaded_proves_nothing()
-    request = stage.request("pay")
-    stage.end(request, Outcome.OVERLOADED)
-    assert len(stage.sends(request)) == 1
-    assert [each.request for each in stage.said(FailRequest)] == [request]
-    assert stage.said(RejectRequest) == []
+    driver = _overloaded_proves_nothing()
+    request = driver.receive_request("pay")
+    driver.end_attempt(request, Outcome.OVERLOADED)
+    assert len(driver.started_attempts(request)) == 1
+    assert [each.request for each in driver.actions_of_type(FailRequest)] == [request]
+    assert driver.actions_of_type(RejectRequest) == []
 
 
 def test_balancer_retries_request_with_key_within_cell_and_window_on_overloaded_that_proves_nothing() -> None:
     cell_of = {each.name: each.cell for each in _cells()}
     for seed in range(20):
-        stage = Stage(settings(rules={"overloaded_may_have_run": True}), seed=seed)
-        stage.servers(_cells())
-        request = stage.request("amend", remaining_us=4 * S)
-        stage.end(request, Outcome.OVERLOADED)
-        assert len({cell_of[each.endpoint] for _, each in stage.sends(request)}) == 1
-        assert len(stage.sends(request)) == 2
-        stage.wait(2 * S)
-        stage.end(request, Outcome.OVERLOADED, answered=False)
-        assert len(stage.sends(request)) == 2
-        assert stage.said(RejectRequest) == []
+        driver = BalancerDriver(make_settings(rules={"overloaded_may_have_run": True}), seed=seed)
+        driver.update_endpoints(_cells())
+        request = driver.receive_request("amend", remaining_us=4 * S)
+        driver.end_attempt(request, Outcome.OVERLOADED)
+        assert len({cell_of[each.endpoint] for _, each in driver.started_attempts(request)}) == 1
+        assert len(driver.started_attempts(request)) == 2
+        driver.advance(2 * S)
+        driver.end_attempt(request, Outcome.OVERLOADED, is_responded=False)
+        assert len(driver.started_attempts(request)) == 2
+        assert driver.actions_of_type(RejectRequest) == []
 
 
 def test_balancer_retries_idempotent_request_on_overloaded_that_proves_nothing() -> None:
-    stage = _overloaded_proves_nothing()
-    request = stage.request("look")
-    stage.end(request, Outcome.OVERLOADED)
-    assert len(stage.sends(request)) == 2
+    driver = _overloaded_proves_nothing()
+    request = driver.receive_request("look")
+    driver.end_attempt(request, Outcome.OVERLOADED)
+    assert len(driver.started_attempts(request)) == 2
--- a/tests/load_balancing/test_balancer_any_sequence.py
+++ b/tests/load_balancing/test_balancer_any_sequence.py
@@ -4,7 +4,16 @@
 
 from typing import Any
 
-from helpers import KEYED, MS, SAFE, START, UNSAFE, S, names, settings
+from helpers import (
+    IDEMPOTENT_CLASS,
+    IDEMPOTENT_WITH_KEY_CLASS,
+    MS,
+    NON_IDEMPOTENT_CLASS,
+    START_US,
+    S,
+    endpoint_names,
+    make_settings,
+)
 from hypothesis import HealthCheck, given
 from hypothesis import settings as how
 from hypothesis import strategies as st
@@ -32,14 +41,17 @@
 from tulipnotch.load_balancing.outcomes import Outcome
 from tulipnotch.load_balancing.settings import Idempotency
 
-SERVERS = names(7)
+SERVERS = endpoint_names(7)
 ZONES = ("east", "west")
 TICK = 5 * MS
 CLOSE_WITHIN = 500 * MS
 CLASSES = [
-    SAFE,
-    UNSAFE,
-    *({**KEYED, "name": f"amend-{group}", "deduplication_scope": group} for group in ("all", "zone", "cell")),
+    IDEMPOTENT_CLASS,
+    NON_IDEMPOTENT_CLASS,
+    *(
+        {**IDEMPOTENT_WITH_KEY_CLASS, "name": f"amend-{group}", "deduplication_scope": group}
+        for group in ("all", "zone", "cell")
+    ),
 ]
 
 
@@ -49,7 +61,7 @@
     def __init__(self, attempts: int, seed: int, *, hedged_requests: bool, strict: bool) -> None:
         """`strict`: overloaded responses prove nothing, and idle connections must be closed in time."""
         further = {"overloaded_may_have_run": True, "close_idle_within_us": CLOSE_WITHIN} if strict else {}
-        self.settings = settings(
+        self.settings = make_settings(
             classes=CLASSES,
             limits={"hedged_requests": hedged_requests, "max_attempts": attempts},
             rules=further,
@@ -58,7 +70,7 @@
         self.to_close: dict[str, int] = {}  # by when idle connections to a leaving server must be closed
         self.balancer = Balancer(self.settings, seed)
         self.kinds = {each.name: each for each in self.settings.classes}
-        self.now = START
+        self.now = START_US
         self.timers: list[tuple[int, str]] = []
         self.requests: dict[int, dict[str, Any]] = {}
         self.listed: dict[str, EndpointDescription] = {}
@@ -214,7 +226,7 @@
         [EndpointState.READY, EndpointState.READY, EndpointState.DRAINING, EndpointState.REMOVED]
     ),
     nominal_capacity=st.sampled_from([0.0, 1.0, 3.0]),
-    started_at=st.sampled_from([None, START - 5 * S, START, START + 2 * S]),
+    started_at=st.sampled_from([None, START_US - 5 * S, START_US, START_US + 2 * S]),
 )
 arrivals = st.tuples(
     st.just("arrive"),
--- a/tests/load_balancing/test_long_service.py
+++ b/tests/load_balancing/test_long_service.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from helpers import MS, S, Stage, names, settings
+from helpers import MS, BalancerDriver, S, endpoint_names, make_settings
 
 from tulipnotch.load_balancing.actions import FailRequest, LogEvent, RejectRequest
 from tulipnotch.load_balancing.events import EndpointDescription, EndpointState, EndpointUpdateKind
@@ -10,22 +10,22 @@
 from tulipnotch.load_balancing.settings import Idempotency
 
 
-def _ejected(stage: Stage) -> list[str]:
-    return [each.text for each in stage.said(LogEvent) if each.text.startswith("ejected")]
+def _ejected(driver: BalancerDriver) -> list[str]:
+    return [each.text for each in driver.actions_of_type(LogEvent) if each.text.startswith("ejected")]
 
 
 def test_balancer_retains_nothing_of_servers_that_were_replaced() -> None:
     # Guards against growth: every id is new, and all servers are replaced over and over.
-    stage = Stage(settings(limits={"hedged_requests": False}))
+    driver = BalancerDriver(make_settings(limits={"hedged_requests": False}))
     for round_ in range(200):
-        stage.servers([f"{name}-{round_}" for name in names(5)])
+        driver.update_endpoints([f"{name}-{round_}" for name in endpoint_names(5)])
         for _ in range(5):
-            request = stage.request()
-            stage.wait(20 * MS)
-            while request in stage.balancer._requests:
-                stage.end(request, Outcome.DELIVERED if round_ % 7 else Outcome.CONNECTION_LOST)
-    stage.wait(20 * S)
-    balancer = stage.balancer
+            request = driver.receive_request()
+            driver.advance(20 * MS)
+            while request in driver.balancer._requests:
+                driver.end_attempt(request, Outcome.DELIVERED if round_ % 7 else Outcome.CONNECTION_LOST)
+    driver.advance(20 * S)
+    balancer = driver.balancer
     assert len(balancer._context.endpoints) == 5
     assert len(balancer._requests) == len(balancer._components.load._abandoned) == 0
     assert len(balancer._components.timers) <= 2
@@ -33,68 +33,70 @@
 
 
 def test_removed_server_is_retained_until_its_last_attempt_has_ended() -> None:
-    stage = Stage()
-    stage.servers(names(1))
-    request = stage.request("pay")
-    (server,) = names(1)
-    stage.servers([EndpointDescription(server, state=EndpointState.REMOVED)], EndpointUpdateKind.DELTA)
-    assert server in stage.balancer._context.endpoints
-    stage.end(request)
-    assert stage.balancer._context.endpoints == {}
-    assert stage.balancer._components.load.current() == 0
+    driver = BalancerDriver()
+    driver.update_endpoints(endpoint_names(1))
+    request = driver.receive_request("pay")
+    (server,) = endpoint_names(1)
+    driver.update_endpoints(
+        [EndpointDescription(server, state=EndpointState.REMOVED)], EndpointUpdateKind.DELTA
+    )
+    assert server in driver.balancer._context.endpoints
+    driver.end_attempt(request)
+    assert driver.balancer._context.endpoints == {}
+    assert driver.balancer._components.load.current() == 0
 
 
 def test_malformed_responses_eject_a_server_only_when_it_gives_no_others() -> None:
     # Guards against ejecting half the fleet for noise on the way that meets any server alike.
-    stage = Stage()
-    stage.servers(names(4))
+    driver = BalancerDriver()
+    driver.update_endpoints(endpoint_names(4))
     for number in range(60):
-        request = stage.request("pay")
-        stage.wait(20 * MS)
-        stage.end(request, Outcome.DELIVERED if number % 3 else Outcome.MALFORMED_RESPONSE)
-    assert _ejected(stage) == []
+        request = driver.receive_request("pay")
+        driver.advance(20 * MS)
+        driver.end_attempt(request, Outcome.DELIVERED if number % 3 else Outcome.MALFORMED_RESPONSE)
+    assert _ejected(driver) == []
     for _ in range(60):
-        request = stage.request("pay")
-        stage.wait(20 * MS)
-        stage.end(request, Outcome.MALFORMED_RESPONSE)
-    assert any(each.endswith("spoilt") for each in _ejected(stage))
+        request = driver.receive_request("pay")
+        driver.advance(20 * MS)
+        driver.end_attempt(request, Outcome.MALFORMED_RESPONSE)
+    assert any(each.endswith("spoilt") for each in _ejected(driver))
 
 
 def test_request_with_a_malformed_response_may_have_been_executed() -> None:
-    stage = Stage()
-    stage.servers(names(4))
+    driver = BalancerDriver()
+    driver.update_endpoints(endpoint_names(4))
     for kind in ("look", "pay"):
-        request = stage.request(kind)
-        stage.end(request, Outcome.MALFORMED_RESPONSE)
-        again = len(stage.sends(request)) == 2
-        assert again == (stage.balancer._context.classes[kind].idempotency is Idempotency.IDEMPOTENT)
-    assert len(stage.said(FailRequest)) == 1
+        request = driver.receive_request(kind)
+        driver.end_attempt(request, Outcome.MALFORMED_RESPONSE)
+        again = len(driver.started_attempts(request)) == 2
+        assert again == (driver.balancer._context.classes[kind].idempotency is Idempotency.IDEMPOTENT)
+    assert len(driver.actions_of_type(FailRequest)) == 1
 
 
 def test_request_fails_at_once_and_blames_no_server_after_a_client_error() -> None:
-    stage = Stage()
-    stage.servers(names(4))
+    driver = BalancerDriver()
+    driver.update_endpoints(endpoint_names(4))
     for _ in range(20):
-        request = stage.request()
-        stage.end(request, Outcome.CLIENT_ERROR)
-        assert len(stage.sends(request)) == 1
-    assert len(stage.said(FailRequest)) == 20
-    assert _ejected(stage) == []
+        request = driver.receive_request()
+        driver.end_attempt(request, Outcome.CLIENT_ERROR)
+        assert len(driver.started_attempts(request)) == 1
+    assert len(driver.actions_of_type(FailRequest)) == 20
+    assert _ejected(driver) == []
 
 
 def test_handshakes_are_not_taken_for_overload_or_unresponsiveness() -> None:
     # Guards the first second after a start: every connection is new, and its first answer comes late.
     def refused(every_answer_us: int, first_answer_us: int) -> int:
-        stage = Stage()
-        stage.servers(names(12))
+        driver = BalancerDriver()
+        driver.update_endpoints(endpoint_names(12))
         for round_ in range(8):
-            requests = [stage.request("pay") for _ in range(24)]
-            stage.wait(first_answer_us if round_ == 0 else every_answer_us)
+            requests = [driver.receive_request("pay") for _ in range(24)]
+            driver.advance(first_answer_us if round_ == 0 else every_answer_us)
             for request in requests:
-                if request in stage.balancer._requests:
-                    stage.end(request)
-        assert not any("silent" in each for each in _ejected(stage))
-        return len(stage.said(RejectRequest))
+                if request in driver.balancer._requests:
+                    driver.end_attempt(request)
+        assert not any("silent" in each for each in _ejected(driver))
+        return len(driver.actions_of_type(RejectRequest))
 
     assert refused(30 * MS, 240 * MS) == 0
     assert refused(700 * MS, 700 * MS) > 10
@@ -102,11 +104,11 @@
 
 def test_rejected_client_is_advised_to_retry_within_its_latency_objective() -> None:
     for allowed, most in ((True, 2 * S), (True, 20 * MS), (False, 2 * S)):
-        stage = Stage(settings(limits={"retry_after": allowed, "max_retry_after_us": most}))
-        stage.servers([])
+        driver = BalancerDriver(make_settings(limits={"retry_after": allowed, "max_retry_after_us": most}))
+        driver.update_endpoints([])
         for _ in range(20):
-            stage.request()
-        advice = [each.retry_after_us for each in stage.said(RejectRequest)]
+            driver.receive_request()
+        advice = [each.retry_after_us for each in driver.actions_of_type(RejectRequest)]
         assert len(advice) == 20
         if allowed:
             assert all(0 < each <= min(most, 250 * MS) for each in advice)
--- a/tests/load_balancing/test_settings_reader.py
+++ b/tests/load_balancing/test_settings_reader.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 import pytest
-from helpers import settings
+from helpers import make_settings
 from hypothesis import given
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
@@ -39,7 +39,7 @@
     plain = {"classes": [{"name": "look", "deadline_us": 1_000}], "instance_count": 30}
     assert settings_from_mapping(plain).instance_index == -1
     assert settings_from_mapping({**plain, "instance_index": 0}).instance_index == 0
-    assert settings().instance_index == -1
+    assert make_settings().instance_index == -1
 
 
 @pytest.mark.parametrize(
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -23,12 +23,12 @@
 # Each worker of pytest-xdist has its own address: no other takes a port that a test closes and opens again.
 _WORKER = os.environ.get("PYTEST_XDIST_WORKER", "")
 HOST = f"127.1.{int(_WORKER.removeprefix('gw'))}.1" if _WORKER else "127.0.0.1"
-PATIENCE_S = 20.0  # how long a test waits for what must come; never what it measures
-OK = b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nserved"
-ERROR = b"HTTP/1.1 500 Broken\r\nContent-Length: 0\r\n\r\n"
-FULL = b"HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"
+TEST_TIMEOUT_S = 20.0  # how long a test waits for what must come; never what it measures
+OK_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nserved"
+ERROR_RESPONSE = b"HTTP/1.1 500 Broken\r\nContent-Length: 0\r\n\r\n"
+REJECTION_RESPONSE = b"HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"
 
-CLASSES = [
+SERVICE_CLASSES = [
     {"name": "check", "giveUpUs": 3_000_000, "promiseUs": 750_000, "repeat": "read_like"},
     {
         "name": "amend",
@@ -44,39 +44,39 @@
 T = TypeVar("T")
 
 
-def play(work: Callable[[], Coroutine[Any, Any, T]]) -> T:
+def run_async(work: Callable[[], Coroutine[Any, Any, T]]) -> T:
     """Run one test's coroutine; a test that hangs fails."""
 
     async def bounded() -> T:
-        async with asyncio.timeout(2 * PATIENCE_S):
+        async with asyncio.timeout(2 * TEST_TIMEOUT_S):
             return await work()
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         return runner.run(bounded())
 
 
-async def soon(what: Awaitable[T]) -> T:
+async def within_timeout(what: Awaitable[T]) -> T:
     """Returns what is awaited; raises TimeoutError after the patience of a test."""
-    async with asyncio.timeout(PATIENCE_S):
+    async with asyncio.timeout(TEST_TIMEOUT_S):
         return await what
 
 
-async def until(condition: Callable[[], bool]) -> None:
+async def wait_until(condition: Callable[[], bool]) -> None:
     """Returns once the condition holds; raises TimeoutError after the patience of a test."""
-    async with asyncio.timeout(PATIENCE_S):
+    async with asyncio.timeout(TEST_TIMEOUT_S):
         while not condition():
             await asyncio.sleep(0.005)
 
 
 @dataclass
-class Heard:
+class ReceivedRequest:
     """A request as it came, and the connection it came on."""
 
     method: str
     target: str
     headers: dict[str, str]
     body: bytes
-    connection: int
+    connection_number: int
     writer: asyncio.StreamWriter
 
 
@@ -87,7 +87,7 @@
     return head[0], {name.lower(): value.strip() for name, _, value in pairs}
 
 
-Script = Callable[[Heard], Awaitable[bytes | None]]
+Script = Callable[[ReceivedRequest], Awaitable[bytes | None]]
 
 
 class ScriptedServer:
@@ -96,9 +96,9 @@
     def __init__(self, script: Script | bytes | None) -> None:
         """The script may be replaced between requests."""
         self.script = script
-        self.heard: list[Heard] = []
-        self.closed: list[int] = []  # connections that the other side ended
-        self.connections = 0
+        self.received_requests: list[ReceivedRequest] = []
+        self.closed_connections: list[int] = []  # connections that the other side ended
+        self.connection_count = 0
         self._writers: list[asyncio.StreamWriter] = []
         self._server: asyncio.Server | None = None
 
@@ -114,15 +114,15 @@
         return f"{HOST}:{self._server.sockets[0].getsockname()[1]}"
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        number, self.connections = self.connections, self.connections + 1
+        number, self.connection_count = self.connection_count, self.connection_count + 1
         self._writers.append(writer)
         try:
             while True:
                 line, headers = await read_head(reader)
                 body = await reader.readexactly(int(headers.get("content-length", "0")))
                 method, target, _ = line.split(" ")
-                heard = Heard(method, target, headers, body, number, writer)
-                self.heard.append(heard)
+                heard = ReceivedRequest(method, target, headers, body, number, writer)
+                self.received_requests.append(heard)
                 script = self.script
                 answer = await script(heard) if callable(script) else script
                 if answer is not None:
@@ -130,10 +130,10 @@
         except (asyncio.IncompleteReadError, ConnectionError):
             pass
         finally:
-            self.closed.append(number)
+            self.closed_connections.append(number)
             writer.close()
 
-    def hang_up(self) -> None:
+    def close_connections(self) -> None:
         """End all connections that are open, before anything else happens."""
         writers, self._writers = self._writers, []
         for writer in writers:
@@ -146,58 +146,60 @@
         """Closes the listener and all connections."""
         assert self._server is not None
         self._server.close()
-        self.hang_up()
+        self.close_connections()
 
 
 class ScriptedDiscovery(ScriptedServer):
-    """Answers every call that may wait with silence until `tell`, and others with the list."""
+    """Answers every call that may wait with silence until `announce`, and others with the list."""
 
     def __init__(self) -> None:
         """Lists no servers until `servers` is set."""
-        super().__init__(self._answer)
+        super().__init__(self._respond)
         self.version = 1
         self.servers: list[dict[str, Any]] = []
-        self.news: asyncio.Queue[bytes] = asyncio.Queue()
-        self._speaks = asyncio.Event()
-        self._speaks.set()
+        self.watch_responses: asyncio.Queue[bytes] = asyncio.Queue()
+        self._responding = asyncio.Event()
+        self._responding.set()
 
-    def fall_silent(self) -> None:
-        """Answer nothing until `speak`."""
-        self._speaks.clear()
+    def stop_responding(self) -> None:
+        """Answer nothing until `resume_responding`."""
+        self._responding.clear()
 
-    def speak(self) -> None:
+    def resume_responding(self) -> None:
         """Answers again, also what came meanwhile."""
-        self._speaks.set()
+        self._responding.set()
 
-    async def _answer(self, heard: Heard) -> bytes:
-        await self._speaks.wait()
+    async def _respond(self, heard: ReceivedRequest) -> bytes:
+        await self._responding.wait()
         if "wait_ms" in heard.target and not heard.target.endswith("wait_ms=0"):
-            return await self.news.get()
-        return reply(json.dumps({"version": self.version, "full": True, "servers": self.servers}).encode())
+            return await self.watch_responses.get()
+        return http_response(
+            json.dumps({"version": self.version, "full": True, "servers": self.servers}).encode()
+        )
 
-    def tell(self, *changed: dict[str, Any]) -> None:
+    def announce(self, *changed: dict[str, Any]) -> None:
         """Answer a call that waits with these lines, and have them in the list from now on."""
         self.version += 1
         ids = {each["id"] for each in changed}
         kept = [each for each in self.servers if each["id"] not in ids]
         self.servers = [*kept, *(each for each in changed if each.get("state") != "left")]
-        self.news.put_nowait(
-            reply(json.dumps({"version": self.version, "full": False, "servers": changed}).encode())
+        self.watch_responses.put_nowait(
+            http_response(json.dumps({"version": self.version, "full": False, "servers": changed}).encode())
         )
 
 
-def reply(body: bytes, status: str = "200 OK") -> bytes:
+def http_response(body: bytes, status: str = "200 OK") -> bytes:
     """Returns the bytes of a response with this body."""
     return b"HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n%s" % (status.encode(), len(body), body)
 
 
-def line(name: str, address: str, **changes: Any) -> dict[str, Any]:
+def endpoint_entry(name: str, address: str, **changes: Any) -> dict[str, Any]:
     """A line of discovery's list."""
     return {"id": name, "addr": address, "zone": "a", "kind": "", "cell": 1, "state": "active", **changes}
 
 
 @dataclass
-class Answer:
+class Response:
     """A response as a client reads it."""
 
     status: int
@@ -216,29 +218,29 @@
         """Writes bytes as they are."""
         self.writer.write(raw)
 
-    async def answer(self) -> Answer:
+    async def read_response(self) -> Response:
         """Reads one response."""
-        first, headers = await soon(read_head(self.reader))
-        body = await soon(self.reader.readexactly(int(headers["content-length"])))
-        return Answer(int(first.split(" ")[1]), headers, body)
+        first, headers = await within_timeout(read_head(self.reader))
+        body = await within_timeout(self.reader.readexactly(int(headers["content-length"])))
+        return Response(int(first.split(" ")[1]), headers, body)
 
-    async def ask(self, kind: str = "check", **how: Any) -> Answer:
+    async def send_request(self, kind: str = "check", **how: Any) -> Response:
         """Writes a request and reads its response."""
-        self.send(request(kind, **how))
-        return await self.answer()
+        self.send(http_request(kind, **how))
+        return await self.read_response()
 
     def close(self) -> None:
         """Closes the connection."""
         self.writer.close()
 
 
-def holding() -> tuple[asyncio.Event, Script]:
+def blocking_script() -> tuple[asyncio.Event, Script]:
     """A script that answers nothing until the event is set."""
     release = asyncio.Event()
 
-    async def hold(_heard: Heard) -> bytes:
+    async def hold(_heard: ReceivedRequest) -> bytes:
         await release.wait()
-        return OK
+        return OK_RESPONSE
 
     return release, hold
 
@@ -247,7 +249,7 @@
 _ids = iter(range(1, 1_000_000))
 
 
-def request(
+def http_request(
     kind: str = "check",
     timeout: str = "2.0",
     body: bytes = b"",
@@ -270,7 +272,7 @@
 
 
 @dataclass
-class Stage:
+class SidecarHarness:
     """A sidecar with scripted ends."""
 
     sidecar: Sidecar
@@ -279,43 +281,43 @@
     log: list[str]
     clients: list[Client] = field(default_factory=list)
 
-    async def client(self) -> Client:
+    async def connect(self) -> Client:
         """Returns a further connection to the sidecar."""
         client = Client(*await asyncio.open_connection(HOST, self.sidecar.downstream.port))
         self.clients.append(client)
         return client
 
-    async def ask(self, kind: str = "check", **how: Any) -> Answer:
+    async def send_request(self, kind: str = "check", **how: Any) -> Response:
         """Writes a request on a connection of its own and reads its response."""
-        return await (await self.client()).ask(kind, **how)
+        return await (await self.connect()).send_request(kind, **how)
 
     @property
-    def heard(self) -> list[Heard]:
+    def received_requests(self) -> list[ReceivedRequest]:
         """All requests that the servers have read."""
-        return [each for server in self.servers for each in server.heard]
+        return [each for server in self.servers for each in server.received_requests]
 
 
 @asynccontextmanager
-async def stage(
+async def sidecar_harness(
     *scripts: Script | bytes | ScriptedServer | None,
-    bounds: dict[str, Any] | None = None,
-    given: dict[str, Any] | None = None,
-    listed: bool = True,
+    limit_overrides: dict[str, Any] | None = None,
+    config_overrides: dict[str, Any] | None = None,
+    servers_listed: bool = True,
     client_limits: ClientLimits | None = None,
     started: bool = True,
-    silent_discovery: bool = False,
-    levels: ServiceLevels | None = None,
+    unresponsive_discovery: bool = False,
+    service_levels: ServiceLevels | None = None,
     **settings: Any,
-) -> AsyncIterator[Stage]:
+) -> AsyncIterator[SidecarHarness]:
     """A sidecar, its discovery and one server for each script, all known to it from the start."""
     servers = [each if isinstance(each, ScriptedServer) else ScriptedServer(each) for each in scripts]
     for server in servers:
         await server.start()
     discovery = ScriptedDiscovery()
-    if listed:
-        discovery.servers = [line(f"s-{index}", each.address) for index, each in enumerate(servers)]
-    if silent_discovery:
-        discovery.fall_silent()
+    if servers_listed:
+        discovery.servers = [endpoint_entry(f"s-{index}", each.address) for index, each in enumerate(servers)]
+    if unresponsive_discovery:
+        discovery.stop_responding()
     await discovery.start()
     limits = {"sendCap": 3, "mayCancel": True, "retryAfter": True, "dialTimeoutUs": 1_000_000}
     config = {
@@ -325,15 +327,15 @@
         "seed": "8c1f",
         "known": {"version": 1, "full": True, "servers": discovery.servers},
         "settings": {
-            "lanes": CLASSES,
+            "lanes": SERVICE_CLASSES,
             "zone": "a",
             "quantumUs": 5_000,
             "discovery": "on_request",
             "report": {"columns": ["qps", "util"], "source": "piggyback"},
-            "bounds": {**limits, **(bounds or {})},
+            "bounds": {**limits, **(limit_overrides or {})},
             **settings,
         },
-        **(given or {}),
+        **(config_overrides or {}),
     }
     log: list[str] = []
 
@@ -344,17 +346,17 @@
     options = OperatorOptions(
         log=note,
         client_limits=asdict(client_limits) if client_limits is not None else {},
-        service_levels=levels,
+        service_levels=service_levels,
     )
     sidecar = Sidecar(parse(config, config), options)
     if started:
         await sidecar.start()
-    scene = Stage(sidecar, discovery, servers, log)
+    harness = SidecarHarness(sidecar, discovery, servers, log)
     try:
-        yield scene
+        yield harness
     finally:
         sidecar.close()
-        for client in scene.clients:
+        for client in harness.clients:
             client.close()
         for server in (*servers, discovery):
             server.stop()
--- a/tests/running.py
+++ b/tests/running.py
@@ -14,10 +14,19 @@
 from pathlib import Path
 from typing import Any
 
-from loopback import CLASSES, HOST, Client, Heard, ScriptedDiscovery, ScriptedServer, line, soon
+from loopback import (
+    HOST,
+    SERVICE_CLASSES,
+    Client,
+    ReceivedRequest,
+    ScriptedDiscovery,
+    ScriptedServer,
+    endpoint_entry,
+    within_timeout,
+)
 
 ROOT = Path(__file__).parent.parent
-GOOD: dict[str, Any] = {
+VALID_CONFIG: dict[str, Any] = {
     "name": "n0",
     "listen": f"{HOST}:0",
     "control": f"{HOST}:0",
@@ -25,11 +34,11 @@
     "seed": "8c1f30d27a5be964",
     "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
     "known": {"version": 1, "full": True, "servers": []},
-    "settings": {"lanes": CLASSES, "zone": "a", "discovery": "on_request"},
+    "settings": {"lanes": SERVICE_CLASSES, "zone": "a", "discovery": "on_request"},
 }
 
 
-class Program:
+class SidecarProcess:
     """The running program, with one server behind it."""
 
     def __init__(
@@ -38,29 +47,29 @@
         port: int,
         control_port: int,
         server: ScriptedServer,
-        config: Path,
+        config_path: Path,
     ) -> None:
         self.process, self.port, self.control_port = process, port, control_port
-        self.server, self.config = server, config
+        self.server, self.config_path = server, config_path
 
-    async def call(self, name: str) -> list[str]:
+    async def send_command(self, name: str) -> list[str]:
         """What the operators' door answers."""
         reader, writer = await asyncio.open_connection(HOST, self.control_port)
         writer.write(f"{name}\n".encode())
-        answer = await soon(reader.read())
+        answer = await within_timeout(reader.read())
         writer.close()
         return answer.decode().splitlines()
 
-    async def says(self) -> str:
+    async def read_log_line(self) -> str:
         """The next line of its log."""
         assert self.process.stderr is not None
-        return (await soon(self.process.stderr.readline())).decode()
+        return (await within_timeout(self.process.stderr.readline())).decode()
 
-    async def client(self) -> Client:
+    async def connect(self) -> Client:
         return Client(*await asyncio.open_connection(HOST, self.port))
 
 
-async def started(
+async def start_process(
     config: Path, pass_fds: tuple[int, ...] = (), stderr: int = asyncio.subprocess.PIPE, /, **environ: str
 ) -> asyncio.subprocess.Process:
     return await asyncio.create_subprocess_exec(
@@ -74,7 +83,7 @@
     )
 
 
-def started_in_vain(folder: Path, config: str, operator: str | None = None) -> str:
+def run_expecting_failure(folder: Path, config: str, operator: str | None = None) -> str:
     """What the program says in its one line where it must not start, with these files."""
     path = folder / "config.json"
     path.write_text(config)
@@ -98,29 +107,33 @@
 
 
 @asynccontextmanager
-async def running_on(
-    config: Path, server: ScriptedServer, listener: socket.socket | None = None, meanwhile: str | None = None
-) -> AsyncIterator[Program]:
+async def running_sidecar(
+    config: Path,
+    server: ScriptedServer,
+    listener: socket.socket | None = None,
+    allowed_log_pattern: str | None = None,
+) -> AsyncIterator[SidecarProcess]:
     """The program, from the moment in which it serves, with the listening socket that it inherits, if any.
 
-    `meanwhile` matches the further lines that its log may hold until then; without it there are none.
+    `allowed_log_pattern` matches the other lines that the log may hold until then.  Without it, the log must
+    hold none.
     """
     if listener is None:
-        process = await started(config)
+        process = await start_process(config)
     else:
         descriptor = listener.fileno()
-        process = await started(config, (descriptor,), BALANCER_INHERITED_FD=str(descriptor))
+        process = await start_process(config, (descriptor,), BALANCER_INHERITED_FD=str(descriptor))
     try:
         assert process.stderr is not None
         ports = []
         for what in ("control endpoint listens on", "serves on"):
-            said = (await soon(process.stderr.readline())).decode()
-            while meanwhile is not None and re.match(meanwhile, said):
-                said = (await soon(process.stderr.readline())).decode()
+            said = (await within_timeout(process.stderr.readline())).decode()
+            while allowed_log_pattern is not None and re.match(allowed_log_pattern, said):
+                said = (await within_timeout(process.stderr.readline())).decode()
             told = re.search(what + r" .*:(\d+)", said)
             assert told is not None, said
             ports.append(int(told[1]))
-        yield Program(process, ports[1], ports[0], server, config)
+        yield SidecarProcess(process, ports[1], ports[0], server, config)
     finally:
         if process.returncode is None:
             process.kill()
@@ -128,17 +141,17 @@
 
 
 @asynccontextmanager
-async def world(
-    script: Callable[[Heard], Any] | bytes, folder: Path
+async def server_with_config(
+    script: Callable[[ReceivedRequest], Any] | bytes, folder: Path
 ) -> AsyncIterator[tuple[Path, ScriptedServer]]:
     """One server, a discovery that lists it, and a configuration that names both."""
     server = await ScriptedServer(script).start()
     discovery = ScriptedDiscovery()
-    discovery.servers = [line("s-1", server.address)]
+    discovery.servers = [endpoint_entry("s-1", server.address)]
     await discovery.start()
     known = {"version": 1, "full": True, "servers": discovery.servers}
     path = folder / "config.json"
-    path.write_text(json.dumps({**GOOD, "discovery": discovery.address, "known": known}))
+    path.write_text(json.dumps({**VALID_CONFIG, "discovery": discovery.address, "known": known}))
     try:
         yield path, server
     finally:
@@ -147,18 +160,23 @@
 
 
 @asynccontextmanager
-async def program(script: Callable[[Heard], Any] | bytes, folder: Path) -> AsyncIterator[Program]:
-    async with world(script, folder) as (config, server), running_on(config, server) as running:
+async def sidecar_with_server(
+    script: Callable[[ReceivedRequest], Any] | bytes, folder: Path
+) -> AsyncIterator[SidecarProcess]:
+    async with (
+        server_with_config(script, folder) as (config, server),
+        running_sidecar(config, server) as running,
+    ):
         yield running
 
 
-async def until_says(running: Program, answer: str) -> None:
+async def wait_for_readyz(running: SidecarProcess, answer: str) -> None:
     """Wait for `readyz` to answer so."""
-    while (await running.call("readyz"))[0] != answer:
+    while (await running.send_command("readyz"))[0] != answer:
         await asyncio.sleep(0.01)
 
 
-def resident_bytes(running: Program) -> int:
+def resident_bytes(running: SidecarProcess) -> int:
     """The memory that the process holds now."""
     status = Path(f"/proc/{running.process.pid}/status").read_text()
     found = re.search(r"^VmRSS:\s+(\d+) kB$", status, re.MULTILINE)
--- a/tests/sidecar/control/test_control_endpoint.py
+++ b/tests/sidecar/control/test_control_endpoint.py
@@ -7,7 +7,7 @@
 from contextlib import asynccontextmanager, suppress
 
 import pytest
-from loopback import HOST, play, soon, until
+from loopback import HOST, run_async, wait_until, within_timeout
 
 from tulipnotch.sidecar.control.endpoint import (
     CommandRejectedError,
@@ -44,7 +44,7 @@
         await asyncio.sleep(0.01)
     if half_close:
         writer.write_eof()
-    response = await soon(reader.read())
+    response = await within_timeout(reader.read())
     writer.close()
     return response
 
@@ -64,9 +64,9 @@
     async def work() -> None:
         async with control_endpoint() as endpoint:
             assert await exchange(endpoint.port, *pieces) == response
-            await until(lambda: endpoint.open_connections == 0)
+            await wait_until(lambda: endpoint.open_connections == 0)
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize(
@@ -93,7 +93,7 @@
             assert len(response) > 8
             assert await exchange(endpoint.port, b"readyz\n") == b"+OK ready\n"
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize(
@@ -113,7 +113,7 @@
         async with control_endpoint(SHORT) as endpoint:
             assert await exchange(endpoint.port, *pieces) == response
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize("prefix", [b"", b"ready", b"readyz"])
@@ -124,7 +124,7 @@
             assert (await exchange(endpoint.port, prefix, half_close=True)).startswith(b"-ERR ")
             assert (await exchange(endpoint.port, prefix)).startswith(b"-ERR ")  # after the timeout
 
-    play(work)
+    run_async(work)
 
 
 def test_endpoint_closes_the_oldest_connection_when_there_are_too_many() -> None:
@@ -135,17 +135,17 @@
                 opened.append(await asyncio.open_connection(HOST, endpoint.port))
                 opened[-1][1].write(b"read")
                 expected = min(number + 1, 4)
-                await until(lambda expected=expected: endpoint.open_connections == expected)  # type: ignore[misc]
+                await wait_until(lambda expected=expected: endpoint.open_connections == expected)  # type: ignore[misc]
             assert await exchange(endpoint.port, b"readyz\n") == b"+OK ready\n"
             for reader, _ in opened[:8]:
                 with suppress(ConnectionResetError):
-                    assert await soon(reader.read()) == b""
+                    assert await within_timeout(reader.read()) == b""
             opened[-1][1].write(b"yz\n")  # the newest is still open
-            assert await soon(opened[-1][0].read()) == b"+OK ready\n"
+            assert await within_timeout(opened[-1][0].read()) == b"+OK ready\n"
             for _, writer in opened:
                 writer.close()
 
-    play(work)
+    run_async(work)
 
 
 def test_endpoint_aborts_a_connection_whose_client_never_reads() -> None:
@@ -153,11 +153,11 @@
         async with control_endpoint(SHORT) as endpoint:
             _, writer = await asyncio.open_connection(HOST, endpoint.port)
             writer.write(b"readyz\n")
-            await until(lambda: endpoint.open_connections == 1)
-            await until(lambda: endpoint.open_connections == 0)
+            await wait_until(lambda: endpoint.open_connections == 1)
+            await wait_until(lambda: endpoint.open_connections == 0)
             writer.close()
 
-    play(work)
+    run_async(work)
 
 
 def test_endpoint_has_no_port_before_it_listens() -> None:
--- a/tests/sidecar/control/test_lifecycle.py
+++ b/tests/sidecar/control/test_lifecycle.py
@@ -5,7 +5,16 @@
 import asyncio
 
 import pytest
-from loopback import OK, Client, Heard, play, request, soon, stage, until
+from loopback import (
+    OK_RESPONSE,
+    Client,
+    ReceivedRequest,
+    http_request,
+    run_async,
+    sidecar_harness,
+    wait_until,
+    within_timeout,
+)
 
 from tulipnotch.sidecar.control.endpoint import CommandRejectedError
 from tulipnotch.sidecar.control.lifecycle import Lifecycle, Phase
@@ -15,7 +24,7 @@
 async def health(client: Client) -> tuple[int, str | None]:
     """Status and `Connection` header of the response to a health check."""
     client.send(Request(b"GET", b"/_health", [(b"host", b"x")]).encode_start())
-    response = await client.answer()
+    response = await client.read_response()
     return response.status, response.headers.get("connection")
 
 
@@ -63,49 +72,49 @@
     async def work() -> None:
         release = asyncio.Event()
 
-        async def hold(heard: Heard) -> bytes:
+        async def hold(heard: ReceivedRequest) -> bytes:
             if heard.target.endswith("hold"):
                 await release.wait()
-            return OK
-
-        async with stage(hold) as scene:
-            commands = scene.sidecar.command_handlers()
-            idle, silent, working = [await scene.client() for _ in range(3)]
-            assert (await idle.ask()).status == 200
-            working.send(request("lodge", target="/hold"))
-            await until(lambda: len(scene.heard) == 2)
+            return OK_RESPONSE
+
+        async with sidecar_harness(hold) as harness:
+            commands = harness.sidecar.command_handlers()
+            idle, silent, working = [await harness.connect() for _ in range(3)]
+            assert (await idle.send_request()).status == 200
+            working.send(http_request("lodge", target="/hold"))
+            await wait_until(lambda: len(harness.received_requests) == 2)
             for _ in range(2):
                 assert commands["evacuate"]() == ["evacuating"]
             with pytest.raises(CommandRejectedError):
                 commands["readyz"]()
-            assert await health(await scene.client()) == (503, "close")  # the listener stays open
+            assert await health(await harness.connect()) == (503, "close")  # the listener stays open
             for client in (idle, silent):
-                assert await soon(client.reader.read()) == b""
-            late = await scene.ask()
+                assert await within_timeout(client.reader.read()) == b""
+            late = await harness.send_request()
             assert (late.status, late.headers["connection"]) == (200, "close")
             release.set()
-            response = await working.answer()
+            response = await working.read_response()
             assert (response.status, response.headers["connection"]) == (200, "close")
-            await until(lambda: scene.sidecar.downstream.open_connections == 0)
+            await wait_until(lambda: harness.sidecar.downstream.open_connections == 0)
             for _ in range(2):
                 assert commands["activate"]() == ["serving"]
             assert commands["readyz"]() == ["ready"]
-            client = await scene.client()
+            client = await harness.connect()
             assert await health(client) == (200, None)
-            assert "connection" not in (await client.ask()).headers
+            assert "connection" not in (await client.send_request()).headers
 
-    play(work)
+    run_async(work)
 
 
 def test_evacuation_responds_to_the_next_request_of_an_active_connection_and_closes_it() -> None:
     # A connection that is closed while a request is on its way would lose that request.
     async def work() -> None:
-        async with stage(OK) as scene:
-            client = await scene.client()
-            assert (await client.ask()).status == 200
-            scene.sidecar.command_handlers()["evacuate"]()
-            response = await client.ask()
+        async with sidecar_harness(OK_RESPONSE) as harness:
+            client = await harness.connect()
+            assert (await client.send_request()).status == 200
+            harness.sidecar.command_handlers()["evacuate"]()
+            response = await client.send_request()
             assert (response.status, response.headers["connection"]) == (200, "close")
-            assert await soon(client.reader.read()) == b""
+            assert await within_timeout(client.reader.read()) == b""
 
-    play(work)
+    run_async(work)
--- a/tests/sidecar/control/test_telemetry.py
+++ b/tests/sidecar/control/test_telemetry.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from loopback import OK, Heard, play, request, stage, until
+from loopback import OK_RESPONSE, ReceivedRequest, http_request, run_async, sidecar_harness, wait_until
 
 from tulipnotch.load_balancing.outcomes import Outcome, TerminationReason
 from tulipnotch.sidecar.control.telemetry import (
@@ -116,24 +116,26 @@
     async def work() -> None:
         release = asyncio.Event()
 
-        async def script(heard: Heard) -> bytes:
+        async def script(heard: ReceivedRequest) -> bytes:
             if heard.target.endswith("hold"):
                 await release.wait()
-            return OK if heard.method == "GET" else b"HTTP/1.1 500 Broken\r\nContent-Length: 0\r\n\r\n"
+            return (
+                OK_RESPONSE if heard.method == "GET" else b"HTTP/1.1 500 Broken\r\nContent-Length: 0\r\n\r\n"
+            )
 
-        async with stage(script, bounds={"maxOpen": 2}) as scene:
+        async with sidecar_harness(script, limit_overrides={"maxOpen": 2}) as harness:
 
             def metrics() -> dict[str, int]:
-                return metrics_of(list(scene.sidecar.command_handlers()["telemetry"]()))
+                return metrics_of(list(harness.sidecar.command_handlers()["telemetry"]()))
 
             assert metrics()["app.downstream_requests.amend.completed"] == 0
-            assert (await scene.ask("check")).status == 200
-            assert (await scene.ask("lodge")).status == 502
-            held_clients = [await scene.client(), await scene.client()]
+            assert (await harness.send_request("check")).status == 200
+            assert (await harness.send_request("lodge")).status == 502
+            held_clients = [await harness.connect(), await harness.connect()]
             for client in held_clients:
-                client.send(request("check", target="/hold"))
-            await until(lambda: len(scene.heard) == 4)
-            assert (await scene.ask("check")).status == 503
+                client.send(http_request("check", target="/hold"))
+            await wait_until(lambda: len(harness.received_requests) == 4)
+            assert (await harness.send_request("check")).status == 503
             now = metrics()
             assert now["app.downstream_requests.check.completed"] == 1
             assert now["app.downstream_requests.check.rejected"] == 1
@@ -143,7 +145,7 @@
             assert (now["app.members"], now["app.members_unavailable"]) == (1, 0)
             release.set()
             for client in held_clients:
-                assert (await client.answer()).status == 200
+                assert (await client.read_response()).status == 200
             assert metrics()["app.pending"] == 0
 
-    play(work)
+    run_async(work)
--- a/tests/sidecar/discovery/test_change_propagation.py
+++ b/tests/sidecar/discovery/test_change_propagation.py
@@ -12,21 +12,21 @@
 import pytest
 from loopback import (
     HOST,
-    OK,
-    PATIENCE_S,
-    Heard,
+    OK_RESPONSE,
+    TEST_TIMEOUT_S,
+    ReceivedRequest,
     ScriptedDiscovery,
     ScriptedServer,
-    Stage,
-    holding,
-    line,
-    play,
-    reply,
-    request,
-    stage,
-    until,
+    SidecarHarness,
+    blocking_script,
+    endpoint_entry,
+    http_request,
+    http_response,
+    run_async,
+    sidecar_harness,
+    wait_until,
 )
-from slow_to_accept import SlowToAccept
+from slow_to_accept import FullAcceptQueueServer
 
 from tulipnotch.load_balancing.events import EndpointState
 from tulipnotch.load_balancing.settings import DiscoveryMode as Mode
@@ -39,17 +39,17 @@
 SCHEDULE = PollSchedule(1.2)  # a fifth of the specified 6 s
 
 
-def _draining(scene: Stage) -> dict[str, Any]:
-    return line("s-0", scene.servers[0].address, state="leaving")
+def _draining(harness: SidecarHarness) -> dict[str, Any]:
+    return endpoint_entry("s-0", harness.servers[0].address, state="leaving")
 
 
-async def _assert_drained(scene: Stage) -> None:
+async def _assert_drained(harness: SidecarHarness) -> None:
     """Once the balancer knows of the drain, every request goes to the other server."""
-    await until(lambda: scene.sidecar._balancer.endpoint_counts() == (2, 1))
-    before = len(scene.servers[0].heard)
+    await wait_until(lambda: harness.sidecar._balancer.endpoint_counts() == (2, 1))
+    before = len(harness.servers[0].received_requests)
     for _ in range(12):
-        assert (await scene.ask()).status == 200
-    assert len(scene.servers[0].heard) == before
+        assert (await harness.send_request()).status == 200
+    assert len(harness.servers[0].received_requests) == before
 
 
 @pytest.mark.parametrize("mode", ["pushed", "on_request"])
@@ -62,33 +62,37 @@
         monkeypatch.setattr(discovery, "_SCHEDULE", SCHEDULE)
 
     async def work() -> None:
-        async with stage(OK, OK, discovery=mode) as scene:
-            server = scene.discovery
-            await until(lambda: len(server.heard) >= 2)  # the watch is open
-            server.servers[0] = _draining(scene)
+        async with sidecar_harness(OK_RESPONSE, OK_RESPONSE, discovery=mode) as harness:
+            server = harness.discovery
+            await wait_until(lambda: len(server.received_requests) >= 2)  # the watch is open
+            server.servers[0] = _draining(harness)
             server.version = 2
             if fault == "reset":
-                server.hang_up()
+                server.close_connections()
             elif fault == "503":
-                server.news.put_nowait(reply(b"", "503 Busy"))
+                server.watch_responses.put_nowait(http_response(b"", "503 Busy"))
             elif fault == "malformed":
-                server.news.put_nowait(reply(b'{"version": 2, "full": false, "servers": [{"id": 7}]}'))
+                server.watch_responses.put_nowait(
+                    http_response(b'{"version": 2, "full": false, "servers": [{"id": 7}]}')
+                )
             elif fault == "truncated":
-                complete = reply(json.dumps({"version": 2, "full": True, "servers": server.servers}).encode())
-                server.heard[-1].writer.write(complete[:-20])
-                await server.heard[-1].writer.drain()
+                complete = http_response(
+                    json.dumps({"version": 2, "full": True, "servers": server.servers}).encode()
+                )
+                server.received_requests[-1].writer.write(complete[:-20])
+                await server.received_requests[-1].writer.drain()
             elif fault == "restarted":
                 port = int(server.address.rpartition(":")[2])
                 server.stop()
                 restarted = ScriptedDiscovery()
                 restarted.version, restarted.servers = 2, server.servers
-                await until(lambda: any("discovery failed" in each for each in scene.log))
+                await wait_until(lambda: any("discovery failed" in each for each in harness.log))
                 await restarted.start(port)
-            await _assert_drained(scene)
+            await _assert_drained(harness)
             if fault == "restarted":
                 restarted.stop()
 
-    play(work)
+    run_async(work)
 
 
 class DrainingDiscovery(ScriptedDiscovery):
@@ -100,16 +104,16 @@
         self.script = self._respond_before_drain
         self.truncates = False  # whether the response to a watch breaks off
 
-    async def _respond_before_drain(self, heard: Heard) -> bytes | None:
+    async def _respond_before_drain(self, heard: ReceivedRequest) -> bytes | None:
         if self.fault == "503":
-            return reply(b"", "503 Busy")
+            return http_response(b"", "503 Busy")
         if self.fault == "hung":
             return None
         if "wait_ms" in heard.target and not heard.target.endswith("wait_ms=0"):
             if self.truncates:
-                heard.writer.write(reply(self.complete_list())[:-20])
+                heard.writer.write(http_response(self.complete_list())[:-20])
             return None
-        return reply(self.complete_list())
+        return http_response(self.complete_list())
 
     def complete_list(self) -> bytes:
         return json.dumps({"version": self.version, "full": True, "servers": self.servers}).encode()
@@ -154,21 +158,21 @@
 
 
 async def _lose_calls(
-    case: str, scene: Stage, server: DrainingDiscovery, attempts: ConnectionAttempts
+    case: str, harness: SidecarHarness, server: DrainingDiscovery, attempts: ConnectionAttempts
 ) -> None:
     """Lose calls as the case says, the last of them just before this returns."""
 
     async def until_failed_often() -> None:
-        await until(lambda: _failures(scene, attempts) >= 4)
+        await wait_until(lambda: _failures(harness, attempts) >= 4)
 
     if case == ANOTHER_ADDRESS:
         await server.start()
-        raw = {**dict(scene.sidecar.config.file), "discovery": server.address}
-        scene.sidecar.reload(parse(raw, raw))
-        await until(lambda: len(server.heard) >= 1)
+        raw = {**dict(harness.sidecar.config.file), "discovery": server.address}
+        harness.sidecar.reload(parse(raw, raw))
+        await wait_until(lambda: len(server.received_requests) >= 1)
         return
-    port = int(scene.discovery.address.rpartition(":")[2])
-    scene.discovery.stop()
+    port = int(harness.discovery.address.rpartition(":")[2])
+    harness.discovery.stop()
     if case == "refused":
         await until_failed_often()
         await server.start(port)
@@ -177,16 +181,16 @@
         await server.start(port)
         await until_failed_often()
         before = attempts.made
-        await until(lambda: attempts.made > before)
+        await wait_until(lambda: attempts.made > before)
         attempts.to_hang = 0
     else:
         await server.start(port)
         if server.fault == "none":
-            await until(lambda: any("wait_ms=0" not in each.target for each in server.heard))
+            await wait_until(lambda: any("wait_ms=0" not in each.target for each in server.received_requests))
         else:
             await until_failed_often()
-            calls = len(server.heard)
-            await until(lambda: len(server.heard) > calls)
+            calls = len(server.received_requests)
+            await wait_until(lambda: len(server.received_requests) > calls)
         attempts.to_hang = 1 if "lost" in case else 0
     if case == "silent in the middle":
         await asyncio.sleep(SCHEDULE.max_watch_s / 2)
@@ -194,22 +198,22 @@
 
 async def _propagation_s(case: str, mode: str, monkeypatch: pytest.MonkeyPatch) -> float:
     """Measure from the instant in which discovery has a drain and can be reached until it is known."""
-    slow = SlowToAccept()
-    await slow.fill()
+    slow = FullAcceptQueueServer()
+    await slow.fill_accept_queue()
     loop = asyncio.get_running_loop()
     guarantees = {"askWithinUs": int(10e6 * SCHEDULE.max_propagation_s / PollSchedule().max_propagation_s)}
-    async with stage(OK, OK, discovery=mode, guarantees=guarantees) as scene:
-        drained = _draining(scene)
-        await until(lambda: len(scene.discovery.heard) >= 2)  # the watch is open
+    async with sidecar_harness(OK_RESPONSE, OK_RESPONSE, discovery=mode, guarantees=guarantees) as harness:
+        drained = _draining(harness)
+        await wait_until(lambda: len(harness.discovery.received_requests) >= 2)  # the watch is open
         server = DrainingDiscovery("503" if "503" in case else "hung" if "hung" in case else "none")
-        server.servers, server.truncates = scene.discovery.servers, "half" in case
-        attempts = ConnectionAttempts(monkeypatch, scene.discovery.address, slow.address)
-        await _lose_calls(case, scene, server, attempts)
+        server.servers, server.truncates = harness.discovery.servers, "half" in case
+        attempts = ConnectionAttempts(monkeypatch, harness.discovery.address, slow.address)
+        await _lose_calls(case, harness, server, attempts)
         server.drain(drained)
         reachable_at = loop.time()
-        await until(lambda: scene.sidecar._balancer.endpoint_counts() == (2, 1))
+        await wait_until(lambda: harness.sidecar._balancer.endpoint_counts() == (2, 1))
         elapsed_s = loop.time() - reachable_at
-        await _assert_drained(scene)
+        await _assert_drained(harness)
         server.stop()
     slow.close()
     return elapsed_s
@@ -230,7 +234,7 @@
         # Each case has its own servers, so they run concurrently.
         return await asyncio.gather(*(_propagation_s(case, mode, monkeypatch) for case in FAULT_CASES))
 
-    elapsed_s = dict(zip(FAULT_CASES, play(work), strict=True))
+    elapsed_s = dict(zip(FAULT_CASES, run_async(work), strict=True))
     bound_s = SCHEDULE.max_propagation_s
     print(*(f"{case}, {mode}: {each:.3f} of {bound_s}" for case, each in elapsed_s.items()), sep="\n")
     max_s = bound_s - SCHEDULE.response_timeout_s  # the stand-in has no queue, so its part is left over
@@ -248,111 +252,119 @@
     monkeypatch.setattr(PollSchedule, "wait_ms", wait_ms)
 
     async def work() -> None:
-        async with stage(OK, OK, me=7) as scene:
-            await until(lambda: len(scene.discovery.heard) >= 2)
-            assert scene.discovery.heard[1].target.endswith("wait_ms=2000")
-            scene.discovery.tell(_draining(scene))
-            await until(lambda: len(scene.discovery.heard) >= 3)
+        async with sidecar_harness(OK_RESPONSE, OK_RESPONSE, me=7) as harness:
+            await wait_until(lambda: len(harness.discovery.received_requests) >= 2)
+            assert harness.discovery.received_requests[1].target.endswith("wait_ms=2000")
+            harness.discovery.announce(_draining(harness))
+            await wait_until(lambda: len(harness.discovery.received_requests) >= 3)
         assert [each[1:] for each in received] == [(7, False), (7, True)]
-        assert all(abs(now_us / 1e6 - time.time()) < PATIENCE_S for now_us, *_ in received)  # of one clock
+        assert all(
+            abs(now_us / 1e6 - time.time()) < TEST_TIMEOUT_S for now_us, *_ in received
+        )  # of one clock
 
-    play(work)
+    run_async(work)
 
 
-def _failures(scene: Stage, attempts: ConnectionAttempts) -> int:
+def _failures(harness: SidecarHarness, attempts: ConnectionAttempts) -> int:
     """Count calls that failed in a row where lists are polled, else connection attempts."""
-    is_polled = scene.sidecar.config.settings.discovery_mode is Mode.POLLED
-    return scene.sidecar._balancer._components.discovery_polling.failed_calls if is_polled else attempts.made
+    is_polled = harness.sidecar.config.settings.discovery_mode is Mode.POLLED
+    return (
+        harness.sidecar._balancer._components.discovery_polling.failed_calls if is_polled else attempts.made
+    )
 
 
 def test_start_receives_the_list_before_listening_when_lists_are_pushed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # What discovery has counts as announced from the start; the list from before may be older.
-    monkeypatch.setattr(startup, "_ENDPOINT_LIST_TIMEOUT_S", PATIENCE_S)
+    monkeypatch.setattr(startup, "_ENDPOINT_LIST_TIMEOUT_S", TEST_TIMEOUT_S)
 
     async def work() -> None:
-        async with stage(OK, OK, discovery="pushed", started=False, silent_discovery=True) as scene:
-            scene.discovery.servers[0] = _draining(scene)
-            scene.discovery.version = 2
-            starting = asyncio.ensure_future(scene.sidecar.start())
-            await until(lambda: len(scene.discovery.heard) == 1)
-            assert scene.sidecar.downstream._acceptor is None
-            scene.discovery.speak()
+        async with sidecar_harness(
+            OK_RESPONSE, OK_RESPONSE, discovery="pushed", started=False, unresponsive_discovery=True
+        ) as harness:
+            harness.discovery.servers[0] = _draining(harness)
+            harness.discovery.version = 2
+            starting = asyncio.ensure_future(harness.sidecar.start())
+            await wait_until(lambda: len(harness.discovery.received_requests) == 1)
+            assert harness.sidecar.downstream._acceptor is None
+            harness.discovery.resume_responding()
             await starting
-            await _assert_drained(scene)
-            assert scene.servers[0].heard == []
+            await _assert_drained(harness)
+            assert harness.servers[0].received_requests == []
 
-    play(work)
+    run_async(work)
 
 
 def test_start_does_not_wait_when_pushed_discovery_is_down(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(startup, "_ENDPOINT_LIST_TIMEOUT_S", 4 * PATIENCE_S)
+    monkeypatch.setattr(startup, "_ENDPOINT_LIST_TIMEOUT_S", 4 * TEST_TIMEOUT_S)
 
     async def work() -> None:
-        async with stage(OK, discovery="pushed", started=False) as scene:
-            scene.discovery.stop()
-            await scene.sidecar.start()
-            assert (await scene.ask()).status == 200
+        async with sidecar_harness(OK_RESPONSE, discovery="pushed", started=False) as harness:
+            harness.discovery.stop()
+            await harness.sidecar.start()
+            assert (await harness.send_request()).status == 200
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize("state", ["active", "leaving"])
 def test_server_gets_no_request_on_an_earlier_connection_attempt_when_it_returns(state: str) -> None:
     # Same id and address, but a new process: the attempt was made for the one before.
     async def work() -> None:
-        slow = SlowToAccept()
-        await slow.fill()
-        async with stage(bounds={"dialTimeoutUs": 15_000_000}) as scene:
-            await until(lambda: len(scene.discovery.heard) >= 2)
-            scene.discovery.tell(line("s", slow.address))
-            await until(lambda: len(scene.discovery.heard) >= 3)
-            client = await scene.client()
-            client.send(request("lodge", timeout="15"))
-            await until(lambda: scene.sidecar.open_requests == 1)
-            scene.discovery.tell({"id": "s", "state": "left"})
-            await until(lambda: len(scene.discovery.heard) >= 4)
-            scene.discovery.tell(line("s", slow.address, state=state, started_ms=5))
-            await until(lambda: len(scene.discovery.heard) >= 5)
-            accepted = await slow.let_go()
-            assert (await client.answer()).status == 503
+        slow = FullAcceptQueueServer()
+        await slow.fill_accept_queue()
+        async with sidecar_harness(limit_overrides={"dialTimeoutUs": 15_000_000}) as harness:
+            await wait_until(lambda: len(harness.discovery.received_requests) >= 2)
+            harness.discovery.announce(endpoint_entry("s", slow.address))
+            await wait_until(lambda: len(harness.discovery.received_requests) >= 3)
+            client = await harness.connect()
+            client.send(http_request("lodge", timeout="15"))
+            await wait_until(lambda: harness.sidecar.open_requests == 1)
+            harness.discovery.announce({"id": "s", "state": "left"})
+            await wait_until(lambda: len(harness.discovery.received_requests) >= 4)
+            harness.discovery.announce(endpoint_entry("s", slow.address, state=state, started_ms=5))
+            await wait_until(lambda: len(harness.discovery.received_requests) >= 5)
+            accepted = await slow.accept_sidecar_connection()
+            assert (await client.read_response()).status == 503
             assert await asyncio.get_running_loop().sock_recv(accepted, 1_000) == b""
             accepted.close()
         slow.close()
 
-    play(work)
+    run_async(work)
 
 
 def test_reload_applies_to_new_requests_only_when_requests_are_open() -> None:
     async def work() -> None:
-        release, hold = holding()
-        async with stage(hold, OK, listed=False) as scene:
-            first, second = (each.address for each in scene.servers)
-            await until(lambda: len(scene.discovery.heard) >= 2)
-            scene.discovery.tell(line("s-0", first))
-            await until(lambda: len(scene.discovery.heard) >= 3)
-            client = await scene.client()
-            client.send(request("lodge", timeout="15"))
-            await until(lambda: len(scene.heard) == 1)
+        release, hold = blocking_script()
+        async with sidecar_harness(hold, OK_RESPONSE, servers_listed=False) as harness:
+            first, second = (each.address for each in harness.servers)
+            await wait_until(lambda: len(harness.discovery.received_requests) >= 2)
+            harness.discovery.announce(endpoint_entry("s-0", first))
+            await wait_until(lambda: len(harness.discovery.received_requests) >= 3)
+            client = await harness.connect()
+            client.send(http_request("lodge", timeout="15"))
+            await wait_until(lambda: len(harness.received_requests) == 1)
             other = ScriptedDiscovery()
-            other.version, other.servers = 0, [line("s-1", second)]  # it counts its own versions
+            other.version, other.servers = 0, [endpoint_entry("s-1", second)]  # it counts its own versions
             await other.start()
-            before = scene.sidecar.config
+            before = harness.sidecar.config
             raw = _raw(before.name, other.address)
-            scene.sidecar.reload(parse(raw, raw))
-            await until(lambda: "s-1" in scene.sidecar._balancer._context.endpoints)
-            assert (await scene.ask("check")).status == 503  # the new limit is one open request
+            harness.sidecar.reload(parse(raw, raw))
+            await wait_until(lambda: "s-1" in harness.sidecar._balancer._context.endpoints)
+            assert (await harness.send_request("check")).status == 503  # the new limit is one open request
             release.set()
-            assert (await client.answer()).status == 200  # it keeps its class, its limits and its server
-            assert (await scene.ask("check")).status == 200
-            assert [len(each.heard) for each in scene.servers] == [1, 1]
-            assert scene.sidecar._balancer._context.endpoints["s-1"].state is EndpointState.READY
+            assert (
+                await client.read_response()
+            ).status == 200  # it keeps its class, its limits and its server
+            assert (await harness.send_request("check")).status == 200
+            assert [len(each.received_requests) for each in harness.servers] == [1, 1]
+            assert harness.sidecar._balancer._context.endpoints["s-1"].state is EndpointState.READY
             other.stop()
 
-    play(work)
+    run_async(work)
 
 
 def _raw(name: str, address: str) -> dict[str, Any]:
@@ -376,28 +388,28 @@
 def test_accept_pending_serves_connections_in_the_accept_queue() -> None:
     # Closing the listener would reset these connections, with the requests written to them.
     async def work() -> None:
-        async with stage(OK) as scene:
-            with socket.create_connection((HOST, scene.sidecar.downstream.port)) as client:
-                client.sendall(request("lodge"))  # the event loop has not run since
-                assert scene.sidecar.downstream.accept_pending()
-                scene.sidecar.downstream.stop_listening()
+        async with sidecar_harness(OK_RESPONSE) as harness:
+            with socket.create_connection((HOST, harness.sidecar.downstream.port)) as client:
+                client.sendall(http_request("lodge"))  # the event loop has not run since
+                assert harness.sidecar.downstream.accept_pending()
+                harness.sidecar.downstream.stop_listening()
                 client.settimeout(0.0)
                 received = await asyncio.get_running_loop().sock_recv(client, 1_000)
             assert received.startswith(b"HTTP/1.1 200 ")
 
-    play(work)
+    run_async(work)
 
 
 def test_reported_cores_are_forgotten_when_a_reload_drops_the_report() -> None:
     async def work() -> None:
-        async def reports(_: Heard) -> bytes:
-            return OK.replace(b"\r\n\r\n", b"\r\nServer-Load: TEXT util=0.2\r\n\r\n")
+        async def reports(_: ReceivedRequest) -> bytes:
+            return OK_RESPONSE.replace(b"\r\n\r\n", b"\r\nServer-Load: TEXT util=0.2\r\n\r\n")
 
-        async with stage(await ScriptedServer(reports).start()) as scene:
-            assert (await scene.ask()).status == 200
-            assert scene.sidecar._balancer._components.response_times.cpu_utilization is not None
-            raw = _raw(scene.sidecar.config.name, scene.discovery.address)
-            scene.sidecar.reload(parse(raw, raw))
-            assert scene.sidecar._balancer._components.response_times.cpu_utilization is None
+        async with sidecar_harness(await ScriptedServer(reports).start()) as harness:
+            assert (await harness.send_request()).status == 200
+            assert harness.sidecar._balancer._components.response_times.cpu_utilization is not None
+            raw = _raw(harness.sidecar.config.name, harness.discovery.address)
+            harness.sidecar.reload(parse(raw, raw))
+            assert harness.sidecar._balancer._components.response_times.cpu_utilization is None
 
-    play(work)
+    run_async(work)
