--- a/tests/sidecar/discovery/test_discovery_client.py
+++ b/tests/sidecar/discovery/test_discovery_client.py
@@ -10,17 +10,17 @@
 import pytest
 from loopback import (
     HOST,
-    PATIENCE_S,
-    Heard,
+    TEST_TIMEOUT_S,
+    ReceivedRequest,
     ScriptedDiscovery,
     ScriptedServer,
-    line,
-    play,
-    reply,
-    soon,
-    until,
+    endpoint_entry,
+    http_response,
+    run_async,
+    wait_until,
+    within_timeout,
 )
-from slow_to_accept import SlowToAccept
+from slow_to_accept import FullAcceptQueueServer
 
 from tulipnotch.load_balancing.settings import DiscoveryMode, Rules, Settings
 from tulipnotch.sidecar.addresses import parse_address
@@ -33,7 +33,7 @@
 from tulipnotch.sidecar.discovery.poll_schedule import PollSchedule
 
 SOON = PollSchedule(1.2)  # a watch that hangs is overdue within the test
-NEVER = PollSchedule(8 * PATIENCE_S)  # nothing times out within the test
+NEVER = PollSchedule(8 * TEST_TIMEOUT_S)  # nothing times out within the test
 
 
 class Recorder:
@@ -55,7 +55,9 @@
             discovery_mode=DiscoveryMode.PUSHED if pushed else DiscoveryMode.POLLED,
             rules=Rules(drain_grace_us=250_000, max_poll_interval_us=max_poll_interval_us),
         )
-        known = parse_endpoint_list({"version": 41, "full": True, "servers": [line("s-0", f"{HOST}:9")]})
+        known = parse_endpoint_list(
+            {"version": 41, "full": True, "servers": [endpoint_entry("s-0", f"{HOST}:9")]}
+        )
         self.client = DiscoveryClient(parse_address(server.address), settings, known, self, schedule)
 
     def endpoints_received(self, response: DiscoveryResponse) -> None:
@@ -68,13 +70,13 @@
         self.faults.append(fault)
 
     async def next(self) -> DiscoveryResponse | None:
-        return await soon(self.events.get())
+        return await within_timeout(self.events.get())
 
 
 def test_subscribe_responds_at_once_then_waits_for_events() -> None:
     async def work() -> None:
         server = ScriptedDiscovery()
-        server.servers = [line("s-1", "127.0.0.2:80")]
+        server.servers = [endpoint_entry("s-1", "127.0.0.2:80")]
         await server.start()
         recorder = Recorder(server)
         recorder.client.subscribe()
@@ -82,23 +84,23 @@
         assert first is not None
         assert first.is_complete
         assert first.version == 1
-        await until(lambda: len(server.heard) == 2)
-        assert server.heard[0].target == "/catalog/members?after=41&wait_ms=0"
-        path, _, wait_ms = server.heard[1].target.rpartition("=")
+        await wait_until(lambda: len(server.received_requests) == 2)
+        assert server.received_requests[0].target == "/catalog/members?after=41&wait_ms=0"
+        path, _, wait_ms = server.received_requests[1].target.rpartition("=")
         assert path == "/catalog/members?after=1&wait_ms"
         assert 0 < int(wait_ms) <= 1_000 * PollSchedule().max_watch_s
-        server.tell(line("s-1", "127.0.0.2:80", state="leaving"))
+        server.announce(endpoint_entry("s-1", "127.0.0.2:80", state="leaving"))
         event = await recorder.next()
         assert event is not None
         assert not event.is_complete
         assert event.version == 2
-        await until(lambda: len(server.heard) == 3)
+        await wait_until(lambda: len(server.received_requests) == 3)
         recorder.client.unsubscribe()
-        await until(lambda: len(server.closed) == 0 or server.closed == [0])
+        await wait_until(lambda: len(server.closed_connections) == 0 or server.closed_connections == [0])
         recorder.client.close()
         server.stop()
 
-    play(work)
+    run_async(work)
 
 
 GOOD = {"version": 7, "full": True, "servers": []}
@@ -107,13 +109,15 @@
 @pytest.mark.parametrize(
     "answer",
     [
-        reply(b"", "503 Busy"),
-        reply(b"not json"),
-        reply(b"[" * 100_000),
-        reply(json.dumps({**GOOD, "version": "x"}).encode()),
-        reply(json.dumps({**GOOD, "full": 1}).encode()),
-        reply(json.dumps({**GOOD, "servers": [{"id": "a", "state": "odd"}]}).encode()),
-        reply(json.dumps({**GOOD, "servers": [{"id": "a", "state": "active", "addr": "name:80"}]}).encode()),
+        http_response(b"", "503 Busy"),
+        http_response(b"not json"),
+        http_response(b"[" * 100_000),
+        http_response(json.dumps({**GOOD, "version": "x"}).encode()),
+        http_response(json.dumps({**GOOD, "full": 1}).encode()),
+        http_response(json.dumps({**GOOD, "servers": [{"id": "a", "state": "odd"}]}).encode()),
+        http_response(
+            json.dumps({**GOOD, "servers": [{"id": "a", "state": "active", "addr": "name:80"}]}).encode()
+        ),
         b"garbage\r\n\r\n",
         None,
     ],
@@ -122,8 +126,8 @@
 @pytest.mark.parametrize("method", ["subscribe", "fetch"])
 def test_client_reports_one_failure_when_a_call_fails(answer: bytes | None, method: str) -> None:
     async def work() -> None:
-        async def once(heard: Heard) -> bytes:
-            server.script = reply(json.dumps(GOOD).encode())
+        async def once(heard: ReceivedRequest) -> bytes:
+            server.script = http_response(json.dumps(GOOD).encode())
             if answer is None:
                 heard.writer.transport.abort()
                 return b""
@@ -148,7 +152,7 @@
         recorder.client.close()
         server.stop()
 
-    play(work)
+    run_async(work)
 
 
 def test_change_address_polls_the_new_server_and_reports_no_failure_of_the_old() -> None:
@@ -160,21 +164,21 @@
         recorder = Recorder(old)
         recorder.client.subscribe()
         assert await recorder.next() is not None
-        await until(lambda: len(old.heard) == 2)
+        await wait_until(lambda: len(old.received_requests) == 2)
         recorder.client.change_address(parse_address(new.address))
-        old.tell(line("s-9", "127.0.0.2:80"))  # dropped: nobody is connected
+        old.announce(endpoint_entry("s-9", "127.0.0.2:80"))  # dropped: nobody is connected
         received = await recorder.next()
         assert received is not None
         assert received.version == 5
-        await until(lambda: old.closed == [0])
-        await until(lambda: len(new.heard) == 2)
-        assert new.heard[0].target == "/catalog/members"
+        await wait_until(lambda: old.closed_connections == [0])
+        await wait_until(lambda: len(new.received_requests) == 2)
+        assert new.received_requests[0].target == "/catalog/members"
         assert recorder.events.empty()
         recorder.client.close()
         for each in (old, new):
             each.stop()
 
-    play(work)
+    run_async(work)
 
 
 def test_fetch_changes_nothing_when_a_newer_version_came_first() -> None:
@@ -182,18 +186,18 @@
     async def work() -> None:
         release = asyncio.Event()
 
-        async def answer(heard: Heard) -> bytes | None:
+        async def answer(heard: ReceivedRequest) -> bytes | None:
             if "wait_ms=0" in heard.target:
-                return reply(json.dumps({**GOOD, "version": 42}).encode())
+                return http_response(json.dumps({**GOOD, "version": 42}).encode())
             if "wait_ms" in heard.target:
                 return None
             await release.wait()
-            return reply(json.dumps({**GOOD, "version": 40}).encode())
+            return http_response(json.dumps({**GOOD, "version": 40}).encode())
 
         server = await ScriptedServer(answer).start()
         recorder = Recorder(server)
         recorder.client.fetch()
-        await until(lambda: len(server.heard) == 1)
+        await wait_until(lambda: len(server.received_requests) == 1)
         recorder.client.subscribe()
         event = await recorder.next()
         assert event is not None
@@ -204,7 +208,7 @@
         recorder.client.close()
         server.stop()
 
-    play(work)
+    run_async(work)
 
 
 def test_client_reports_failures_when_discovery_is_down() -> None:
@@ -217,7 +221,7 @@
         recorder.client.fetch()
         assert await recorder.next() is None
 
-    play(work)
+    run_async(work)
 
 
 def test_subscribe_keeps_the_pending_call_when_repeated() -> None:
@@ -225,23 +229,23 @@
     async def work() -> None:
         release = asyncio.Event()
 
-        async def slow(_: Heard) -> bytes:
+        async def slow(_: ReceivedRequest) -> bytes:
             await release.wait()
-            return reply(json.dumps(GOOD).encode())
+            return http_response(json.dumps(GOOD).encode())
 
         server = await ScriptedServer(slow).start()
         recorder = Recorder(server)
         for _ in range(3):
             recorder.client.subscribe()
-        await until(lambda: len(server.heard) == 1)
+        await wait_until(lambda: len(server.received_requests) == 1)
         recorder.client.subscribe()
         release.set()
         assert await recorder.next() is not None
-        assert server.connections == 1
+        assert server.connection_count == 1
         recorder.client.close()
         server.stop()
 
-    play(work)
+    run_async(work)
 
 
 def test_client_receives_pushed_lists_after_discovery_restarted() -> None:
@@ -255,9 +259,9 @@
         server.stop()
         restarted = ScriptedDiscovery()
         restarted.version = 9
-        restarted.servers = [line("s-1", f"{HOST}:80")]
+        restarted.servers = [endpoint_entry("s-1", f"{HOST}:80")]
         await restarted.start(port)
-        restarted.tell(line("s-2", f"{HOST}:80"))
+        restarted.announce(endpoint_entry("s-2", f"{HOST}:80"))
         received = await recorder.next()
         assert received is not None
         assert received.version == 10
@@ -265,7 +269,7 @@
         recorder.client.close()
         restarted.stop()
 
-    play(work)
+    run_async(work)
 
 
 async def _assert_pushed_list_received(server: ScriptedServer) -> None:
@@ -283,20 +287,20 @@
     # Without it a drain is known only at the timeout of the watch that hangs.
     async def work() -> None:
         server = ScriptedDiscovery()  # its watches hang: it sends no event
-        server.servers = [line("s-1", f"{HOST}:80")]
+        server.servers = [endpoint_entry("s-1", f"{HOST}:80")]
         await server.start()
         recorder = Recorder(server, schedule=SOON)
         recorder.client.subscribe()
         assert await recorder.next() is not None
-        server.version, server.servers = 2, [line("s-1", f"{HOST}:80", state="leaving")]
+        server.version, server.servers = 2, [endpoint_entry("s-1", f"{HOST}:80", state="leaving")]
         received = await recorder.next()
         assert received is not None
         assert received.version == 2
-        assert server.connections >= 2
+        assert server.connection_count >= 2
         recorder.client.close()
         server.stop()
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.alone
@@ -305,15 +309,15 @@
     schedule = PollSchedule(1.2)
 
     async def work() -> None:
-        async def answer(_: Heard) -> bytes | None:
+        async def answer(_: ReceivedRequest) -> bytes | None:
             started.append(asyncio.get_running_loop().time())
-            return reply(json.dumps(GOOD).encode()) if len(started) == 1 else None
+            return http_response(json.dumps(GOOD).encode()) if len(started) == 1 else None
 
         started: list[float] = []
         server = await ScriptedServer(answer).start()
         recorder = Recorder(server, schedule=schedule)
         recorder.client.subscribe()
-        await until(lambda: len(started) == 4)
+        await wait_until(lambda: len(started) == 4)
         intervals_s = [later - earlier for earlier, later in itertools.pairwise(started)]
         # All but the first call hang; the first interval is that from its response to the watch.
         assert intervals_s[0] < 0.1 * schedule.call_interval_s
@@ -323,7 +327,7 @@
         recorder.client.close()
         server.stop()
 
-    play(work)
+    run_async(work)
 
 
 def test_connection_makes_a_second_attempt_when_the_first_hangs(
@@ -331,9 +335,9 @@
 ) -> None:
     # An attempt whose packets are lost is noticed only at its timeout.
     async def work() -> None:
-        slow = SlowToAccept()
-        await slow.fill()
-        server = await ScriptedServer(reply(json.dumps(GOOD).encode())).start()
+        slow = FullAcceptQueueServer()
+        await slow.fill_accept_queue()
+        server = await ScriptedServer(http_response(json.dumps(GOOD).encode())).start()
         addresses = iter([slow.address])
         create_connection = asyncio.get_running_loop().create_connection
 
@@ -352,20 +356,20 @@
         server.stop()
         slow.close()
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize("hangs_at", [0, 1], ids=["first call", "first two calls"])
 def test_first_calls_are_hedged_when_lists_are_pushed_and_calls_hang(hangs_at: int) -> None:
     # All that discovery has counts as announced, also while a connection to it hangs.
     async def work() -> None:
-        async def answer(heard: Heard) -> bytes | None:
-            return None if heard.connection <= hangs_at else reply(json.dumps(GOOD).encode())
+        async def answer(heard: ReceivedRequest) -> bytes | None:
+            return None if heard.connection_number <= hangs_at else http_response(json.dumps(GOOD).encode())
 
         server = await ScriptedServer(answer).start()
         await _assert_pushed_list_received(server)
 
-    play(work)
+    run_async(work)
 
 
 def test_hedged_calls_are_limited_when_discovery_is_slow() -> None:
@@ -373,13 +377,13 @@
         server = await ScriptedServer(None).start()
         recorder = Recorder(server, pushed=True, schedule=NEVER)
         recorder.client.start()
-        await until(lambda: server.connections == 3)
+        await wait_until(lambda: server.connection_count == 3)
         await asyncio.sleep(0.3)  # several times the delay of a hedged call
-        assert server.connections == 3
+        assert server.connection_count == 3
         recorder.client.close()
         server.stop()
 
-    play(work)
+    run_async(work)
 
 
 def test_calls_begin_within_the_max_poll_interval_when_all_hang() -> None:
@@ -389,19 +393,19 @@
     async def work() -> None:
         started: list[float] = []
 
-        async def hang(_: Heard) -> None:
+        async def hang(_: ReceivedRequest) -> None:
             started.append(asyncio.get_running_loop().time())
 
         server = await ScriptedServer(hang).start()
         recorder = Recorder(server, max_poll_interval_us=int(allowed_s * 1e6))
         recorder.client.subscribe()
-        await until(lambda: len(started) == 5)  # beyond the timeout of the first
+        await wait_until(lambda: len(started) == 5)  # beyond the timeout of the first
         intervals_s = [later - earlier for earlier, later in itertools.pairwise(started)]
         assert max(intervals_s) < allowed_s, intervals_s
         recorder.client.close()
         server.stop()
 
-    play(work)
+    run_async(work)
 
 
 def test_pushed_list_is_received_when_a_connection_attempt_hangs(
@@ -413,9 +417,9 @@
     monkeypatch.setattr(poll_schedule, "_PUSHED_HEDGE", 0.02)
 
     async def work() -> None:
-        slow = SlowToAccept()
-        await slow.fill()
-        server = await ScriptedServer(reply(json.dumps(GOOD).encode())).start()
+        slow = FullAcceptQueueServer()
+        await slow.fill_accept_queue()
+        server = await ScriptedServer(http_response(json.dumps(GOOD).encode())).start()
         addresses = iter([slow.address, *[f"{HOST}:9"] * 4])  # nobody listens there
         create_connection = asyncio.get_running_loop().create_connection
 
@@ -426,28 +430,28 @@
         await _assert_pushed_list_received(server)
         slow.close()
 
-    play(work)
+    run_async(work)
 
 
-_LIST = json.dumps({**GOOD, "servers": [line("s-1", "127.0.0.2:80")]}).encode()
+_LIST = json.dumps({**GOOD, "servers": [endpoint_entry("s-1", "127.0.0.2:80")]}).encode()
 
 
 @pytest.mark.parametrize(
     ("answer", "cause"),
     [
-        (reply(_LIST[:-9]), "the list can't be read"),
-        (reply(_LIST)[:-9], "broke"),
-        (reply(b"", "503 Busy"), "status 503"),
-        (reply(_LIST.replace(b"active", b"sleepy")), "unknown state 'sleepy' of s-1"),
+        (http_response(_LIST[:-9]), "the list can't be read"),
+        (http_response(_LIST)[:-9], "broke"),
+        (http_response(b"", "503 Busy"), "status 503"),
+        (http_response(_LIST.replace(b"active", b"sleepy")), "unknown state 'sleepy' of s-1"),
     ],
     ids=["truncated", "connection lost", "rejected", "unknown state"],
 )
 @pytest.mark.parametrize("pushed", [True, False])
 def test_unusable_list_is_reported_once_and_retried(answer: bytes, cause: str, *, pushed: bool) -> None:
     async def work() -> None:
-        async def script(heard: Heard) -> bytes:
-            if len(server.heard) > 3:
-                return reply(json.dumps(json.loads(_LIST), indent=2).encode())
+        async def script(heard: ReceivedRequest) -> bytes:
+            if len(server.received_requests) > 3:
+                return http_response(json.dumps(json.loads(_LIST), indent=2).encode())
             heard.writer.write(answer)
             heard.writer.close()
             return b""
@@ -466,4 +470,4 @@
         recorder.client.close()
         server.stop()
 
-    play(work)
+    run_async(work)
--- a/tests/sidecar/discovery/test_endpoint_list_codec.py
+++ b/tests/sidecar/discovery/test_endpoint_list_codec.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 import pytest
-from loopback import line
+from loopback import endpoint_entry
 
 from tulipnotch.sidecar.discovery.endpoint_list_codec import DiscoveryFormatError, parse_endpoint_list
 
@@ -16,7 +16,7 @@
 
 def test_parse_endpoint_list_converts_the_start_time_to_microseconds() -> None:
     response = parse_endpoint_list(
-        _document(servers=[line("a", "127.0.0.1:80", started_ms=1_700_000_000_123)])
+        _document(servers=[endpoint_entry("a", "127.0.0.1:80", started_ms=1_700_000_000_123)])
     )
     assert response.endpoints[0].description.started_at == 1_700_000_000_123_000
 
@@ -37,11 +37,15 @@
         (_document(servers=[{"id": ""}]), "servers", "an id is needed, not ''"),
         (_document(servers=[{"id": "a", "state": "odd"}]), "servers", "unknown state 'odd' of a"),
         (
-            _document(servers=[line("a", "127.0.0.1:80", weight=-1)]),
+            _document(servers=[endpoint_entry("a", "127.0.0.1:80", weight=-1)]),
             "servers",
             "weight: a number is needed, not -1",
         ),
-        (_document(servers=[line("a", "127.0.0.1:80", kind=5)]), "servers", "kind: a text is needed, not 5"),
+        (
+            _document(servers=[endpoint_entry("a", "127.0.0.1:80", kind=5)]),
+            "servers",
+            "kind: a text is needed, not 5",
+        ),
     ],
     ids=lambda value: value if isinstance(value, str) else "",
 )
--- a/tests/sidecar/discovery/test_initial_polling.py
+++ b/tests/sidecar/discovery/test_initial_polling.py
@@ -6,8 +6,8 @@
 import time
 
 import pytest
-from loopback import HOST, line, play, soon, until
-from unavailable_discovery import FAULTS, UnavailableDiscovery
+from loopback import HOST, endpoint_entry, run_async, wait_until, within_timeout
+from unavailable_discovery import DISCOVERY_FAULTS, UnavailableDiscovery
 
 from tulipnotch.load_balancing.settings import DiscoveryMode, Rules, Settings
 from tulipnotch.sidecar.discovery.client import DiscoveryClient
@@ -38,7 +38,7 @@
 async def _first_list_after_s(fault: str, *, pushed: bool = False) -> float:
     """Measure from a return just after a call began to the list."""
     server = UnavailableDiscovery(fault)
-    server.servers = [line("s-1", f"{HOST}:9")]
+    server.servers = [endpoint_entry("s-1", f"{HOST}:9")]
     await server.start_unavailable()
     settings = Settings(
         (),
@@ -52,19 +52,19 @@
     )
 
     def calls() -> int:
-        return observer.failures if fault == "refused" else len(server.heard)
+        return observer.failures if fault == "refused" else len(server.received_requests)
 
     try:
         client.start()
         client.subscribe()
         started_at = time.monotonic()
         # Where lists are pushed, the third call is the last early hedge.
-        await until(lambda: calls() >= (3 if pushed else 4))
+        await wait_until(lambda: calls() >= (3 if pushed else 4))
         returned_at = time.monotonic()
         # No more than one call in each slot.
         assert pushed or calls() <= 2 + (returned_at - started_at) / SCHEDULE.initial_call_interval_s
         await server.return_to_service()
-        assert (await soon(observer.responses.get())).version == 1
+        assert (await within_timeout(observer.responses.get())).version == 1
         return time.monotonic() - returned_at
     finally:
         client.close()
@@ -75,13 +75,14 @@
 def test_first_list_arrives_within_a_second_when_discovery_returns() -> None:
     async def work() -> None:
         measured = await asyncio.gather(
-            *(_first_list_after_s(each) for each in FAULTS), _first_list_after_s("hung", pushed=True)
+            *(_first_list_after_s(each) for each in DISCOVERY_FAULTS),
+            _first_list_after_s("hung", pushed=True),
         )
-        delays_s = dict(zip([*FAULTS, "hung, pushed"], measured, strict=True))
+        delays_s = dict(zip([*DISCOVERY_FAULTS, "hung, pushed"], measured, strict=True))
         print(delays_s)
         assert all(delay_s < WITHIN_S for delay_s in delays_s.values()), delays_s
 
-    play(work)
+    run_async(work)
 
 
 def test_initial_slots_of_a_fleet_are_spread() -> None:
--- a/tests/sidecar/discovery/test_large_endpoint_lists.py
+++ b/tests/sidecar/discovery/test_large_endpoint_lists.py
@@ -10,8 +10,16 @@
 from pathlib import Path
 from typing import Any
 
-from loopback import HOST, OK, ScriptedDiscovery, ScriptedServer, line, play, soon
-from running import GOOD, Program, resident_bytes, running_on
+from loopback import (
+    HOST,
+    OK_RESPONSE,
+    ScriptedDiscovery,
+    ScriptedServer,
+    endpoint_entry,
+    run_async,
+    within_timeout,
+)
+from running import VALID_CONFIG, SidecarProcess, resident_bytes, running_sidecar
 
 from tulipnotch.sidecar.addresses import Address
 from tulipnotch.sidecar.discovery.peers import PeerMessenger
@@ -30,7 +38,7 @@
 
 def _lines(count: int, servers: list[ScriptedServer], **changes: Any) -> list[dict[str, Any]]:
     return [
-        line(f"s-{number:08x}", servers[number % len(servers)].address, cell=number % 7, **changes)
+        endpoint_entry(f"s-{number:08x}", servers[number % len(servers)].address, cell=number % 7, **changes)
         for number in range(count)
     ]
 
@@ -39,12 +47,12 @@
     return [f"127.1.{number >> 8}.{number & 255}:{port}" for number in range(count)]
 
 
-async def _figures(running: Program) -> dict[str, int]:
-    pairs = (each.partition("=") for each in await running.call("telemetry") if "=" in each)
+async def _figures(running: SidecarProcess) -> dict[str, int]:
+    pairs = (each.partition("=") for each in await running.send_command("telemetry") if "=" in each)
     return {name: int(value) for name, _, value in pairs}
 
 
-async def _until_shown(running: Program, **gauges: int) -> None:
+async def _until_shown(running: SidecarProcess, **gauges: int) -> None:
     """Wait until the control endpoint shows these figures."""
 
     async def work() -> None:
@@ -54,15 +62,15 @@
                 return
             await asyncio.sleep(0.02)
 
-    await soon(work())
+    await within_timeout(work())
 
 
 @asynccontextmanager
 async def _fleet(
     folder: Path, servers: int, peers: int
-) -> AsyncIterator[tuple[Program, ScriptedDiscovery, list[ScriptedServer]]]:
+) -> AsyncIterator[tuple[SidecarProcess, ScriptedDiscovery, list[ScriptedServer]]]:
     """Run a process that knows so many servers and peers; yields it, its discovery and the listeners."""
-    listeners = [await ScriptedServer(OK).start() for _ in range(2 * LISTENERS)]
+    listeners = [await ScriptedServer(OK_RESPONSE).start() for _ in range(2 * LISTENERS)]
     discovery = ScriptedDiscovery()
     discovery.servers = _lines(servers, listeners[:LISTENERS])
     await discovery.start()
@@ -72,31 +80,36 @@
     folder.mkdir()
     config = folder / "config.json"
     given = {
-        **GOOD,
+        **VALID_CONFIG,
         "discovery": discovery.address,
         "known": {"version": 1, "full": True, "servers": discovery.servers},
         "peer_listen": f"{HOST}:{port}",
         "peers": _peer_addresses(peers, port),
-        "settings": {**GOOD["settings"], "bounds": {"mayTell": True}, "me": 0, "groupSize": max(peers, 1)},
+        "settings": {
+            **VALID_CONFIG["settings"],
+            "bounds": {"mayTell": True},
+            "me": 0,
+            "groupSize": max(peers, 1),
+        },
     }
     config.write_text(json.dumps(given))
     try:
-        async with running_on(config, listeners[0]) as running:
+        async with running_sidecar(config, listeners[0]) as running:
             yield running, discovery, listeners
     finally:
         for each in (*listeners, discovery):
             each.stop()
 
 
-async def _assert_serving(running: Program) -> None:
-    client = await running.client()
-    statuses = [(await client.ask()).status for _ in range(20)]
+async def _assert_serving(running: SidecarProcess) -> None:
+    client = await running.connect()
+    statuses = [(await client.send_request()).status for _ in range(20)]
     client.close()
     assert statuses == [200] * 20
 
 
 def _connections(servers: Iterable[ScriptedServer]) -> int:
-    return sum(each.connections for each in servers)
+    return sum(each.connection_count for each in servers)
 
 
 async def _resident_after_changes(folder: Path, count: int, peers: int) -> int:
@@ -106,21 +119,21 @@
         await _until_shown(running, members=count, members_unavailable=0)
         await _assert_serving(running)
         assert _connections(before) > 0
-        discovery.tell(*_lines(count, before, state="leaving"))
+        discovery.announce(*_lines(count, before, state="leaving"))
         await _until_shown(running, members=count, members_unavailable=count)
-        discovery.tell(*_lines(count, after, weight=2.0))
+        discovery.announce(*_lines(count, after, weight=2.0))
         await _until_shown(running, members=count, members_unavailable=0)
         connections_before = _connections(before)
         await _assert_serving(running)
         assert _connections(after) > 0
         assert _connections(before) == connections_before
         memory = resident_bytes(running)
-        discovery.tell(*_lines(count, after, state="left"))
+        discovery.announce(*_lines(count, after, state="left"))
         await _until_shown(running, members=0)
         running.process.terminate()
-        assert await soon(running.process.wait()) == 0
+        assert await within_timeout(running.process.wait()) == 0
         assert running.process.stderr is not None
-        log = (await soon(running.process.stderr.read())).decode()
+        log = (await within_timeout(running.process.stderr.read())).decode()
         assert "internal error" not in log, log
         return memory
 
@@ -137,7 +150,7 @@
         assert peers - few < MAX_BYTES_PER_PEER * more + ARENA_BYTES
         assert many - peers < MAX_BYTES_PER_SERVER * more + ARENA_BYTES
 
-    play(work)
+    run_async(work)
 
 
 def test_peer_messenger_sends_to_and_receives_from_1024_peers() -> None:
@@ -159,7 +172,7 @@
             assert peers.send(None, b"to all")
             loop = asyncio.get_running_loop()
             for number in range(1, MANY):
-                assert await soon(loop.sock_recv(sockets[number % len(sockets)], 256)) == b"to all"
+                assert await within_timeout(loop.sock_recv(sockets[number % len(sockets)], 256)) == b"to all"
             with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as last:
                 last.bind((addresses[-1][0], 0))
                 peers.set_addresses((*addresses[:-1], last.getsockname()), None)
@@ -168,10 +181,10 @@
                 data, sidecar = last.recvfrom(256)
                 assert data == b"to the last"
                 last.sendto(b"from the last", sidecar)
-                assert await soon(senders.get()) == MANY - 1
+                assert await within_timeout(senders.get()) == MANY - 1
         finally:
             peers.close()
             for each in sockets:
                 each.close()
 
-    play(work)
+    run_async(work)
--- a/tests/sidecar/discovery/test_peer_messenger.py
+++ b/tests/sidecar/discovery/test_peer_messenger.py
@@ -5,7 +5,7 @@
 import asyncio
 import socket
 
-from loopback import HOST, play, soon
+from loopback import HOST, run_async, within_timeout
 
 from tulipnotch.sidecar.addresses import Address
 from tulipnotch.sidecar.discovery.peers import PeerMessenger
@@ -34,18 +34,18 @@
         await first.listen(addresses[0])
         await second.listen(addresses[1])
         assert first.send(1, b"to one")
-        assert await soon(received.get()) == (1, 0, b"to one")
+        assert await within_timeout(received.get()) == (1, 0, b"to one")
         assert second.send(None, b"to all")
-        assert await soon(received.get()) == (0, 1, b"to all")
+        assert await within_timeout(received.get()) == (0, 1, b"to all")
         assert first.send(1, b"x" * 256)
         assert not first.send(1, b"x" * 257)
         assert not first.send(2, b"nobody")
-        assert await soon(received.get()) == (1, 0, b"x" * 256)
+        assert await within_timeout(received.get()) == (1, 0, b"x" * 256)
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
             stranger.sendto(b"from a stranger", addresses[1])
         assert first.send(1, b"after it")
-        assert await soon(received.get()) == (1, 0, b"after it")
+        assert await within_timeout(received.get()) == (1, 0, b"after it")
         first.close()
         second.close()
 
-    play(work)
+    run_async(work)
--- a/tests/sidecar/downstream/test_acceptor.py
+++ b/tests/sidecar/downstream/test_acceptor.py
@@ -8,7 +8,7 @@
 import socket
 
 import pytest
-from loopback import HOST, OK, play, request, soon, stage, until
+from loopback import HOST, OK_RESPONSE, http_request, run_async, sidecar_harness, wait_until, within_timeout
 
 from tulipnotch.sidecar.downstream.listener import Acceptor, bind_and_listen
 
@@ -67,13 +67,13 @@
             while not acceptor.accept_pending():
                 await asyncio.sleep(0)
         acceptor.close()
-        await until(lambda: len(served) == _CLIENTS)
+        await wait_until(lambda: len(served) == _CLIENTS)
         for client in clients:
             client.close()
         for transport in served:
             transport.close()
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize("fault", [errno.EMFILE, errno.ENFILE], ids=errno.errorcode.__getitem__)
@@ -91,11 +91,11 @@
                 await asyncio.sleep(0)  # a round of the event loop
             assert len(listener.faults) > rounds // 2
             listener.faults = []
-            await until(lambda: len(served) == 1)
+            await wait_until(lambda: len(served) == 1)
             served[0].close()
         acceptor.close()
 
-    play(work)
+    run_async(work)
 
 
 def test_acceptor_accepts_the_next_connection_when_one_has_failed() -> None:
@@ -103,20 +103,20 @@
         served: list[asyncio.BaseTransport] = []
         listener = _listener(errno.ECONNABORTED)
         acceptor = Acceptor(listener, lambda _: _Served(served))
-        _, writer = await soon(asyncio.open_connection(*listener.getsockname()))
-        await until(lambda: len(served) == 1)
+        _, writer = await within_timeout(asyncio.open_connection(*listener.getsockname()))
+        await wait_until(lambda: len(served) == 1)
         writer.close()
         served[0].close()
         acceptor.close()
 
-    play(work)
+    run_async(work)
 
 
 def test_request_timeout_is_reduced_by_the_time_in_the_accept_queue() -> None:
     # The client's time runs from when it sent the request, and so does the timeout for its server.
     async def work() -> None:
-        async with stage(OK) as scene:
-            acceptor = scene.sidecar.downstream._acceptor
+        async with sidecar_harness(OK_RESPONSE) as harness:
+            acceptor = harness.sidecar.downstream._acceptor
             assert acceptor is not None
             plain = acceptor._listener
             failing = _FaultyListener(fileno=os.dup(plain.fileno()))
@@ -127,10 +127,10 @@
             assert acceptor._failing_since is not None
             acceptor._failing_since -= _QUEUED_S
             client = socket.create_connection(plain.getsockname())
-            client.sendall(request("check", timeout="2.0"))
-            await until(lambda: len(scene.heard) == 1)
-            assert float(scene.heard[0].headers["request-timeout"]) <= 2.0 - _QUEUED_S
+            client.sendall(http_request("check", timeout="2.0"))
+            await wait_until(lambda: len(harness.received_requests) == 1)
+            assert float(harness.received_requests[0].headers["request-timeout"]) <= 2.0 - _QUEUED_S
             client.close()
             plain.close()
 
-    play(work)
+    run_async(work)
--- a/tests/sidecar/downstream/test_descriptor_limits.py
+++ b/tests/sidecar/downstream/test_descriptor_limits.py
@@ -16,18 +16,18 @@
 import pytest
 from loopback import (
     HOST,
-    OK,
+    OK_RESPONSE,
     Client,
     ScriptedDiscovery,
     ScriptedServer,
-    holding,
-    line,
-    play,
-    request,
-    soon,
+    blocking_script,
+    endpoint_entry,
+    http_request,
+    run_async,
+    within_timeout,
 )
-from running import GOOD, Program, program, resident_bytes, running_on
-from unavailable_discovery import FAULTS, UnavailableDiscovery
+from running import VALID_CONFIG, SidecarProcess, resident_bytes, running_sidecar, sidecar_with_server
+from unavailable_discovery import DISCOVERY_FAULTS, UnavailableDiscovery
 
 from tulipnotch.sidecar.configuration.configuration import parse
 from tulipnotch.sidecar.control.endpoint import ControlLimits
@@ -86,7 +86,7 @@
             writer.close()
 
 
-def _clients(running: Program) -> int:
+def _clients(running: SidecarProcess) -> int:
     """Count the descriptors of the process that are connections of clients."""
     pid = running.process.pid
     sockets = set()
@@ -98,25 +98,25 @@
     return sum(row[1].endswith(local) and row[3] == "01" and f"socket:[{row[9]}]" in sockets for row in rows)
 
 
-async def _until_full(running: Program) -> None:
+async def _until_full(running: SidecarProcess) -> None:
     """Wait until clients have nearly all connections that they may."""
 
     async def work() -> None:
         while _clients(running) < NEARLY_ALL:
             await asyncio.sleep(0.01)
 
-    await soon(work())
+    await within_timeout(work())
 
 
-async def _until_listed(running: Program) -> None:
+async def _until_listed(running: SidecarProcess) -> None:
     async def work() -> None:
-        while "app.members=1" not in await running.call("telemetry"):
+        while "app.members=1" not in await running.send_command("telemetry"):
             await asyncio.sleep(0.02)
 
-    await soon(work())
+    await within_timeout(work())
 
 
-async def _status(running: Program, raw: bytes) -> int:
+async def _status(running: SidecarProcess, raw: bytes) -> int:
     """Send a request on a new connection; returns the status of its response.
 
     Connecting and sending are one step, as in an application.  Between two steps of this event loop hundreds
@@ -126,71 +126,71 @@
     plain.sendall(raw)
     plain.settimeout(0.0)
     client = Client(*await asyncio.open_connection(sock=plain))
-    status = (await client.answer()).status
+    status = (await client.read_response()).status
     client.close()
     return status
 
 
-async def _health(running: Program) -> int:
+async def _health(running: SidecarProcess) -> int:
     return await _status(running, b"GET /_health HTTP/1.1\r\nHost: sidecar\r\n\r\n")
 
 
 @pytest.mark.parametrize("mode", ["on_request", "pushed"])
-@pytest.mark.parametrize("fault", FAULTS)
+@pytest.mark.parametrize("fault", DISCOVERY_FAULTS)
 def test_idle_clients_leave_descriptors_for_discovery_servers_and_operators(
     fault: str, mode: str, tmp_path: Path
 ) -> None:
     # Idle clients have all connections that clients may while discovery is unavailable and there is no list.
     # On its return the first list comes, servers are connected to, and operators and clients are served.
     async def work() -> None:
-        server = await ScriptedServer(OK).start()
+        server = await ScriptedServer(OK_RESPONSE).start()
         discovery = UnavailableDiscovery(fault)
-        discovery.servers = [line("s-1", server.address)]
+        discovery.servers = [endpoint_entry("s-1", server.address)]
         await discovery.start_unavailable()
         config = tmp_path / "config.json"
         given = {
-            **GOOD,
+            **VALID_CONFIG,
             "discovery": f"{HOST}:{discovery.port}",
-            "limits": {**GOOD["limits"], "sockets": DESCRIPTORS},
+            "limits": {**VALID_CONFIG["limits"], "sockets": DESCRIPTORS},
             "settings": {
-                **GOOD["settings"],
+                **VALID_CONFIG["settings"],
                 "discovery": mode,
                 "guarantees": {"askWithinUs": int(MAX_POLL_INTERVAL_S * 1e6)},
             },
         }
         config.write_text(json.dumps(given))
         try:
-            async with running_on(
-                config, server, meanwhile="no fresh endpoint list |discovery failed: "
+            async with running_sidecar(
+                config, server, allowed_log_pattern="no fresh endpoint list |discovery failed: "
             ) as running:
                 limit = (DESCRIPTORS, DESCRIPTORS)
                 resource.prlimit(running.process.pid, resource.RLIMIT_NOFILE, limit)
                 async with idle_clients(running.port):
                     await _until_full(running)
-                    assert await running.call("readyz") == ["+OK ready"]
+                    assert await running.send_command("readyz") == ["+OK ready"]
                     assert [await _health(running) for _ in range(5)] == [200] * 5
-                    assert "app.members=0" in await running.call("telemetry")
+                    assert "app.members=0" in await running.send_command("telemetry")
                     await discovery.return_to_service()
                     returned_at = time.monotonic()
                     await _until_listed(running)
                     list_delay_s = time.monotonic() - returned_at
                     print(f"{mode} {fault}: listed after {list_delay_s:.2f} s")
                     assert list_delay_s < MAX_LIST_DELAY_S
-                    statuses = [await _status(running, request()) for _ in range(10)]
+                    statuses = [await _status(running, http_request()) for _ in range(10)]
                     assert statuses == [200] * 10
-                    assert server.connections >= 1
+                    assert server.connection_count >= 1
                     await _until_full(running)
-                    assert await running.call("readyz") == ["+OK ready"]
+                    assert await running.send_command("readyz") == ["+OK ready"]
                 running.process.kill()
                 assert running.process.stderr is not None
-                log = (await soon(running.process.stderr.read())).decode()
+                log = (await within_timeout(running.process.stderr.read())).decode()
                 assert "internal error" not in log
                 assert "Errno 24" not in log
         finally:
             discovery.stop()
             server.stop()
 
-    play(work)
+    run_async(work)
 
 
 def test_operators_leave_descriptors_for_clients_and_servers(
@@ -202,25 +202,25 @@
     monkeypatch.setenv("BALANCER_OPERATOR", str(operator))
 
     async def work() -> None:
-        release, hold = holding()
+        release, hold = blocking_script()
         server, discovery = await ScriptedServer(hold).start(), ScriptedDiscovery()
-        discovery.servers = [line("s-1", server.address)]
+        discovery.servers = [endpoint_entry("s-1", server.address)]
         await discovery.start()
         config = tmp_path / "config.json"
         known = {"version": 1, "full": True, "servers": discovery.servers}
-        limits = {**GOOD["limits"], "sockets": DESCRIPTORS}
+        limits = {**VALID_CONFIG["limits"], "sockets": DESCRIPTORS}
         config.write_text(
-            json.dumps({**GOOD, "discovery": discovery.address, "limits": limits, "known": known})
+            json.dumps({**VALID_CONFIG, "discovery": discovery.address, "limits": limits, "known": known})
         )
         try:
-            async with running_on(config, server) as running:
+            async with running_sidecar(config, server) as running:
                 resource.prlimit(running.process.pid, resource.RLIMIT_NOFILE, (DESCRIPTORS, DESCRIPTORS))
                 async with silent_callers(running.control_port, 80):
-                    assert await running.call("readyz") == ["+OK ready"]
+                    assert await running.send_command("readyz") == ["+OK ready"]
                     # As many as the first concurrency limit admits.
-                    statuses = [asyncio.ensure_future(_status(running, request())) for _ in range(4)]
+                    statuses = [asyncio.ensure_future(_status(running, http_request())) for _ in range(4)]
                     async with asyncio.timeout(10.0):
-                        while len(server.heard) < 4:
+                        while len(server.received_requests) < 4:
                             await asyncio.sleep(0.01)
                     release.set()
                     assert [await each for each in statuses] == [200] * 4
@@ -229,13 +229,13 @@
             discovery.stop()
             server.stop()
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize("sockets", [64, 96, 1_024, 65_536])
 @pytest.mark.parametrize("operators", [1, 16, 80, 256])
 def test_shares_of_descriptors_are_within_the_limit(sockets: int, operators: int) -> None:
-    given = {**GOOD, "limits": {**GOOD["limits"], "sockets": sockets, "memory_mb": 2_048}}
+    given = {**VALID_CONFIG, "limits": {**VALID_CONFIG["limits"], "sockets": sockets, "memory_mb": 2_048}}
 
     async def work() -> None:
         config = parse(given, given)
@@ -254,7 +254,7 @@
             assert shares == ((sockets - 48) // 2, (sockets - 48) - (sockets - 48) // 2, 16)
         sidecar.close()
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize(
@@ -263,7 +263,7 @@
 )
 def test_max_connections_fit_a_quarter_of_the_memory(sockets: int, memory_mb: int, connections: int) -> None:
     # With many descriptors and little memory, clients that only connect would exhaust it.
-    given = {**GOOD, "limits": {"sockets": sockets, "memory_mb": memory_mb}}
+    given = {**VALID_CONFIG, "limits": {"sockets": sockets, "memory_mb": memory_mb}}
 
     async def work() -> None:
         sidecar = Sidecar(parse(given, given), OperatorOptions(log=_ignore_log))
@@ -271,20 +271,22 @@
         assert connections * MAX_BYTES_PER_CONNECTION <= memory_mb * (1 << 20) / 4
         sidecar.close()
 
-    play(work)
+    run_async(work)
 
 
 def test_idle_connection_memory_is_within_its_estimate(tmp_path: Path) -> None:
     count = 1_500
 
     async def work() -> None:
-        async with program(OK, tmp_path) as running:
-            given = json.loads(running.config.read_text())
-            running.config.write_text(json.dumps({**given, "limits": {**given["limits"], "sockets": 4_096}}))
+        async with sidecar_with_server(OK_RESPONSE, tmp_path) as running:
+            given = json.loads(running.config_path.read_text())
+            running.config_path.write_text(
+                json.dumps({**given, "limits": {**given["limits"], "sockets": 4_096}})
+            )
             running.process.send_signal(signal.SIGHUP)
-            assert (await running.says()).startswith("reloaded")
+            assert (await running.read_log_line()).startswith("reloaded")
             before = resident_bytes(running)
-            clients = [await running.client() for _ in range(count)]
+            clients = [await running.connect() for _ in range(count)]
             while _clients(running) < count:
                 await asyncio.sleep(0.01)
             per_connection = (resident_bytes(running) - before) / count
@@ -293,4 +295,4 @@
             for each in clients:
                 each.close()
 
-    play(work)
+    run_async(work)
--- a/tests/sidecar/requests/test_invariants.py
+++ b/tests/sidecar/requests/test_invariants.py
@@ -7,8 +7,19 @@
 from typing import Any
 
 import pytest
-from barriers import ManualClock, server_line, tell
-from loopback import ERROR, FULL, OK, Heard, Stage, holding, play, request, stage, until
+from barriers import ManualClock, announce_endpoints, server_entry
+from loopback import (
+    ERROR_RESPONSE,
+    OK_RESPONSE,
+    REJECTION_RESPONSE,
+    ReceivedRequest,
+    SidecarHarness,
+    blocking_script,
+    http_request,
+    run_async,
+    sidecar_harness,
+    wait_until,
+)
 
 from tulipnotch.load_balancing.balancer import Balancer
 from tulipnotch.load_balancing.retries import idempotency_rule as repeat_rule
@@ -79,16 +90,16 @@
         assert guard.broken[Invariant.RETRY_WITHOUT_HEDGING] == (not second_copies)
 
 
-async def _two_servers(scene: Stage) -> None:
+async def _two_servers(harness: SidecarHarness) -> None:
     """Ask for something unsafe while the first server breaks off what it has, and the second is well."""
-    first, second = scene.servers
-    await tell(scene, server_line(0, first.address))
-    client = await scene.client()
-    client.send(request("lodge"))
-    await until(lambda: len(first.heard) == 1)
-    await tell(scene, server_line(1, second.address))
-    first.hang_up()
-    await client.answer()
+    first, second = harness.servers
+    await announce_endpoints(harness, server_entry(0, first.address))
+    client = await harness.connect()
+    client.send(http_request("lodge"))
+    await wait_until(lambda: len(first.received_requests) == 1)
+    await announce_endpoints(harness, server_entry(1, second.address))
+    first.close_connections()
+    await client.read_response()
 
 
 def _repeats_anything(patch: pytest.MonkeyPatch) -> None:
@@ -118,22 +129,22 @@
         defect(monkeypatch)
 
     async def work() -> None:
-        async def silent(_heard: Heard) -> None:
+        async def silent(_heard: ReceivedRequest) -> None:
             return None
 
-        async with stage(silent, OK, listed=False) as scene:
-            await _two_servers(scene)
-            broken = [each for each, count in scene.sidecar._context.invariants.broken.items() if count]
+        async with sidecar_harness(silent, OK_RESPONSE, servers_listed=False) as harness:
+            await _two_servers(harness)
+            broken = [each for each, count in harness.sidecar._context.invariants.broken.items() if count]
             assert broken == ([] if invariant is None else [invariant])
-            assert any("invariant broken" in each for each in scene.log) == (invariant is not None)
+            assert any("invariant broken" in each for each in harness.log) == (invariant is not None)
             (figure,) = [
                 each
-                for each in scene.sidecar.command_handlers()["telemetry"]()
+                for each in harness.sidecar.command_handlers()["telemetry"]()
                 if "invariant_violations" in each
             ]
             assert figure == f"app.invariant_violations={len(broken)}"
 
-    play(work)
+    run_async(work)
 
 
 def test_invariants_are_broken_when_an_attempt_is_written_without_a_client(
@@ -144,24 +155,24 @@
     monkeypatch.setattr(UpstreamPool, "cancel_unwritten", lambda _upstream, _call: None)
 
     async def work() -> None:
-        async with stage(OK) as scene:
-            client = await scene.client()
+        async with sidecar_harness(OK_RESPONSE) as harness:
+            client = await harness.connect()
             monkeypatch.setattr(Balancer, "write_deadline", lambda *_given: 2**62)
             held: list[Any] = []
-            exchange = scene.sidecar._upstream._write
+            exchange = harness.sidecar._upstream._write
 
             def late(call: Any, connection: Any) -> None:
                 held.append((call, connection))
 
-            monkeypatch.setattr(scene.sidecar._upstream, "_write", late)
-            client.send(request("check"))
-            await until(lambda: bool(held))
+            monkeypatch.setattr(harness.sidecar._upstream, "_write", late)
+            client.send(http_request("check"))
+            await wait_until(lambda: bool(held))
             client.close()
-            await until(lambda: not any(each.is_waiting for each in scene.sidecar._registry))
+            await wait_until(lambda: not any(each.is_waiting for each in harness.sidecar._registry))
             exchange(*held[0])
-            assert scene.sidecar._context.invariants.broken[Invariant.CLIENT_WAITS_FOR_ATTEMPT] == 1
+            assert harness.sidecar._context.invariants.broken[Invariant.CLIENT_WAITS_FOR_ATTEMPT] == 1
 
-    play(work)
+    run_async(work)
 
 
 def test_attempt_is_not_written_after_its_deadline_when_its_timer_is_late(
@@ -170,84 +181,84 @@
     clock = ManualClock(monkeypatch)
 
     async def work() -> None:
-        async with stage(OK, OK) as scene:
+        async with sidecar_harness(OK_RESPONSE, OK_RESPONSE) as harness:
             held: list[Any] = []
-            put_to_use = scene.sidecar._upstream._use_connection
+            put_to_use = harness.sidecar._upstream._use_connection
 
             def late(call: Any, server: Any, connection: Any) -> bool:
                 held.append((call, server, connection))
                 return True
 
-            monkeypatch.setattr(scene.sidecar._upstream, "_use_connection", late)
-            client = await scene.client()
-            client.send(request("check", timeout="1.0"))
-            await until(lambda: bool(held))
+            monkeypatch.setattr(harness.sidecar._upstream, "_use_connection", late)
+            client = await harness.connect()
+            client.send(http_request("check", timeout="1.0"))
+            await wait_until(lambda: bool(held))
             clock.advance(1_000_000)
             monkeypatch.undo()
             put_to_use(*held[0])
-            assert (await client.answer()).status in (503, 504)
-            assert scene.heard == []
-            assert scene.sidecar._context.invariants.violations == 0
+            assert (await client.read_response()).status in (503, 504)
+            assert harness.received_requests == []
+            assert harness.sidecar._context.invariants.violations == 0
 
-    play(work)
+    run_async(work)
 
 
 def test_invariants_are_broken_when_a_connection_with_a_pending_response_is_closed() -> None:
     async def work() -> None:
-        release, hold = holding()
-        async with stage(hold) as scene:
-            client = await scene.client()
-            client.send(request("check"))
-            await until(lambda: len(scene.heard) == 1)
-            (side,) = scene.sidecar.downstream.connections()
+        release, hold = blocking_script()
+        async with sidecar_harness(hold) as harness:
+            client = await harness.connect()
+            client.send(http_request("check"))
+            await wait_until(lambda: len(harness.received_requests) == 1)
+            (side,) = harness.sidecar.downstream.connections()
             assert isinstance(side, DownstreamConnection)
             side.close(CloseReason.IDLE)
-            assert scene.sidecar._context.invariants.broken[Invariant.CLOSE_WITHOUT_PENDING_RESPONSE] == 1
+            assert harness.sidecar._context.invariants.broken[Invariant.CLOSE_WITHOUT_PENDING_RESPONSE] == 1
             release.set()
 
-    play(work)
+    run_async(work)
 
 
 def test_telemetry_counts_reasons_of_closes_retries_and_rejections() -> None:
-    answers = iter([FULL, ERROR, OK])
+    answers = iter([REJECTION_RESPONSE, ERROR_RESPONSE, OK_RESPONSE])
 
     async def work() -> None:
-        async def script(_heard: Heard) -> bytes:
+        async def script(_heard: ReceivedRequest) -> bytes:
             return next(answers)
 
-        async with stage(script, script, script) as scene:
-            client = await scene.client()
-            assert (await client.ask("check")).status == 200
+        async with sidecar_harness(script, script, script) as harness:
+            client = await harness.connect()
+            assert (await client.send_request("check")).status == 200
             client.close()
-            await until(lambda: not scene.sidecar.downstream.open_connections)
+            await wait_until(lambda: not harness.sidecar.downstream.open_connections)
             figures = dict(
-                each.partition("=")[::2] for each in scene.sidecar.command_handlers()["telemetry"]()
+                each.partition("=")[::2] for each in harness.sidecar.command_handlers()["telemetry"]()
             )
             assert figures["app.retries.full"] == figures["app.retries.error"] == "1"
             assert figures["app.client_closes.client_left"] == "1"
             assert figures["app.invariant_violations"] == "0"
 
-    play(work)
+    run_async(work)
 
 
 def test_trace_logs_a_request_from_its_arrival_to_its_end() -> None:
     from tulipnotch.sidecar.requests.trace import Trace
 
     async def work() -> None:
-        async with stage(ERROR, OK) as scene:
-            scene.sidecar._context.trace = Trace(scene.sidecar._context.log)
-            first, second = scene.servers
-            await tell(scene, server_line(0, first.address))
-            await scene.ask("check", Request_Id="r-7")
+        async with sidecar_harness(ERROR_RESPONSE, OK_RESPONSE) as harness:
+            harness.sidecar._context.trace = Trace(harness.sidecar._context.log)
+            first, second = harness.servers
+            await announce_endpoints(harness, server_entry(0, first.address))
+            await harness.send_request("check", Request_Id="r-7")
             await asyncio.sleep(0)
-            own = [each for each in scene.log if each.startswith("request r-7: ")]
+            own = [each for each in harness.log if each.startswith("request r-7: ")]
             assert own[0] == "request r-7: received, check, 2000 ms left"
             assert any("attempt 0 to s-" in each for each in own)
             assert "request r-7: attempt 0 written" in own
             assert any(each.startswith("request r-7: ended with status ") for each in own)
             assert second is not first
 
-    play(work)
+    run_async(work)
 
 
 def test_check_attempt_reports_a_write_after_the_deadline() -> None:
@@ -258,17 +269,17 @@
 
 def test_invariants_are_broken_when_an_attempt_goes_to_a_draining_server() -> None:
     async def work() -> None:
-        async with stage(OK) as scene:
-            assert (await scene.ask("check")).status == 200
-            upstream = scene.sidecar._upstream
+        async with sidecar_harness(OK_RESPONSE) as harness:
+            assert (await harness.send_request("check")).status == 200
+            upstream = harness.sidecar._upstream
             (server,) = upstream._endpoints.values()
             connection = server.idle.pop().connection
             server.is_draining = True
             call = UpstreamRequest("s-0", 2**61, lambda _left_us: _PING, IndependentRequestObserver())
             upstream._write(call, connection)
-            assert scene.sidecar._context.invariants.broken[Invariant.ATTEMPT_TO_READY_ENDPOINT] == 1
+            assert harness.sidecar._context.invariants.broken[Invariant.ATTEMPT_TO_READY_ENDPOINT] == 1
 
-    play(work)
+    run_async(work)
 
 
 def test_invariants_are_broken_when_a_start_does_not_call_discovery(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -279,23 +290,25 @@
 
     async def work() -> None:
         for discovery, broken in (("pushed", 1), ("on_request", 0)):
-            async with stage(OK, discovery=discovery, silent_discovery=True) as scene:
-                assert scene.sidecar._context.invariants.broken[Invariant.READY_AFTER_DISCOVERY] == broken
+            async with sidecar_harness(
+                OK_RESPONSE, discovery=discovery, unresponsive_discovery=True
+            ) as harness:
+                assert harness.sidecar._context.invariants.broken[Invariant.READY_AFTER_DISCOVERY] == broken
 
-    play(work)
+    run_async(work)
 
 
 def test_invariants_are_broken_when_a_shutdown_leaves_pending_responses(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def work() -> None:
-        _, hold = holding()
-        async with stage(hold) as scene:
-            client = await scene.client()
-            client.send(request("check", timeout="0.2"))
-            await until(lambda: len(scene.heard) == 1)
-            monkeypatch.setattr(scene.sidecar._responses, "respond", lambda *_given: None)
-            await scene.sidecar.shut_down()
-            assert scene.sidecar._context.invariants.broken[Invariant.STOP_WITHOUT_PENDING_RESPONSE] == 1
-
-    play(work)
+        _, hold = blocking_script()
+        async with sidecar_harness(hold) as harness:
+            client = await harness.connect()
+            client.send(http_request("check", timeout="0.2"))
+            await wait_until(lambda: len(harness.received_requests) == 1)
+            monkeypatch.setattr(harness.sidecar._responses, "respond", lambda *_given: None)
+            await harness.sidecar.shut_down()
+            assert harness.sidecar._context.invariants.broken[Invariant.STOP_WITHOUT_PENDING_RESPONSE] == 1
+
+    run_async(work)
--- a/tests/sidecar/requests/test_streamed_bodies.py
+++ b/tests/sidecar/requests/test_streamed_bodies.py
@@ -7,19 +7,19 @@
 import resource
 
 import pytest
-from helpers import MS, Stage, names
+from helpers import MS, BalancerDriver, endpoint_names
 from helpers import S as SECOND
-from large_bodies import SlowReader, chunked, pattern
+from large_bodies import BodyDigestServer, chunk_encoded, pseudorandom_bytes
 from loopback import (
-    OK,
+    OK_RESPONSE,
     Client,
-    Heard,
-    play,
+    ReceivedRequest,
+    http_request,
     read_head,
-    request,
-    soon,
-    stage,
-    until,
+    run_async,
+    sidecar_harness,
+    wait_until,
+    within_timeout,
 )
 
 from tulipnotch.load_balancing.actions import FailRequest, RejectRequest
@@ -38,21 +38,21 @@
 )
 def test_large_request_body_reaches_its_server_unchanged(form: str, size: int) -> None:
     async def work() -> None:
-        server = SlowReader()
-        async with stage(server) as scene:
-            body = pattern(size)
-            client = await scene.client()
+        server = BodyDigestServer()
+        async with sidecar_harness(server) as harness:
+            body = pseudorandom_bytes(size)
+            client = await harness.connect()
             if form == "length":
-                client.send(request("lodge", body=body))
+                client.send(http_request("lodge", body=body))
             else:
-                head = request("lodge", Content_Length="", Transfer_Encoding="chunked")
-                client.send(head + chunked(body, 70_001, b"X-Trailer: 1\r\n"))
-            assert (await client.answer()).status == 200
+                head = http_request("lodge", Content_Length="", Transfer_Encoding="chunked")
+                client.send(head + chunk_encoded(body, 70_001, b"X-Trailer: 1\r\n"))
+            assert (await client.read_response()).status == 200
             assert server.digests == [hashlib.sha1(body).digest()]
-            assert (await client.ask("lodge", body=b"next")).status == 200  # the connection goes on
-            assert figure(scene.sidecar, "app.upstream_requests") == 2
+            assert (await client.send_request("lodge", body=b"next")).status == 200  # the connection goes on
+            assert figure(harness.sidecar, "app.upstream_requests") == 2
 
-    play(work)
+    run_async(work)
 
 
 def figure(sidecar: Sidecar, name: str) -> int:
@@ -62,14 +62,14 @@
 
 def test_client_is_held_back_and_memory_bounded_when_a_server_reads_nothing() -> None:
     async def work() -> None:
-        server = SlowReader()
-        async with stage(server) as scene:
-            server.go_on.clear()
+        server = BodyDigestServer()
+        async with sidecar_harness(server) as harness:
+            server.reading_allowed.clear()
             size = MAX_BODY_BYTES
-            client = await scene.client()
+            client = await harness.connect()
             before = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
             piece = bytes(1 << 20)
-            client.send(request("lodge", Content_Length=str(size)))
+            client.send(http_request("lodge", Content_Length=str(size)))
             sent = 0
 
             async def send() -> None:
@@ -80,58 +80,58 @@
                     await client.writer.drain()
 
             sending = asyncio.ensure_future(send())
-            await until(lambda: server.got > 0)
+            await wait_until(lambda: server.received_bytes > 0)
             await asyncio.sleep(0.3)
             assert not sending.done()
-            (held,) = scene.sidecar._registry
+            (held,) = harness.sidecar._registry
             assert held.incoming.body.pending_bytes <= 200_000
-            assert figure(scene.sidecar, "app.upstream_requests") == 0  # its last byte is not written
-            assert figure(scene.sidecar, "app.pending") == 0  # nor taken
-            server.go_on.set()
-            assert (await client.answer()).status == 200
+            assert figure(harness.sidecar, "app.upstream_requests") == 0  # its last byte is not written
+            assert figure(harness.sidecar, "app.pending") == 0  # nor taken
+            server.reading_allowed.set()
+            assert (await client.read_response()).status == 200
             await sending
-            assert server.got == size
+            assert server.received_bytes == size
             assert resource.getrusage(resource.RUSAGE_SELF).ru_maxrss - before < 20_000  # KiB
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize("form", ["length", "chunked", "close"])
 @pytest.mark.parametrize("size", [100, MAX_BUFFERED_BODY_BYTES + 1, 3_000_000])
 def test_large_response_reaches_its_client_unchanged(form: str, size: int) -> None:
     async def work() -> None:
-        body = pattern(size)
+        body = pseudorandom_bytes(size)
 
-        async def script(heard: Heard) -> bytes | None:
+        async def script(heard: ReceivedRequest) -> bytes | None:
             if form == "length":
                 return HEAD + b"Content-Length: %d\r\n\r\n" % size + body
             if form == "chunked":
                 trailer = b"X-Trailer: 1\r\n"
-                return HEAD + b"Transfer-Encoding: chunked\r\n\r\n" + chunked(body, 70_001, trailer)
+                return HEAD + b"Transfer-Encoding: chunked\r\n\r\n" + chunk_encoded(body, 70_001, trailer)
             heard.writer.write(HEAD + b"Connection: close\r\n\r\n" + body)
             heard.writer.close()
             return None
 
-        async with stage(script) as scene:
-            client = await scene.client()
+        async with sidecar_harness(script) as harness:
+            client = await harness.connect()
             for _ in range(2):  # the client's connection goes on
-                client.send(request())
+                client.send(http_request())
                 assert await whole(client) == (200, body)
-            assert figure(scene.sidecar, "app.downstream_requests.check.completed") == 2
-            assert figure(scene.sidecar, "app.pending") == 0
+            assert figure(harness.sidecar, "app.downstream_requests.check.completed") == 2
+            assert figure(harness.sidecar, "app.pending") == 0
 
-    play(work)
+    run_async(work)
 
 
 async def whole(client: Client) -> tuple[int, bytes]:
     """An answer in either framing."""
-    first, headers = await soon(read_head(client.reader))
+    first, headers = await within_timeout(read_head(client.reader))
     status = int(first.split(" ")[1])
     if headers.get("transfer-encoding") != "chunked":
-        return status, await soon(client.reader.readexactly(int(headers["content-length"])))
+        return status, await within_timeout(client.reader.readexactly(int(headers["content-length"])))
     body = b""
-    while size := int(await soon(client.reader.readline()), 16):
-        body += await soon(client.reader.readexactly(size))
+    while size := int(await within_timeout(client.reader.readline()), 16):
+        body += await within_timeout(client.reader.readexactly(size))
         await client.reader.readexactly(2)
     await client.reader.readexactly(2)
     return status, body
@@ -141,7 +141,7 @@
     async def work() -> None:
         written = 0
 
-        async def script(heard: Heard) -> None:
+        async def script(heard: ReceivedRequest) -> None:
             nonlocal written
             heard.writer.write(HEAD + b"Content-Length: %d\r\n\r\n" % MAX_BODY_BYTES)
             for _ in range(MAX_BODY_BYTES >> 20):
@@ -149,22 +149,22 @@
                 await heard.writer.drain()
                 written += 1 << 20
 
-        async with stage(script) as scene:
+        async with sidecar_harness(script) as harness:
             before = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
-            client = await scene.client()
-            client.send(request(timeout="0.5"))
-            await until(lambda: written > 0)
+            client = await harness.connect()
+            client.send(http_request(timeout="0.5"))
+            await wait_until(lambda: written > 0)
             await asyncio.sleep(1.0)  # its time is up; an answer under way is not cut off for that
             assert written < MAX_BODY_BYTES
-            got = await soon(client.reader.readuntil(b"\r\n\r\n"))
+            got = await within_timeout(client.reader.readuntil(b"\r\n\r\n"))
             left = MAX_BODY_BYTES
             while left:
-                got = await soon(client.reader.read(1 << 20))
+                got = await within_timeout(client.reader.read(1 << 20))
                 assert got
                 left -= len(got)
             assert resource.getrusage(resource.RUSAGE_SELF).ru_maxrss - before < 20_000  # KiB
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize("form", ["length", "chunked"])
@@ -172,7 +172,7 @@
     form: str,
 ) -> None:
     async def work() -> None:
-        async def script(heard: Heard) -> None:
+        async def script(heard: ReceivedRequest) -> None:
             framing = b"Content-Length: 900000" if form == "length" else b"Transfer-Encoding: chunked"
             body = bytes(300_000)
             heard.writer.write(HEAD + framing + b"\r\n\r\n")
@@ -181,68 +181,68 @@
             if form == "length":
                 heard.writer.close()
 
-        async with stage(script, script) as scene:
-            client = await scene.client()
-            client.send(request())
+        async with sidecar_harness(script, script) as harness:
+            client = await harness.connect()
+            client.send(http_request())
             with pytest.raises((asyncio.IncompleteReadError, ConnectionError, ValueError)):
                 await whole(client)
-            assert len(scene.heard) == 1  # what has begun to pass on is not asked for again
-            await until(lambda: figure(scene.sidecar, "app.downstream_requests.check.failed") == 1)
-            assert scene.sidecar.open_requests == 0
+            assert len(harness.received_requests) == 1  # what has begun to pass on is not asked for again
+            await wait_until(lambda: figure(harness.sidecar, "app.downstream_requests.check.failed") == 1)
+            assert harness.sidecar.open_requests == 0
 
-    play(work)
+    run_async(work)
 
 
 def test_server_is_freed_when_the_client_disconnects_during_a_streamed_response() -> None:
     async def work() -> None:
-        async def script(heard: Heard) -> None:
+        async def script(heard: ReceivedRequest) -> None:
             heard.writer.write(HEAD + b"Content-Length: 30000000\r\n\r\n" + bytes(200_000))
 
-        async with stage(script) as scene:
-            client = await scene.client()
-            client.send(request())
-            await soon(client.reader.readexactly(100_000))
+        async with sidecar_harness(script) as harness:
+            client = await harness.connect()
+            client.send(http_request())
+            await within_timeout(client.reader.readexactly(100_000))
             client.writer.transport.abort()
-            await until(lambda: scene.servers[0].closed == [0])
-            await until(lambda: scene.sidecar.open_requests == 0)
-            assert scene.sidecar.downstream.open_connections == 0
+            await wait_until(lambda: harness.servers[0].closed_connections == [0])
+            await wait_until(lambda: harness.sidecar.open_requests == 0)
+            assert harness.sidecar.downstream.open_connections == 0
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize(("size", "status"), [(MAX_BUFFERED_BODY_BYTES, 200), (20_000_000, 503)])
 def test_request_is_retried_only_while_its_whole_body_is_retained(size: int, status: int) -> None:
     async def work() -> None:
-        servers = [SlowReader(), SlowReader()]
-        servers[0].cuts = servers[1].cuts = ["whichever is met first"]
-        async with stage(*servers) as scene:
-            assert (await scene.ask("amend", body=bytes(size))).status == status
-            assert servers[0].cuts == []
+        servers = [BodyDigestServer(), BodyDigestServer()]
+        servers[0].pending_aborts = servers[1].pending_aborts = ["whichever is met first"]
+        async with sidecar_harness(*servers) as harness:
+            assert (await harness.send_request("amend", body=bytes(size))).status == status
+            assert servers[0].pending_aborts == []
             # The large one never ran, so trying again is harmless, but the sidecar can't.
-            assert sum(len(each.heads) for each in servers) == (2 if status == 200 else 1)
-            assert figure(scene.sidecar, "app.upstream_requests") == (2 if status == 200 else 0)
+            assert sum(len(each.received_headers) for each in servers) == (2 if status == 200 else 1)
+            assert figure(harness.sidecar, "app.upstream_requests") == (2 if status == 200 else 0)
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize("form", ["length", "chunked"])
 def test_request_is_rejected_with_413_when_its_body_exceeds_32_mib(form: str) -> None:
     # Guards against a reset that takes the answer with it, when the client is still sending.
     async def work() -> None:
-        server = SlowReader()
-        async with stage(server) as scene:
-            client = await scene.client()
+        server = BodyDigestServer()
+        async with sidecar_harness(server) as harness:
+            client = await harness.connect()
             body = bytes(MAX_BODY_BYTES + 1)
             if form == "length":
-                client.send(request("lodge", body=body))
+                client.send(http_request("lodge", body=body))
             else:
-                client.send(request("lodge", Content_Length="", Transfer_Encoding="chunked"))
-                client.send(chunked(body, 1 << 20))
-            assert (await client.answer()).status == 413
+                client.send(http_request("lodge", Content_Length="", Transfer_Encoding="chunked"))
+                client.send(chunk_encoded(body, 1 << 20))
+            assert (await client.read_response()).status == 413
             assert server.digests == []  # no server had the whole of it
-            await until(lambda: scene.sidecar.open_requests == 0)
+            await wait_until(lambda: harness.sidecar.open_requests == 0)
 
-    play(work)
+    run_async(work)
 
 
 SHORT = ClientLimits(stall_s=0.3, trickle_s=0.5, least_in_trickle=1_000, sweep_s=0.01)
@@ -251,32 +251,32 @@
 @pytest.mark.parametrize("how", ["stalls", "trickles", "leaves", "nonsense"])
 def test_request_is_never_executed_when_its_body_stops_half_way(how: str) -> None:
     async def work() -> None:
-        server = SlowReader()
-        async with stage(server, client_limits=SHORT) as scene:
-            client = await scene.client()
+        server = BodyDigestServer()
+        async with sidecar_harness(server, client_limits=SHORT) as harness:
+            client = await harness.connect()
             if how == "nonsense":
-                head = request("lodge", Content_Length="", Transfer_Encoding="chunked")
+                head = http_request("lodge", Content_Length="", Transfer_Encoding="chunked")
                 client.send(head + b"%x\r\n%s\r\n" % (200_000, bytes(200_000)))
             else:
-                client.send(request("lodge", Content_Length="1000000") + bytes(200_000))
-            await until(lambda: server.got > 100_000)
+                client.send(http_request("lodge", Content_Length="1000000") + bytes(200_000))
+            await wait_until(lambda: server.received_bytes > 100_000)
             if how == "leaves":
                 client.writer.transport.abort()
             elif how == "nonsense":
                 client.send(b"no chunk\r\n")
-                assert (await client.answer()).status == 400
+                assert (await client.read_response()).status == 400
             else:
                 if how == "trickles":
                     trickle = asyncio.ensure_future(trickled(client))
-                assert (await client.answer()).status == 408
+                assert (await client.read_response()).status == 408
                 if how == "trickles":
                     trickle.cancel()
-            await until(lambda: scene.sidecar.open_requests == 0)
+            await wait_until(lambda: harness.sidecar.open_requests == 0)
             assert server.digests == []
-            await until(lambda: scene.sidecar.downstream.open_connections == 0)
-            assert (await scene.ask("lodge")).status == 200
+            await wait_until(lambda: harness.sidecar.downstream.open_connections == 0)
+            assert (await harness.send_request("lodge")).status == 200
 
-    play(work)
+    run_async(work)
 
 
 async def trickled(client: Client) -> None:
@@ -288,134 +288,136 @@
 def test_slow_body_may_take_longer_than_the_time_of_its_request() -> None:
     # Its time begins with its last byte; progress is all that is asked of it before.
     async def work() -> None:
-        server = SlowReader()
-        async with stage(server) as scene:
-            client = await scene.client()
-            client.send(request("lodge", timeout="0.4", Content_Length="400000"))
+        server = BodyDigestServer()
+        async with sidecar_harness(server) as harness:
+            client = await harness.connect()
+            client.send(http_request("lodge", timeout="0.4", Content_Length="400000"))
             for _ in range(8):
                 client.send(bytes(50_000))
                 await asyncio.sleep(0.1)
-            assert (await client.answer()).status == 200
-            assert float(server.heads[0]["request-timeout"]) <= 0.4
+            assert (await client.read_response()).status == 200
+            assert float(server.received_headers[0]["request-timeout"]) <= 0.4
 
-    play(work)
+    run_async(work)
 
 
 def test_rejection_is_written_while_the_body_is_incomplete() -> None:
     async def work() -> None:
-        async with stage(OK, bounds={"maxOpen": 0}) as scene:
-            client = await scene.client()
-            client.send(request("lodge", Content_Length="1000000") + bytes(200_000))
-            assert (await client.answer()).status == 503
-            assert await soon(client.reader.read()) == b""
-            assert scene.heard == []
+        async with sidecar_harness(OK_RESPONSE, limit_overrides={"maxOpen": 0}) as harness:
+            client = await harness.connect()
+            client.send(http_request("lodge", Content_Length="1000000") + bytes(200_000))
+            assert (await client.read_response()).status == 503
+            assert await within_timeout(client.reader.read()) == b""
+            assert harness.received_requests == []
 
-    play(work)
+    run_async(work)
 
 
 def test_expect_continue_is_responded_before_a_large_body() -> None:
     async def work() -> None:
-        server = SlowReader()
-        async with stage(server) as scene:
-            client = await scene.client()
-            client.send(request("lodge", Content_Length="300000", Expect="100-continue"))
-            assert await soon(client.reader.readuntil(b"\r\n\r\n")) == b"HTTP/1.1 100 Continue\r\n\r\n"
+        server = BodyDigestServer()
+        async with sidecar_harness(server) as harness:
+            client = await harness.connect()
+            client.send(http_request("lodge", Content_Length="300000", Expect="100-continue"))
+            assert (
+                await within_timeout(client.reader.readuntil(b"\r\n\r\n")) == b"HTTP/1.1 100 Continue\r\n\r\n"
+            )
             client.send(bytes(300_000))
-            assert (await client.answer()).status == 200
-            assert "expect" not in server.heads[0]
+            assert (await client.read_response()).status == 200
+            assert "expect" not in server.received_headers[0]
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize("length", [6, 5_000_000])
 def test_head_response_has_the_length_and_no_body(length: int) -> None:
     async def work() -> None:
-        async def script(heard: Heard) -> bytes:
+        async def script(heard: ReceivedRequest) -> bytes:
             assert heard.method == "HEAD"
             return HEAD + b"Content-Length: %d\r\n\r\n" % length
 
-        async with stage(script) as scene:
-            client = await scene.client()
+        async with sidecar_harness(script) as harness:
+            client = await harness.connect()
             for _ in range(2):
-                client.send(request().replace(b"GET", b"HEAD", 1))
-                first, headers = await soon(read_head(client.reader))
+                client.send(http_request().replace(b"GET", b"HEAD", 1))
+                first, headers = await within_timeout(read_head(client.reader))
                 assert (first, headers["content-length"]) == ("HTTP/1.1 200 OK", str(length))
 
-    play(work)
+    run_async(work)
 
 
 def test_http_1_0_client_gets_a_response_of_unknown_length_ended_by_its_connection() -> None:
     async def work() -> None:
-        body = pattern(200_000)
+        body = pseudorandom_bytes(200_000)
 
-        async def script(_heard: Heard) -> bytes:
-            return HEAD + b"Transfer-Encoding: chunked\r\n\r\n" + chunked(body, 10_000)
+        async def script(_heard: ReceivedRequest) -> bytes:
+            return HEAD + b"Transfer-Encoding: chunked\r\n\r\n" + chunk_encoded(body, 10_000)
 
-        async with stage(script) as scene:
-            client = await scene.client()
-            client.send(request().replace(b"HTTP/1.1", b"HTTP/1.0", 1))
-            _, headers = await soon(read_head(client.reader))
+        async with sidecar_harness(script) as harness:
+            client = await harness.connect()
+            client.send(http_request().replace(b"HTTP/1.1", b"HTTP/1.0", 1))
+            _, headers = await within_timeout(read_head(client.reader))
             assert "transfer-encoding" not in headers
             assert headers["connection"] == "close"
-            assert await soon(client.reader.read()) == body
+            assert await within_timeout(client.reader.read()) == body
 
-    play(work)
+    run_async(work)
 
 
 def test_header_values_are_read_without_the_white_space_around_them() -> None:
     async def work() -> None:
-        async with stage(OK) as scene:
-            raw = request("lodge", body=b"x").replace(b"\r\nRequest-", b" \t\r\nRequest-")
+        async with sidecar_harness(OK_RESPONSE) as harness:
+            raw = http_request("lodge", body=b"x").replace(b"\r\nRequest-", b" \t\r\nRequest-")
             assert raw.count(b" \t\r\n") >= 3
-            client = await scene.client()
+            client = await harness.connect()
             client.send(raw)
-            assert (await client.answer()).status == 200
+            assert (await client.read_response()).status == 200
 
-    play(work)
+    run_async(work)
 
 
 def test_request_is_read_the_same_when_split_at_any_point() -> None:
     async def work() -> None:
-        async with stage(OK) as scene:
-            client = await scene.client()
-            for raw in (request(), request("lodge", body=b"abc")):
+        async with sidecar_harness(OK_RESPONSE) as harness:
+            client = await harness.connect()
+            for raw in (http_request(), http_request("lodge", body=b"abc")):
                 for at in range(len(raw)):
                     client.send(raw[at : at + 1])
                     await asyncio.sleep(0)
-                assert (await client.answer()).status == 200
+                assert (await client.read_response()).status == 200
 
-    play(work)
+    run_async(work)
 
 
 # The decisions
 
 
 def test_time_of_a_streamed_request_begins_with_its_last_byte() -> None:
-    stage = Stage()
-    stage.servers(names(3))
-    stage.play(RequestArrived(1, "pay", None, None, 500 * MS, body_incomplete=True))
-    assert len(stage.sends(1)) == 1
-    stage.wait(30 * SECOND)
-    assert stage.said(FailRequest) == []
-    assert stage.said(RejectRequest) == []
-    assert stage.balancer._components.load.current() == 0  # what still comes is no work for a server
-    stage.play(RequestBodyCompleted(1, 500 * MS))
-    assert stage.balancer._components.load.current() == 1
-    stage.wait(499 * MS)
-    assert [each.request for each in stage.said(FailRequest)] == [1]
+    driver = BalancerDriver()
+    driver.update_endpoints(endpoint_names(3))
+    driver.handle(RequestArrived(1, "pay", None, None, 500 * MS, body_incomplete=True))
+    assert len(driver.started_attempts(1)) == 1
+    driver.advance(30 * SECOND)
+    assert driver.actions_of_type(FailRequest) == []
+    assert driver.actions_of_type(RejectRequest) == []
+    assert driver.balancer._components.load.current() == 0  # what still comes is no work for a server
+    driver.handle(RequestBodyCompleted(1, 500 * MS))
+    assert driver.balancer._components.load.current() == 1
+    driver.advance(499 * MS)
+    assert [each.request for each in driver.actions_of_type(FailRequest)] == [1]
 
 
 def test_request_fails_at_once_when_it_cannot_be_written_again() -> None:
-    stage = Stage()
-    stage.servers(names(3))
-    stage.play(RequestArrived(1, "look", None, None, 500 * MS, body_incomplete=True))
-    (_, send) = stage.sends(1)[0]
-    stage.play(
+    driver = BalancerDriver()
+    driver.update_endpoints(endpoint_names(3))
+    driver.handle(RequestArrived(1, "look", None, None, 500 * MS, body_incomplete=True))
+    (_, send) = driver.started_attempts(1)[0]
+    driver.handle(
         AttemptEnded(1, 0, send.endpoint, Outcome.CONNECT_FAILED, 0, is_responded=False, is_retryable=False)
     )
-    assert len(stage.sends(1)) == 1
-    assert [each.request for each in stage.said(RejectRequest)] == [1]
-    assert stage.balancer._components.load.current() == 0
+    assert len(driver.started_attempts(1)) == 1
+    assert [each.request for each in driver.actions_of_type(RejectRequest)] == [1]
+    assert driver.balancer._components.load.current() == 0
 
 
 def test_body_retains_its_first_part_and_gives_the_rest_once() -> None:
--- a/tests/sidecar/test_event_queue.py
+++ b/tests/sidecar/test_event_queue.py
@@ -8,7 +8,7 @@
 from typing import Any, TypeVar
 
 import pytest
-from loopback import HOST, OK, Heard, play, request, stage, until
+from loopback import HOST, OK_RESPONSE, ReceivedRequest, http_request, run_async, sidecar_harness, wait_until
 
 from tulipnotch.load_balancing import Settings
 from tulipnotch.load_balancing.actions import (
@@ -103,16 +103,16 @@
 
     async def work() -> None:
         scripted(decide)
-        async with stage(OK) as scene:
-            refused = await scene.ask("check", timeout="9000")
+        async with sidecar_harness(OK_RESPONSE) as harness:
+            refused = await harness.send_request("check", timeout="9000")
             assert (refused.status, refused.headers["retry-after"]) == (503, "0.250")
-            failed = await scene.ask("lodge", timeout="9000")
+            failed = await harness.send_request("lodge", timeout="9000")
             assert failed.status in (502, 504)
             assert "retry-after" not in failed.headers
-            assert scene.heard == []
-            assert scene.sidecar.open_requests == 0
+            assert harness.received_requests == []
+            assert harness.sidecar.open_requests == 0
 
-    play(work)
+    run_async(work)
 
 
 def test_attempt_ends_once_and_its_connection_is_closed_when_cancelled(scripted: Use) -> None:
@@ -125,15 +125,15 @@
 
     async def work() -> None:
         balancer = scripted(decide)
-        async with stage(None) as scene:
-            assert (await scene.ask("lodge")).status == 502
+        async with sidecar_harness(None) as harness:
+            assert (await harness.send_request("lodge")).status == 502
             (ended,) = balancer.heard(AttemptEnded)
             assert (ended.outcome, ended.is_responded, ended.endpoint) == (Outcome.CANCELLED, False, "s-0")
-            await until(lambda: scene.servers[0].closed == [0])
+            await wait_until(lambda: harness.servers[0].closed_connections == [0])
             assert balancer.heard(TimerFired)[0].token == "later"
             assert balancer.times == sorted(balancer.times)
 
-    play(work)
+    run_async(work)
 
 
 def test_request_is_responded_by_the_first_delivery_when_several_attempts_end(scripted: Use) -> None:
@@ -146,9 +146,9 @@
                 lambda number: StartAttempt(number, "s-0", 1),
             )
         )
-        async with stage(OK, OK) as scene:
-            assert (await scene.ask()).body == b"served"
-            await until(lambda: len(balancer.heard(AttemptEnded)) == 4)
+        async with sidecar_harness(OK_RESPONSE, OK_RESPONSE) as harness:
+            assert (await harness.send_request()).body == b"served"
+            await wait_until(lambda: len(balancer.heard(AttemptEnded)) == 4)
             ended = {each.attempt: each for each in balancer.heard(AttemptEnded)}
             assert [ended[number].outcome for number in range(4)] == [
                 Outcome.DELIVERED,
@@ -157,9 +157,9 @@
                 Outcome.NOT_SENT,
             ]
             assert all(each.is_responded for each in (ended[0], ended[1]))
-            assert scene.sidecar.open_requests == 0
+            assert harness.sidecar.open_requests == 0
 
-    play(work)
+    run_async(work)
 
 
 def test_balancer_is_notified_when_a_client_disconnects(scripted: Use) -> None:
@@ -167,26 +167,26 @@
         balancer = scripted(on_arrival(lambda number: StartAttempt(number, "s-0", FAR)))
         release = asyncio.Event()
 
-        async def hold(_heard: Heard) -> bytes:
+        async def hold(_heard: ReceivedRequest) -> bytes:
             await release.wait()
-            return OK
+            return OK_RESPONSE
 
-        async with stage(hold) as scene:
-            client = await scene.client()
-            client.send(request("check"))
-            await until(lambda: len(scene.heard) == 1)
+        async with sidecar_harness(hold) as harness:
+            client = await harness.connect()
+            client.send(http_request("check"))
+            await wait_until(lambda: len(harness.received_requests) == 1)
             client.close()
-            await until(lambda: balancer.heard(ClientDisconnected) == [ClientDisconnected(1)])
+            await wait_until(lambda: balancer.heard(ClientDisconnected) == [ClientDisconnected(1)])
             release.set()
-            await until(lambda: len(balancer.heard(AttemptEnded)) == 1)
+            await wait_until(lambda: len(balancer.heard(AttemptEnded)) == 1)
             assert balancer.heard(AttemptEnded)[0].is_responded
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize("how", ["header", "body"])
 def test_health_check_brings_its_load_report(scripted: Use, how: str) -> None:
-    async def report(_heard: Heard) -> bytes:
+    async def report(_heard: ReceivedRequest) -> bytes:
         text = b"TEXT qps=7, util=0.5"
         if how == "header":
             return b"HTTP/1.1 200 OK\r\nServer-Load: %s\r\nContent-Length: 0\r\n\r\n" % text
@@ -196,16 +196,16 @@
         balancer = scripted(
             lambda event: [StartHealthCheck("s-0")] if isinstance(event, RequestArrived) else []
         )
-        async with stage(report, bounds={"probing": True}) as scene:
-            (await scene.client()).send(request())
-            await until(lambda: len(balancer.heard(HealthCheckEnded)) == 1)
+        async with sidecar_harness(report, limit_overrides={"probing": True}) as harness:
+            (await harness.connect()).send(http_request())
+            await wait_until(lambda: len(balancer.heard(HealthCheckEnded)) == 1)
             ended = balancer.heard(HealthCheckEnded)[0]
             assert (ended.endpoint, ended.outcome) == ("s-0", Outcome.DELIVERED)
             assert ended.report == {"qps": 7.0, "util": 0.5}
-            assert scene.heard[0].target == "/_load"
-            assert "request-id" not in scene.heard[0].headers
+            assert harness.received_requests[0].target == "/_load"
+            assert "request-id" not in harness.received_requests[0].headers
 
-    play(work)
+    run_async(work)
 
 
 def test_actions_close_idle_connections_fetch_the_endpoint_list_and_log(scripted: Use) -> None:
@@ -223,18 +223,18 @@
 
     async def work() -> None:
         balancer = scripted(decide)
-        async with stage(OK) as scene:
-            assert (await scene.ask()).status == 200
-            await until(lambda: scene.servers[0].closed == [0])
-            await until(lambda: len(balancer.heard(EndpointsUpdated)) == 2)
+        async with sidecar_harness(OK_RESPONSE) as harness:
+            assert (await harness.send_request()).status == 200
+            await wait_until(lambda: harness.servers[0].closed_connections == [0])
+            await wait_until(lambda: len(balancer.heard(EndpointsUpdated)) == 2)
             assert [each.kind for each in balancer.heard(EndpointsUpdated)] == [
                 EndpointUpdateKind.CACHED,
                 EndpointUpdateKind.COMPLETE,
             ]
-            assert scene.discovery.heard[0].target == "/catalog/members"
-            assert scene.log == ["readmitted s-0"]
+            assert harness.discovery.received_requests[0].target == "/catalog/members"
+            assert harness.log == ["readmitted s-0"]
 
-    play(work)
+    run_async(work)
 
 
 def test_peer_message_reaches_the_other_sidecar(scripted: Use) -> None:
@@ -263,16 +263,18 @@
             "peer_listen": f"{own[0]}:{own[1]}",
             "peers": [f"{own[0]}:{own[1]}", f"{other[0]}:{other[1]}"],
         }
-        async with stage(OK, given=peers, bounds={"mayTell": True}) as scene:
-            (await scene.client()).send(request())
+        async with sidecar_harness(
+            OK_RESPONSE, config_overrides=peers, limit_overrides={"mayTell": True}
+        ) as harness:
+            (await harness.connect()).send(http_request())
             data, sender = await got.get()
             assert (data, sender) == (b"hi", own)
-            assert scene.log == ["a message to other sidecars could not be sent"]
+            assert harness.log == ["a message to other sidecars could not be sent"]
             transport.sendto(b"back", own)
-            await until(lambda: balancer.heard(PeerMessageReceived) == [PeerMessageReceived(1, b"back")])
+            await wait_until(lambda: balancer.heard(PeerMessageReceived) == [PeerMessageReceived(1, b"back")])
         transport.close()
 
-    play(work)
+    run_async(work)
 
 
 def test_internal_error_fails_its_request_and_no_other(scripted: Use) -> None:
@@ -286,12 +288,12 @@
 
     async def work() -> None:
         scripted(decide)
-        async with stage(OK) as scene:
-            assert (await scene.ask("lodge")).status == 500
-            assert (await scene.ask("check")).status == 200
-            assert scene.log == ["internal error: RequestArrived: ZeroDivisionError()"]
+        async with sidecar_harness(OK_RESPONSE) as harness:
+            assert (await harness.send_request("lodge")).status == 500
+            assert (await harness.send_request("check")).status == 200
+            assert harness.log == ["internal error: RequestArrived: ZeroDivisionError()"]
 
-    play(work)
+    run_async(work)
 
 
 def test_actions_are_executed_when_one_before_them_raises(scripted: Use) -> None:
@@ -303,7 +305,7 @@
 
     async def work() -> None:
         scripted(decide)
-        async with stage(OK) as scene:
+        async with sidecar_harness(OK_RESPONSE) as harness:
             said: list[str] = []
 
             def note(event: str, /, **_fields: object) -> None:
@@ -311,11 +313,11 @@
                 if event == "readmitted":
                     raise OSError("no room")
 
-            scene.sidecar._context.log = note
-            assert (await scene.ask("check")).status == 200
+            harness.sidecar._context.log = note
+            assert (await harness.send_request("check")).status == 200
             assert said == ["readmitted", "internal_error"]
 
-    play(work)
+    run_async(work)
 
 
 def test_sidecar_serves_on_after_any_bytes_from_clients_and_servers() -> None:
@@ -328,27 +330,29 @@
             data[at : at + chance.randint(0, 4)] = chance.randbytes(chance.randint(0, 4))
         return bytes(data)
 
-    async def odd(_heard: Heard) -> bytes:
-        return mangled(OK + OK) if chance.random() < 0.7 else OK
+    async def odd(_heard: ReceivedRequest) -> bytes:
+        return mangled(OK_RESPONSE + OK_RESPONSE) if chance.random() < 0.7 else OK_RESPONSE
 
     async def work() -> None:
         faults: list[dict[str, Any]] = []
         asyncio.get_running_loop().set_exception_handler(lambda _, context: faults.append(context))
-        async with stage(odd, odd, odd) as scene:
+        async with sidecar_harness(odd, odd, odd) as harness:
             for number in range(150):
-                client = await scene.client()
+                client = await harness.connect()
                 kind = ("check", "amend", "lodge")[number % 3]
-                client.send(mangled(request(kind, timeout="0.2", body=b"" if kind == "check" else b"body")))
+                client.send(
+                    mangled(http_request(kind, timeout="0.2", body=b"" if kind == "check" else b"body"))
+                )
                 client.writer.write_eof()
                 await client.reader.read()
                 client.close()
-            await until(lambda: scene.sidecar.open_requests == 0)
-            scene.servers[0].script = scene.servers[1].script = scene.servers[2].script = OK
-            await until(lambda: scene.sidecar.downstream.open_connections == 0)
-            assert not [each for each in scene.log if "internal" in each]
-            client = await scene.client()
+            await wait_until(lambda: harness.sidecar.open_requests == 0)
+            harness.servers[0].script = harness.servers[1].script = harness.servers[2].script = OK_RESPONSE
+            await wait_until(lambda: harness.sidecar.downstream.open_connections == 0)
+            assert not [each for each in harness.log if "internal" in each]
+            client = await harness.connect()
             client.send(b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
-            assert (await client.answer()).status == 200
+            assert (await client.read_response()).status == 200
         assert [each for each in faults if "tulipnotch" in repr(each) or "protocol." in each["message"]] == []
 
-    play(work)
+    run_async(work)
--- a/tests/sidecar/test_log_faults.py
+++ b/tests/sidecar/test_log_faults.py
@@ -13,8 +13,17 @@
 from pathlib import Path
 
 import pytest
-from loopback import HOST, OK, Client, ScriptedServer, line, play, request, soon
-from running import started, world
+from loopback import (
+    HOST,
+    OK_RESPONSE,
+    Client,
+    ScriptedServer,
+    endpoint_entry,
+    http_request,
+    run_async,
+    within_timeout,
+)
+from running import server_with_config, start_process
 
 _PIPE_BYTES = 4_096  # the minimum capacity of a pipe on Linux
 
@@ -50,17 +59,20 @@
 def test_program_continues_to_serve_if_its_log_cannot_be_written(failure: str, tmp_path: Path) -> None:
     # One of two servers is down, so that there are events to log.
     async def work() -> None:
-        stopped_server = await ScriptedServer(OK).start()
+        stopped_server = await ScriptedServer(OK_RESPONSE).start()
         unreachable = stopped_server.address
         stopped_server.stop()
-        async with world(OK, tmp_path) as (config, server):
+        async with server_with_config(OK_RESPONSE, tmp_path) as (config, server):
             given = json.loads(config.read_text())
-            given["known"]["servers"] = [line("s-1", server.address), line("s-2", unreachable)]
+            given["known"]["servers"] = [
+                endpoint_entry("s-1", server.address),
+                endpoint_entry("s-2", unreachable),
+            ]
             given["discovery"] = f"{HOST}:9"
             given["settings"]["bounds"] = {"sendCap": 3, "dialTimeoutUs": 250_000}
             config.write_text(json.dumps(given))
             with _failing_descriptor(failure) as log, _listener() as listener:
-                process = await started(
+                process = await start_process(
                     config,
                     (listener.fileno(),),
                     log,
@@ -69,16 +81,16 @@
                 try:
                     client = Client(*await asyncio.open_connection(*listener.getsockname()))
                     for _ in range(20):
-                        client.send(request("check"))
-                        assert (await client.answer()).status == 200
+                        client.send(http_request("check"))
+                        assert (await client.read_response()).status == 200
                     process.send_signal(signal.SIGHUP)  # it has something to log each time
-                    assert (await client.ask("check")).status == 200
+                    assert (await client.send_request("check")).status == 200
                     client.close()
                     process.send_signal(signal.SIGTERM)
-                    assert await soon(process.wait()) == 0
+                    assert await within_timeout(process.wait()) == 0
                 finally:
                     if process.returncode is None:
                         process.kill()
                         await process.wait()
 
-    play(work)
+    run_async(work)
--- a/tests/sidecar/test_program.py
+++ b/tests/sidecar/test_program.py
@@ -9,24 +9,24 @@
 
 import pytest
 from loopback import (
-    CLASSES,
     HOST,
-    OK,
-    Heard,
+    OK_RESPONSE,
+    SERVICE_CLASSES,
+    ReceivedRequest,
     ScriptedDiscovery,
     ScriptedServer,
-    holding,
-    line,
-    play,
-    request,
-    soon,
-    until,
+    blocking_script,
+    endpoint_entry,
+    http_request,
+    run_async,
+    wait_until,
+    within_timeout,
 )
-from running import GOOD, program, started, started_in_vain, until_says
+from running import VALID_CONFIG, run_expecting_failure, sidecar_with_server, start_process, wait_for_readyz
 
 
 def _without(key: str) -> dict[str, Any]:
-    return {name: value for name, value in GOOD.items() if name != key}
+    return {name: value for name, value in VALID_CONFIG.items() if name != key}
 
 
 @pytest.mark.parametrize(
@@ -35,18 +35,18 @@
         ("", "BALANCER_CONFIG"),
         ("[1]", "BALANCER_CONFIG"),
         (_without("name"), "name"),
-        ({**GOOD, "listen": "localhost:80"}, "listen"),
-        ({**GOOD, "discovery": 5}, "discovery"),
-        ({**GOOD, "control": "nowhere"}, "control"),
-        ({**GOOD, "seed": "xyz"}, "seed"),
-        ({**GOOD, "limits": {"sockets": 3}}, "limits.sockets"),
-        ({**GOOD, "known": {"version": 1}}, "known: full"),
-        ({**GOOD, "peers": ["nowhere"]}, "peers[0]"),
-        ({**GOOD, "peer_listen": "x"}, "peer_listen"),
+        ({**VALID_CONFIG, "listen": "localhost:80"}, "listen"),
+        ({**VALID_CONFIG, "discovery": 5}, "discovery"),
+        ({**VALID_CONFIG, "control": "nowhere"}, "control"),
+        ({**VALID_CONFIG, "seed": "xyz"}, "seed"),
+        ({**VALID_CONFIG, "limits": {"sockets": 3}}, "limits.sockets"),
+        ({**VALID_CONFIG, "known": {"version": 1}}, "known: full"),
+        ({**VALID_CONFIG, "peers": ["nowhere"]}, "peers[0]"),
+        ({**VALID_CONFIG, "peer_listen": "x"}, "peer_listen"),
         (_without("settings"), "settings"),
-        ({**GOOD, "settings": {"lanes": []}}, "settings.lanes"),
+        ({**VALID_CONFIG, "settings": {"lanes": []}}, "settings.lanes"),
         (
-            {**GOOD, "settings": {"lanes": CLASSES, "bounds": {"sendCap": "x"}}},
+            {**VALID_CONFIG, "settings": {"lanes": SERVICE_CLASSES, "bounds": {"sendCap": "x"}}},
             "settings.bounds.sendCap",
         ),
     ],
@@ -54,110 +54,110 @@
 def test_program_names_the_key_on_one_line_for_an_invalid_configuration(
     given: object, key: str, tmp_path: Path
 ) -> None:
-    said = started_in_vain(tmp_path, given if isinstance(given, str) else json.dumps(given))
+    said = run_expecting_failure(tmp_path, given if isinstance(given, str) else json.dumps(given))
     assert said.startswith(f"tulipnotch: config: {key}")
 
 
 def test_program_responds_to_open_and_new_requests_after_sigterm_and_exits_with_0(tmp_path: Path) -> None:
     # No request is lost at a restart: received before SIGTERM, on open connections, and on new ones.
     async def work() -> None:
-        release, hold = holding()
-        async with program(hold, tmp_path) as running:
-            early, idle = await running.client(), await running.client()
-            early.send(request("lodge"))
-            await until(lambda: len(running.server.heard) == 1)
-            assert await running.call("readyz") == ["+OK ready"]
+        release, hold = blocking_script()
+        async with sidecar_with_server(hold, tmp_path) as running:
+            early, idle = await running.connect(), await running.connect()
+            early.send(http_request("lodge"))
+            await wait_until(lambda: len(running.server.received_requests) == 1)
+            assert await running.send_command("readyz") == ["+OK ready"]
             running.process.send_signal(signal.SIGTERM)
-            await until_says(running, "-ERR stopping")
-            assert await soon(idle.reader.read()) == b""  # an idle connection is closed
-            late = await running.client()
-            late.send(request("lodge"))
-            await until(lambda: len(running.server.heard) == 2)
+            await wait_for_readyz(running, "-ERR stopping")
+            assert await within_timeout(idle.reader.read()) == b""  # an idle connection is closed
+            late = await running.connect()
+            late.send(http_request("lodge"))
+            await wait_until(lambda: len(running.server.received_requests) == 2)
             release.set()
             for client in (early, late):
-                response = await client.answer()
+                response = await client.read_response()
                 assert (response.status, response.headers["connection"]) == (200, "close")
-                assert await soon(client.reader.read()) == b""
-            assert await soon(running.process.wait()) == 0
+                assert await within_timeout(client.reader.read()) == b""
+            assert await within_timeout(running.process.wait()) == 0
 
-    play(work)
+    run_async(work)
 
 
 def test_program_responds_in_time_after_sigterm_while_a_server_is_unresponsive(tmp_path: Path) -> None:
     # SIGKILL follows SIGTERM before the deadline of this request.
     async def work() -> None:
-        async def unresponsive(_: Heard) -> None:
+        async def unresponsive(_: ReceivedRequest) -> None:
             return None
 
-        async with program(unresponsive, tmp_path) as running:
-            client = await running.client()
-            client.send(request("lodge", timeout="30"))
-            await until(lambda: len(running.server.heard) == 1)
+        async with sidecar_with_server(unresponsive, tmp_path) as running:
+            client = await running.connect()
+            client.send(http_request("lodge", timeout="30"))
+            await wait_until(lambda: len(running.server.received_requests) == 1)
             running.process.send_signal(signal.SIGTERM)
-            response = await client.answer()
+            response = await client.read_response()
             assert (response.status, response.headers["connection"]) == (504, "close")
-            assert await soon(running.process.wait()) == 0
+            assert await within_timeout(running.process.wait()) == 0
 
-    play(work)
+    run_async(work)
 
 
 def test_program_uses_a_new_discovery_after_sighup_and_ignores_an_invalid_file(tmp_path: Path) -> None:
     async def work() -> None:
-        async with program(OK, tmp_path) as running:
-            assert (await (await running.client()).ask("lodge")).status == 200
-            other = await ScriptedServer(OK).start()
+        async with sidecar_with_server(OK_RESPONSE, tmp_path) as running:
+            assert (await (await running.connect()).send_request("lodge")).status == 200
+            other = await ScriptedServer(OK_RESPONSE).start()
             discovery = ScriptedDiscovery()
             discovery.version = 0  # it counts its own versions, and begins anew
-            discovery.servers = [line("s-2", other.address)]
+            discovery.servers = [endpoint_entry("s-2", other.address)]
             await discovery.start()
-            given = json.loads(running.config.read_text())
-            running.config.write_text("{")
+            given = json.loads(running.config_path.read_text())
+            running.config_path.write_text("{")
             running.process.send_signal(signal.SIGHUP)
             assert (
                 "reload rejected, the previous configuration stays in force: BALANCER_CONFIG"
-                in await running.says()
+                in await running.read_log_line()
             )
-            assert (await (await running.client()).ask("lodge")).status == 200
-            assert len(running.server.heard) == 2
-            running.config.write_text(json.dumps({**given, "discovery": discovery.address, "seed": "1"}))
+            assert (await (await running.connect()).send_request("lodge")).status == 200
+            assert len(running.server.received_requests) == 2
+            running.config_path.write_text(json.dumps({**given, "discovery": discovery.address, "seed": "1"}))
             running.process.send_signal(signal.SIGHUP)
-            said = await running.says()
+            said = await running.read_log_line()
             assert said == f"reloaded: discovery at {discovery.address}; only a restart takes up seed\n"
-            await until(lambda: len(discovery.heard) >= 2)  # the list, then the watch
-            assert (await (await running.client()).ask("lodge")).status == 200
-            assert len(other.heard) == 1
+            await wait_until(lambda: len(discovery.received_requests) >= 2)  # the list, then the watch
+            assert (await (await running.connect()).send_request("lodge")).status == 200
+            assert len(other.received_requests) == 1
             other.stop()
             discovery.stop()
 
-    play(work)
+    run_async(work)
 
 
 def test_program_exits_with_1_if_an_address_is_in_use(tmp_path: Path) -> None:
     async def work() -> None:
-        async with program(OK, tmp_path) as running:
+        async with sidecar_with_server(OK_RESPONSE, tmp_path) as running:
             path = tmp_path / "second.json"
             for key, port in (("listen", running.port), ("control", running.control_port)):
-                path.write_text(json.dumps({**GOOD, "control": None, key: f"{HOST}:{port}"}))
-                second = await started(path)
-                _, said = await soon(second.communicate())
+                path.write_text(json.dumps({**VALID_CONFIG, "control": None, key: f"{HOST}:{port}"}))
+                second = await start_process(path)
+                _, said = await within_timeout(second.communicate())
                 assert second.returncode == 1
                 assert said.startswith(b"tulipnotch: can't listen: ")
                 assert said.count(b"\n") == 1
 
-    play(work)
+    run_async(work)
 
 
 def test_program_is_evacuated_and_activated_through_its_control_endpoint(tmp_path: Path) -> None:
     async def work() -> None:
-        async with program(OK, tmp_path) as running:
-            assert (await (await running.client()).ask("lodge")).status == 200
-            assert "app.downstream_requests.lodge.completed=1" in await running.call("telemetry")
-            assert await running.call("evacuate") == ["+OK evacuating"]
-            assert await running.call("readyz") == ["-ERR evacuating"]
-            assert (await (await running.client()).ask("lodge")).headers["connection"] == "close"
-            assert await running.call("activate") == ["+OK serving"]
-            assert await running.call("readyz") == ["+OK ready"]
-            assert "connection" not in (await (await running.client()).ask("lodge")).headers
-            assert (await running.call("telemetry"))[-1] == "."
-
-    play(work)
+        async with sidecar_with_server(OK_RESPONSE, tmp_path) as running:
+            assert (await (await running.connect()).send_request("lodge")).status == 200
+            assert "app.downstream_requests.lodge.completed=1" in await running.send_command("telemetry")
+            assert await running.send_command("evacuate") == ["+OK evacuating"]
+            assert await running.send_command("readyz") == ["-ERR evacuating"]
+            assert (await (await running.connect()).send_request("lodge")).headers["connection"] == "close"
+            assert await running.send_command("activate") == ["+OK serving"]
+            assert await running.send_command("readyz") == ["+OK ready"]
+            assert "connection" not in (await (await running.connect()).send_request("lodge")).headers
+            assert (await running.send_command("telemetry"))[-1] == "."
+
+    run_async(work)
--- a/tests/sidecar/test_race_conditions.py
+++ b/tests/sidecar/test_race_conditions.py
@@ -16,24 +16,24 @@
 
 import pytest
 from loopback import (
-    CLASSES,
-    ERROR,
+    ERROR_RESPONSE,
     HOST,
-    OK,
-    Heard,
+    OK_RESPONSE,
+    SERVICE_CLASSES,
+    ReceivedRequest,
     ScriptedServer,
-    Stage,
-    holding,
-    line,
-    play,
-    reply,
-    request,
-    soon,
-    stage,
-    until,
+    SidecarHarness,
+    blocking_script,
+    endpoint_entry,
+    http_request,
+    http_response,
+    run_async,
+    sidecar_harness,
+    wait_until,
+    within_timeout,
 )
-from running import program
-from slow_to_accept import SlowToAccept
+from running import sidecar_with_server
+from slow_to_accept import FullAcceptQueueServer
 
 from tulipnotch.sidecar.control import endpoint as control
 from tulipnotch.sidecar.downstream import listener
@@ -47,7 +47,7 @@
 
 # Far less than the client's side takes at once: most of it is still with the sidecar's system when it closes.
 _LARGE = bytes(range(250)) * 200
-_ANSWER = reply(_LARGE)
+_ANSWER = http_response(_LARGE)
 _LIMITS = ClientLimits(linger_s=0.05, sweep_s=0.01)
 
 
@@ -67,7 +67,7 @@
         loop = asyncio.get_running_loop()
         while True:
             try:
-                piece = await soon(loop.sock_recv(self._plain, 1 << 16))
+                piece = await within_timeout(loop.sock_recv(self._plain, 1 << 16))
             except ConnectionError:
                 return bytes(got), True
             if not piece:
@@ -76,16 +76,16 @@
 
 
 @asynccontextmanager
-async def _narrow(scene: Stage) -> AsyncIterator[_Narrow]:
+async def _narrow(harness: SidecarHarness) -> AsyncIterator[_Narrow]:
     with socket.socket() as plain:
         plain.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
         plain.setblocking(False)
-        await asyncio.get_running_loop().sock_connect(plain, (HOST, scene.sidecar.downstream.port))
+        await asyncio.get_running_loop().sock_connect(plain, (HOST, harness.sidecar.downstream.port))
         yield _Narrow(plain)
 
 
-def _states(scene: Stage) -> list[ConnectionState]:
-    return [each.state for each in scene.sidecar.downstream.connections()]
+def _states(harness: SidecarHarness) -> list[ConnectionState]:
+    return [each.state for each in harness.sidecar.downstream.connections()]
 
 
 @pytest.mark.parametrize("how", ["asked to close", "emptying", "stopping", "passed through"])
@@ -95,30 +95,30 @@
         release = asyncio.Event()
         body = 2 * _LARGE if how == "passed through" else _LARGE  # that is more than is kept
 
-        async def script(_heard: Heard) -> bytes:
+        async def script(_heard: ReceivedRequest) -> bytes:
             await release.wait()
-            return reply(body)
+            return http_response(body)
 
-        async with stage(script, client_limits=_LIMITS) as scene, _narrow(scene) as client:
+        async with sidecar_harness(script, client_limits=_LIMITS) as harness, _narrow(harness) as client:
             last = "" if how in ("emptying", "stopping") else "close"
-            client.send(request("lodge", timeout="15", Connection=last) + request("lodge"))
-            await until(lambda: len(scene.heard) == 1)
-            await until(
-                lambda: all(each.is_reading_paused for each in scene.sidecar.downstream.connections())
+            client.send(http_request("lodge", timeout="15", Connection=last) + http_request("lodge"))
+            await wait_until(lambda: len(harness.received_requests) == 1)
+            await wait_until(
+                lambda: all(each.is_reading_paused for each in harness.sidecar.downstream.connections())
             )
-            client.send(request("lodge"))  # it stays in the socket
+            client.send(http_request("lodge"))  # it stays in the socket
             if how == "emptying":
-                scene.sidecar.lifecycle.evacuate()
+                harness.sidecar.lifecycle.evacuate()
             elif how == "stopping":
-                scene.sidecar.lifecycle.stop()
+                harness.sidecar.lifecycle.stop()
             release.set()
-            await until(lambda: scene.sidecar.downstream.open_connections == 0)
+            await wait_until(lambda: harness.sidecar.downstream.open_connections == 0)
             got, was_reset = await client.rest()
             assert got.endswith(b"\r\n\r\n" + body)
             assert not was_reset
-            assert len(scene.heard) == 1
+            assert len(harness.received_requests) == 1
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize("part", ["whole", "first half"])
@@ -129,53 +129,55 @@
     # It crosses the close, so its client sends it again; nothing may come of this copy.
     async def work() -> None:
         limits = ClientLimits(linger_s=0.05, sweep_s=600.0, idle_timeout_s=0.0, leaving_s=0.0)
-        async with stage(_ANSWER, client_limits=limits) as scene, _narrow(scene) as client:
-            frontend = scene.sidecar.downstream
-            client.send(request("lodge"))
-            await until(lambda: _states(scene) == [ConnectionState.IDLE])
-            await until(lambda: all(each.can_close_safely for each in frontend.connections()))
+        async with sidecar_harness(_ANSWER, client_limits=limits) as harness, _narrow(harness) as client:
+            frontend = harness.sidecar.downstream
+            client.send(http_request("lodge"))
+            await wait_until(lambda: _states(harness) == [ConnectionState.IDLE])
+            await wait_until(lambda: all(each.can_close_safely for each in frontend.connections()))
             if why == "drain":
                 frontend.close_idle()
             else:
                 if why == "evacuation":
-                    scene.sidecar.lifecycle.evacuate()
+                    harness.sidecar.lifecycle.evacuate()
                 frontend._timeouts.sweep()
-            again = request("lodge")
+            again = http_request("lodge")
             at = len(again) if part == "whole" else len(again) // 2
             client.send(again[:at])  # the event loop has not run since
             await asyncio.sleep(limits.linger_s)
             client.send(again[at:])
             await asyncio.sleep(limits.linger_s)
             frontend._timeouts.sweep()
-            await until(lambda: frontend.open_connections == 0)
+            await wait_until(lambda: frontend.open_connections == 0)
             got, was_reset = await client.rest()
             assert got.endswith(b"\r\n\r\n" + _LARGE)
             assert not was_reset
-            assert len(scene.heard) == 1
-            other = await scene.client()
+            assert len(harness.received_requests) == 1
+            other = await harness.connect()
             other.send(again)
-            assert (await other.answer()).status == 200
-            assert len(scene.heard) == 2
+            assert (await other.read_response()).status == 200
+            assert len(harness.received_requests) == 2
 
-    play(work)
+    run_async(work)
 
 
 def test_capacity_is_made_by_closing_an_idle_connection_and_none_with_an_unread_request() -> None:
     async def work() -> None:
         limits = ClientLimits(greeting_s=0.0, sweep_s=600.0)
-        async with stage(OK, client_limits=limits) as scene:
-            frontend = scene.sidecar.downstream
-            silent = await scene.client()
-            await until(lambda: _states(scene) == [ConnectionState.CONNECTED])
-            resting = await scene.client()
-            assert (await resting.ask("lodge")).status == 200
-            await until(lambda: sorted(each.value for each in _states(scene)) == ["connected", "idle"])
-            silent.send(request("lodge"))  # it lies in the sidecar's socket, and the event loop has not run
+        async with sidecar_harness(OK_RESPONSE, client_limits=limits) as harness:
+            frontend = harness.sidecar.downstream
+            silent = await harness.connect()
+            await wait_until(lambda: _states(harness) == [ConnectionState.CONNECTED])
+            resting = await harness.connect()
+            assert (await resting.send_request("lodge")).status == 200
+            await wait_until(lambda: sorted(each.value for each in _states(harness)) == ["connected", "idle"])
+            silent.send(
+                http_request("lodge")
+            )  # it lies in the sidecar's socket, and the event loop has not run
             assert frontend.connections_by_state.evict()
-            assert (await silent.answer()).status == 200
-            assert await soon(resting.reader.read()) == b""
+            assert (await silent.read_response()).status == 200
+            assert await within_timeout(resting.reader.read()) == b""
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize("sent", [0, 40], ids=["unread", "read in part"])
@@ -183,31 +185,33 @@
     # It has been taken by then; whoever connects is turned away instead.
     async def work() -> None:
         limits = ClientLimits(greeting_s=0.0, sweep_s=600.0)
-        async with stage(OK, client_limits=limits) as scene:
-            client = await scene.client()
-            whole = request("lodge")
+        async with sidecar_harness(OK_RESPONSE, client_limits=limits) as harness:
+            client = await harness.connect()
+            whole = http_request("lodge")
             client.send(whole[:sent])
-            await until(
-                lambda: _states(scene) == [ConnectionState.READING if sent else ConnectionState.CONNECTED]
+            await wait_until(
+                lambda: _states(harness) == [ConnectionState.READING if sent else ConnectionState.CONNECTED]
             )
             client.send(whole[sent:])  # it lies in the sidecar's socket, and the event loop has not run
-            assert not scene.sidecar.downstream.connections_by_state.evict()
-            assert (await client.answer()).status == 200
+            assert not harness.sidecar.downstream.connections_by_state.evict()
+            assert (await client.read_response()).status == 200
 
-    play(work)
+    run_async(work)
 
 
 def test_first_request_is_read_when_it_comes_as_its_time_is_up() -> None:
     async def work() -> None:
         limits = ClientLimits(header_timeout_s=0.0, sweep_s=600.0)
-        async with stage(OK, client_limits=limits) as scene:
-            client = await scene.client()
-            await until(lambda: _states(scene) == [ConnectionState.CONNECTED])
-            client.send(request("lodge"))  # it lies in the sidecar's socket, and the event loop has not run
-            scene.sidecar.downstream._timeouts.sweep()
-            assert (await client.answer()).status == 200
+        async with sidecar_harness(OK_RESPONSE, client_limits=limits) as harness:
+            client = await harness.connect()
+            await wait_until(lambda: _states(harness) == [ConnectionState.CONNECTED])
+            client.send(
+                http_request("lodge")
+            )  # it lies in the sidecar's socket, and the event loop has not run
+            harness.sidecar.downstream._timeouts.sweep()
+            assert (await client.read_response()).status == 200
 
-    play(work)
+    run_async(work)
 
 
 def test_last_response_is_complete_when_its_client_reads_slowly() -> None:
@@ -215,14 +219,14 @@
     async def work() -> None:
         size = 8 << 20
 
-        async def script(_heard: Heard) -> bytes:
-            return reply(bytes(size))
+        async def script(_heard: ReceivedRequest) -> bytes:
+            return http_response(bytes(size))
 
-        async with stage(script, client_limits=_LIMITS) as scene, _narrow(scene) as client:
-            client.send(request("lodge", timeout="15", Connection="close"))
-            await until(lambda: len(scene.heard) == 1)
+        async with sidecar_harness(script, client_limits=_LIMITS) as harness, _narrow(harness) as client:
+            client.send(http_request("lodge", timeout="15", Connection="close"))
+            await wait_until(lambda: len(harness.received_requests) == 1)
             await asyncio.sleep(10 * _LIMITS.linger_s)
-            frontend = scene.sidecar.downstream
+            frontend = harness.sidecar.downstream
             assert frontend.open_connections == 1
             frontend.max_connections = 1
             assert not frontend.connections_by_state.evict()  # it is owed the rest
@@ -230,23 +234,23 @@
             assert got.endswith(b"\r\n\r\n" + bytes(size))
             assert not was_reset
 
-    play(work)
+    run_async(work)
 
 
 def test_connection_is_closed_in_bounded_time_when_its_client_never_closes() -> None:
     async def work() -> None:
-        release, hold = holding()
+        release, hold = blocking_script()
         release.set()
-        async with stage(hold, client_limits=_LIMITS) as scene:
+        async with sidecar_harness(hold, client_limits=_LIMITS) as harness:
             for _ in range(5):
-                client = await scene.client()
-                assert (await client.ask("lodge", Connection="close")).status == 200
-                assert await soon(client.reader.read()) == b""
-                client.send(request("lodge"))  # and it stays
-            await until(lambda: scene.sidecar.downstream.open_connections == 0)
-            assert len(scene.heard) == 5
+                client = await harness.connect()
+                assert (await client.send_request("lodge", Connection="close")).status == 200
+                assert await within_timeout(client.reader.read()) == b""
+                client.send(http_request("lodge"))  # and it stays
+            await wait_until(lambda: harness.sidecar.downstream.open_connections == 0)
+            assert len(harness.received_requests) == 5
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.alone
@@ -257,56 +261,61 @@
     # The repeat is drawn within the window, which is shorter than the deadline, and its connection is late.
     monkeypatch.setattr(upstream, "_REUSE_DELAY_US", 0)
     window_s, late_s = 0.4, 1.0
-    classes = [{**each, "giveUpUs": 4_000_000, "memorySpanUs": int(window_s * 1e6)} for each in CLASSES]
+    classes = [
+        {**each, "giveUpUs": 4_000_000, "memorySpanUs": int(window_s * 1e6)} for each in SERVICE_CLASSES
+    ]
 
     async def work() -> None:
-        slow = SlowToAccept()
-        await slow.fill()
+        slow = FullAcceptQueueServer()
+        await slow.fill_accept_queue()
         release = asyncio.Event()
 
-        async def fails(heard: Heard) -> bytes:
+        async def fails(heard: ReceivedRequest) -> bytes:
             if heard.method == "GET":
-                return OK
+                return OK_RESPONSE
             await release.wait()
-            return ERROR
+            return ERROR_RESPONSE
 
         bounds = {"dialTimeoutUs": 15_000_000, "mayCancel": False}
         loop = asyncio.get_running_loop()
-        async with stage(fails, fails, bounds=bounds, lanes=classes) as scene:
-            await until(lambda: len(scene.discovery.heard) >= 2)
-            while not all(each.heard for each in scene.servers):
-                assert (await scene.ask("check")).status == 200
-            before = len(scene.heard)
-            client = await scene.client()
-            client.send(request("amend", timeout="4.0"))
+        async with sidecar_harness(fails, fails, limit_overrides=bounds, lanes=classes) as harness:
+            await wait_until(lambda: len(harness.discovery.received_requests) >= 2)
+            while not all(each.received_requests for each in harness.servers):
+                assert (await harness.send_request("check")).status == 200
+            before = len(harness.received_requests)
+            client = await harness.connect()
+            client.send(http_request("amend", timeout="4.0"))
             began = loop.time()
-            await until(lambda: len(scene.heard) == before + 1)
+            await wait_until(lambda: len(harness.received_requests) == before + 1)
             if waits_for == "a dial":
-                leaving = [line(f"s-{n}", each.address, state="left") for n, each in enumerate(scene.servers)]
-                scene.discovery.tell(*leaving, line("s-slow", slow.address))
-                await until(lambda: len(scene.discovery.heard) >= 3)
+                leaving = [
+                    endpoint_entry(f"s-{n}", each.address, state="left")
+                    for n, each in enumerate(harness.servers)
+                ]
+                harness.discovery.announce(*leaving, endpoint_entry("s-slow", slow.address))
+                await wait_until(lambda: len(harness.discovery.received_requests) >= 3)
             monkeypatch.setattr(upstream, "_REUSE_DELAY_US", int(late_s * 1e6))
             release.set()
-            pool = scene.sidecar._upstream
-            await until(
+            pool = harness.sidecar._upstream
+            await wait_until(
                 lambda: pool._dials_in_flight == 1 if waits_for == "a dial" else len(pool._reuse_timers) == 1
             )
             assert loop.time() - began < window_s  # else this machine was too slow to show anything
             await asyncio.sleep(late_s)
             if waits_for == "a dial":
-                accepted = await slow.let_go()
-                await until(lambda: pool._dials_in_flight == 0)
+                accepted = await slow.accept_sidecar_connection()
+                await wait_until(lambda: pool._dials_in_flight == 0)
                 accepted.settimeout(0.2)
                 with pytest.raises(TimeoutError):
                     accepted.recv(1_000)  # the connection itself is kept
                 accepted.close()
             assert not pool._reuse_timers
-            assert (await client.answer()).status == 502
-            assert len(scene.heard) == before + 1
-            assert scene.sidecar.open_requests == 0
+            assert (await client.read_response()).status == 502
+            assert len(harness.received_requests) == before + 1
+            assert harness.sidecar.open_requests == 0
         slow.close()
 
-    play(work)
+    run_async(work)
 
 
 def _reset(writer: asyncio.StreamWriter) -> None:
@@ -324,26 +333,26 @@
 def test_response_without_length_is_complete_after_an_end_and_broken_after_a_reset(end: str) -> None:
     async def work() -> None:
         def reader_has_part() -> bool:
-            calls = [call for each in scene.sidecar._registry for call in each.upstream_requests]
+            calls = [call for each in harness.sidecar._registry for call in each.upstream_requests]
             return any(
                 each.connection is not None and each.connection._reader.is_mid_message for each in calls
             )
 
-        async def script(heard: Heard) -> None:
+        async def script(heard: ReceivedRequest) -> None:
             heard.writer.write(_NO_LENGTH + b"served")
             if end == "fin":
                 heard.writer.close()
                 return
             if end == "reset":
-                await until(reader_has_part)
+                await wait_until(reader_has_part)
             _reset(heard.writer)
 
-        async with stage(script, script) as scene:
-            answer = await scene.ask("lodge")
+        async with sidecar_harness(script, script) as harness:
+            answer = await harness.send_request("lodge")
             assert (answer.status, answer.body) == ((200, b"served") if end == "fin" else (502, b""))
-            assert len(scene.heard) == 1  # it may have run
+            assert len(harness.received_requests) == 1  # it may have run
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize("end", ["fin", "reset", "stall"])
@@ -357,7 +366,7 @@
     async def work() -> None:
         go_on = asyncio.Event()
 
-        async def script(heard: Heard) -> None:
+        async def script(heard: ReceivedRequest) -> None:
             heard.writer.write(_NO_LENGTH + _LARGE)
             await go_on.wait()
             if end == "fin":
@@ -366,25 +375,25 @@
                 _reset(heard.writer)
 
         limits = ClientLimits(idle_timeout_s=0.1, sweep_s=0.01)
-        async with stage(script, client_limits=limits) as scene:
-            client = await scene.client()
-            client.send(request("lodge").replace(b"HTTP/1.1", version, 1))
-            got = await soon(client.reader.readexactly(len(_LARGE)))  # most of it has passed
+        async with sidecar_harness(script, client_limits=limits) as harness:
+            client = await harness.connect()
+            client.send(http_request("lodge").replace(b"HTTP/1.1", version, 1))
+            got = await within_timeout(client.reader.readexactly(len(_LARGE)))  # most of it has passed
             go_on.set()
             if end == "fin":
-                got += await soon(client.reader.read())
+                got += await within_timeout(client.reader.read())
                 whole = got.partition(b"\r\n\r\n")[2]
                 assert whole == _LARGE if version == b"HTTP/1.0" else whole.endswith(b"\r\n0\r\n\r\n")
             elif version == b"HTTP/1.0":
                 with pytest.raises(ConnectionError):
-                    await soon(client.reader.read())
+                    await within_timeout(client.reader.read())
             else:
                 with suppress(ConnectionError):
-                    got += await soon(client.reader.read())
+                    got += await within_timeout(client.reader.read())
                 assert not got.endswith(b"\r\n0\r\n\r\n")
-            await until(lambda: scene.sidecar.open_requests == 0)
+            await wait_until(lambda: harness.sidecar.open_requests == 0)
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize("end", ["fin", "reset"])
@@ -392,7 +401,7 @@
     async def work() -> None:
         answered = 0
 
-        async def script(heard: Heard) -> bytes | None:
+        async def script(heard: ReceivedRequest) -> bytes | None:
             nonlocal answered
             if "wait_ms=2" in heard.target:
                 await asyncio.Event().wait()  # a watch: no news
@@ -407,20 +416,20 @@
             return None
 
         discovery = await ScriptedServer(script).start()
-        async with stage(OK, given={"discovery": discovery.address}) as scene:
-            await until(lambda: scene.sidecar._discovery.first_call_ended.is_set())
-            members = len(scene.sidecar._balancer._context.endpoints)
+        async with sidecar_harness(OK_RESPONSE, config_overrides={"discovery": discovery.address}) as harness:
+            await wait_until(lambda: harness.sidecar._discovery.first_call_ended.is_set())
+            members = len(harness.sidecar._balancer._context.endpoints)
             if end == "fin":
-                await until(lambda: scene.sidecar._endpoints.received.is_set())
-                assert scene.sidecar._balancer.endpoint_counts()[0] == 0
+                await wait_until(lambda: harness.sidecar._endpoints.received.is_set())
+                assert harness.sidecar._balancer.endpoint_counts()[0] == 0
             else:
-                await until(lambda: answered >= 3)
-                assert not scene.sidecar._endpoints.received.is_set()
-                assert scene.sidecar._balancer.endpoint_counts()[0] == members == 1
-                assert any("broke" in each for each in scene.log)
+                await wait_until(lambda: answered >= 3)
+                assert not harness.sidecar._endpoints.received.is_set()
+                assert harness.sidecar._balancer.endpoint_counts()[0] == members == 1
+                assert any("broke" in each for each in harness.log)
         discovery.stop()
 
-    play(work)
+    run_async(work)
 
 
 def _send_now(writer: asyncio.StreamWriter, raw: bytes) -> None:
@@ -464,23 +473,27 @@
     monkeypatch.setattr(upstream, "_REUSE_DELAY_US", 0)
 
     async def work() -> None:
-        async def script(heard: Heard) -> bytes:
-            answer = reply(heard.target.rpartition("/")[2].encode())
+        async def script(heard: ReceivedRequest) -> bytes:
+            answer = http_response(heard.target.rpartition("/")[2].encode())
             return answer + half if when == "in one piece" else answer
 
-        async with stage(script) as scene:
-            client = await scene.client()
+        async with sidecar_harness(script) as harness:
+            client = await harness.connect()
             for number in range(10, 20):
-                assert (await client.ask("lodge", target=f"/api/{number}")).body == b"%d" % number
+                assert (await client.send_request("lodge", target=f"/api/{number}")).body == b"%d" % number
                 if when != "in one piece":
-                    _send_now(scene.heard[-1].writer, half)
+                    _send_now(harness.received_requests[-1].writer, half)
                 if when == "just before use":
-                    (server,) = scene.sidecar._upstream._endpoints.values()
-                    assert scene.sidecar._upstream._pop_reusable(server) is None  # the event loop has not run
+                    (server,) = harness.sidecar._upstream._endpoints.values()
+                    assert (
+                        harness.sidecar._upstream._pop_reusable(server) is None
+                    )  # the event loop has not run
                 if when != "in one piece":
-                    await until(lambda seen=number - 9: len(scene.servers[0].closed) == seen)  # type: ignore[misc]
+                    await wait_until(
+                        lambda seen=number - 9: len(harness.servers[0].closed_connections) == seen
+                    )  # type: ignore[misc]
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.usefixtures("nothing_breaks")
@@ -489,30 +502,32 @@
     when: str,
 ) -> None:
     async def work() -> None:
-        release, hold = holding()
-        async with stage(hold) as scene:
-            client = await scene.client()
-            client.send(request("lodge", timeout="15"))
-            await until(lambda: len(scene.heard) == 1)
+        release, hold = blocking_script()
+        async with sidecar_harness(hold) as harness:
+            client = await harness.connect()
+            client.send(http_request("lodge", timeout="15"))
+            await wait_until(lambda: len(harness.received_requests) == 1)
             if when == "given up":
-                ((call,),) = [each.upstream_requests for each in scene.sidecar._registry]
-                scene.sidecar._upstream.cancel(call)
+                ((call,),) = [each.upstream_requests for each in harness.sidecar._registry]
+                harness.sidecar._upstream.cancel(call)
             else:
                 release.set()
-                assert (await client.answer()).status == 200
+                assert (await client.read_response()).status == 200
                 if when == "idle closed":
-                    scene.sidecar._upstream.close_all_idle()
+                    harness.sidecar._upstream.close_all_idle()
                 else:
-                    scene.sidecar._upstream.close()
-            _send_now(scene.heard[0].writer, b"HTTP/1.1 200 OK\r\nContent-Le")  # the event loop has not run
+                    harness.sidecar._upstream.close()
+            _send_now(
+                harness.received_requests[0].writer, b"HTTP/1.1 200 OK\r\nContent-Le"
+            )  # the event loop has not run
             release.set()
-            await until(lambda: scene.servers[0].closed == [0])
+            await wait_until(lambda: harness.servers[0].closed_connections == [0])
             if when == "given up":
-                assert (await client.answer()).status != 200
-            assert (await client.ask("lodge")).status == 200
-            assert scene.servers[0].connections == 2
+                assert (await client.read_response()).status != 200
+            assert (await client.send_request("lodge")).status == 200
+            assert harness.servers[0].connection_count == 2
 
-    play(work)
+    run_async(work)
 
 
 def test_sockets_delay_no_small_writes(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -536,23 +551,23 @@
 
     async def work() -> None:
         nonlocal discovery_port
-        async with stage(OK, started=False) as scene:
-            discovery_port = int(scene.discovery.address.rpartition(":")[2])
-            await scene.sidecar.start()
-            assert (await scene.ask()).status == 200
+        async with sidecar_harness(OK_RESPONSE, started=False) as harness:
+            discovery_port = int(harness.discovery.address.rpartition(":")[2])
+            await harness.sidecar.start()
+            assert (await harness.send_request()).status == 200
             inherited = listener.adopt(str(listener.bind_and_listen((HOST, 0)).detach()))
-            scene.sidecar.downstream.stop_listening()
-            scene.sidecar.downstream.listen(inherited)
-            assert (await scene.ask()).status == 200
-            door = control.ControlEndpoint(scene.sidecar.command_handlers())
+            harness.sidecar.downstream.stop_listening()
+            harness.sidecar.downstream.listen(inherited)
+            assert (await harness.send_request()).status == 200
+            door = control.ControlEndpoint(harness.sidecar.command_handlers())
             door.listen((HOST, 0))
             reader, writer = await asyncio.open_connection(HOST, door.port)
             writer.write(b"readyz\n")
-            assert await soon(reader.read()) == b"+OK ready\n"
+            assert await within_timeout(reader.read()) == b"+OK ready\n"
             writer.close()
             door.close()
 
-    play(work)
+    run_async(work)
     assert found == {
         each: {1}
         for each in ("DownstreamConnection", "UpstreamConnection", "discovery", "_ControlConnection")
@@ -561,86 +576,88 @@
 
 async def _asked(accepted: socket.socket) -> bytes:
     """The target of the next request on a connection that a test has accepted."""
-    raw = await soon(asyncio.get_running_loop().sock_recv(accepted, 16_384))
+    raw = await within_timeout(asyncio.get_running_loop().sock_recv(accepted, 16_384))
     return raw.split(b" ")[1]
 
 
 @pytest.mark.alone
 def test_connection_that_is_established_late_is_used_retained_and_counted() -> None:
     async def work() -> None:
-        slow = SlowToAccept()
-        await slow.fill()
-        async with stage(bounds={"dialTimeoutUs": 15_000_000}) as scene:
-            pool = scene.sidecar._upstream
-            await until(lambda: len(scene.discovery.heard) >= 2)
-            scene.discovery.tell(line("s", slow.address))
-            await until(lambda: len(scene.discovery.heard) >= 3)
+        slow = FullAcceptQueueServer()
+        await slow.fill_accept_queue()
+        async with sidecar_harness(limit_overrides={"dialTimeoutUs": 15_000_000}) as harness:
+            pool = harness.sidecar._upstream
+            await wait_until(lambda: len(harness.discovery.received_requests) >= 2)
+            harness.discovery.announce(endpoint_entry("s", slow.address))
+            await wait_until(lambda: len(harness.discovery.received_requests) >= 3)
             # Its deadline holds while the dial is under way, and no server had it.
-            hasty, patient = await scene.client(), await scene.client()
+            hasty, patient = await harness.connect(), await harness.connect()
             began = asyncio.get_running_loop().time()
-            hasty.send(request("lodge", timeout="0.3", target="/api/hasty"))
-            assert (await hasty.answer()).status in (503, 504)
+            hasty.send(http_request("lodge", timeout="0.3", target="/api/hasty"))
+            assert (await hasty.read_response()).status in (503, 504)
             assert 0.2 < asyncio.get_running_loop().time() - began < 0.8
-            assert (pool._dials_in_flight, len(pool._endpoint_of), scene.sidecar.open_requests) == (1, 0, 0)
+            assert (pool._dials_in_flight, len(pool._endpoint_of), harness.sidecar.open_requests) == (1, 0, 0)
             # What came up for nothing is kept, and the next request, which dials as well, loses nothing.
-            patient.send(request("lodge", timeout="15", target="/api/patient"))
-            await until(lambda: pool._dials_in_flight == 2)
-            accepted = [await slow.let_go(), await slow.let_go()]
-            await until(lambda: pool._dials_in_flight == 0)
+            patient.send(http_request("lodge", timeout="15", target="/api/patient"))
+            await wait_until(lambda: pool._dials_in_flight == 2)
+            accepted = [await slow.accept_sidecar_connection(), await slow.accept_sidecar_connection()]
+            await wait_until(lambda: pool._dials_in_flight == 0)
             assert len(pool._endpoint_of) == 2
             asked = [asyncio.ensure_future(_asked(each)) for each in accepted]
             (used,), _ = await asyncio.wait(asked, return_when=asyncio.FIRST_COMPLETED)
             assert used.result() == b"/api/patient"
-            accepted[asked.index(used)].send(OK)
-            assert (await patient.answer()).status == 200
+            accepted[asked.index(used)].send(OK_RESPONSE)
+            assert (await patient.read_response()).status == 200
             # Either serves from here on, and none is opened beside them.
-            patient.send(request("lodge", timeout="15", target="/api/next"))
-            await until(lambda: len(scene.sidecar._registry) == 1)
+            patient.send(http_request("lodge", timeout="15", target="/api/next"))
+            await wait_until(lambda: len(harness.sidecar._registry) == 1)
             (waiting,) = [each for each in asked if each is not used]
             again = asyncio.ensure_future(_asked(accepted[asked.index(used)]))
             (used,), _ = await asyncio.wait((waiting, again), return_when=asyncio.FIRST_COMPLETED)
             assert used.result() == b"/api/next"
-            accepted[asked.index(waiting) if used is waiting else 1 - asked.index(waiting)].send(OK)
-            assert (await patient.answer()).status == 200
-            assert (pool._dials_in_flight, len(pool._endpoint_of), scene.sidecar.open_requests) == (0, 2, 0)
-            scene.sidecar.close()
+            accepted[asked.index(waiting) if used is waiting else 1 - asked.index(waiting)].send(OK_RESPONSE)
+            assert (await patient.read_response()).status == 200
+            assert (pool._dials_in_flight, len(pool._endpoint_of), harness.sidecar.open_requests) == (0, 2, 0)
+            harness.sidecar.close()
             for each in accepted:
                 each.close()
         slow.close()
 
-    play(work)
+    run_async(work)
 
 
 def test_dial_that_takes_too_long_costs_its_request_only_time() -> None:
     async def work() -> None:
-        slow = SlowToAccept()
-        await slow.fill()
-        other = await ScriptedServer(OK).start()
-        async with stage(bounds={"dialTimeoutUs": 400_000}) as scene:
-            pool = scene.sidecar._upstream
-            await until(lambda: len(scene.discovery.heard) >= 2)
-            scene.discovery.tell(line("s-slow", slow.address))
-            await until(lambda: len(scene.discovery.heard) >= 3)
-            client = await scene.client()
-            client.send(request("lodge", timeout="4"))
-            await until(lambda: pool._dials_in_flight == 1)
-            scene.discovery.tell(line("s-other", other.address))
-            assert (await client.answer()).status == 200
-            assert len(other.heard) == 1
-            assert float(other.heard[0].headers["request-timeout"]) < 3.7  # what was left of its time
-            assert (pool._dials_in_flight, len(pool._endpoint_of), scene.sidecar.open_requests) == (0, 1, 0)
+        slow = FullAcceptQueueServer()
+        await slow.fill_accept_queue()
+        other = await ScriptedServer(OK_RESPONSE).start()
+        async with sidecar_harness(limit_overrides={"dialTimeoutUs": 400_000}) as harness:
+            pool = harness.sidecar._upstream
+            await wait_until(lambda: len(harness.discovery.received_requests) >= 2)
+            harness.discovery.announce(endpoint_entry("s-slow", slow.address))
+            await wait_until(lambda: len(harness.discovery.received_requests) >= 3)
+            client = await harness.connect()
+            client.send(http_request("lodge", timeout="4"))
+            await wait_until(lambda: pool._dials_in_flight == 1)
+            harness.discovery.announce(endpoint_entry("s-other", other.address))
+            assert (await client.read_response()).status == 200
+            assert len(other.received_requests) == 1
+            assert (
+                float(other.received_requests[0].headers["request-timeout"]) < 3.7
+            )  # what was left of its time
+            assert (pool._dials_in_flight, len(pool._endpoint_of), harness.sidecar.open_requests) == (0, 1, 0)
         slow.close()
         other.stop()
 
-    play(work)
+    run_async(work)
 
 
 _FLOODS = {
-    "requests": request("lodge", timeout="15") * 1_500,
+    "requests": http_request("lodge", timeout="15") * 1_500,
     "nonsense": b"\0" * 300_000,
     "health": b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n" * 8_000,
     "heads": b"GET /api HTTP/1.1\r\nHost: x\r\n" + b"X-Pad: 0123456789abcdef\r\n" * 12_000,
-    "a body's part": request("lodge", timeout="15", Content_Length="30000000") + bytes(300_000),
+    "a body's part": http_request("lodge", timeout="15", Content_Length="30000000") + bytes(300_000),
 }
 
 
@@ -653,25 +670,25 @@
         async def rush(number: int) -> None:
             with socket.socket() as plain:
                 plain.setblocking(False)
-                await loop.sock_connect(plain, (HOST, scene.sidecar.downstream.port))
+                await loop.sock_connect(plain, (HOST, harness.sidecar.downstream.port))
                 with suppress(OSError):
                     plain.send(_FLOODS[what])
                 if number % 2:
                     plain.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
 
-        async with stage(OK, OK, client_limits=_LIMITS) as scene:
-            steady = await scene.client()
+        async with sidecar_harness(OK_RESPONSE, OK_RESPONSE, client_limits=_LIMITS) as harness:
+            steady = await harness.connect()
             before = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
             for _ in range(10):
                 await asyncio.gather(*(rush(number) for number in range(30)))
-                assert (await steady.ask("lodge", timeout="2.0")).status == 200
-            frontend = scene.sidecar.downstream
-            await until(lambda: frontend.open_connections == 1)
-            await until(lambda: scene.sidecar.open_requests == 0)
+                assert (await steady.send_request("lodge", timeout="2.0")).status == 200
+            frontend = harness.sidecar.downstream
+            await wait_until(lambda: frontend.open_connections == 1)
+            await wait_until(lambda: harness.sidecar.open_requests == 0)
             assert frontend.connections_by_state.buffered_bytes == 0
             assert resource.getrusage(resource.RUSAGE_SELF).ru_maxrss - before < 30_000  # KiB
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize("after_s", [0.0, 0.002, 0.01])
@@ -680,34 +697,34 @@
 ) -> None:
     # Clients rest on their connections, and all of them send around the moment in which these are let go.
     async def work() -> None:
-        async with program(OK, tmp_path) as running:
-            clients = [await running.client() for _ in range(60)]
+        async with sidecar_with_server(OK_RESPONSE, tmp_path) as running:
+            clients = [await running.connect() for _ in range(60)]
             for client in clients:
-                assert (await client.ask("lodge")).status == 200
-            before = len(running.server.heard)
+                assert (await client.send_request("lodge")).status == 200
+            before = len(running.server.received_requests)
             running.process.send_signal(signal.SIGTERM)
 
             async def ask(number: int) -> int:
                 await asyncio.sleep(after_s * number / len(clients))
-                again = request("lodge", Request_Id=f"again-{number}")
+                again = http_request("lodge", Request_Id=f"again-{number}")
                 client = clients[number]
                 try:
                     client.send(again)
-                    answer = await client.answer()
+                    answer = await client.read_response()
                 except (ConnectionError, asyncio.IncompleteReadError):
                     # It crossed the close: once more, on a new connection, as the protocol has it.
-                    client = await running.client()
+                    client = await running.connect()
                     client.send(again)
-                    answer = await client.answer()
+                    answer = await client.read_response()
                 client.close()
                 return answer.status
 
             statuses = await asyncio.gather(*(ask(number) for number in range(len(clients))))
             assert set(statuses) <= {200, 503}  # a crowd at one server: some may be refused
             served = [f"again-{number}" for number, status in enumerate(statuses) if status == 200]
-            heard = [each.headers["request-id"] for each in running.server.heard[before:]]
+            heard = [each.headers["request-id"] for each in running.server.received_requests[before:]]
             assert served
             assert sorted(heard) == sorted(served)
-            assert await soon(running.process.wait()) == 0
+            assert await within_timeout(running.process.wait()) == 0
 
-    play(work)
+    run_async(work)
--- a/tests/sidecar/test_readiness.py
+++ b/tests/sidecar/test_readiness.py
@@ -12,9 +12,9 @@
 
 import pytest
 from click.testing import CliRunner, Result
-from loopback import HOST, line, play, soon
-from running import GOOD, started
-from unavailable_discovery import FAULTS, UnavailableDiscovery
+from loopback import HOST, endpoint_entry, run_async, within_timeout
+from running import VALID_CONFIG, start_process
+from unavailable_discovery import DISCOVERY_FAULTS, UnavailableDiscovery
 
 from benchmarks import ready
 from tulipnotch.sidecar import logs
@@ -34,13 +34,13 @@
 
 async def _start(config: Path, listener: socket.socket | None) -> Told:
     environ = {} if listener is None else {"BALANCER_INHERITED_FD": str(listener.fileno())}
-    process = await started(config, () if listener is None else (listener.fileno(),), **environ)
+    process = await start_process(config, () if listener is None else (listener.fileno(),), **environ)
     try:
         assert process.stderr is not None
         waits_s: list[float] = []
         begun = 0.0
         while True:
-            said = (await soon(process.stderr.readline())).decode()
+            said = (await within_timeout(process.stderr.readline())).decode()
             assert said, "it ended"
             event = ready.parse_event(said)
             assert event is not None, said
@@ -73,13 +73,13 @@
     async def once(away: str) -> None:
         agent = UnavailableDiscovery(away)
         await agent.start_unavailable()
-        servers = [line("s-1", f"{HOST}:9")] if knows_servers else []
+        servers = [endpoint_entry("s-1", f"{HOST}:9")] if knows_servers else []
         config = tmp_path / f"{away}.json"
         given = {
-            **GOOD,
+            **VALID_CONFIG,
             "discovery": f"{HOST}:{agent.port}",
             "known": {"version": 1, "full": True, "servers": servers},
-            "settings": {**GOOD["settings"], "discovery": mode},
+            "settings": {**VALID_CONFIG["settings"], "discovery": mode},
         }
         config.write_text(json.dumps(given))
         try:
@@ -92,9 +92,9 @@
         assert told.after_ms >= 1_000 * sum(waits_s[away])
 
     async def work() -> None:
-        await asyncio.gather(*(once(each) for each in FAULTS))
+        await asyncio.gather(*(once(each) for each in DISCOVERY_FAULTS))
 
-    play(work)
+    run_async(work)
 
 
 def _serving(name: str, after_ms: int) -> str:
--- a/tests/sidecar/test_reload.py
+++ b/tests/sidecar/test_reload.py
@@ -11,19 +11,28 @@
 from typing import Any
 
 import pytest
-from helpers import SAFE, Stage, names, settings
-from loopback import CLASSES, OK, holding, play, request, soon, stage, until
-from running import GOOD, program
+from helpers import IDEMPOTENT_CLASS, BalancerDriver, endpoint_names, make_settings
+from loopback import (
+    OK_RESPONSE,
+    SERVICE_CLASSES,
+    blocking_script,
+    http_request,
+    run_async,
+    sidecar_harness,
+    wait_until,
+    within_timeout,
+)
+from running import VALID_CONFIG, sidecar_with_server
 
 from tulipnotch.load_balancing.events import SettingsChanged
 from tulipnotch.load_balancing.outcomes import Outcome
 from tulipnotch.sidecar.configuration.configuration import Config, ConfigError, load, parse
 
 FULL: dict[str, Any] = {
-    **GOOD,
+    **VALID_CONFIG,
     "settings": {
-        **GOOD["settings"],
-        "lanes": [{"worth": 1.0, "lateValue": 0.0, "streaming": False, **each} for each in CLASSES],
+        **VALID_CONFIG["settings"],
+        "lanes": [{"worth": 1.0, "lateValue": 0.0, "streaming": False, **each} for each in SERVICE_CLASSES],
         "bounds": {"sendCap": 3, "maxOpen": 100, "dialTimeoutUs": 250_000, "retryAfter": True},
         "guarantees": {"coldFrom": 0.2, "coldUs": 10_000_000},
         "realms": [{"name": "acme", "portion": 1.0, "quotaRps": 5.0}],
@@ -123,42 +132,44 @@
 
 
 def test_reload_limits_every_later_attempt_when_fewer_are_allowed() -> None:
-    before = settings(limits={"max_attempts": 3})
-    stage = Stage(before)
-    stage.servers(names(5))
-    first, second = stage.request("look"), stage.request("look")
-    stage.end(first, Outcome.SERVER_ERROR)
-    assert len(stage.sends(first)) == 2
-    stage.play(SettingsChanged(settings(limits={"max_attempts": 2})))
-    stage.end(first, Outcome.SERVER_ERROR)
-    assert len(stage.sends(first)) == 2  # it was allowed three when it came
-    stage.end(second, Outcome.SERVER_ERROR)
-    assert len(stage.sends(second)) == 2
+    before = make_settings(limits={"max_attempts": 3})
+    driver = BalancerDriver(before)
+    driver.update_endpoints(endpoint_names(5))
+    first, second = driver.receive_request("look"), driver.receive_request("look")
+    driver.end_attempt(first, Outcome.SERVER_ERROR)
+    assert len(driver.started_attempts(first)) == 2
+    driver.handle(SettingsChanged(make_settings(limits={"max_attempts": 2})))
+    driver.end_attempt(first, Outcome.SERVER_ERROR)
+    assert len(driver.started_attempts(first)) == 2  # it was allowed three when it came
+    driver.end_attempt(second, Outcome.SERVER_ERROR)
+    assert len(driver.started_attempts(second)) == 2
 
 
 def test_request_retains_its_class_when_a_reload_changes_it() -> None:
-    stage = Stage()
-    stage.servers(names(5))
-    under_way = stage.request("look")
-    stage.play(SettingsChanged(settings(classes=[{**SAFE, "idempotency": "non_idempotent"}])))
-    later = stage.request("look")
+    driver = BalancerDriver()
+    driver.update_endpoints(endpoint_names(5))
+    under_way = driver.receive_request("look")
+    driver.handle(
+        SettingsChanged(make_settings(classes=[{**IDEMPOTENT_CLASS, "idempotency": "non_idempotent"}]))
+    )
+    later = driver.receive_request("look")
     for each in (under_way, later):
-        stage.end(each, Outcome.SERVER_ERROR)
-    assert len(stage.sends(under_way)) == 2
-    assert len(stage.sends(later)) == 1
+        driver.end_attempt(each, Outcome.SERVER_ERROR)
+    assert len(driver.started_attempts(under_way)) == 2
+    assert len(driver.started_attempts(later)) == 1
 
 
 def test_balancer_retains_nothing_of_classes_that_a_reload_removes() -> None:
-    stage = Stage()
-    stage.servers(names(5))
+    driver = BalancerDriver()
+    driver.update_endpoints(endpoint_names(5))
     for round_ in range(20):
         name = f"look-{round_}"
-        stage.play(SettingsChanged(settings(classes=[{**SAFE, "name": name}])))
-        stage.serve(5, name=name)
-        request = stage.request(name)
-        if stage.sends(request):  # full answers make it refuse some, sooner or later
-            stage.end(request, Outcome.OVERLOADED)
-    balancer = stage.balancer
+        driver.handle(SettingsChanged(make_settings(classes=[{**IDEMPOTENT_CLASS, "name": name}])))
+        driver.run_traffic(5, service_class=name)
+        request = driver.receive_request(name)
+        if driver.started_attempts(request):  # full answers make it refuse some, sooner or later
+            driver.end_attempt(request, Outcome.OVERLOADED)
+    balancer = driver.balancer
     parts = balancer._components
     kept = [kind for kind, _ in parts.admission._demand._traffic]
     kept += [kind for kind, _ in parts.latency.usual_us]
@@ -180,39 +191,41 @@
     monkeypatch.setattr("tulipnotch.sidecar.downstream.server._CLASS_RETENTION_S", 0.05)
 
     async def work() -> None:
-        release, hold = holding()
-        async with stage(hold) as scene:
-            sidecar = scene.sidecar
-            client = await scene.client()
-            client.send(request("check"))
-            await until(lambda: len(scene.heard) == 1)
-            new = {**CLASSES[0], "name": "new", "giveUpUs": 1_000_000}
+        release, hold = blocking_script()
+        async with sidecar_harness(hold) as harness:
+            sidecar = harness.sidecar
+            client = await harness.connect()
+            client.send(http_request("check"))
+            await wait_until(lambda: len(harness.received_requests) == 1)
+            new = {**SERVICE_CLASSES[0], "name": "new", "giveUpUs": 1_000_000}
             bounds = {"sendCap": 1, "maxOpen": 1, "dialTimeoutUs": 123_000, "idleCloseUs": 1_000_000}
             sidecar.reload(changed(sidecar.config, lanes=[new], bounds=bounds))
             shown = sidecar.command_handlers()["telemetry"]()
             assert "app.downstream_requests.new.rejected=0" in shown
-            assert (await scene.ask("new")).status == 503  # one may be open, and one is
+            assert (await harness.send_request("new")).status == 503  # one may be open, and one is
             release.set()
-            assert (await client.answer()).status == 200
-            assert (await scene.ask("new", timeout="9")).status == 200
-            assert float(scene.heard[-1].headers["request-timeout"]) <= 1.0
+            assert (await client.read_response()).status == 200
+            assert (await harness.send_request("new", timeout="9")).status == 200
+            assert float(harness.received_requests[-1].headers["request-timeout"]) <= 1.0
             assert sidecar._upstream._timeouts.connect_s == 0.123
             assert sidecar._upstream._timeouts.response_stall_s == 0.4 * 0.75  # of the aim of the only class
             await asyncio.sleep(0.1)
-            assert (await scene.ask("check")).status == 400  # it vanished, and has faded
+            assert (await harness.send_request("check")).status == 400  # it vanished, and has faded
             assert "app.downstream_requests.check.completed=1" in sidecar.command_handlers()["telemetry"]()
 
-    play(work)
+    run_async(work)
 
 
 def test_request_is_accepted_when_its_class_was_just_removed() -> None:
     # Guards against failing what was on its way when the file changed.
     async def work() -> None:
-        async with stage(OK) as scene:
-            scene.sidecar.reload(changed(scene.sidecar.config, lanes=[{**CLASSES[0], "name": "new"}]))
-            assert [(await scene.ask(kind)).status for kind in ("check", "new")] == [200, 200]
+        async with sidecar_harness(OK_RESPONSE) as harness:
+            harness.sidecar.reload(
+                changed(harness.sidecar.config, lanes=[{**SERVICE_CLASSES[0], "name": "new"}])
+            )
+            assert [(await harness.send_request(kind)).status for kind in ("check", "new")] == [200, 200]
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize("ahead", [False, True], ids=["at rest", "behind an open request"])
@@ -223,38 +236,40 @@
     monkeypatch.setattr("tulipnotch.sidecar.downstream.server._CLASS_RETENTION_S", 0.05)
 
     async def work() -> None:
-        release, hold = holding()
-        async with stage(hold, OK) as scene:
-            frontend = scene.sidecar.downstream
-            slow, raw = await scene.client(), request("check")
+        release, hold = blocking_script()
+        async with sidecar_harness(hold, OK_RESPONSE) as harness:
+            frontend = harness.sidecar.downstream
+            slow, raw = await harness.connect(), http_request("check")
             if ahead:
-                slow.send(request("check"))
-                await until(lambda: len(scene.heard) == 1)
+                slow.send(http_request("check"))
+                await wait_until(lambda: len(harness.received_requests) == 1)
             else:
                 release.set()
             slow.send(raw[:40])
-            await until(lambda: any(each._reader.is_mid_message for each in frontend.connections()))
-            scene.sidecar.reload(changed(scene.sidecar.config, lanes=[{**CLASSES[0], "name": "new"}]))
-            await until(lambda: set(frontend.classes) == {"new"})
+            await wait_until(lambda: any(each._reader.is_mid_message for each in frontend.connections()))
+            harness.sidecar.reload(
+                changed(harness.sidecar.config, lanes=[{**SERVICE_CLASSES[0], "name": "new"}])
+            )
+            await wait_until(lambda: set(frontend.classes) == {"new"})
             release.set()
             if ahead:
-                assert (await slow.answer()).status == 200
+                assert (await slow.read_response()).status == 200
             slow.send(raw[40:])
-            assert (await slow.answer()).status == 200
-            assert (await slow.ask("check")).status == 400  # this one began after it had vanished
+            assert (await slow.read_response()).status == 200
+            assert (await slow.send_request("check")).status == 400  # this one began after it had vanished
 
-    play(work)
+    run_async(work)
 
 
 def test_process_reloads_valid_files_and_rejects_invalid_ones(tmp_path: Path) -> None:
     async def work() -> None:
-        async with program(OK, tmp_path) as running:
-            good = json.loads(running.config.read_text())
+        async with sidecar_with_server(OK_RESPONSE, tmp_path) as running:
+            good = json.loads(running.config_path.read_text())
 
             async def hup(text: str) -> str:
-                running.config.write_text(text)
+                running.config_path.write_text(text)
                 running.process.send_signal(signal.SIGHUP)
-                return await running.says()
+                return await running.read_log_line()
 
             bad = copy.deepcopy(good)
             bad["settings"]["lanes"][0]["giveUpUs"] = 0
@@ -265,14 +280,14 @@
             )
             del bad["discovery"]
             assert "force: discovery: the key is missing" in await hup(json.dumps(bad))
-            good["settings"]["lanes"] = [{**CLASSES[0], "name": "new"}]
+            good["settings"]["lanes"] = [{**SERVICE_CLASSES[0], "name": "new"}]
             assert (await hup(json.dumps(good))).startswith("reloaded: ")
-            assert (await (await running.client()).ask("new")).status == 200
-            figures = await running.call("telemetry")
+            assert (await (await running.connect()).send_request("new")).status == 200
+            figures = await running.send_command("telemetry")
             assert "app.config_reloads=1" in figures
             assert "app.config_reload_errors=2" in figures
             assert "app.downstream_requests.new.completed=1" in figures
             running.process.send_signal(signal.SIGTERM)
-            assert await soon(running.process.wait()) == 0
+            assert await within_timeout(running.process.wait()) == 0
 
-    play(work)
+    run_async(work)
--- a/tests/sidecar/test_start_faults.py
+++ b/tests/sidecar/test_start_faults.py
@@ -11,8 +11,8 @@
 from typing import Any
 
 import pytest
-from loopback import HOST, OK, play, soon
-from running import running_on, started, world
+from loopback import HOST, OK_RESPONSE, run_async, within_timeout
+from running import running_sidecar, server_with_config, start_process
 
 
 def _preamble(folder: Path, source: str) -> dict[str, str]:
@@ -47,7 +47,7 @@
 def test_start_succeeds_after_system_calls_have_failed_temporarily(
     call: str, error: str, tmp_path: Path
 ) -> None:
-    play(lambda: _start_with(_FAILING_CALL.format(call=call, error=error), tmp_path))
+    run_async(lambda: _start_with(_FAILING_CALL.format(call=call, error=error), tmp_path))
 
 
 # Sends SIGHUP while a module is being found, and records that in a file.
@@ -66,7 +66,7 @@
 def test_start_survives_sighup_while_the_program_is_imported(module: str, tmp_path: Path) -> None:
     record = tmp_path / "signals"
     source = _SIGHUP_AT_IMPORT.format(module=module, record=str(record))
-    play(lambda: _start_with(source, tmp_path))
+    run_async(lambda: _start_with(source, tmp_path))
     assert record.read_text() == f"tulipnotch.sidecar.{module}"
 
 
@@ -77,7 +77,7 @@
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as free:
             free.bind((HOST, 0))
             peer_listen = f"{HOST}:{free.getsockname()[1]}"
-        async with world(OK, tmp_path) as (config, server):
+        async with server_with_config(OK_RESPONSE, tmp_path) as (config, server):
             given: dict[str, Any] = json.loads(config.read_text())
             given |= {"peer_listen": peer_listen, "peers": [peer_listen]}
             given["settings"]["bounds"] = {"mayTell": True, "sendCap": 1}
@@ -86,19 +86,19 @@
                 listener.bind((HOST, 0))
                 listener.listen()
                 async with (
-                    running_on(config, server, listener),
-                    running_on(config, server, listener) as new,
+                    running_sidecar(config, server, listener),
+                    running_sidecar(config, server, listener) as new,
                 ):
-                    assert (await new.call("readyz"))[0] == "+OK ready"
+                    assert (await new.send_command("readyz"))[0] == "+OK ready"
 
-    play(work)
+    run_async(work)
 
 
 async def _start_with(source: str, folder: Path) -> None:
     """Starts a process that runs this source first, and checks that it serves."""
     environ = _preamble(folder, source)
-    async with world(OK, folder) as (config, _):
-        process = await started(config, **environ)
+    async with server_with_config(OK_RESPONSE, folder) as (config, _):
+        process = await start_process(config, **environ)
         try:
             assert await _wait_until_serving(process)
         finally:
@@ -108,7 +108,7 @@
 async def _wait_until_serving(process: asyncio.subprocess.Process) -> bool:
     """Returns whether the process logs that it serves before it ends."""
     assert process.stderr is not None
-    while said := await soon(process.stderr.readline()):
+    while said := await within_timeout(process.stderr.readline()):
         if b"serves on" in said:
             return True
     return False
--- a/tests/sidecar/test_wall_clock.py
+++ b/tests/sidecar/test_wall_clock.py
@@ -9,9 +9,18 @@
 from typing import Any
 
 import pytest
-from helpers import MS, START, S, Stage, names, settings
-from loopback import CLASSES, HOST, OK, Client, ScriptedServer, line, play, soon
-from running import GOOD, started
+from helpers import MS, START_US, BalancerDriver, S, endpoint_names, make_settings
+from loopback import (
+    HOST,
+    OK_RESPONSE,
+    SERVICE_CLASSES,
+    Client,
+    ScriptedServer,
+    endpoint_entry,
+    run_async,
+    within_timeout,
+)
+from running import VALID_CONFIG, start_process
 from soak.shim import Shim, Word, compile_shim
 
 from tulipnotch.load_balancing.events import EndpointDescription
@@ -22,45 +31,51 @@
 
 @pytest.mark.parametrize("ahead_s", [1, _HOUR_S])
 def test_slow_start_begins_now_when_the_start_time_is_in_the_future(ahead_s: int) -> None:
-    given = settings()
+    given = make_settings()
     cold_us = given.rules.warm_up_us
-    scene = Stage(given)
-    scene.servers(
-        [EndpointDescription(each, zone="east", started_at=START + ahead_s * S) for each in names(4)]
+    driver = BalancerDriver(given)
+    driver.update_endpoints(
+        [
+            EndpointDescription(each, zone="east", started_at=START_US + ahead_s * S)
+            for each in endpoint_names(4)
+        ]
     )
-    slow_start = scene.balancer._components.slow_start
-    servers = list(scene.balancer._context.endpoints.values())
+    slow_start = driver.balancer._components.slow_start
+    servers = list(driver.balancer._context.endpoints.values())
     assert all(slow_start.is_warming_up(each) for each in servers)
-    scene.wait(cold_us + 1 * MS)
-    scene.request()
+    driver.advance(cold_us + 1 * MS)
+    driver.receive_request()
     assert not any(slow_start.is_warming_up(each) for each in servers)
 
 
 def test_readmitted_server_is_not_set_back_when_its_start_time_is_in_the_future() -> None:
-    given = settings()
-    scene = Stage(given)
-    scene.servers(
-        [EndpointDescription(each, zone="east", started_at=START + _HOUR_S * S) for each in names(4)]
+    given = make_settings()
+    driver = BalancerDriver(given)
+    driver.update_endpoints(
+        [
+            EndpointDescription(each, zone="east", started_at=START_US + _HOUR_S * S)
+            for each in endpoint_names(4)
+        ]
     )
-    scene.wait(given.rules.warm_up_us + 1 * MS)
-    scene.request()
-    outliers = scene.balancer._components.outlier_detection
-    server = next(iter(scene.balancer._context.endpoints.values()))
+    driver.advance(given.rules.warm_up_us + 1 * MS)
+    driver.receive_request()
+    outliers = driver.balancer._components.outlier_detection
+    server = next(iter(driver.balancer._context.endpoints.values()))
     outliers._eject(server, "error")
     outliers.readmit(server)
-    assert not scene.balancer._components.slow_start.is_warming_up(server)
+    assert not driver.balancer._components.slow_start.is_warming_up(server)
 
 
 def test_process_serves_alike_when_its_clock_is_an_hour_behind(tmp_path: Path) -> None:
     async def work() -> None:
-        server = await ScriptedServer(OK).start()
-        listed = line("s-1", server.address, started_ms=time.time_ns() // 1_000_000)
+        server = await ScriptedServer(OK_RESPONSE).start()
+        listed = endpoint_entry("s-1", server.address, started_ms=time.time_ns() // 1_000_000)
         guarantees = {"coldUs": int(_COLD_S * 1e6), "coldFrom": 0.1, "fallMultiple": 1.0, "fallUs": 500_000}
         given: dict[str, Any] = {
-            **GOOD,
+            **VALID_CONFIG,
             "known": {"version": 1, "full": True, "servers": [listed]},
             "settings": {
-                "lanes": CLASSES,
+                "lanes": SERVICE_CLASSES,
                 "discovery": "on_request",
                 "guarantees": guarantees,
                 "groupSize": 8,
@@ -70,21 +85,21 @@
         config.write_text(json.dumps(given))
         shim = Shim(compile_shim(tmp_path), tmp_path / "words")
         shim.put(Word.WALL_OFFSET_NS, -_HOUR_S * 10**9)
-        process = await started(config, **shim.environ)
+        process = await start_process(config, **shim.environ)
         try:
             assert process.stderr is not None
-            while b"serves on" not in (said := await soon(process.stderr.readline())):
+            while b"serves on" not in (said := await within_timeout(process.stderr.readline())):
                 assert said
             port = int(said.split(b":")[1].split(b",")[0])
             client = Client(*await asyncio.open_connection(HOST, port))
             served = 0
             async with asyncio.timeout(10 * _COLD_S):
                 while served < 50:
-                    served = served + 1 if (await client.ask("check")).status == 200 else 0
+                    served = served + 1 if (await client.send_request("check")).status == 200 else 0
             client.close()
         finally:
             process.kill()
             await process.wait()
             server.stop()
 
-    play(work)
+    run_async(work)
--- a/tests/sidecar/upstream/test_connection_accounting.py
+++ b/tests/sidecar/upstream/test_connection_accounting.py
@@ -8,7 +8,17 @@
 
 import pytest
 import uvloop
-from loopback import HOST, OK, Heard, ScriptedServer, play, reply, soon, stage, until
+from loopback import (
+    HOST,
+    OK_RESPONSE,
+    ReceivedRequest,
+    ScriptedServer,
+    http_response,
+    run_async,
+    sidecar_harness,
+    wait_until,
+    within_timeout,
+)
 
 from tulipnotch.sidecar.http1.body import MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES
 from tulipnotch.sidecar.http1.messages import Request, Response
@@ -30,7 +40,7 @@
         transport: asyncio.Transport
         transport, protocol = await create(loop, factory, host, port, **how)  # type: ignore[assignment]
         if port in ports:
-            await until(transport.is_closing)
+            await wait_until(transport.is_closing)
         return transport, protocol
 
     patch.setattr(uvloop.Loop, "create_connection", create_connection)
@@ -43,7 +53,7 @@
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         if self.closes:
-            self.connections += 1
+            self.connection_count += 1
             writer.close()
             return
         await super()._serve(reader, writer)
@@ -52,19 +62,19 @@
 def test_pool_does_not_count_connection_that_ends_when_established(monkeypatch: pytest.MonkeyPatch) -> None:
     # With more of these than `max_connections`, the sidecar must still reach the server once it serves.
     async def work() -> None:
-        server = _ClosingServer(OK)
-        async with stage(server, given={"limits": {"sockets": 64}}) as scene:
+        server = _ClosingServer(OK_RESPONSE)
+        async with sidecar_harness(server, config_overrides={"limits": {"sockets": 64}}) as harness:
             ports = {int(server.address.rpartition(":")[2])}
             _return_after_end(monkeypatch, ports)
-            upstream = scene.sidecar._upstream
-            client = await scene.client()
+            upstream = harness.sidecar._upstream
+            client = await harness.connect()
             for _ in range(4 * upstream.max_connections):
-                await client.ask("check")
+                await client.send_request("check")
             server.closes = False
             ports.clear()
-            assert (await client.ask("check")).status == 200
+            assert (await client.send_request("check")).status == 200
 
-    play(work)
+    run_async(work)
 
 
 class _PausingConsumer:
@@ -109,8 +119,8 @@
 
 def test_connection_is_reusable_when_last_part_of_response_paused_reading() -> None:
     async def work() -> None:
-        async def script(incoming: Heard) -> bytes:
-            return reply(_LARGE) if incoming.target == "/large" else OK
+        async def script(incoming: ReceivedRequest) -> bytes:
+            return http_response(_LARGE) if incoming.target == "/large" else OK_RESPONSE
 
         server = await ScriptedServer(script).start()
         owner = _Owner()
@@ -126,13 +136,13 @@
         connection.close()
         server.stop()
 
-    play(work)
+    run_async(work)
 
 
 async def _exchanged(connection: UpstreamConnection, target: str) -> Response:
     exchange = _StreamedExchange(connection)
     connection.exchange(Request(b"GET", target.encode(), [(b"host", HOST.encode())]), exchange)
-    response = await soon(exchange.result)
+    response = await within_timeout(exchange.result)
     assert isinstance(response, Response)
     return response
 
@@ -147,4 +157,4 @@
         with pytest.raises(ConnectionNotIdleError):
             connection.exchange(Request(b"GET", b"/", []), BufferedExchange())
 
-    play(work)
+    run_async(work)
--- a/tests/sidecar/upstream/test_connection_reuse.py
+++ b/tests/sidecar/upstream/test_connection_reuse.py
@@ -5,13 +5,22 @@
 import asyncio
 
 import pytest
-from loopback import OK, Heard, Stage, line, play, request, stage, until
+from loopback import (
+    OK_RESPONSE,
+    ReceivedRequest,
+    SidecarHarness,
+    endpoint_entry,
+    http_request,
+    run_async,
+    sidecar_harness,
+    wait_until,
+)
 
 from tulipnotch.sidecar.upstream import pool as pool_module
 
 
-def open_requests(scene: Stage) -> int:
-    return scene.sidecar.open_requests
+def open_requests(harness: SidecarHarness) -> int:
+    return harness.sidecar.open_requests
 
 
 HEAD = b"HTTP/1.1 200 OK\r\n"
@@ -21,7 +30,7 @@
 def test_connection_is_not_reused_after_excess_data(late: bool) -> None:
     # The next request must not get a duplicate of this response.
     async def work() -> None:
-        async def twice(incoming: Heard) -> bytes:
+        async def twice(incoming: ReceivedRequest) -> bytes:
             body = incoming.target.rpartition("/")[2].encode()
             response = HEAD + b"Content-Length: %d\r\n\r\n%s" % (len(body), body)
             if late:
@@ -31,14 +40,14 @@
                 return response
             return response + response
 
-        async with stage(twice) as scene:
-            client = await scene.client()
+        async with sidecar_harness(twice) as harness:
+            client = await harness.connect()
             for number in range(10, 15):
-                assert (await client.ask("lodge", target=f"/api/{number}")).body == b"%d" % number
-                await until(lambda count=number - 9: len(scene.servers[0].closed) == count)  # type: ignore[misc]
-            assert scene.servers[0].connections == 5
+                assert (await client.send_request("lodge", target=f"/api/{number}")).body == b"%d" % number
+                await wait_until(lambda count=number - 9: len(harness.servers[0].closed_connections) == count)  # type: ignore[misc]
+            assert harness.servers[0].connection_count == 5
 
-    play(work)
+    run_async(work)
 
 
 def test_pool_discards_duplicate_response_within_reuse_delay(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -48,24 +57,24 @@
     async def work() -> None:
         send_duplicate = asyncio.Event()
 
-        async def echo(incoming: Heard) -> bytes:
-            if len(scene.heard) > 1:
+        async def echo(incoming: ReceivedRequest) -> bytes:
+            if len(harness.received_requests) > 1:
                 await send_duplicate.wait()
             body = incoming.target.rpartition("/")[2].encode()
             return HEAD + b"Content-Length: %d\r\n\r\n%s" % (len(body), body)
 
-        async with stage(echo) as scene:
-            client = await scene.client()
-            assert (await client.ask("lodge", target="/api/10")).body == b"10"
-            client.send(request("lodge", timeout="15", target="/api/11"))
-            await until(lambda: open_requests(scene) == 1)
-            scene.heard[0].writer.write(HEAD + b"Content-Length: 2\r\n\r\n10")
-            await scene.heard[0].writer.drain()
+        async with sidecar_harness(echo) as harness:
+            client = await harness.connect()
+            assert (await client.send_request("lodge", target="/api/10")).body == b"10"
+            client.send(http_request("lodge", timeout="15", target="/api/11"))
+            await wait_until(lambda: open_requests(harness) == 1)
+            harness.received_requests[0].writer.write(HEAD + b"Content-Length: 2\r\n\r\n10")
+            await harness.received_requests[0].writer.drain()
             send_duplicate.set()
-            assert (await client.answer()).body == b"11"
-            assert scene.servers[0].connections == 2
+            assert (await client.read_response()).body == b"11"
+            assert harness.servers[0].connection_count == 2
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize("cause", ["drains", "client disconnected", "served"])
@@ -73,26 +82,26 @@
     monkeypatch.setattr(pool_module, "_REUSE_DELAY_US", 2_000_000)
 
     async def work() -> None:
-        async with stage(OK, bounds={"mayCancel": False}) as scene:
-            await until(lambda: len(scene.discovery.heard) >= 2)
-            client = await scene.client()
-            assert (await client.ask("lodge")).status == 200
-            client.send(request("lodge", timeout="15"))
-            await until(lambda: len(scene.sidecar._upstream._reuse_timers) == 1)
+        async with sidecar_harness(OK_RESPONSE, limit_overrides={"mayCancel": False}) as harness:
+            await wait_until(lambda: len(harness.discovery.received_requests) >= 2)
+            client = await harness.connect()
+            assert (await client.send_request("lodge")).status == 200
+            client.send(http_request("lodge", timeout="15"))
+            await wait_until(lambda: len(harness.sidecar._upstream._reuse_timers) == 1)
             if cause == "drains":
-                scene.discovery.tell(line("s-0", scene.servers[0].address, state="leaving"))
-                await until(lambda: len(scene.discovery.heard) >= 3)
-                assert (await client.answer()).status == 503
+                harness.discovery.announce(endpoint_entry("s-0", harness.servers[0].address, state="leaving"))
+                await wait_until(lambda: len(harness.discovery.received_requests) >= 3)
+                assert (await client.read_response()).status == 503
             elif cause == "client disconnected":
                 client.close()
-                await until(lambda: open_requests(scene) == 0)
+                await wait_until(lambda: open_requests(harness) == 0)
             else:
-                assert (await client.answer()).status == 200
-            await until(lambda: not scene.sidecar._upstream._reuse_timers)
-            assert len(scene.heard) == (2 if cause == "served" else 1)
-            assert scene.servers[0].connections == 1
+                assert (await client.read_response()).status == 200
+            await wait_until(lambda: not harness.sidecar._upstream._reuse_timers)
+            assert len(harness.received_requests) == (2 if cause == "served" else 1)
+            assert harness.servers[0].connection_count == 1
 
-    play(work)
+    run_async(work)
 
 
 def test_pool_reuses_open_connection_but_not_ended_one(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -100,57 +109,57 @@
     monkeypatch.setattr(pool_module, "_REUSE_DELAY_US", 0)
 
     async def work() -> None:
-        async with stage(OK) as scene:
-            client = await scene.client()
+        async with sidecar_harness(OK_RESPONSE) as harness:
+            client = await harness.connect()
             for _ in range(3):
-                assert (await client.ask("lodge")).status == 200
-            assert scene.servers[0].connections == 1
+                assert (await client.send_request("lodge")).status == 200
+            assert harness.servers[0].connection_count == 1
             for _ in range(20):
-                scene.servers[0].hang_up()
-                assert (await client.ask("lodge")).status == 200
+                harness.servers[0].close_connections()
+                assert (await client.send_request("lodge")).status == 200
 
-    play(work)
+    run_async(work)
 
 
 def test_pool_does_not_reuse_connection_near_idle_timeout() -> None:
     async def work() -> None:
-        async with stage(OK, bounds={"idleCloseUs": 50_000}) as scene:
-            client = await scene.client()
-            assert (await client.ask("lodge")).status == 200
-            await until(lambda: scene.servers[0].closed == [0])
-            assert (await client.ask("lodge")).status == 200
-            assert scene.servers[0].connections == 2
+        async with sidecar_harness(OK_RESPONSE, limit_overrides={"idleCloseUs": 50_000}) as harness:
+            client = await harness.connect()
+            assert (await client.send_request("lodge")).status == 200
+            await wait_until(lambda: harness.servers[0].closed_connections == [0])
+            assert (await client.send_request("lodge")).status == 200
+            assert harness.servers[0].connection_count == 2
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize("change", ["addr", "started_ms"])
 def test_pool_closes_connections_when_server_restarts_or_moves(change: str) -> None:
     async def work() -> None:
-        async with stage(OK, OK, listed=False) as scene:
-            first, second = (each.address for each in scene.servers)
-            await until(lambda: len(scene.discovery.heard) >= 2)
-            scene.discovery.tell(line("s", first))
-            await until(lambda: len(scene.discovery.heard) >= 3)
-            assert (await scene.ask()).status == 200
+        async with sidecar_harness(OK_RESPONSE, OK_RESPONSE, servers_listed=False) as harness:
+            first, second = (each.address for each in harness.servers)
+            await wait_until(lambda: len(harness.discovery.received_requests) >= 2)
+            harness.discovery.announce(endpoint_entry("s", first))
+            await wait_until(lambda: len(harness.discovery.received_requests) >= 3)
+            assert (await harness.send_request()).status == 200
             if change == "addr":
-                scene.discovery.tell(line("s", second))
+                harness.discovery.announce(endpoint_entry("s", second))
             else:
-                scene.discovery.tell(line("s", first, started_ms=1))
-            await until(lambda: scene.servers[0].closed == [0])
-            assert (await scene.ask()).status == 200
-            assert len(scene.servers[1].heard) == (1 if change == "addr" else 0)
+                harness.discovery.announce(endpoint_entry("s", first, started_ms=1))
+            await wait_until(lambda: harness.servers[0].closed_connections == [0])
+            assert (await harness.send_request()).status == 200
+            assert len(harness.servers[1].received_requests) == (1 if change == "addr" else 0)
 
-    play(work)
+    run_async(work)
 
 
 def test_pool_closes_idle_connections_when_server_drains() -> None:
     # A draining server gets no new requests, and its capacity for connections is small.
     async def work() -> None:
-        async with stage(OK, bounds={"idleCloseUs": 600_000_000}) as scene:
-            await until(lambda: len(scene.discovery.heard) >= 2)
-            assert (await scene.ask()).status == 200
-            scene.discovery.tell(line("s-0", scene.servers[0].address, state="leaving"))
-            await until(lambda: scene.servers[0].closed == [0])
+        async with sidecar_harness(OK_RESPONSE, limit_overrides={"idleCloseUs": 600_000_000}) as harness:
+            await wait_until(lambda: len(harness.discovery.received_requests) >= 2)
+            assert (await harness.send_request()).status == 200
+            harness.discovery.announce(endpoint_entry("s-0", harness.servers[0].address, state="leaving"))
+            await wait_until(lambda: harness.servers[0].closed_connections == [0])
 
-    play(work)
+    run_async(work)
--- a/tests/sidecar/upstream/test_partial_writes.py
+++ b/tests/sidecar/upstream/test_partial_writes.py
@@ -6,14 +6,14 @@
 import os
 
 import pytest
-from barriers import Fate, Kernel
-from large_bodies import SlowReader, chunked, pattern
-from loopback import play, request, stage
+from barriers import ScriptedWrites, WriteOutcome
+from large_bodies import BodyDigestServer, chunk_encoded, pseudorandom_bytes
+from loopback import http_request, run_async, sidecar_harness
 
 from tulipnotch.sidecar.http1.body import MAX_BUFFERED_BODY_BYTES
 
 
-def _accepts(max_bytes: int) -> Fate:
+def _accepts(max_bytes: int) -> WriteOutcome:
     """The kernel accepts so many bytes, or has no buffer space."""
 
     def fate(descriptor: int, piece: bytes) -> int:
@@ -32,23 +32,23 @@
 def test_connection_writes_request_once_and_in_order_when_kernel_accepts_parts(
     monkeypatch: pytest.MonkeyPatch, form: str, size: int, accepts: tuple[int, ...]
 ) -> None:
-    body = pattern(size)
+    body = pseudorandom_bytes(size)
 
     async def work() -> None:
-        server = SlowReader()
-        async with stage(server) as scene:
-            kernel = Kernel(monkeypatch, server.address, tuple(_accepts(each) for each in accepts))
-            application = await scene.client()
+        server = BodyDigestServer()
+        async with sidecar_harness(server) as harness:
+            kernel = ScriptedWrites(monkeypatch, server.address, tuple(_accepts(each) for each in accepts))
+            application = await harness.connect()
             if form == "length":
-                application.send(request("lodge", body=body))
+                application.send(http_request("lodge", body=body))
             else:
-                head = request("lodge", Content_Length="", Transfer_Encoding="chunked")
-                application.send(head + chunked(body, size))
-            assert (await application.answer()).status == 200
-            assert not kernel.left
+                head = http_request("lodge", Content_Length="", Transfer_Encoding="chunked")
+                application.send(head + chunk_encoded(body, size))
+            assert (await application.read_response()).status == 200
+            assert not kernel.remaining_outcomes
             assert (
-                await application.ask("lodge", body=b"next")
+                await application.send_request("lodge", body=b"next")
             ).status == 200  # nothing was left in the connection
             assert server.digests == [hashlib.sha1(each).digest() for each in (body, b"next")]
 
-    play(work)
+    run_async(work)
