--- a/tests/sidecar/upstream/test_pool.py
+++ b/tests/sidecar/upstream/test_pool.py
@@ -5,55 +5,69 @@
 import asyncio
 
 import pytest
-from loopback import CLASSES, ERROR, FULL, OK, Heard, Stage, holding, line, play, request, soon, stage, until
-from slow_to_accept import SlowToAccept
+from loopback import (
+    ERROR_RESPONSE,
+    OK_RESPONSE,
+    REJECTION_RESPONSE,
+    SERVICE_CLASSES,
+    ReceivedRequest,
+    SidecarHarness,
+    blocking_script,
+    endpoint_entry,
+    http_request,
+    run_async,
+    sidecar_harness,
+    wait_until,
+    within_timeout,
+)
+from slow_to_accept import FullAcceptQueueServer
 
 from tulipnotch.load_balancing.admission import concurrency_limit
 from tulipnotch.sidecar.upstream import timeouts
 
 
-def open_requests(scene: Stage) -> int:
-    return scene.sidecar.open_requests
+def open_requests(harness: SidecarHarness) -> int:
+    return harness.sidecar.open_requests
 
 
 @pytest.mark.parametrize(
     ("response", "status"),
     [
-        (ERROR, 502),
-        (FULL, 503),  # it was not executed, and there is no other server
+        (ERROR_RESPONSE, 502),
+        (REJECTION_RESPONSE, 503),  # it was not executed, and there is no other server
         (b"HTTP/1.1 503 Odd\r\nContent-Length: 0\r\n\r\n", 502),
         (b"HTTP/1.1 404 Odd\r\nContent-Length: 0\r\n\r\n", 502),
         (b"HTTP/1.1 504 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n", 503),
         (b"garbage\r\n\r\n", 502),
         (b"HTTP/1.1 200 OK\r\nContent-Length: 33554433\r\n\r\n" + b"x" * 70_000, 502),
         (b"HTTP/1.1 500 Broken\r\nContent-Length: 70000\r\n\r\n" + b"x" * 70_000, 502),
-        (b"HTTP/1.1 100 Continue\r\n\r\n" + OK, 200),
+        (b"HTTP/1.1 100 Continue\r\n\r\n" + OK_RESPONSE, 200),
     ],
 )
 def test_pool_ends_non_idempotent_request_after_one_attempt_for_each_response(
     response: bytes, status: int
 ) -> None:
     async def work() -> None:
-        async with stage(response) as scene:
-            assert (await scene.ask("lodge")).status == status
-            assert len(scene.heard) == 1
-            assert open_requests(scene) == 0
+        async with sidecar_harness(response) as harness:
+            assert (await harness.send_request("lodge")).status == status
+            assert len(harness.received_requests) == 1
+            assert open_requests(harness) == 0
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize("part", [b"", b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"])
 def test_pool_sends_non_idempotent_request_once_when_its_connection_breaks(part: bytes) -> None:
     async def work() -> None:
-        async def close_connection(incoming: Heard) -> None:
+        async def close_connection(incoming: ReceivedRequest) -> None:
             incoming.writer.write(part)
             incoming.writer.close()
 
-        async with stage(close_connection, close_connection) as scene:
-            assert (await scene.ask("lodge")).status == 502
-            assert len(scene.heard) == 1
+        async with sidecar_harness(close_connection, close_connection) as harness:
+            assert (await harness.send_request("lodge")).status == 502
+            assert len(harness.received_requests) == 1
 
-    play(work)
+    run_async(work)
 
 
 HEAD = b"HTTP/1.1 200 OK\r\n"
@@ -79,21 +93,21 @@
 def test_pool_retries_idempotent_request_soon_after_malformed_response(malformed: bytes) -> None:
     # Not at the deadline of a connection that stays open, and without a guess at the response.
     async def work() -> None:
-        async def once(incoming: Heard) -> bytes:
-            return malformed if len(scene.heard) == 1 else OK
+        async def once(incoming: ReceivedRequest) -> bytes:
+            return malformed if len(harness.received_requests) == 1 else OK_RESPONSE
 
-        async with stage(once, once) as scene:
-            response = await scene.ask("check", timeout="3.0")
+        async with sidecar_harness(once, once) as harness:
+            response = await harness.send_request("check", timeout="3.0")
             assert (response.status, response.body) == (200, b"served")
-            first, second = scene.heard
+            first, second = harness.received_requests
             assert float(second.headers["request-timeout"]) > 1.5
-            assert (await scene.ask("lodge")).status == 200
-            await until(
-                lambda: sum(len(each.closed) for each in scene.servers) == 1
+            assert (await harness.send_request("lodge")).status == 200
+            await wait_until(
+                lambda: sum(len(each.closed_connections) for each in harness.servers) == 1
             )  # it can carry no further exchange
             assert first.target == second.target
 
-    play(work)
+    run_async(work)
 
 
 def test_pool_retries_after_stalled_response_while_another_server_can_respond(
@@ -104,58 +118,62 @@
     monkeypatch.setattr(timeouts, "_MIN_STALL_TIMEOUT_S", 2.0)
 
     async def work() -> None:
-        async def once(incoming: Heard) -> bytes:
-            return HEAD + b"Content-Length: 9\r\n\r\nhalf" if len(scene.heard) == 1 else OK
+        async def once(incoming: ReceivedRequest) -> bytes:
+            return (
+                HEAD + b"Content-Length: 9\r\n\r\nhalf"
+                if len(harness.received_requests) == 1
+                else OK_RESPONSE
+            )
 
-        service_class = {**CLASSES[0], "promiseUs": 200_000, "giveUpUs": 2_000_000}
-        async with stage(once, once, lanes=[service_class]) as scene:
-            assert (await scene.ask("check", timeout="2.0")).status == 200
-            assert len(scene.heard) == 2
+        service_class = {**SERVICE_CLASSES[0], "promiseUs": 200_000, "giveUpUs": 2_000_000}
+        async with sidecar_harness(once, once, lanes=[service_class]) as harness:
+            assert (await harness.send_request("check", timeout="2.0")).status == 200
+            assert len(harness.received_requests) == 2
 
-    play(work)
+    run_async(work)
 
 
 def test_pool_counts_request_as_unexecuted_only_when_reset_before_its_last_byte() -> None:
     async def work() -> None:
-        async def reset(incoming: Heard) -> None:
+        async def reset(incoming: ReceivedRequest) -> None:
             incoming.writer.transport.abort()
 
-        async with stage(reset, reset) as scene:
-            client = await scene.client()
-            raw = request("lodge", timeout="15", body=b"x" * 200_000)
+        async with sidecar_harness(reset, reset) as harness:
+            client = await harness.connect()
+            raw = http_request("lodge", timeout="15", body=b"x" * 200_000)
             client.send(raw[:150_000])
-            await until(lambda: sum(each.connections for each in scene.servers) == 1)
-            for server in scene.servers:
-                server.hang_up()
+            await wait_until(lambda: sum(each.connection_count for each in harness.servers) == 1)
+            for server in harness.servers:
+                server.close_connections()
             assert (
-                await client.answer()
+                await client.read_response()
             ).status == 503  # not executed; a part was streamed, so there is no retry
-            assert scene.heard == []
-            assert (await scene.ask("lodge")).status == 502
-            assert len(scene.heard) == 1
+            assert harness.received_requests == []
+            assert (await harness.send_request("lodge")).status == 502
+            assert len(harness.received_requests) == 1
 
-    play(work)
+    run_async(work)
 
 
 def test_pool_uses_another_server_when_connection_is_refused() -> None:
     async def work() -> None:
-        async with stage(OK, OK, OK) as scene:
-            scene.servers[0].stop()
-            scene.servers[1].stop()
-            responses = [await scene.ask("lodge") for _ in range(4)]
+        async with sidecar_harness(OK_RESPONSE, OK_RESPONSE, OK_RESPONSE) as harness:
+            harness.servers[0].stop()
+            harness.servers[1].stop()
+            responses = [await harness.send_request("lodge") for _ in range(4)]
             assert [each.status for each in responses] == [200] * 4
 
-    play(work)
+    run_async(work)
 
 
 def test_pool_closes_connection_at_deadline_without_response() -> None:
     async def work() -> None:
-        async with stage(None) as scene:
-            assert (await scene.ask("lodge", timeout="0.3")).status == 504
-            await until(lambda: scene.servers[0].closed == [0])
-            assert open_requests(scene) == 0
+        async with sidecar_harness(None) as harness:
+            assert (await harness.send_request("lodge", timeout="0.3")).status == 504
+            await wait_until(lambda: harness.servers[0].closed_connections == [0])
+            assert open_requests(harness) == 0
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize("may_cancel", [True, False])
@@ -163,33 +181,35 @@
 def test_pool_writes_nothing_when_connection_is_established_too_late(cause: str, may_cancel: bool) -> None:
     # A drain is announced, or the attempt cancelled, while its connection is being established.
     async def work() -> None:
-        slow = SlowToAccept()
-        await slow.fill()
-        async with stage(bounds={"dialTimeoutUs": 15_000_000, "mayCancel": may_cancel}) as scene:
-            await until(lambda: len(scene.discovery.heard) >= 2)
-            scene.discovery.tell(line("s", slow.address))
-            await until(lambda: len(scene.discovery.heard) >= 3)
-            client = await scene.client()
-            client.send(request("lodge", timeout="15"))
-            await until(lambda: open_requests(scene) == 1)
+        slow = FullAcceptQueueServer()
+        await slow.fill_accept_queue()
+        async with sidecar_harness(
+            limit_overrides={"dialTimeoutUs": 15_000_000, "mayCancel": may_cancel}
+        ) as harness:
+            await wait_until(lambda: len(harness.discovery.received_requests) >= 2)
+            harness.discovery.announce(endpoint_entry("s", slow.address))
+            await wait_until(lambda: len(harness.discovery.received_requests) >= 3)
+            client = await harness.connect()
+            client.send(http_request("lodge", timeout="15"))
+            await wait_until(lambda: open_requests(harness) == 1)
             if cause == "client disconnected":
                 client.close()
-                await until(lambda: open_requests(scene) == 0)
+                await wait_until(lambda: open_requests(harness) == 0)
             else:
-                scene.discovery.tell(
-                    line("s", slow.address, state="leaving" if cause == "drains" else "left")
+                harness.discovery.announce(
+                    endpoint_entry("s", slow.address, state="leaving" if cause == "drains" else "left")
                 )
-                await until(lambda: len(scene.discovery.heard) >= 4)
-            accepted = await slow.let_go()
+                await wait_until(lambda: len(harness.discovery.received_requests) >= 4)
+            accepted = await slow.accept_sidecar_connection()
             if cause == "client disconnected":
-                scene.sidecar.close()  # the connection is usable and was retained
+                harness.sidecar.close()  # the connection is usable and was retained
             else:
-                assert (await client.answer()).status == 503
+                assert (await client.read_response()).status == 503
             assert await asyncio.get_running_loop().sock_recv(accepted, 1_000) == b""
             accepted.close()
         slow.close()
 
-    play(work)
+    run_async(work)
 
 
 def test_pool_rejects_requests_beyond_max_connections(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -199,19 +219,19 @@
     )  # else admission control rejects some of these first
 
     async def work() -> None:
-        release, hold = holding()
-        async with stage(hold, given={"limits": {"sockets": 80}}) as scene:
-            scene.sidecar.downstream.max_connections = 32
+        release, hold = blocking_script()
+        async with sidecar_harness(hold, config_overrides={"limits": {"sockets": 80}}) as harness:
+            harness.sidecar.downstream.max_connections = 32
             clients = []
             for number in range(20):
-                clients.append(await scene.client())
-                clients[-1].send(request("lodge", timeout="10"))
-                await soon(clients[-1].writer.drain())
+                clients.append(await harness.connect())
+                clients[-1].send(http_request("lodge", timeout="10"))
+                await within_timeout(clients[-1].writer.drain())
                 if number < 16:
-                    await until(lambda sent=number + 1: len(scene.heard) == sent)  # type: ignore[misc]
-            await until(lambda: open_requests(scene) == 16)
+                    await wait_until(lambda sent=number + 1: len(harness.received_requests) == sent)  # type: ignore[misc]
+            await wait_until(lambda: open_requests(harness) == 16)
             release.set()
-            statuses = sorted([(await client.answer()).status for client in clients])
+            statuses = sorted([(await client.read_response()).status for client in clients])
             assert statuses == [200] * 16 + [503] * 4
 
-    play(work)
+    run_async(work)
--- a/tests/sidecar/upstream/test_rejection_proofs.py
+++ b/tests/sidecar/upstream/test_rejection_proofs.py
@@ -7,8 +7,18 @@
 from typing import Any
 
 import pytest
-from barriers import reset, server_line, tell
-from loopback import ERROR, FULL, OK, Heard, play, reply, request, stage, until
+from barriers import announce_endpoints, reset_connection, server_entry
+from loopback import (
+    ERROR_RESPONSE,
+    OK_RESPONSE,
+    REJECTION_RESPONSE,
+    ReceivedRequest,
+    http_request,
+    http_response,
+    run_async,
+    sidecar_harness,
+    wait_until,
+)
 
 from tulipnotch.sidecar.downstream.client_limits import ClientLimits
 from tulipnotch.sidecar.http1.body import MAX_BUFFERED_BODY_BYTES
@@ -24,30 +34,32 @@
     """A stage whose first server has read a non-idempotent request; the second is listed only then."""
     release = asyncio.Event()
 
-    async def script(incoming: Heard) -> bytes | None:
+    async def script(incoming: ReceivedRequest) -> bytes | None:
         await release.wait()
         response: bytes | None = await first(incoming)
         return response
 
-    async with stage(script, OK, listed=False) as scene:
-        await tell(scene, server_line(0, scene.servers[0].address))
-        client = await scene.client()
-        client.send(request("lodge", timeout="4.0"))
-        await until(lambda: len(scene.heard) == 1)
-        await tell(scene, server_line(1, scene.servers[1].address))
+    async with sidecar_harness(script, OK_RESPONSE, servers_listed=False) as harness:
+        await announce_endpoints(harness, server_entry(0, harness.servers[0].address))
+        client = await harness.connect()
+        client.send(http_request("lodge", timeout="4.0"))
+        await wait_until(lambda: len(harness.received_requests) == 1)
+        await announce_endpoints(harness, server_entry(1, harness.servers[1].address))
         release.set()
-        yield scene, client
+        yield harness, client
 
 
 _WITH_BODY = b"HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 10\r\n\r\nqueue full"
-_CUTS = [1, 12, 20, 30, 35, len(FULL) - 2, len(FULL) - 1]
+_CUTS = [1, 12, 20, 30, 35, len(REJECTION_RESPONSE) - 2, len(REJECTION_RESPONSE) - 1]
 
 
 @pytest.mark.parametrize("end", ["fin", "reset", "silence"])
-@pytest.mark.parametrize("cut", [FULL[:at] for at in _CUTS] + [_WITH_BODY[:-10], _WITH_BODY[:-1]], ids=repr)
+@pytest.mark.parametrize(
+    "cut", [REJECTION_RESPONSE[:at] for at in _CUTS] + [_WITH_BODY[:-10], _WITH_BODY[:-1]], ids=repr
+)
 def test_rejection_proves_nothing_when_truncated(cut: bytes, end: str) -> None:
     async def work() -> None:
-        async def first(incoming: Heard) -> bytes | None:
+        async def first(incoming: ReceivedRequest) -> bytes | None:
             if end == "silence":
                 return cut
             incoming.writer.write(cut)
@@ -55,14 +67,14 @@
             if end == "fin":
                 incoming.writer.close()
             else:
-                reset(incoming)
+                reset_connection(incoming)
             return None
 
-        async with _two_servers(first) as (scene, client):
-            assert (await client.answer()).status == 502
-            assert scene.servers[1].heard == []
+        async with _two_servers(first) as (harness, client):
+            assert (await client.read_response()).status == 502
+            assert harness.servers[1].received_requests == []
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize(
@@ -78,36 +90,36 @@
         b"HTTP/1.1 500 Broken\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n",
         b"HTTP/1.1 429 Slow\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n",
         b"HTTP/1.1 502 Odd\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n",
-        b"HTTP/1.1 103 Early\r\nNot-Started: 1\r\n\r\n" + ERROR,
+        b"HTTP/1.1 103 Early\r\nNot-Started: 1\r\n\r\n" + ERROR_RESPONSE,
         b"HTTP/1.1 503 Full\r\nTransfer-Encoding: chunked\r\n\r\n0\r\nNot-Started: 1\r\n\r\n",
     ],
     ids=repr,
 )
 def test_response_proves_nothing_when_it_is_no_rejection_by_protocol(response: bytes) -> None:
     async def work() -> None:
-        async def first(incoming: Heard) -> bytes:
+        async def first(incoming: ReceivedRequest) -> bytes:
             return response
 
-        async with _two_servers(first) as (scene, client):
-            assert (await client.answer()).status not in (200, *_REJECTED)
-            assert scene.servers[1].heard == []
+        async with _two_servers(first) as (harness, client):
+            assert (await client.read_response()).status not in (200, *_REJECTED)
+            assert harness.servers[1].received_requests == []
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize("status", [b"503 Full", b"504 Over"])
 @pytest.mark.parametrize("name", [b"Not-Started", b"not-started", b"NOT-STARTED"])
 def test_rejection_is_proof_once_when_received_twice_on_new_connection(name: bytes, status: bytes) -> None:
     async def work() -> None:
-        async def first(incoming: Heard) -> bytes:
+        async def first(incoming: ReceivedRequest) -> bytes:
             return 2 * (b"HTTP/1.1 %s\r\n%s: 1\r\nContent-Length: 0\r\n\r\n" % (status, name))
 
-        async with _two_servers(first) as (scene, client):
-            assert (await client.answer()).status == 200
-            assert [len(each.heard) for each in scene.servers] == [1, 1]
-            await until(lambda: scene.servers[0].closed == [0])  # of no further use
+        async with _two_servers(first) as (harness, client):
+            assert (await client.read_response()).status == 200
+            assert [len(each.received_requests) for each in harness.servers] == [1, 1]
+            await wait_until(lambda: harness.servers[0].closed_connections == [0])  # of no further use
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize("request_class", ["check", "lodge"])
@@ -117,21 +129,23 @@
     # The first request is rejected twice.  The second rejection is taken for the response to the second
     # request, whose own comes when the third request is written: it must not be the third one's.
     async def work() -> None:
-        async def script(incoming: Heard) -> bytes:
-            before = scene.heard[:-1]
+        async def script(incoming: ReceivedRequest) -> bytes:
+            before = harness.received_requests[:-1]
             if len(before) < 2:
-                return FULL
-            is_shared = before[0].connection == before[1].connection == incoming.connection
-            return reply(b"second" if is_shared else b"third")
-
-        async with stage(script) as scene:
-            client = await scene.client()
-            assert (await client.ask(request_class)).status == 503
-            assert (await client.ask(request_class)).status != 200
-            response = await client.ask(request_class)
+                return REJECTION_RESPONSE
+            is_shared = (
+                before[0].connection_number == before[1].connection_number == incoming.connection_number
+            )
+            return http_response(b"second" if is_shared else b"third")
+
+        async with sidecar_harness(script) as harness:
+            client = await harness.connect()
+            assert (await client.send_request(request_class)).status == 503
+            assert (await client.send_request(request_class)).status != 200
+            response = await client.send_request(request_class)
             assert (response.status, response.body) == (200, b"third")
 
-    play(work)
+    run_async(work)
 
 
 # The response to the client
@@ -143,15 +157,15 @@
     request_class: str, may_cancel: bool
 ) -> None:
     async def work() -> None:
-        async with stage(None, bounds={"mayCancel": may_cancel}) as scene:
-            assert (await scene.ask(request_class, timeout="0.2")).status == 504
-            assert len(scene.heard) == 1
+        async with sidecar_harness(None, limit_overrides={"mayCancel": may_cancel}) as harness:
+            assert (await harness.send_request(request_class, timeout="0.2")).status == 504
+            assert len(harness.received_requests) == 1
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize(
-    "behind", [b"", b"nonsense\r\n\r\n", request("lodge")], ids=["", "malformed", "next"]
+    "behind", [b"", b"nonsense\r\n\r\n", http_request("lodge")], ids=["", "malformed", "next"]
 )
 @pytest.mark.parametrize("limit", ["memory", ""])
 def test_request_is_not_rejected_when_its_last_byte_was_just_streamed(limit: str, behind: bytes) -> None:
@@ -159,23 +173,23 @@
     async def work() -> None:
         release = asyncio.Event()
 
-        async def holds(incoming: Heard) -> bytes:
+        async def holds(incoming: ReceivedRequest) -> bytes:
             await release.wait()
-            return OK
+            return OK_RESPONSE
 
         limits = ClientLimits(most_bytes=MAX_BUFFERED_BODY_BYTES + 12_000) if limit else None
-        async with stage(holds, client_limits=limits) as scene:
-            client = await scene.client()
-            raw = request("lodge", timeout="4.0", body=b"x" * (MAX_BUFFERED_BODY_BYTES + 20_000))
+        async with sidecar_harness(holds, client_limits=limits) as harness:
+            client = await harness.connect()
+            raw = http_request("lodge", timeout="4.0", body=b"x" * (MAX_BUFFERED_BODY_BYTES + 20_000))
             client.send(raw[:-16_000])
-            await until(lambda: scene.servers[0].connections == 1)
-            (open_request,) = scene.sidecar._registry
-            await until(lambda: open_request.incoming.body.size == MAX_BUFFERED_BODY_BYTES + 4_000)
-            await until(lambda: open_request.upstream_requests[0].connection is not None)
+            await wait_until(lambda: harness.servers[0].connection_count == 1)
+            (open_request,) = harness.sidecar._registry
+            await wait_until(lambda: open_request.incoming.body.size == MAX_BUFFERED_BODY_BYTES + 4_000)
+            await wait_until(lambda: open_request.upstream_requests[0].connection is not None)
             client.send(raw[-16_000:] + behind)
-            await until(lambda: not open_request.upstream_requests[0].is_unwritten)
+            await wait_until(lambda: not open_request.upstream_requests[0].is_unwritten)
             release.set()
-            response = await client.answer()
+            response = await client.read_response()
             assert response.status not in _REJECTED
 
-    play(work)
+    run_async(work)
--- a/tests/sidecar/upstream/test_reload_bounds.py
+++ b/tests/sidecar/upstream/test_reload_bounds.py
@@ -6,8 +6,16 @@
 from typing import Any
 
 import pytest
-from barriers import HeldDials, ManualClock, reset, server_line, tell
-from loopback import OK, Heard, Stage, play, request, stage, until
+from barriers import DelayedConnects, ManualClock, announce_endpoints, reset_connection, server_entry
+from loopback import (
+    OK_RESPONSE,
+    ReceivedRequest,
+    SidecarHarness,
+    http_request,
+    run_async,
+    sidecar_harness,
+    wait_until,
+)
 from overtaken import (
     WINDOW_US,
     assert_has_ended,
@@ -20,11 +28,11 @@
 from tulipnotch.sidecar.configuration.configuration import parse
 
 
-def _reload(scene: Stage, **changes: Any) -> None:
+def _reload(harness: SidecarHarness, **changes: Any) -> None:
     """Change settings in the running sidecar."""
-    before = dict(scene.sidecar.config.file)
+    before = dict(harness.sidecar.config.file)
     raw = {**before, "settings": {**before["settings"], **changes}}
-    scene.sidecar.reload(parse(raw, raw))
+    harness.sidecar.reload(parse(raw, raw))
 
 
 def _with_class(**changes: Any) -> dict[str, Any]:
@@ -45,45 +53,45 @@
 def test_reload_does_not_relax_bounds_of_started_request(
     changes: dict[str, Any], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    clock, delayed_dials = ManualClock(monkeypatch), HeldDials(monkeypatch)
+    clock, delayed_dials = ManualClock(monkeypatch), DelayedConnects(monkeypatch)
 
     async def work() -> None:
-        async with stage(OK, listed=False) as other_stage:
-            late_server = other_stage.servers[0]
+        async with sidecar_harness(OK_RESPONSE, servers_listed=False) as other_harness:
+            late_server = other_harness.servers[0]
             delayed_dials.hold(late_server.address)
             async with overtaken(
                 clock, late_server.address, "reset", first_is_late=until_dial_is_delayed(delayed_dials)
             ) as seen:
-                _reload(seen.scene, **changes)
+                _reload(seen.harness, **changes)
                 clock.advance(WINDOW_US)
                 delayed_dials.release(late_server.address)
-                await until(lambda: seen.scene.sidecar._upstream._dials_in_flight == 0)
+                await wait_until(lambda: seen.harness.sidecar._upstream._dials_in_flight == 0)
                 await assert_has_ended(seen, "cell", "reset")
                 await assert_received_nothing(seen, late_server)
 
-    play(work)
+    run_async(work)
 
 
 def test_reload_without_hedging_applies_to_unwritten_attempt(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    clock, delayed_dials = ManualClock(monkeypatch), HeldDials(monkeypatch)
+    clock, delayed_dials = ManualClock(monkeypatch), DelayedConnects(monkeypatch)
 
     async def work() -> None:
-        async with stage(OK, listed=False) as other_stage:
-            late_server = other_stage.servers[0]
+        async with sidecar_harness(OK_RESPONSE, servers_listed=False) as other_harness:
+            late_server = other_harness.servers[0]
             delayed_dials.hold(late_server.address)
             async with overtaken(
                 clock, late_server.address, "runs on", first_is_late=until_dial_is_delayed(delayed_dials)
             ) as seen:
-                bounds = seen.scene.sidecar.config.file["settings"]["bounds"]
-                _reload(seen.scene, bounds={**bounds, "secondCopies": False})
+                bounds = seen.harness.sidecar.config.file["settings"]["bounds"]
+                _reload(seen.harness, bounds={**bounds, "secondCopies": False})
                 delayed_dials.release(late_server.address)
-                await until(lambda: seen.scene.sidecar._upstream._dials_in_flight == 0)
+                await wait_until(lambda: seen.harness.sidecar._upstream._dials_in_flight == 0)
                 await assert_has_ended(seen, "cell", "runs on")
                 await assert_received_nothing(seen, late_server)
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize("request_class", ["lodge", "amend"])
@@ -93,36 +101,38 @@
     async def work() -> None:
         release = asyncio.Event()
 
-        async def first(incoming: Heard) -> None:
+        async def first(incoming: ReceivedRequest) -> None:
             await release.wait()
-            reset(incoming)
-
-        async with stage(first, OK, listed=False, lanes=service_classes("cell")) as scene:
-            await tell(scene, server_line(0, scene.servers[0].address))
-            client = await scene.client()
-            client.send(request(request_class, timeout="4.0"))
-            await until(lambda: len(scene.heard) == 1)
+            reset_connection(incoming)
+
+        async with sidecar_harness(
+            first, OK_RESPONSE, servers_listed=False, lanes=service_classes("cell")
+        ) as harness:
+            await announce_endpoints(harness, server_entry(0, harness.servers[0].address))
+            client = await harness.connect()
+            client.send(http_request(request_class, timeout="4.0"))
+            await wait_until(lambda: len(harness.received_requests) == 1)
             keyed = {"repeat": "idempotency_key", "group": "all", "memorySpanUs": 3_000_000}
             free = [service_classes()[0], *({**each, **keyed} for each in service_classes()[1:])]
-            _reload(scene, lanes=free)
-            await tell(scene, server_line(1, scene.servers[1].address, cell=2))
+            _reload(harness, lanes=free)
+            await announce_endpoints(harness, server_entry(1, harness.servers[1].address, cell=2))
             release.set()
-            assert (await client.answer()).status == 502
-            assert scene.servers[1].heard == []
+            assert (await client.read_response()).status == 502
+            assert harness.servers[1].received_requests == []
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize("request_class", ["check", "amend"])
 def test_request_is_sent_once_when_its_class_was_removed(request_class: str) -> None:
     # Requests of it are in flight; a class that the settings do not name counts as non-idempotent.
     async def work() -> None:
-        async def resets(incoming: Heard) -> None:
-            reset(incoming)
+        async def resets(incoming: ReceivedRequest) -> None:
+            reset_connection(incoming)
 
-        async with stage(resets, resets, lanes=service_classes()) as scene:
-            _reload(scene, lanes=[service_classes()[2]])
-            assert (await scene.ask(request_class)).status == 502
-            assert len(scene.heard) == 1
+        async with sidecar_harness(resets, resets, lanes=service_classes()) as harness:
+            _reload(harness, lanes=[service_classes()[2]])
+            assert (await harness.send_request(request_class)).status == 502
+            assert len(harness.received_requests) == 1
 
-    play(work)
+    run_async(work)
--- a/tests/sidecar/upstream/test_retry_bounds.py
+++ b/tests/sidecar/upstream/test_retry_bounds.py
@@ -14,8 +14,24 @@
 from typing import Any
 
 import pytest
-from barriers import HeldDials, ManualClock, NarrowServer, narrow_connections, reset, server_line, tell
-from loopback import OK, Heard, Stage, play, request, stage, until
+from barriers import (
+    DelayedConnects,
+    ManualClock,
+    SlowReadingServer,
+    announce_endpoints,
+    reset_connection,
+    server_entry,
+    shrink_send_buffers,
+)
+from loopback import (
+    OK_RESPONSE,
+    ReceivedRequest,
+    SidecarHarness,
+    http_request,
+    run_async,
+    sidecar_harness,
+    wait_until,
+)
 from overtaken import (
     CONNECT_TIMEOUT_US,
     MS,
@@ -29,7 +45,7 @@
     service_classes,
     until_dial_is_delayed,
 )
-from slow_to_accept import SlowToAccept
+from slow_to_accept import FullAcceptQueueServer
 
 from tulipnotch.load_balancing.events import TimerFired
 from tulipnotch.sidecar.http1.body import MAX_BUFFERED_BODY_BYTES
@@ -54,11 +70,11 @@
 def test_attempt_is_not_written_when_connected_after_deduplication_window(
     group: str, may_cancel: bool, ends: tuple[str, ...], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    clock, delayed_dials = ManualClock(monkeypatch), HeldDials(monkeypatch)
+    clock, delayed_dials = ManualClock(monkeypatch), DelayedConnects(monkeypatch)
 
     async def work() -> None:
-        async with stage(OK, listed=False) as other_stage:
-            late_server = other_stage.servers[0]
+        async with sidecar_harness(OK_RESPONSE, servers_listed=False) as other_harness:
+            late_server = other_harness.servers[0]
             delayed_dials.hold(late_server.address)
             options: dict[str, Any] = {"group": group, "may_cancel": may_cancel}
             async with overtaken(
@@ -68,17 +84,17 @@
                 first_is_late=until_dial_is_delayed(delayed_dials),
                 **options,
             ) as seen:
-                pool = seen.scene.sidecar._upstream
+                pool = seen.harness.sidecar._upstream
                 clock.advance(WINDOW_US)
                 delayed_dials.release(late_server.address)
-                await until(lambda: pool._dials_in_flight == 0)
+                await wait_until(lambda: pool._dials_in_flight == 0)
                 await assert_has_ended(seen, group, *ends)
                 assert len(seen.received) == len(ends)
-                seen.scene.sidecar.close()
-                await until(lambda: len(late_server.closed) == late_server.connections)
-                assert late_server.heard == []
+                seen.harness.sidecar.close()
+                await wait_until(lambda: len(late_server.closed_connections) == late_server.connection_count)
+                assert late_server.received_requests == []
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize("window_us", [150 * MS, 250 * MS, 600 * MS])
@@ -86,11 +102,11 @@
     window_us: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # All are shorter than the connect timeout; the first is as long as a first attempt waits.
-    clock, delayed_dials = ManualClock(monkeypatch), HeldDials(monkeypatch)
+    clock, delayed_dials = ManualClock(monkeypatch), DelayedConnects(monkeypatch)
 
     async def work() -> None:
-        async with stage(OK, listed=False) as other_stage:
-            late_server = other_stage.servers[0]
+        async with sidecar_harness(OK_RESPONSE, servers_listed=False) as other_harness:
+            late_server = other_harness.servers[0]
             delayed_dials.hold(late_server.address)
             options: dict[str, Any] = {"window_us": window_us + OVERDUE_US}
             async with overtaken(
@@ -102,11 +118,11 @@
             ) as seen:
                 clock.advance(window_us + OVERDUE_US)
                 delayed_dials.release(late_server.address)
-                await until(lambda: seen.scene.sidecar._upstream._dials_in_flight == 0)
+                await wait_until(lambda: seen.harness.sidecar._upstream._dials_in_flight == 0)
                 await assert_has_ended(seen, "cell", "reset")
                 await assert_received_nothing(seen, late_server)
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize("ends", _ENDS)
@@ -114,11 +130,11 @@
 def test_attempt_is_written_when_connected_within_deduplication_window(
     group: str, ends: tuple[str, ...], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    clock, delayed_dials = ManualClock(monkeypatch), HeldDials(monkeypatch)
+    clock, delayed_dials = ManualClock(monkeypatch), DelayedConnects(monkeypatch)
 
     async def work() -> None:
-        async with stage(OK, listed=False) as other_stage:
-            late_server = other_stage.servers[0]
+        async with sidecar_harness(OK_RESPONSE, servers_listed=False) as other_harness:
+            late_server = other_harness.servers[0]
             delayed_dials.hold(late_server.address)
             async with overtaken(
                 clock,
@@ -129,13 +145,13 @@
             ) as seen:
                 clock.advance(WINDOW_US - 50 * MS)
                 delayed_dials.release(late_server.address)
-                assert (await seen.client.answer()).status == 200
-                assert len(late_server.heard) == 1
+                assert (await seen.client.read_response()).status == 200
+                assert len(late_server.received_requests) == 1
                 assert len(seen.received) == len(ends)
                 seen.let_finish.set()
-                await until(lambda: seen.scene.sidecar.open_requests == 0)
+                await wait_until(lambda: seen.harness.sidecar.open_requests == 0)
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize("end", ["reset", "runs on"])
@@ -143,20 +159,20 @@
     end: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # The first attempt is written meanwhile, and bounds those that were to replace it.
-    clock, delayed_dials = ManualClock(monkeypatch), HeldDials(monkeypatch)
+    clock, delayed_dials = ManualClock(monkeypatch), DelayedConnects(monkeypatch)
 
     async def work() -> None:
         release = asyncio.Event()
 
-        async def first(incoming: Heard) -> bytes | None:
+        async def first(incoming: ReceivedRequest) -> bytes | None:
             if end == "reset":
-                reset(incoming)
+                reset_connection(incoming)
                 return None
             await release.wait()
-            return OK
+            return OK_RESPONSE
 
-        async with stage(first, listed=False) as other_stage:
-            late_server = other_stage.servers[0]
+        async with sidecar_harness(first, servers_listed=False) as other_harness:
+            late_server = other_harness.servers[0]
             delayed_dials.hold(late_server.address)
             async with overtaken(
                 clock,
@@ -164,30 +180,34 @@
                 first_is_late=until_dial_is_delayed(delayed_dials),
                 hold_others=delayed_dials,
             ) as seen:
-                pool = seen.scene.sidecar._upstream
-                await until(lambda: delayed_dials.waiting == 2)
+                pool = seen.harness.sidecar._upstream
+                await wait_until(lambda: delayed_dials.pending_count == 2)
                 delayed_dials.release(late_server.address)
-                await until(lambda: len(late_server.heard) == 1)
+                await wait_until(lambda: len(late_server.received_requests) == 1)
                 if end == "reset":
-                    await until(lambda: seen.attempts()[0].has_ended)
+                    await wait_until(lambda: seen.attempts()[0].has_ended)
                 clock.advance(WINDOW_US)
-                for each in seen.scene.servers:
+                for each in seen.harness.servers:
                     delayed_dials.release(each.address)
-                await until(lambda: pool._dials_in_flight == 0)
+                await wait_until(lambda: pool._dials_in_flight == 0)
                 release.set()
-                assert (await seen.client.answer()).status == (200 if end == "runs on" else 502)
-                seen.scene.sidecar.close()
-                await until(lambda: all(len(each.closed) == each.connections for each in seen.scene.servers))
-                assert [each for each in seen.scene.heard if each.method == "POST"] == []
+                assert (await seen.client.read_response()).status == (200 if end == "runs on" else 502)
+                seen.harness.sidecar.close()
+                await wait_until(
+                    lambda: all(
+                        len(each.closed_connections) == each.connection_count for each in seen.harness.servers
+                    )
+                )
+                assert [each for each in seen.harness.received_requests if each.method == "POST"] == []
 
-    play(work)
+    run_async(work)
 
 
 def test_deduplication_window_starts_when_last_byte_is_given_to_kernel(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # The process is delayed after its call for the write: its server has the complete request meanwhile.
-    clock, delayed_dials = ManualClock(monkeypatch), HeldDials(monkeypatch)
+    clock, delayed_dials = ManualClock(monkeypatch), DelayedConnects(monkeypatch)
     delay_us = 100 * MS
     posts: list[bytes] = []
 
@@ -200,8 +220,8 @@
         return taken
 
     async def work() -> None:
-        async with stage(OK, listed=False) as other_stage:
-            late_server = other_stage.servers[0]
+        async with sidecar_harness(OK_RESPONSE, servers_listed=False) as other_harness:
+            late_server = other_harness.servers[0]
             delayed_dials.hold(late_server.address)
             monkeypatch.setattr(connection_module, "os", SimpleNamespace(write=write))
             async with overtaken(
@@ -209,11 +229,11 @@
             ) as seen:
                 clock.advance(WINDOW_US - delay_us)
                 delayed_dials.release(late_server.address)
-                await until(lambda: seen.scene.sidecar._upstream._dials_in_flight == 0)
+                await wait_until(lambda: seen.harness.sidecar._upstream._dials_in_flight == 0)
                 await assert_has_ended(seen, "cell", "reset")
                 await assert_received_nothing(seen, late_server)
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize("end", ["reset", "runs on"])
@@ -222,11 +242,11 @@
 ) -> None:
     # The kernel retries the connection after a second, when the window is over.
     async def work() -> None:
-        slow = SlowToAccept()
-        await slow.fill()
+        slow = FullAcceptQueueServer()
+        await slow.fill_accept_queue()
 
-        async def first_is_late(scene: Stage) -> None:
-            await until(lambda: scene.sidecar._upstream._dials_in_flight == 1)
+        async def first_is_late(harness: SidecarHarness) -> None:
+            await wait_until(lambda: harness.sidecar._upstream._dials_in_flight == 1)
 
         class RealClock:
             def advance(self, span_us: int) -> None:
@@ -236,17 +256,17 @@
         async with overtaken(clock, slow.address, end, first_is_late=first_is_late) as seen:
             loop = asyncio.get_running_loop()
             ran_at = loop.time()
-            pool = seen.scene.sidecar._upstream
-            accepted = await slow.let_go()
+            pool = seen.harness.sidecar._upstream
+            accepted = await slow.accept_sidecar_connection()
             assert loop.time() - ran_at > WINDOW_US / 1e6, "the connection came up too early to show anything"
-            await until(lambda: pool._dials_in_flight == 0)
+            await wait_until(lambda: pool._dials_in_flight == 0)
             await assert_has_ended(seen, "cell", end)
-            seen.scene.sidecar.close()
+            seen.harness.sidecar.close()
             assert await loop.sock_recv(accepted, 1_000) == b""
             accepted.close()
         slow.close()
 
-    play(work)
+    run_async(work)
 
 
 # A last byte that the network accepts late
@@ -258,14 +278,14 @@
 @asynccontextmanager
 async def _partly_written(
     clock: ManualClock, *ends: str, group: str
-) -> AsyncIterator[tuple[Overtaken, NarrowServer]]:
+) -> AsyncIterator[tuple[Overtaken, SlowReadingServer]]:
     """An attempt of which its server has read a part."""
-    server = NarrowServer()
+    server = SlowReadingServer()
 
-    async def first_is_late(scene: Stage) -> None:
+    async def first_is_late(harness: SidecarHarness) -> None:
         await server.accept()
-        (open_request,) = scene.sidecar._registry
-        await until(lambda: open_request.upstream_requests[0].connection is not None)
+        (open_request,) = harness.sidecar._registry
+        await wait_until(lambda: open_request.upstream_requests[0].connection is not None)
         assert open_request.upstream_requests[0].is_unwritten
 
     try:
@@ -283,18 +303,18 @@
     group: str, end: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # The server reads on at the moment at which the window ends, before any timer fires.
-    narrow_connections(monkeypatch)
+    shrink_send_buffers(monkeypatch)
     clock = ManualClock(monkeypatch)
 
     async def work() -> None:
         async with _partly_written(clock, end, group=group) as (seen, server):
             clock.advance(WINDOW_US)
-            got = await server.read_to(_BODY)
+            got = await server.read_until(_BODY)
             assert got
             assert not got.endswith(_BODY)
             await assert_has_ended(seen, group, end)
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize("end", ["reset", "runs on"])
@@ -302,7 +322,7 @@
     end: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # As above, but timers fire in time; the clock runs from here on.
-    narrow_connections(monkeypatch)
+    shrink_send_buffers(monkeypatch)
     clock = ManualClock(monkeypatch)
 
     async def work() -> None:
@@ -314,17 +334,17 @@
                 await asyncio.sleep(0.01)
                 clock.now_us = clock_started_at + int((loop.time() - started_at) * 1e6)
             assert first.has_ended
-            got = await server.read_to(_BODY)
+            got = await server.read_until(_BODY)
             assert not got.endswith(_BODY)
             await assert_has_ended(seen, "cell", end)
 
-    play(work)
+    run_async(work)
 
 
 def test_last_byte_is_written_when_within_deduplication_window(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    narrow_connections(monkeypatch)
+    shrink_send_buffers(monkeypatch)
     # The timeout that its head announces is another and closer bound (`test_told_deadline.py`).
     monkeypatch.setattr(write_gate, "_TIMEOUT_HEADER_STALE_AFTER_US", 10 * WINDOW_US)
     clock = ManualClock(monkeypatch)
@@ -332,12 +352,12 @@
     async def work() -> None:
         async with _partly_written(clock, "reset", group="zone") as (seen, server):
             clock.advance(WINDOW_US - 50 * MS)
-            got = await server.read_to(_BODY)
+            got = await server.read_until(_BODY)
             assert got.endswith(_BODY)
-            await server.send(OK)
-            assert (await seen.client.answer()).status == 200
+            await server.send(OK_RESPONSE)
+            assert (await seen.client.read_response()).status == 200
 
-    play(work)
+    run_async(work)
 
 
 # An idle connection whose reuse delay is waited for
@@ -351,27 +371,27 @@
     clock = ManualClock(monkeypatch)
     monkeypatch.setattr(pool_module, "_REUSE_DELAY_US", 400 * MS)
 
-    async def first_is_late(scene: Stage) -> None:
-        await until(lambda: len(scene.sidecar._upstream._reuse_timers) == 1)
+    async def first_is_late(harness: SidecarHarness) -> None:
+        await wait_until(lambda: len(harness.sidecar._upstream._reuse_timers) == 1)
 
     async def work() -> None:
-        async with stage(OK, listed=False) as other_stage:
-            first = other_stage.servers[0]
+        async with sidecar_harness(OK_RESPONSE, servers_listed=False) as other_harness:
+            first = other_harness.servers[0]
             async with overtaken(
                 clock, first.address, end, first_is_late=first_is_late, has_connection=True
             ) as seen:
                 clock.advance(WINDOW_US if when == "after it" else WINDOW_US - 50 * MS)
-                await until(lambda: not seen.scene.sidecar._upstream._reuse_timers)
+                await wait_until(lambda: not seen.harness.sidecar._upstream._reuse_timers)
                 if when == "after it":
                     await assert_has_ended(seen, "cell", end)
-                    seen.scene.sidecar.close()
-                    await until(lambda: len(first.closed) == first.connections)
-                    assert [each.method for each in first.heard] == ["GET"]
+                    seen.harness.sidecar.close()
+                    await wait_until(lambda: len(first.closed_connections) == first.connection_count)
+                    assert [each.method for each in first.received_requests] == ["GET"]
                 else:
-                    assert (await seen.client.answer()).status == 200
-                    assert [each.method for each in first.heard] == ["GET", "POST"]
+                    assert (await seen.client.read_response()).status == 200
+                    assert [each.method for each in first.received_requests] == ["GET", "POST"]
 
-    play(work)
+    run_async(work)
 
 
 # A last byte that the client sends late
@@ -382,42 +402,51 @@
     first: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # What exceeds the buffer is streamed to one server, and its last byte follows once it is received.
-    clock, delayed_dials = ManualClock(monkeypatch), HeldDials(monkeypatch)
+    clock, delayed_dials = ManualClock(monkeypatch), DelayedConnects(monkeypatch)
     bounds = {"dialTimeoutUs": CONNECT_TIMEOUT_US, "secondCopies": True}
     body = b"x" * (
         MAX_BUFFERED_BODY_BYTES + 2
     )  # no more waits here than is read on for, while its connection comes up
 
     async def work() -> None:
-        async with stage(OK, OK, OK, listed=False, bounds=bounds, lanes=service_classes()) as scene:
-            late_server = scene.servers[0]
+        async with sidecar_harness(
+            OK_RESPONSE,
+            OK_RESPONSE,
+            OK_RESPONSE,
+            servers_listed=False,
+            limit_overrides=bounds,
+            lanes=service_classes(),
+        ) as harness:
+            late_server = harness.servers[0]
             if first == "held back":
                 delayed_dials.hold(late_server.address)
-            await tell(scene, server_line(0, late_server.address))
-            client = await scene.client()
-            raw = request("amend", timeout="4.0", body=body)
+            await announce_endpoints(harness, server_entry(0, late_server.address))
+            client = await harness.connect()
+            raw = http_request("amend", timeout="4.0", body=body)
             client.send(raw[:-1])
             if first == "held back":
-                await until(lambda: delayed_dials.waiting == 1)
+                await wait_until(lambda: delayed_dials.pending_count == 1)
             else:
-                await until(lambda: late_server.connections == 1)
-            await tell(scene, *(server_line(n, each.address) for n, each in enumerate(scene.servers) if n))
+                await wait_until(lambda: late_server.connection_count == 1)
+            await announce_endpoints(
+                harness, *(server_entry(n, each.address) for n, each in enumerate(harness.servers) if n)
+            )
             clock.advance(2 * OVERDUE_US)
-            scene.sidecar._events.post(TimerFired("due"))
-            assert [each for each in scene.heard if each.method == "POST"] == []
-            (at_sidecar,) = scene.sidecar._registry
+            harness.sidecar._events.post(TimerFired("due"))
+            assert [each for each in harness.received_requests if each.method == "POST"] == []
+            (at_sidecar,) = harness.sidecar._registry
             client.send(raw[-1:])
-            await until(lambda: at_sidecar.body_completed_at > 0)
+            await wait_until(lambda: at_sidecar.body_completed_at > 0)
             for _ in range(OTHER_RESPONSES):
-                assert (await scene.ask("check")).status == 200
+                assert (await harness.send_request("check")).status == 200
             clock.advance(OVERDUE_US)
             if first == "held back":
-                scene.sidecar._events.post(TimerFired("due"))
+                harness.sidecar._events.post(TimerFired("due"))
                 clock.advance(WINDOW_US)
                 delayed_dials.release(late_server.address)
-            assert (await client.answer()).status == 200
-            (post,) = [each for each in scene.heard if each.method == "POST"]
+            assert (await client.read_response()).status == 200
+            (post,) = [each for each in harness.received_requests if each.method == "POST"]
             assert post.body == body
-            assert post in late_server.heard
+            assert post in late_server.received_requests
 
-    play(work)
+    run_async(work)
--- a/tests/sidecar/upstream/test_unexecuted_requests.py
+++ b/tests/sidecar/upstream/test_unexecuted_requests.py
@@ -8,8 +8,28 @@
 import struct
 
 import pytest
-from barriers import Fate, HeldDials, Kernel, NarrowServer, narrow_connections, reset, server_line, tell
-from loopback import FULL, HOST, OK, Client, Heard, Stage, play, request, stage, until
+from barriers import (
+    DelayedConnects,
+    ScriptedWrites,
+    SlowReadingServer,
+    WriteOutcome,
+    announce_endpoints,
+    reset_connection,
+    server_entry,
+    shrink_send_buffers,
+)
+from loopback import (
+    HOST,
+    OK_RESPONSE,
+    REJECTION_RESPONSE,
+    Client,
+    ReceivedRequest,
+    SidecarHarness,
+    http_request,
+    run_async,
+    sidecar_harness,
+    wait_until,
+)
 
 from tulipnotch.sidecar.upstream import pool as pool_module
 from tulipnotch.sidecar.upstream.connection import UpstreamConnection
@@ -22,11 +42,11 @@
 _ENDS = ["reset", "fin", "rejection"]
 
 
-async def _end(server: NarrowServer, how: str) -> None:
+async def _end(server: SlowReadingServer, how: str) -> None:
     """End the server's side of the connection, or reject the request before it is complete."""
     assert server.accepted is not None
     if how == "rejection":
-        await server.send(FULL)
+        await server.send(REJECTION_RESPONSE)
         return
     if how == "reset":
         server.accepted.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
@@ -41,36 +61,36 @@
     used: bool, how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # It is retried, and its first server never gets the last byte.
-    narrow_connections(monkeypatch)
+    shrink_send_buffers(monkeypatch)
     monkeypatch.setattr(pool_module, "_REUSE_DELAY_US", 0)
 
     async def work() -> None:
-        server = NarrowServer()
-        async with stage(OK, listed=False) as scene:
-            await tell(scene, server_line(0, server.address))
-            client = await scene.client()
+        server = SlowReadingServer()
+        async with sidecar_harness(OK_RESPONSE, servers_listed=False) as harness:
+            await announce_endpoints(harness, server_entry(0, server.address))
+            client = await harness.connect()
             if used:
-                client.send(request("lodge"))
+                client.send(http_request("lodge"))
                 await server.accept()
-                await server.read_to(b"\r\n\r\n")
-                await server.send(OK)
-                assert (await client.answer()).status == 200
-            client.send(request("lodge", timeout="4.0", body=_BODY))
+                await server.read_until(b"\r\n\r\n")
+                await server.send(OK_RESPONSE)
+                assert (await client.read_response()).status == 200
+            client.send(http_request("lodge", timeout="4.0", body=_BODY))
             if not used:
                 await server.accept()
-            await until(lambda: len(scene.sidecar._registry) == 1)
-            (open_request,) = scene.sidecar._registry
-            await until(lambda: open_request.upstream_requests[0].connection is not None)
+            await wait_until(lambda: len(harness.sidecar._registry) == 1)
+            (open_request,) = harness.sidecar._registry
+            await wait_until(lambda: open_request.upstream_requests[0].connection is not None)
             assert open_request.upstream_requests[0].is_unwritten
-            await tell(scene, server_line(1, scene.servers[0].address))
+            await announce_endpoints(harness, server_entry(1, harness.servers[0].address))
             await _end(server, how)
-            assert (await client.answer()).status == 200
-            assert [each.body for each in scene.heard] == [_BODY]
+            assert (await client.read_response()).status == 200
+            assert [each.body for each in harness.received_requests] == [_BODY]
             if how != "reset":
-                assert not (await server.read_to(_BODY)).endswith(_BODY)
+                assert not (await server.read_until(_BODY)).endswith(_BODY)
         server.close()
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize("how", ["reset", "fin"])
@@ -78,35 +98,35 @@
     how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # Most of it was buffered in this process; the server ends its side as it reads the last byte.
-    narrow_connections(monkeypatch)
+    shrink_send_buffers(monkeypatch)
 
     async def work() -> None:
-        server = NarrowServer()
-        async with stage(OK, listed=False) as scene:
-            await tell(scene, server_line(0, server.address))
-            client = await scene.client()
-            client.send(request("lodge", timeout="4.0", body=_BODY))
+        server = SlowReadingServer()
+        async with sidecar_harness(OK_RESPONSE, servers_listed=False) as harness:
+            await announce_endpoints(harness, server_entry(0, server.address))
+            client = await harness.connect()
+            client.send(http_request("lodge", timeout="4.0", body=_BODY))
             await server.accept()
-            await tell(scene, server_line(1, scene.servers[0].address))
-            assert (await server.read_to(_BODY)).endswith(_BODY)
+            await announce_endpoints(harness, server_entry(1, harness.servers[0].address))
+            assert (await server.read_until(_BODY)).endswith(_BODY)
             await _end(server, how)
-            assert (await client.answer()).status == 502
-            assert scene.heard == []
+            assert (await client.read_response()).status == 502
+            assert harness.received_requests == []
         server.close()
 
-    play(work)
+    run_async(work)
 
 
-async def _send_to_first(scene: Stage, patch: pytest.MonkeyPatch) -> Client:
+async def _send_to_first(harness: SidecarHarness, patch: pytest.MonkeyPatch) -> Client:
     """Send a non-idempotent request whose first attempt goes to the first server; then list the second."""
-    first, second = scene.servers
-    await tell(scene, server_line(0, first.address))
-    delayed_dials = HeldDials(patch)
+    first, second = harness.servers
+    await announce_endpoints(harness, server_entry(0, first.address))
+    delayed_dials = DelayedConnects(patch)
     delayed_dials.hold(first.address)
-    client = await scene.client()
-    client.send(request("lodge", timeout="4.0", body=b"body"))
-    await until(lambda: delayed_dials.waiting == 1)
-    await tell(scene, server_line(1, second.address))
+    client = await harness.connect()
+    client.send(http_request("lodge", timeout="4.0", body=b"body"))
+    await wait_until(lambda: delayed_dials.pending_count == 1)
+    await announce_endpoints(harness, server_entry(1, second.address))
     delayed_dials.release(first.address)
     return client
 
@@ -123,7 +143,7 @@
     raise BlockingIOError
 
 
-def _fails(fault: type[OSError]) -> Fate:
+def _fails(fault: type[OSError]) -> WriteOutcome:
     def fate(descriptor: int, piece: bytes) -> int:
         raise fault
 
@@ -145,18 +165,18 @@
     ],
 )
 def test_non_idempotent_request_is_retried_when_write_failed(
-    fates: tuple[Fate, ...], monkeypatch: pytest.MonkeyPatch
+    fates: tuple[WriteOutcome, ...], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def work() -> None:
-        async with stage(OK, OK, listed=False) as scene:
-            kernel = Kernel(monkeypatch, scene.servers[0].address, fates)
-            client = await _send_to_first(scene, monkeypatch)
-            assert (await client.answer()).status == 200
-            await until(lambda: scene.servers[0].closed == [0])
-            assert [len(each.heard) for each in scene.servers] == [0, 1]
-            assert not kernel.left
+        async with sidecar_harness(OK_RESPONSE, OK_RESPONSE, servers_listed=False) as harness:
+            kernel = ScriptedWrites(monkeypatch, harness.servers[0].address, fates)
+            client = await _send_to_first(harness, monkeypatch)
+            assert (await client.read_response()).status == 200
+            await wait_until(lambda: harness.servers[0].closed_connections == [0])
+            assert [len(each.received_requests) for each in harness.servers] == [0, 1]
+            assert not kernel.remaining_outcomes
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize(
@@ -164,21 +184,21 @@
     [(), (_half,), (_all_but_last_byte,), (_no_buffer_space,), (_half, _no_buffer_space, _no_buffer_space)],
 )
 def test_request_may_have_executed_when_written_in_parts(
-    fates: tuple[Fate, ...], monkeypatch: pytest.MonkeyPatch
+    fates: tuple[WriteOutcome, ...], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def work() -> None:
-        async def first(incoming: Heard) -> None:
-            reset(incoming)
+        async def first(incoming: ReceivedRequest) -> None:
+            reset_connection(incoming)
 
-        async with stage(first, OK, listed=False) as scene:
-            kernel = Kernel(monkeypatch, scene.servers[0].address, fates)
-            client = await _send_to_first(scene, monkeypatch)
-            assert (await client.answer()).status == 502
-            assert [len(each.heard) for each in scene.servers] == [1, 0]
-            assert scene.heard[0].body == b"body"
-            assert not kernel.left
+        async with sidecar_harness(first, OK_RESPONSE, servers_listed=False) as harness:
+            kernel = ScriptedWrites(monkeypatch, harness.servers[0].address, fates)
+            client = await _send_to_first(harness, monkeypatch)
+            assert (await client.read_response()).status == 502
+            assert [len(each.received_requests) for each in harness.servers] == [1, 0]
+            assert harness.received_requests[0].body == b"body"
+            assert not kernel.remaining_outcomes
 
-    play(work)
+    run_async(work)
 
 
 # Connections that did not carry it
@@ -190,21 +210,23 @@
 def test_non_idempotent_request_is_retried_when_connection_was_unusable(
     how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    delayed_dials = HeldDials(monkeypatch)
+    delayed_dials = DelayedConnects(monkeypatch)
 
     async def work() -> None:
-        async with stage(OK, listed=False, bounds={"dialTimeoutUs": 200_000}) as scene:
+        async with sidecar_harness(
+            OK_RESPONSE, servers_listed=False, limit_overrides={"dialTimeoutUs": 200_000}
+        ) as harness:
             with socket.socket() as listener:
                 listener.bind((HOST, 0))
                 if how != "refused":
                     listener.listen()
                 address = f"{HOST}:{listener.getsockname()[1]}"
-                await tell(scene, server_line(0, address))
+                await announce_endpoints(harness, server_entry(0, address))
                 delayed_dials.hold(address)
-                client = await scene.client()
-                client.send(request("lodge", timeout="4.0"))
-                await until(lambda: delayed_dials.waiting == 1)
-                await tell(scene, server_line(1, scene.servers[0].address))
+                client = await harness.connect()
+                client.send(http_request("lodge", timeout="4.0"))
+                await wait_until(lambda: delayed_dials.pending_count == 1)
+                await announce_endpoints(harness, server_entry(1, harness.servers[0].address))
                 if how == "ends when established" or how == "server writes first":
                     made = UpstreamConnection.connection_made
                     accepted: list[socket.socket] = []
@@ -214,7 +236,7 @@
                         if transport.get_extra_info("peername") == listener.getsockname():
                             accepted.append(listener.accept()[0])
                             if how == "server writes first":
-                                accepted[0].send(FULL)
+                                accepted[0].send(REJECTION_RESPONSE)
                             else:
                                 accepted[0].close()
                         made(self, transport)
@@ -222,11 +244,11 @@
                     monkeypatch.setattr(UpstreamConnection, "connection_made", connection_made)
                 if how != "never established":
                     delayed_dials.release(address)
-                assert (await client.answer()).status == 200
-                assert len(scene.heard) == 1
+                assert (await client.read_response()).status == 200
+                assert len(harness.received_requests) == 1
                 if how == "server writes first":
                     accepted[0].settimeout(10.0)
                     assert accepted[0].recv(1_000) == b""
                     accepted[0].close()
 
-    play(work)
+    run_async(work)
--- a/tests/sidecar/upstream/test_upstream_timeouts.py
+++ b/tests/sidecar/upstream/test_upstream_timeouts.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from loopback import CLASSES
+from loopback import SERVICE_CLASSES
 
 from tulipnotch.sidecar.upstream.timeouts import UpstreamTimeouts
 from tulipnotch.simulator_wire.names import settings_from_wire
@@ -21,7 +21,12 @@
     objectives_ms: tuple[int, int], deadlines_ms: tuple[int, int], timeout_s: float
 ) -> None:
     classes = [
-        {**CLASSES[0], "name": f"kind-{index}", "promiseUs": objective * 1_000, "giveUpUs": deadline * 1_000}
+        {
+            **SERVICE_CLASSES[0],
+            "name": f"kind-{index}",
+            "promiseUs": objective * 1_000,
+            "giveUpUs": deadline * 1_000,
+        }
         for index, (objective, deadline) in enumerate(zip(objectives_ms, deadlines_ms, strict=True))
     ]
     timeouts = UpstreamTimeouts.from_settings(settings_from_wire({"lanes": classes}))
--- a/tests/slow_to_accept.py
+++ b/tests/slow_to_accept.py
@@ -8,8 +8,8 @@
 from loopback import HOST
 
 
-class SlowToAccept:
-    """A server whose connections come up late: its accept queue is full until `let_go`."""
+class FullAcceptQueueServer:
+    """A server whose connections come up late: its accept queue is full until `accept_sidecar_connection`."""
 
     def __init__(self) -> None:
         self.listener = socket.socket()
@@ -21,7 +21,7 @@
     def address(self) -> str:
         return f"{HOST}:{self.listener.getsockname()[1]}"
 
-    async def fill(self) -> None:
+    async def fill_accept_queue(self) -> None:
         for _ in range(3):
             filler = socket.socket()
             filler.settimeout(0.0)
@@ -29,7 +29,7 @@
             self.fillers.append(filler)
         await asyncio.sleep(0.05)
 
-    async def let_go(self) -> socket.socket:
+    async def accept_sidecar_connection(self) -> socket.socket:
         """Accept until the connection of the sidecar comes up; return it."""
         fillers = {each.getsockname() for each in self.fillers}
         self.listener.settimeout(0.0)
--- a/tests/unavailable_discovery.py
+++ b/tests/unavailable_discovery.py
@@ -4,9 +4,9 @@
 
 import socket
 
-from loopback import HOST, Heard, ScriptedDiscovery, reply
+from loopback import HOST, ReceivedRequest, ScriptedDiscovery, http_response
 
-FAULTS = ["refused", "503", "hung"]
+DISCOVERY_FAULTS = ["refused", "503", "hung"]
 
 
 class UnavailableDiscovery(ScriptedDiscovery):
@@ -35,9 +35,9 @@
         if self._server is not None:
             super().stop()
 
-    async def _answer(self, heard: Heard) -> bytes:
+    async def _respond(self, heard: ReceivedRequest) -> bytes:
         if self.fault == "503":
-            return reply(b"", "503 Busy")
+            return http_response(b"", "503 Busy")
         if self.fault == "hung":
             return b""  # and nothing after it
-        return await super()._answer(heard)
+        return await super()._respond(heard)
