--- a/tests/barriers.py
+++ b/tests/barriers.py
@@ -1,6 +1,6 @@
-"""Barriers that force an order of events: a clock that only a test moves, and connections held back.
+"""Test doubles that force an order of events: a manual clock, delayed connects and scripted writes.
 
-Sockets and the event loop stay real.
+Sockets and the event loop are real.
 """
 
 from __future__ import annotations
@@ -22,23 +22,23 @@
 
 
 class ManualClock:
-    """The sidecar's clock: it stands still until a test moves it on."""
+    """A clock for sidecars that stands still until a test advances it."""
 
     def __init__(self, patch: pytest.MonkeyPatch) -> None:
-        """Stops the clock of every sidecar of this process."""
+        """Replaces the clock of every sidecar in this process."""
         self.now_us = 1_700_000_000_000_000
         patch.setattr(Clock, "now", lambda _clock: self.now_us)
 
     def advance(self, span_us: int) -> None:
-        """Moves the clock on by so many microseconds."""
+        """Advances the clock by a number of microseconds."""
         self.now_us += span_us
 
 
 class DelayedConnects:
-    """Connections to addresses that are held are begun only once they are released."""
+    """Delays the connects to chosen addresses until a test releases them."""
 
     def __init__(self, patch: pytest.MonkeyPatch) -> None:
-        """Patches the event loop; no address is held yet."""
+        """Patches the event loop; no address is delayed yet."""
         self.pending_count = 0
         self._gates: dict[int, asyncio.Event] = {}
         create = uvloop.Loop.create_connection
@@ -48,7 +48,7 @@
             factory: Callable[[], asyncio.BaseProtocol],
             host: str,
             port: int,
-            **how: Any,
+            **options: Any,
         ) -> Any:
             gate = self._gates.get(port)
             if gate is not None:
@@ -57,21 +57,21 @@
                     await gate.wait()
                 finally:
                     self.pending_count -= 1
-            return await create(loop, factory, host, port, **how)
+            return await create(loop, factory, host, port, **options)
 
         patch.setattr(uvloop.Loop, "create_connection", create_connection)
 
     def hold(self, address: str) -> None:
-        """Holds back every further connection to this address."""
+        """Delays every further connect to this address."""
         self._gates[int(address.rpartition(":")[2])] = asyncio.Event()
 
     def release(self, address: str) -> None:
-        """Lets the connections to this address go on."""
+        """Lets the delayed connects to this address proceed."""
         self._gates[int(address.rpartition(":")[2])].set()
 
 
 class SlowReadingServer:
-    """A server that takes little at a time, and nothing until it is told to."""
+    """A server with a small receive buffer, which accepts and reads only when a test calls it."""
 
     def __init__(self) -> None:
         """Listens on a free port."""
@@ -84,7 +84,7 @@
 
     @property
     def address(self) -> str:
-        """Where it listens."""
+        """The address on which the server listens."""
         return f"{HOST}:{self._listener.getsockname()[1]}"
 
     async def accept(self) -> None:
@@ -92,19 +92,19 @@
         self.accepted, _ = await asyncio.get_running_loop().sock_accept(self._listener)
 
     async def read_until(self, end: bytes) -> bytes:
-        """Take all that comes, until it ends so or its connection ends."""
+        """Reads until the data ends with `end` or the connection ends; returns all of it."""
         assert self.accepted is not None
         loop = asyncio.get_running_loop()
-        got = b""
-        while not got.endswith(end):
+        received = b""
+        while not received.endswith(end):
             try:
-                piece = await loop.sock_recv(self.accepted, 65_536)
+                chunk = await loop.sock_recv(self.accepted, 65_536)
             except ConnectionError:
                 break
-            if not piece:
+            if not chunk:
                 break
-            got += piece
-        return got
+            received += chunk
+        return received
 
     async def send(self, raw: bytes) -> None:
         """Writes to the accepted connection."""
@@ -119,26 +119,26 @@
 
 
 def shrink_send_buffers(patch: pytest.MonkeyPatch) -> None:
-    """Connections to servers hold little: the rest of a request waits in this process."""
-    made = client.UpstreamConnection.connection_made
+    """Shrinks the send buffers of upstream connections: the rest of a request has to wait in this process."""
+    original = client.UpstreamConnection.connection_made
 
     def connection_made(self: client.UpstreamConnection, transport: asyncio.BaseTransport) -> None:
         transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)
-        made(self, transport)
+        original(self, transport)
 
     patch.setattr(client.UpstreamConnection, "connection_made", connection_made)
 
 
-def reset_connection(heard: ReceivedRequest) -> None:
-    """End the connection that a request came on by a reset, at once."""
-    plain = socket.socket(fileno=os.dup(heard.writer.get_extra_info("socket").fileno()))
-    plain.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-    plain.close()
-    heard.writer.transport.abort()
+def reset_connection(received: ReceivedRequest) -> None:
+    """Resets the connection on which a request arrived, at once."""
+    duplicate = socket.socket(fileno=os.dup(received.writer.get_extra_info("socket").fileno()))
+    duplicate.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+    duplicate.close()
+    received.writer.transport.abort()
 
 
 async def announce_endpoints(harness: SidecarHarness, *entries: dict[str, Any]) -> None:
-    """Announce changes of the list, and return once the sidecar has taken them over."""
+    """Announces changes of the endpoint list; returns once the sidecar has applied them and polled again."""
     await wait_until(lambda: len(harness.discovery.received_requests) >= 2)
     before = len(harness.discovery.received_requests)
     harness.discovery.announce(*entries)
@@ -146,27 +146,28 @@
 
 
 def server_entry(index: int, address: str, **changes: Any) -> dict[str, Any]:
-    """Returns a line of the endpoint list for the server with this index."""
+    """Returns the entry of the endpoint list for the server with this index."""
     return endpoint_entry(f"s-{index}", address, **changes)
 
 
-WriteOutcome = Callable[
-    [int, bytes], int
-]  # given a descriptor and what is to be written: how much was, or it raises
+# Is called with a descriptor and the data to write; returns how many bytes were written, or raises.
+WriteOutcome = Callable[[int, bytes], int]
 
 
 class ScriptedWrites:
-    """Writes the ends of requests; a test says what comes of the first writes to one server."""
-
-    def __init__(self, patch: pytest.MonkeyPatch, server: str, fates: tuple[WriteOutcome, ...]) -> None:
-        """`fates` are used up one a write, for this server's address only."""
-        self.remaining_outcomes = list(fates)
-        self._server = server
+    """Replaces `os.write` for upstream connections; a test decides what the first writes to one server do."""
+
+    def __init__(
+        self, patch: pytest.MonkeyPatch, server_address: str, outcomes: tuple[WriteOutcome, ...]
+    ) -> None:
+        """Uses one of `outcomes` for each write to this server; all other writes are real."""
+        self.remaining_outcomes = list(outcomes)
+        self._server_address = server_address
         patch.setattr(client, "os", SimpleNamespace(write=self._write))
 
-    def _write(self, descriptor: int, piece: bytes) -> int:
-        with socket.socket(fileno=os.dup(descriptor)) as own:
-            host, port = own.getpeername()
-        if self.remaining_outcomes and f"{host}:{port}" == self._server:
-            return self.remaining_outcomes.pop(0)(descriptor, piece)
-        return os.write(descriptor, piece)
+    def _write(self, descriptor: int, data: bytes) -> int:
+        with socket.socket(fileno=os.dup(descriptor)) as duplicate:
+            host, port = duplicate.getpeername()
+        if self.remaining_outcomes and f"{host}:{port}" == self._server_address:
+            return self.remaining_outcomes.pop(0)(descriptor, data)
+        return os.write(descriptor, data)
--- a/tests/documentation/test_architecture_page.py
+++ b/tests/documentation/test_architecture_page.py
@@ -10,13 +10,13 @@
 
 ROOT = Path(__file__).parents[2]
 PAGE = (ROOT / "docs" / "architecture.md").read_text(encoding="utf-8")
-# `sidecar/sidecar.py` names a module, `sidecar/sidecar.py:Sidecar.start` something that is defined in it.
+# `sidecar/sidecar.py` refers to a module, `sidecar/sidecar.py:Sidecar.start` to a definition in that module.
 REFERENCE = re.compile(r"`([\w/]+(?:\.py|/))(?::([\w.]+))?`")
 REFERENCES = sorted({(path, name) for path, name in REFERENCE.findall(PAGE)})
 
 
 def _definitions(path: Path) -> set[str]:
-    """The names that a module defines: functions, classes, constants, and the methods of classes."""
+    """Returns the names that a module defines: functions, classes, constants, and members of classes."""
     names: set[str] = set()
     for node in ast.parse(path.read_text(encoding="utf-8")).body:
         names |= _defined_by(node)
@@ -40,8 +40,8 @@
     return within_package if within_package.exists() else ROOT / path
 
 
-def test_architecture_page_names_modules_and_functions() -> None:
-    assert len(REFERENCES) > 40  # otherwise the references are not read
+def test_architecture_page_has_references_to_modules_and_definitions() -> None:
+    assert len(REFERENCES) > 40  # guards against reading no references
     assert sum(bool(name) for _, name in REFERENCES) > 20
 
 
--- a/tests/documentation/test_readme.py
+++ b/tests/documentation/test_readme.py
@@ -1,4 +1,4 @@
-"""README's example runs as it is written."""
+"""The example in README.md runs as printed."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import pytest
 
 
-def test_the_embedding_example_sends_its_request(capsys: pytest.CaptureFixture[str]) -> None:
+def test_readme_embedding_example_sends_its_request(capsys: pytest.CaptureFixture[str]) -> None:
     text = (Path(__file__).parents[2] / "README.md").read_text(encoding="utf-8")
     example = re.search(r"```python\n(.*?)```", text, re.DOTALL)
     assert example is not None
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""A balancer under scripted events: plays them and records the actions."""
+"""A driver that passes scripted events to a balancer and records its actions."""
 
 from __future__ import annotations
 
@@ -48,12 +48,12 @@
     "deduplication_window_us": 2 * S,
 }
 
-_Kind = TypeVar("_Kind")
+_ActionType = TypeVar("_Kind")
 
 
 def make_settings(**changes: Any) -> Settings:
-    """Settings of a permissive deployment; `limits` and `rules` are merged, the rest replaced."""
-    given: dict[str, Any] = {
+    """Returns settings of a permissive deployment; a change is merged into a table, or replaces a value."""
+    values: dict[str, Any] = {
         "classes": [IDEMPOTENT_CLASS, NON_IDEMPOTENT_CLASS, IDEMPOTENT_WITH_KEY_CLASS],
         "zone": "east",
         "clock_resolution_us": 5 * MS,
@@ -68,28 +68,28 @@
         },
     }
     for key, value in changes.items():
-        given[key] = {**given[key], **value} if isinstance(given.get(key), dict) else value
-    return settings_from_mapping(given)
+        values[key] = {**values[key], **value} if isinstance(values.get(key), dict) else value
+    return settings_from_mapping(values)
 
 
 def endpoint_names(count: int) -> list[str]:
-    """The names of so many endpoints."""
+    """Returns the names of `count` endpoints."""
     return [f"10.0.0.{number}:80" for number in range(1, count + 1)]
 
 
 class BalancerDriver:
-    """Plays events to one balancer; timers fire by themselves as time moves on."""
+    """Passes events to one balancer; timers that are due fire as the test advances time."""
 
-    def __init__(self, given: Settings | None = None, seed: int = 7, now: int = START_US) -> None:
-        """Begin at clock time `now` with no endpoint."""
+    def __init__(self, settings: Settings | None = None, seed: int = 7, now: int = START_US) -> None:
+        """Starts at time `now`, with no endpoints."""
         self.now = now
-        self.balancer = Balancer(given or make_settings(), seed)
+        self.balancer = Balancer(settings or make_settings(), seed)
         self.timed_actions: list[tuple[int, Action]] = []
         self._timers: list[tuple[int, str]] = []
-        self._next = 1
+        self._next_request = 1
 
     def handle(self, event: Event) -> list[Action]:
-        """Play one event; record and return its actions."""
+        """Passes one event to the balancer; records and returns its actions."""
         actions = self.balancer.handle(self.now, event)
         for action in actions:
             self.timed_actions.append((self.now, action))
@@ -99,25 +99,28 @@
 
     def update_endpoints(
         self,
-        listed: Iterable[str | EndpointDescription],
+        endpoints: Iterable[str | EndpointDescription],
         kind: EndpointUpdateKind = EndpointUpdateKind.COMPLETE,
     ) -> list[Action]:
-        """Announce endpoints; a name stands for a ready one in the own zone."""
-        lines = [EndpointDescription(each, zone="east") if isinstance(each, str) else each for each in listed]
-        return self.handle(EndpointsUpdated(kind, lines, 1))
+        """Updates the endpoint list; a name stands for a ready endpoint in the balancer's own zone."""
+        descriptions = [
+            EndpointDescription(endpoint, zone="east") if isinstance(endpoint, str) else endpoint
+            for endpoint in endpoints
+        ]
+        return self.handle(EndpointsUpdated(kind, descriptions, 1))
 
-    def drain_endpoint(self, server: str, state: EndpointState = EndpointState.DRAINING) -> list[Action]:
-        """Announce one endpoint as draining, or in another state."""
+    def drain_endpoint(self, endpoint: str, state: EndpointState = EndpointState.DRAINING) -> list[Action]:
+        """Updates one endpoint to draining, or to another state."""
         return self.update_endpoints(
-            [EndpointDescription(server, zone="east", state=state)], EndpointUpdateKind.DELTA
+            [EndpointDescription(endpoint, zone="east", state=state)], EndpointUpdateKind.DELTA
         )
 
     def receive_request(
-        self, name: str = "look", remaining_us: int = 2 * S, cost_us: int | None = None
+        self, service_class: str = "look", remaining_us: int = 2 * S, cost_us: int | None = None
     ) -> int:
-        """Let a request arrive; return its number."""
-        number, self._next = self._next, self._next + 1
-        self.handle(RequestArrived(number, name, None, None, remaining_us, cost_us))
+        """Lets a request arrive; returns its number."""
+        number, self._next_request = self._next_request, self._next_request + 1
+        self.handle(RequestArrived(number, service_class, None, None, remaining_us, cost_us))
         return number
 
     def end_attempt(
@@ -129,41 +132,43 @@
         is_responded: bool | None = None,
         report: dict[str, float] | None = None,
     ) -> list[Action]:
-        """End an attempt of a request, by default its last one."""
-        sends = self.started_attempts(request)
-        index = len(sends) - 1 if attempt is None else attempt
-        sent_at, send = sends[index]
-        done = outcome is Outcome.DELIVERED if is_responded is None else is_responded
-        took = self.now - sent_at
-        return self.handle(AttemptEnded(request, index, send.endpoint, outcome, took, done, report))
+        """Ends an attempt of a request, by default the last one."""
+        attempts = self.started_attempts(request)
+        index = len(attempts) - 1 if attempt is None else attempt
+        started_at, started_attempt = attempts[index]
+        responded = outcome is Outcome.DELIVERED if is_responded is None else is_responded
+        elapsed_us = self.now - started_at
+        return self.handle(
+            AttemptEnded(request, index, started_attempt.endpoint, outcome, elapsed_us, responded, report)
+        )
 
     def advance(self, span_us: int) -> None:
-        """Let time pass; due timers fire on the way."""
-        until = self.now + span_us
+        """Advances time; fires the timers that fall due, in order."""
+        end = self.now + span_us
         while True:
-            due = sorted(each for each in self._timers if each[0] <= until)
+            due = sorted(each for each in self._timers if each[0] <= end)
             if not due:
                 break
             self._timers.remove(due[0])
             self.now = max(self.now, due[0][0])
             self.handle(TimerFired(due[0][1]))
-        self.now = until
+        self.now = end
 
     def started_attempts(self, request: int | None = None) -> list[tuple[int, StartAttempt]]:
-        """The attempts so far, of one request or of all, with the times of their start."""
+        """Returns the attempts so far, of one request or of all, with their start times."""
         return [
-            (at, each)
-            for at, each in self.timed_actions
-            if isinstance(each, StartAttempt) and (request is None or each.request == request)
+            (started_at, action)
+            for started_at, action in self.timed_actions
+            if isinstance(action, StartAttempt) and (request is None or action.request == request)
         ]
 
     def last_endpoint(self, request: int) -> str:
-        """The endpoint of a request's last attempt."""
+        """Returns the endpoint of a request's last attempt."""
         return self.started_attempts(request)[-1][1].endpoint
 
-    def actions_of_type(self, kind: type[_Kind]) -> list[_Kind]:
-        """The actions of this type so far."""
-        return [each for _, each in self.timed_actions if isinstance(each, kind)]
+    def actions_of_type(self, action_type: type[_ActionType]) -> list[_ActionType]:
+        """Returns the actions of this type so far."""
+        return [action for _, action in self.timed_actions if isinstance(action, action_type)]
 
     def run_traffic(
         self,
@@ -178,18 +183,18 @@
             self.advance(arrival_interval_us)
             pending.append((self.now + response_time_us, self.receive_request(service_class)))
             while pending and pending[0][0] <= self.now:
-                done = pending.pop(0)[1]
-                if self.started_attempts(done):
-                    self.end_attempt(done)
-        for _, done in pending:
+                request = pending.pop(0)[1]
+                if self.started_attempts(request):
+                    self.end_attempt(request)
+        for _, request in pending:
             self.advance(arrival_interval_us)
-            if self.started_attempts(done):
-                self.end_attempt(done)
+            if self.started_attempts(request):
+                self.end_attempt(request)
 
     def run_sequential_traffic(
         self, count: int, response_time_us: int = 50 * MS, arrival_interval_us: int = 400 * MS
     ) -> None:
-        """Traffic of a small balancer: each request gets its response before the next arrives."""
+        """Runs the traffic of a small balancer: each request gets its response before the next arrives."""
         for _ in range(count):
             request = self.receive_request()
             self.advance(response_time_us)
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,8 +1,8 @@
-"""Tests that fail for a known fault, as `KNOWN-RED.txt` at the root lists them.
+"""Tests that are expected to fail because of a known fault, listed in `KNOWN-RED.txt` at the root.
 
-One entry a line, `TEST | COMMAND AND SEED | OBSERVED | ISSUE`; a test that is named without its parameters
-means all of its cases.  Listed tests run and are printed, and no other test may fail.  A listed test that
-passes fails the run, so that its entry is removed together with the fault.
+The file has one entry per line, `TEST | COMMAND AND SEED | OBSERVED | ISSUE`.  A test that is named without
+its parameters stands for all of its cases.  Listed tests run and are printed, and no other test may fail.
+If a listed test passes, the run fails, so that the entry is removed together with the fault.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class KnownFailuresError(ValueError):
-    """The list of known failures can't be read."""
+    """The list of known failures has a malformed entry or too many entries."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,12 +32,12 @@
     issue: str
 
     def __str__(self) -> str:
-        """The entry as it is printed at the end of a run."""
+        """Formats the entry for the end of a run."""
         return f"known red: {self.test}: {self.observed} ({self.command}; {self.issue})"
 
 
 def read(root: Path) -> list[KnownFailure]:
-    """The entries of the list under `root`; KnownFailuresError if one is malformed or there are too many."""
+    """Returns the listed entries; raises KnownFailuresError if one is malformed or there are too many."""
     path = root / FILE_NAME
     lines = path.read_text(encoding="utf-8").splitlines() if path.exists() else []
     failures = [_parse(line) for line in lines if line.strip()]
@@ -54,7 +54,7 @@
 
 
 def mark(items: Sequence[pytest.Item], failures: Sequence[KnownFailure]) -> None:
-    """Expect these tests, and no others, to fail."""
+    """Marks these tests, and no others, as expected to fail."""
     for failure in failures:
         for item in items:
             if failure.test in (item.nodeid, item.nodeid.partition("[")[0]):
@@ -68,6 +68,6 @@
         self._failures = failures
 
     def pytest_terminal_summary(self, terminalreporter: pytest.TerminalReporter) -> None:
-        """Print which tests are expected to fail, and why."""
+        """Prints which tests are expected to fail, and why."""
         for failure in self._failures:
             terminalreporter.write_line(str(failure), yellow=True)
--- a/tests/large_bodies.py
+++ b/tests/large_bodies.py
@@ -1,4 +1,4 @@
-"""Bodies of any size, and a server that reads them as slowly as a test wants."""
+"""Request bodies of any size, and a server that a test can pause while it reads them."""
 
 from __future__ import annotations
 
@@ -10,23 +10,24 @@
 
 
 def pseudorandom_bytes(size: int) -> bytes:
-    """Returns bytes that differ by size and hardly compress."""
+    """Returns incompressible bytes, which differ between sizes."""
     return hashlib.shake_128(b"%d" % size).digest(size)
 
 
 class BodyDigestServer(ScriptedServer):
-    """Reads requests in either framing, as slowly as it is let, and retains a digest of each body."""
+    """Reads bodies with a length or in chunks, and keeps a digest of each; a test can pause the reading."""
 
-    def __init__(self, answer: bytes = OK_RESPONSE) -> None:
-        """Reads on until `reading_allowed` is cleared."""
+    def __init__(self, response: bytes = OK_RESPONSE) -> None:
+        """Starts with reading allowed; a test pauses it by clearing `reading_allowed`."""
         super().__init__(None)
-        self.response = answer
+        self.response = response
         self.reading_allowed = asyncio.Event()
         self.reading_allowed.set()
         self.received_headers: list[dict[str, str]] = []
         self.digests: list[bytes] = []
         self.received_bytes = 0
-        self.pending_aborts: list[str] = []  # connections still to be cut off in the middle of a body
+        # Each entry aborts one connection in the middle of a body, once 60,000 bytes have arrived.
+        self.pending_aborts: list[str] = []
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._writers.append(writer)
@@ -35,9 +36,9 @@
                 _, headers = await read_head(reader)
                 self.received_headers.append(headers)
                 digest = hashlib.sha1()
-                async for piece in self._pieces(reader, headers):
-                    digest.update(piece)
-                    self.received_bytes += len(piece)
+                async for chunk in self._body_chunks(reader, headers):
+                    digest.update(chunk)
+                    self.received_bytes += len(chunk)
                     if self.pending_aborts and self.received_bytes >= 60_000:
                         self.pending_aborts.pop()
                         writer.transport.abort()
@@ -50,13 +51,15 @@
         finally:
             writer.close()
 
-    async def _pieces(self, reader: asyncio.StreamReader, headers: dict[str, str]) -> AsyncIterator[bytes]:
+    async def _body_chunks(
+        self, reader: asyncio.StreamReader, headers: dict[str, str]
+    ) -> AsyncIterator[bytes]:
         if headers.get("transfer-encoding") != "chunked":
-            left = int(headers.get("content-length", "0"))
-            while left:
-                piece = await reader.readexactly(min(left, 65_536))
-                left -= len(piece)
-                yield piece
+            remaining = int(headers.get("content-length", "0"))
+            while remaining:
+                chunk = await reader.readexactly(min(remaining, 65_536))
+                remaining -= len(chunk)
+                yield chunk
             return
         while size := int(await reader.readline(), 16):
             yield await reader.readexactly(size)
@@ -65,6 +68,8 @@
 
 
 def chunk_encoded(body: bytes, size: int, trailer: bytes = b"") -> bytes:
-    """Returns the chunked form of a body, in chunks of this size with an extension each."""
-    pieces = [body[at : at + size] for at in range(0, len(body), size)]
-    return b"".join(b"%x;x=y\r\n%s\r\n" % (len(each), each) for each in pieces) + b"0\r\n" + trailer + b"\r\n"
+    """Returns a body in chunked encoding, with a chunk extension on each chunk of this size."""
+    chunks = [body[offset : offset + size] for offset in range(0, len(body), size)]
+    return (
+        b"".join(b"%x;x=y\r\n%s\r\n" % (len(chunk), chunk) for chunk in chunks) + b"0\r\n" + trailer + b"\r\n"
+    )
--- a/tests/load_balancing/admission/test_service_levels_in_force.py
+++ b/tests/load_balancing/admission/test_service_levels_in_force.py
@@ -28,7 +28,7 @@
     """How many of these requests, one every 20 ms and each answered after 10 ms, get through."""
     admitted = 0
     for _ in range(count):
-        number, given._next = given._next, given._next + 1
+        number, given._next_request = given._next_request, given._next_request + 1
         given.handle(RequestArrived(number, name, tenant, None, 2_000 * MS, None))
         given.advance(10 * MS)
         if given.started_attempts(number):
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -1,4 +1,4 @@
-"""Scripted ends on loopback sockets: servers, discovery and clients round one sidecar in this process."""
+"""Scripted servers, discovery and clients on loopback sockets, for one sidecar that runs in this process."""
 
 from __future__ import annotations
 
@@ -20,10 +20,11 @@
 from tulipnotch.sidecar.service_level_monitor import ServiceLevels
 from tulipnotch.sidecar.sidecar import Sidecar
 
-# Each worker of pytest-xdist has its own address: no other takes a port that a test closes and opens again.
+# Each pytest-xdist worker uses its own loopback address, so that no other worker can take a port that a test
+# closes and opens again.
 _WORKER = os.environ.get("PYTEST_XDIST_WORKER", "")
 HOST = f"127.1.{int(_WORKER.removeprefix('gw'))}.1" if _WORKER else "127.0.0.1"
-TEST_TIMEOUT_S = 20.0  # how long a test waits for what must come; never what it measures
+TEST_TIMEOUT_S = 20.0  # the maximum wait for an expected event, not a limit that a test measures
 OK_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nserved"
 ERROR_RESPONSE = b"HTTP/1.1 500 Broken\r\nContent-Length: 0\r\n\r\n"
 REJECTION_RESPONSE = b"HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"
@@ -44,25 +45,25 @@
 T = TypeVar("T")
 
 
-def run_async(work: Callable[[], Coroutine[Any, Any, T]]) -> T:
-    """Run one test's coroutine; a test that hangs fails."""
+def run_async(test: Callable[[], Coroutine[Any, Any, T]]) -> T:
+    """Runs the coroutine of one test; fails a test that hangs."""
 
-    async def bounded() -> T:
+    async def run_within_timeout() -> T:
         async with asyncio.timeout(2 * TEST_TIMEOUT_S):
-            return await work()
+            return await test()
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        return runner.run(bounded())
+        return runner.run(run_within_timeout())
 
 
-async def within_timeout(what: Awaitable[T]) -> T:
-    """Returns what is awaited; raises TimeoutError after the patience of a test."""
+async def within_timeout(awaitable: Awaitable[T]) -> T:
+    """Returns the result of an awaitable; raises TimeoutError after `TEST_TIMEOUT_S`."""
     async with asyncio.timeout(TEST_TIMEOUT_S):
-        return await what
+        return await awaitable
 
 
 async def wait_until(condition: Callable[[], bool]) -> None:
-    """Returns once the condition holds; raises TimeoutError after the patience of a test."""
+    """Returns once the condition holds; raises TimeoutError after `TEST_TIMEOUT_S`."""
     async with asyncio.timeout(TEST_TIMEOUT_S):
         while not condition():
             await asyncio.sleep(0.005)
@@ -70,7 +71,7 @@
 
 @dataclass
 class ReceivedRequest:
-    """A request as it came, and the connection it came on."""
+    """A request as a server received it, and the connection on which it arrived."""
 
     method: str
     target: str
@@ -81,7 +82,7 @@
 
 
 async def read_head(reader: asyncio.StreamReader) -> tuple[str, dict[str, str]]:
-    """Reads the head of a request or response: its first line, and its headers by lower-case name."""
+    """Reads the head of an HTTP message; returns its first line and its headers, keyed by lower-case name."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")
     pairs = (line.partition(":") for line in head[1:] if line)
     return head[0], {name.lower(): value.strip() for name, _, value in pairs}
@@ -91,55 +92,55 @@
 
 
 class ScriptedServer:
-    """Hears requests and answers by a script; None answers nothing."""
+    """A server that responds to each request with its script; it sends nothing if that is or returns None."""
 
     def __init__(self, script: Script | bytes | None) -> None:
-        """The script may be replaced between requests."""
+        """Sets the script, which may be replaced between requests."""
         self.script = script
         self.received_requests: list[ReceivedRequest] = []
-        self.closed_connections: list[int] = []  # connections that the other side ended
+        self.closed_connections: list[int] = []  # connection numbers, in the order in which they ended
         self.connection_count = 0
         self._writers: list[asyncio.StreamWriter] = []
         self._server: asyncio.Server | None = None
 
     async def start(self, port: int = 0) -> ScriptedServer:
-        """Listens on this port, or on a free one."""
+        """Listens on this port, or on a free port for 0."""
         self._server = await asyncio.start_server(self._serve, HOST, port)
         return self
 
     @property
     def address(self) -> str:
-        """Where it listens."""
+        """The address on which the server listens."""
         assert self._server is not None
         return f"{HOST}:{self._server.sockets[0].getsockname()[1]}"
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        number, self.connection_count = self.connection_count, self.connection_count + 1
+        connection_number, self.connection_count = self.connection_count, self.connection_count + 1
         self._writers.append(writer)
         try:
             while True:
-                line, headers = await read_head(reader)
+                request_line, headers = await read_head(reader)
                 body = await reader.readexactly(int(headers.get("content-length", "0")))
-                method, target, _ = line.split(" ")
-                heard = ReceivedRequest(method, target, headers, body, number, writer)
-                self.received_requests.append(heard)
+                method, target, _ = request_line.split(" ")
+                received = ReceivedRequest(method, target, headers, body, connection_number, writer)
+                self.received_requests.append(received)
                 script = self.script
-                answer = await script(heard) if callable(script) else script
-                if answer is not None:
-                    writer.write(answer)
+                response = await script(received) if callable(script) else script
+                if response is not None:
+                    writer.write(response)
         except (asyncio.IncompleteReadError, ConnectionError):
             pass
         finally:
-            self.closed_connections.append(number)
+            self.closed_connections.append(connection_number)
             writer.close()
 
     def close_connections(self) -> None:
-        """End all connections that are open, before anything else happens."""
-        writers, self._writers = self._writers, []
-        for writer in writers:
+        """Shuts down all open connections at once, before the event loop runs again."""
+        open_writers, self._writers = self._writers, []
+        for writer in open_writers:
             if not writer.transport.is_closing():
-                with socket.socket(fileno=os.dup(writer.get_extra_info("socket").fileno())) as own:
-                    own.shutdown(socket.SHUT_RDWR)
+                with socket.socket(fileno=os.dup(writer.get_extra_info("socket").fileno())) as duplicate:
+                    duplicate.shutdown(socket.SHUT_RDWR)
             writer.close()
 
     def stop(self) -> None:
@@ -150,10 +151,10 @@
 
 
 class ScriptedDiscovery(ScriptedServer):
-    """Answers every call that may wait with silence until `announce`, and others with the list."""
+    """Responds to a long poll once `announce` is called, and to any other request with the endpoint list."""
 
     def __init__(self) -> None:
-        """Lists no servers until `servers` is set."""
+        """Starts with an empty endpoint list, until `servers` is set."""
         super().__init__(self._respond)
         self.version = 1
         self.servers: list[dict[str, Any]] = []
@@ -162,45 +163,47 @@
         self._responding.set()
 
     def stop_responding(self) -> None:
-        """Answer nothing until `resume_responding`."""
+        """Holds back all responses until `resume_responding`."""
         self._responding.clear()
 
     def resume_responding(self) -> None:
-        """Answers again, also what came meanwhile."""
+        """Responds again, also to the requests that arrived meanwhile."""
         self._responding.set()
 
-    async def _respond(self, heard: ReceivedRequest) -> bytes:
+    async def _respond(self, received: ReceivedRequest) -> bytes:
         await self._responding.wait()
-        if "wait_ms" in heard.target and not heard.target.endswith("wait_ms=0"):
+        if "wait_ms" in received.target and not received.target.endswith("wait_ms=0"):
             return await self.watch_responses.get()
         return http_response(
             json.dumps({"version": self.version, "full": True, "servers": self.servers}).encode()
         )
 
-    def announce(self, *changed: dict[str, Any]) -> None:
-        """Answer a call that waits with these lines, and have them in the list from now on."""
+    def announce(self, *changed_entries: dict[str, Any]) -> None:
+        """Responds to a long poll with these entries, and keeps them in the endpoint list from now on."""
         self.version += 1
-        ids = {each["id"] for each in changed}
-        kept = [each for each in self.servers if each["id"] not in ids]
-        self.servers = [*kept, *(each for each in changed if each.get("state") != "left")]
+        changed_ids = {entry["id"] for entry in changed_entries}
+        unchanged = [entry for entry in self.servers if entry["id"] not in changed_ids]
+        self.servers = [*unchanged, *(entry for entry in changed_entries if entry.get("state") != "left")]
         self.watch_responses.put_nowait(
-            http_response(json.dumps({"version": self.version, "full": False, "servers": changed}).encode())
+            http_response(
+                json.dumps({"version": self.version, "full": False, "servers": changed_entries}).encode()
+            )
         )
 
 
 def http_response(body: bytes, status: str = "200 OK") -> bytes:
-    """Returns the bytes of a response with this body."""
+    """Returns the bytes of an HTTP response with this body."""
     return b"HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n%s" % (status.encode(), len(body), body)
 
 
 def endpoint_entry(name: str, address: str, **changes: Any) -> dict[str, Any]:
-    """A line of discovery's list."""
+    """Returns an entry of discovery's endpoint list."""
     return {"id": name, "addr": address, "zone": "a", "kind": "", "cell": 1, "state": "active", **changes}
 
 
 @dataclass
 class Response:
-    """A response as a client reads it."""
+    """A response that a client has read."""
 
     status: int
     headers: dict[str, str]
@@ -208,25 +211,25 @@
 
 
 class Client:
-    """One connection of the application."""
+    """One connection of the application to the sidecar."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Takes over an open connection."""
         self.reader, self.writer = reader, writer
 
     def send(self, raw: bytes) -> None:
-        """Writes bytes as they are."""
+        """Writes bytes unchanged."""
         self.writer.write(raw)
 
     async def read_response(self) -> Response:
-        """Reads one response."""
-        first, headers = await within_timeout(read_head(self.reader))
+        """Reads one response from the connection."""
+        status_line, headers = await within_timeout(read_head(self.reader))
         body = await within_timeout(self.reader.readexactly(int(headers["content-length"])))
-        return Response(int(first.split(" ")[1]), headers, body)
+        return Response(int(status_line.split(" ")[1]), headers, body)
 
-    async def send_request(self, kind: str = "check", **how: Any) -> Response:
-        """Writes a request and reads its response."""
-        self.send(http_request(kind, **how))
+    async def send_request(self, service_class: str = "check", **options: Any) -> Response:
+        """Sends a request and returns its response."""
+        self.send(http_request(service_class, **options))
         return await self.read_response()
 
     def close(self) -> None:
@@ -235,45 +238,45 @@
 
 
 def blocking_script() -> tuple[asyncio.Event, Script]:
-    """A script that answers nothing until the event is set."""
+    """Returns an event, and a script that responds to no request until the event is set."""
     release = asyncio.Event()
 
-    async def hold(_heard: ReceivedRequest) -> bytes:
+    async def respond_once_released(_request: ReceivedRequest) -> bytes:
         await release.wait()
         return OK_RESPONSE
 
-    return release, hold
+    return release, respond_once_released
 
 
 _METHODS = {"check": "GET", "amend": "POST", "lodge": "POST"}
-_ids = iter(range(1, 1_000_000))
+_request_ids = iter(range(1, 1_000_000))
 
 
 def http_request(
-    kind: str = "check",
+    service_class: str = "check",
     timeout: str = "2.0",
     body: bytes = b"",
     target: str = "/api/7f3a?x=1",
     **headers: str,
 ) -> bytes:
-    """A request as clients word it; a header given as an empty text is left out."""
-    given = {
+    """Returns the bytes of a client's request; a header given as an empty string is left out."""
+    all_headers = {
         "Host": "origin.svc",
-        "Request-Id": f"{next(_ids):016x}",
-        "Request-Class": kind,
+        "Request-Id": f"{next(_request_ids):016x}",
+        "Request-Class": service_class,
         "Tenant": "acme",
         "Request-Timeout": timeout,
-        "Idempotency-Key": "5c0f" if kind == "amend" else "",
-        "Content-Length": str(len(body)) if _METHODS.get(kind) == "POST" else "",
+        "Idempotency-Key": "5c0f" if service_class == "amend" else "",
+        "Content-Length": str(len(body)) if _METHODS.get(service_class) == "POST" else "",
     }
-    given.update({name.replace("_", "-"): value for name, value in headers.items()})
-    head = "".join(f"{name}: {value}\r\n" for name, value in given.items() if value)
-    return f"{_METHODS.get(kind, 'GET')} {target} HTTP/1.1\r\n{head}\r\n".encode() + body
+    all_headers.update({name.replace("_", "-"): value for name, value in headers.items()})
+    head = "".join(f"{name}: {value}\r\n" for name, value in all_headers.items() if value)
+    return f"{_METHODS.get(service_class, 'GET')} {target} HTTP/1.1\r\n{head}\r\n".encode() + body
 
 
 @dataclass
 class SidecarHarness:
-    """A sidecar with scripted ends."""
+    """A sidecar, the scripted servers and discovery that it talks to, its log, and its clients."""
 
     sidecar: Sidecar
     discovery: ScriptedDiscovery
@@ -282,18 +285,18 @@
     clients: list[Client] = field(default_factory=list)
 
     async def connect(self) -> Client:
-        """Returns a further connection to the sidecar."""
+        """Opens a further connection to the sidecar."""
         client = Client(*await asyncio.open_connection(HOST, self.sidecar.downstream.port))
         self.clients.append(client)
         return client
 
-    async def send_request(self, kind: str = "check", **how: Any) -> Response:
-        """Writes a request on a connection of its own and reads its response."""
-        return await (await self.connect()).send_request(kind, **how)
+    async def send_request(self, service_class: str = "check", **options: Any) -> Response:
+        """Sends a request on a new connection and returns its response."""
+        return await (await self.connect()).send_request(service_class, **options)
 
     @property
     def received_requests(self) -> list[ReceivedRequest]:
-        """All requests that the servers have read."""
+        """All requests that the servers have received, ordered by server."""
         return [each for server in self.servers for each in server.received_requests]
 
 
@@ -309,7 +312,11 @@
     service_levels: ServiceLevels | None = None,
     **settings: Any,
 ) -> AsyncIterator[SidecarHarness]:
-    """A sidecar, its discovery and one server for each script, all known to it from the start."""
+    """Runs a sidecar with discovery and one server for each script.
+
+    The sidecar knows the servers from its start on, unless `servers_listed` is False.  The overrides replace
+    keys of the configuration and of its limits; `settings` replaces other keys of its settings.
+    """
     servers = [each if isinstance(each, ScriptedServer) else ScriptedServer(each) for each in scripts]
     for server in servers:
         await server.start()
@@ -339,12 +346,12 @@
     }
     log: list[str] = []
 
-    def note(event: str, /, **fields: object) -> None:
+    def record_event(event: str, /, **fields: object) -> None:
         assert fields.keys() == logs.EVENTS[event].fields
         log.append(logs.line(event, fields))
 
     options = OperatorOptions(
-        log=note,
+        log=record_event,
         client_limits=asdict(client_limits) if client_limits is not None else {},
         service_levels=service_levels,
     )
--- a/tests/running.py
+++ b/tests/running.py
@@ -1,4 +1,4 @@
-"""The program as a started process, with one server behind it."""
+"""The sidecar as a separate process, with one scripted server behind it."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 class SidecarProcess:
-    """The running program, with one server behind it."""
+    """A running sidecar process, its ports, its configuration file and the server behind it."""
 
     def __init__(
         self,
@@ -52,16 +52,16 @@
         self.process, self.port, self.control_port = process, port, control_port
         self.server, self.config_path = server, config_path
 
-    async def send_command(self, name: str) -> list[str]:
-        """What the operators' door answers."""
+    async def send_command(self, command: str) -> list[str]:
+        """Sends a command to the control endpoint; returns the lines of its response."""
         reader, writer = await asyncio.open_connection(HOST, self.control_port)
-        writer.write(f"{name}\n".encode())
-        answer = await within_timeout(reader.read())
+        writer.write(f"{command}\n".encode())
+        response = await within_timeout(reader.read())
         writer.close()
-        return answer.decode().splitlines()
+        return response.decode().splitlines()
 
     async def read_log_line(self) -> str:
-        """The next line of its log."""
+        """Reads the next line of the log."""
         assert self.process.stderr is not None
         return (await within_timeout(self.process.stderr.readline())).decode()
 
@@ -70,40 +70,41 @@
 
 
 async def start_process(
-    config: Path, pass_fds: tuple[int, ...] = (), stderr: int = asyncio.subprocess.PIPE, /, **environ: str
+    config: Path, pass_fds: tuple[int, ...] = (), stderr: int = asyncio.subprocess.PIPE, /, **environment: str
 ) -> asyncio.subprocess.Process:
+    """Starts a sidecar process; `environment` is added to the variables of this process."""
     return await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
         "tulipnotch.sidecar",
         cwd=ROOT,
-        env={**os.environ, "BALANCER_CONFIG": str(config), **environ},
+        env={**os.environ, "BALANCER_CONFIG": str(config), **environment},
         pass_fds=pass_fds,
         stderr=stderr,
     )
 
 
 def run_expecting_failure(folder: Path, config: str, operator: str | None = None) -> str:
-    """What the program says in its one line where it must not start, with these files."""
+    """Runs the sidecar with files that must keep it from starting; returns the one line that it writes."""
     path = folder / "config.json"
     path.write_text(config)
-    environ = {**os.environ, "BALANCER_CONFIG": str(path)}
+    environment = {**os.environ, "BALANCER_CONFIG": str(path)}
     if operator is not None:
         (folder / "operator.toml").write_text(operator)
-        environ["BALANCER_OPERATOR"] = str(folder / "operator.toml")
-    done = subprocess.run(
+        environment["BALANCER_OPERATOR"] = str(folder / "operator.toml")
+    completed = subprocess.run(
         [sys.executable, "-m", "tulipnotch.sidecar"],
         cwd=ROOT,
-        env=environ,
+        env=environment,
         capture_output=True,
         text=True,
         timeout=60,
         check=False,
     )
-    assert done.returncode == 2
-    assert done.stdout == ""
-    assert done.stderr.count("\n") == 1
-    return done.stderr
+    assert completed.returncode == 2
+    assert completed.stdout == ""
+    assert completed.stderr.count("\n") == 1
+    return completed.stderr
 
 
 @asynccontextmanager
@@ -113,10 +114,10 @@
     listener: socket.socket | None = None,
     allowed_log_pattern: str | None = None,
 ) -> AsyncIterator[SidecarProcess]:
-    """The program, from the moment in which it serves, with the listening socket that it inherits, if any.
+    """Runs a sidecar process, and yields it once it serves.  It inherits `listener`, if there is one.
 
     `allowed_log_pattern` matches the other lines that the log may hold until then.  Without it, the log must
-    hold none.
+    hold no other lines.
     """
     if listener is None:
         process = await start_process(config)
@@ -126,13 +127,13 @@
     try:
         assert process.stderr is not None
         ports = []
-        for what in ("control endpoint listens on", "serves on"):
-            said = (await within_timeout(process.stderr.readline())).decode()
-            while allowed_log_pattern is not None and re.match(allowed_log_pattern, said):
-                said = (await within_timeout(process.stderr.readline())).decode()
-            told = re.search(what + r" .*:(\d+)", said)
-            assert told is not None, said
-            ports.append(int(told[1]))
+        for expected in ("control endpoint listens on", "serves on"):
+            line = (await within_timeout(process.stderr.readline())).decode()
+            while allowed_log_pattern is not None and re.match(allowed_log_pattern, line):
+                line = (await within_timeout(process.stderr.readline())).decode()
+            match = re.search(expected + r" .*:(\d+)", line)
+            assert match is not None, line
+            ports.append(int(match[1]))
         yield SidecarProcess(process, ports[1], ports[0], server, config)
     finally:
         if process.returncode is None:
@@ -144,7 +145,7 @@
 async def server_with_config(
     script: Callable[[ReceivedRequest], Any] | bytes, folder: Path
 ) -> AsyncIterator[tuple[Path, ScriptedServer]]:
-    """One server, a discovery that lists it, and a configuration that names both."""
+    """Runs a server and a discovery that lists it; yields the path of a configuration file and the server."""
     server = await ScriptedServer(script).start()
     discovery = ScriptedDiscovery()
     discovery.servers = [endpoint_entry("s-1", server.address)]
@@ -163,6 +164,7 @@
 async def sidecar_with_server(
     script: Callable[[ReceivedRequest], Any] | bytes, folder: Path
 ) -> AsyncIterator[SidecarProcess]:
+    """Runs a sidecar process with discovery and one scripted server."""
     async with (
         server_with_config(script, folder) as (config, server),
         running_sidecar(config, server) as running,
@@ -170,15 +172,15 @@
         yield running
 
 
-async def wait_for_readyz(running: SidecarProcess, answer: str) -> None:
-    """Wait for `readyz` to answer so."""
-    while (await running.send_command("readyz"))[0] != answer:
+async def wait_for_readyz(running: SidecarProcess, response: str) -> None:
+    """Waits until the control endpoint gives this response to `readyz`."""
+    while (await running.send_command("readyz"))[0] != response:
         await asyncio.sleep(0.01)
 
 
 def resident_bytes(running: SidecarProcess) -> int:
-    """The memory that the process holds now."""
+    """Returns the resident memory of the process."""
     status = Path(f"/proc/{running.process.pid}/status").read_text()
-    found = re.search(r"^VmRSS:\s+(\d+) kB$", status, re.MULTILINE)
-    assert found is not None
-    return int(found[1]) * 1_024
+    match = re.search(r"^VmRSS:\s+(\d+) kB$", status, re.MULTILINE)
+    assert match is not None
+    return int(match[1]) * 1_024
--- a/tests/slow_to_accept.py
+++ b/tests/slow_to_accept.py
@@ -9,7 +9,7 @@
 
 
 class FullAcceptQueueServer:
-    """A server whose connections come up late: its accept queue is full until `accept_sidecar_connection`."""
+    """A server whose connections are established late: its accept queue is full until a test drains it."""
 
     def __init__(self) -> None:
         self.listener = socket.socket()
@@ -22,6 +22,7 @@
         return f"{HOST}:{self.listener.getsockname()[1]}"
 
     async def fill_accept_queue(self) -> None:
+        """Fills the accept queue, so that further connects have to wait."""
         for _ in range(3):
             filler = socket.socket()
             filler.settimeout(0.0)
@@ -30,7 +31,7 @@
         await asyncio.sleep(0.05)
 
     async def accept_sidecar_connection(self) -> socket.socket:
-        """Accept until the connection of the sidecar comes up; return it."""
+        """Accepts connections until that of the sidecar is established; returns it."""
         fillers = {each.getsockname() for each in self.fillers}
         self.listener.settimeout(0.0)
         loop = asyncio.get_running_loop()
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -1,4 +1,4 @@
-"""The check that no test falls between the two calls of `make check` finds those that do."""
+"""The list of known failures, and the check that each test runs in one of the two runs of `make check`."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 @pytest.fixture
 def folder(tmp_path: Path) -> Path:
-    """A project with this one's conftest, and tests of three kinds."""
+    """Returns a project with this project's conftest, and tests of three kinds."""
     shutil.copy(CONFTEST, tmp_path)
     shutil.copy(KNOWN_RED, tmp_path)
     (tmp_path / "test_it.py").write_text(TESTS)
@@ -41,67 +41,67 @@
     return tmp_path
 
 
-def call(folder: Path, *arguments: str) -> tuple[int, str]:
-    """The exit code and the output of one call of pytest there."""
-    environ = {name: each for name, each in os.environ.items() if not name.startswith("PYTEST")}
-    done = subprocess.run(
+def run_pytest(folder: Path, *arguments: str) -> tuple[int, str]:
+    """Runs pytest in the folder; returns its exit code and its output."""
+    environment = {name: each for name, each in os.environ.items() if not name.startswith("PYTEST")}
+    completed = subprocess.run(
         [sys.executable, "-m", "pytest", "-p", "no:cacheprovider", *arguments],
         cwd=folder,
-        env=environ,
+        env=environment,
         capture_output=True,
         text=True,
         timeout=100,
         check=False,
     )
-    return done.returncode, done.stdout + done.stderr
+    return completed.returncode, completed.stdout + completed.stderr
 
 
-def ran_before(folder: Path, selected: str, ran: list[str]) -> tuple[int, str]:
-    """A second call that selects so, after a first one in which these ran."""
+def run_after_first(folder: Path, marker_expression: str, ran: list[str]) -> tuple[int, str]:
+    """Runs pytest with this marker expression, after a first run in which these tests ran."""
     (folder / "ran.txt").write_text("".join(f"{each}\n" for each in ran))
-    return call(folder, "-m", selected, "--ran-before=ran.txt")
+    return run_pytest(folder, "-m", marker_expression, "--ran-before=ran.txt")
 
 
-def test_calls_that_run_each_test_once_pass(folder: Path) -> None:
+def test_split_runs_pass_when_each_test_ran_once(folder: Path) -> None:
     workers = ("-n", "1", "--dist", "loadgroup", "-m", "not alone and not later")
-    assert call(folder, *workers, "--ran-to=ran.txt")[0] == pytest.ExitCode.OK
+    assert run_pytest(folder, *workers, "--ran-to=ran.txt")[0] == pytest.ExitCode.OK
     assert (folder / "ran.txt").read_text().splitlines() == RAN_TOGETHER
-    code, told = call(folder, "-m", "alone or later", "--ran-before=ran.txt")
-    assert code == pytest.ExitCode.OK, told
-    assert "all 4 tests ran, in two calls" in told, told
-    assert not (folder / "ran.txt").exists()  # so that no later call compares itself with this one
+    code, output = run_pytest(folder, "-m", "alone or later", "--ran-before=ran.txt")
+    assert code == pytest.ExitCode.OK, output
+    assert "all 4 tests ran, in two runs" in output, output
+    assert not (folder / "ran.txt").exists()  # so that no later run is compared with this one
 
 
-def test_calls_that_run_a_test_never_or_twice_fail(folder: Path) -> None:
-    code, told = ran_before(
+def test_split_runs_fail_when_a_test_ran_never_or_twice(folder: Path) -> None:
+    code, output = run_after_first(
         folder, "alone", [*RAN_TOGETHER, "test_it.py::test_alone", "test_it.py::test_gone"]
     )
     assert code == pytest.ExitCode.TESTS_FAILED
-    assert "tests ran, in two calls" not in told
-    assert told.count("never ran: ") == 1
-    assert "never ran: test_it.py::test_later" in told
-    assert told.count("ran in both calls: ") == 1
-    assert "ran in both calls: test_it.py::test_alone" in told
-    assert "ran but was not collected: test_it.py::test_gone" in told
+    assert "tests ran, in two runs" not in output
+    assert output.count("never ran: ") == 1
+    assert "never ran: test_it.py::test_later" in output
+    assert output.count("ran in both runs: ") == 1
+    assert "ran in both runs: test_it.py::test_alone" in output
+    assert "ran but was not collected: test_it.py::test_gone" in output
 
 
-def test_calls_without_a_first_one_fail(folder: Path) -> None:
-    code, told = call(folder, "--ran-before=ran.txt")
+def test_split_runs_fail_without_a_first_run(folder: Path) -> None:
+    code, output = run_pytest(folder, "--ran-before=ran.txt")
     assert code == pytest.ExitCode.TESTS_FAILED
-    assert "ran.txt is missing" in told
+    assert "ran.txt is missing" in output
 
 
-def test_calls_that_select_nothing_fail(folder: Path) -> None:
-    assert ran_before(folder, "alone and later", RAN_TOGETHER)[0] == pytest.ExitCode.NO_TESTS_COLLECTED
-    assert call(folder, "-n", "1", "-m", "alone and later")[0] == pytest.ExitCode.NO_TESTS_COLLECTED
+def test_pytest_fails_when_no_test_is_selected(folder: Path) -> None:
+    assert run_after_first(folder, "alone and later", RAN_TOGETHER)[0] == pytest.ExitCode.NO_TESTS_COLLECTED
+    assert run_pytest(folder, "-n", "1", "-m", "alone and later")[0] == pytest.ExitCode.NO_TESTS_COLLECTED
 
 
-def test_calls_run_no_test_marked_alone_in_a_worker(folder: Path) -> None:
-    code, told = call(folder, "-n", "1")
-    assert code == pytest.ExitCode.TESTS_FAILED, told
-    assert "add -m 'not alone'" in told
-    assert "1 error" in told
-    assert "3 passed" in told
+def test_pytest_fails_test_marked_alone_in_a_worker(folder: Path) -> None:
+    code, output = run_pytest(folder, "-n", "1")
+    assert code == pytest.ExitCode.TESTS_FAILED, output
+    assert "add -m 'not alone'" in output
+    assert "1 error" in output
+    assert "3 passed" in output
 
 
 def _run_with_known(folder: Path, known: str) -> subprocess.CompletedProcess[str]:
@@ -119,19 +119,19 @@
     return subprocess.run(command, cwd=folder, capture_output=True, text=True, timeout=60, check=False)
 
 
-def test_known_failure_is_printed_and_passes(folder: Path) -> None:
+def test_known_failure_is_printed_and_run_passes(folder: Path) -> None:
     (folder / "test_it.py").write_text(TESTS.replace("    pass\n", "    assert False\n", 1))
-    done = _run_with_known(folder, "test_it.py::test_together | pytest, seed 7 | a cause | issue 1\n")
-    assert done.returncode == pytest.ExitCode.OK, done.stdout
-    assert "known red: test_it.py::test_together: a cause (pytest, seed 7; issue 1)" in done.stdout
+    completed = _run_with_known(folder, "test_it.py::test_together | pytest, seed 7 | a cause | issue 1\n")
+    assert completed.returncode == pytest.ExitCode.OK, completed.stdout
+    assert "known red: test_it.py::test_together: a cause (pytest, seed 7; issue 1)" in completed.stdout
 
 
-def test_known_failure_that_passes_fails(folder: Path) -> None:
-    done = _run_with_known(folder, "test_it.py::test_together | pytest, seed 7 | a cause | issue 1\n")
-    assert done.returncode == pytest.ExitCode.TESTS_FAILED, done.stdout
+def test_known_failure_fails_the_run_when_it_passes(folder: Path) -> None:
+    completed = _run_with_known(folder, "test_it.py::test_together | pytest, seed 7 | a cause | issue 1\n")
+    assert completed.returncode == pytest.ExitCode.TESTS_FAILED, completed.stdout
 
 
 @pytest.mark.parametrize("known", ["test_it.py::test_together | a cause | issue 1\n", "a | b | c | d\n" * 4])
-def test_known_failures_that_are_malformed_or_too_many_run_nothing(folder: Path, known: str) -> None:
-    done = _run_with_known(folder, known)
-    assert done.returncode not in (pytest.ExitCode.OK, pytest.ExitCode.TESTS_FAILED)
+def test_known_failures_run_no_test_when_malformed_or_too_many(folder: Path, known: str) -> None:
+    completed = _run_with_known(folder, known)
+    assert completed.returncode not in (pytest.ExitCode.OK, pytest.ExitCode.TESTS_FAILED)
--- a/tests/test_constants.py
+++ b/tests/test_constants.py
@@ -1,4 +1,4 @@
-"""The tables of docs/design.md have every constant of the sidecar and of load balancing, and no other."""
+"""The tables of docs/design.md list every constant of the sidecar and of load balancing, and no other."""
 
 from __future__ import annotations
 
@@ -14,8 +14,9 @@
 ROOT = Path(__file__).parent.parent
 PACKAGES = ("sidecar", "load_balancing", "simulator_wire")
 HEADING = "## Constants and the settings they follow from"
-# Keys of timers and of the wire, and values that mean "not set": none of them is a time, a count or a size.
-KEYS = {"DISCOVERY", "UNSET_RATIO", "REQUEST_DEADLINE", "_ALL_PEERS", "_DISCONNECT_EVENTS"}
+# Constants that the tables leave out, since none is a time, a count or a size: keys of timers, names on the
+# wire, and values that mean "not set".
+NON_NUMERIC = {"DISCOVERY", "UNSET_RATIO", "REQUEST_DEADLINE", "_ALL_PEERS", "_DISCONNECT_EVENTS"}
 
 
 def _page() -> str:
@@ -24,7 +25,7 @@
 
 
 def _numeric_constants(module: Path) -> set[str]:
-    """The constants of a module that are numbers, given as literals or computed from literals."""
+    """Returns the names of a module's numeric constants, given as literals or computed from literals."""
     constants = set()
     for statement in ast.parse(module.read_text(encoding="utf-8")).body:
         targets: list[ast.expr] = []
@@ -49,8 +50,8 @@
         for module in sorted((ROOT / "tulipnotch" / package).rglob("*.py"))
         for name in _numeric_constants(module)
     }
-    assert len(found) > 80  # if not, the modules were not found
-    assert sorted(name for name in found - KEYS if f"`{name}`" not in page) == []
+    assert len(found) > 80  # guards against finding no modules
+    assert sorted(name for name in found - NON_NUMERIC if f"`{name}`" not in page) == []
 
 
 def test_design_page_has_every_limit_that_operators_may_set() -> None:
--- a/tests/test_lint_exemptions.py
+++ b/tests/test_lint_exemptions.py
@@ -1,4 +1,4 @@
-"""The exemptions from the stricter rule sets: each is still needed, and no `noqa` stands without a reason."""
+"""Each exemption from the stricter lint rules is still needed, and each `noqa` comment gives a reason."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def _violations_without_exemptions() -> dict[str, set[str]]:
-    """The codes of the rules that each file breaks when no exemption counts."""
+    """Returns the codes of the rules that each file breaks when all exemptions are ignored."""
     command = [
         *(sys.executable, "-m", "ruff", "check", "--no-cache", "--output-format", "json"),
         *("--config", "lint.per-file-ignores = {}"),
@@ -39,7 +39,7 @@
     exemptions = _ruff_settings()["per-file-ignores"]
     assert isinstance(exemptions, dict)
     violations = _violations_without_exemptions()
-    assert violations  # otherwise nothing was read
+    assert violations  # guards against reading no output
     unneeded = [
         f"{path}: {code}"
         for path, codes in exemptions.items()
--- a/tests/test_on_call.py
+++ b/tests/test_on_call.py
@@ -1,4 +1,4 @@
-"""The on-call page has every log event and metric; modules of load balancing keep their maximum size."""
+"""The on-call page lists every log event and metric; modules of load balancing stay below a maximum size."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     each.relative_to(ROOT).as_posix() for each in (ROOT / "tulipnotch" / "load_balancing").rglob("*.py")
 }
 SOURCES = {each: (ROOT / each).read_text(encoding="utf-8") for each in sorted(MODULES)}
-MAX_MODULE_LINES = 300  # that are not blank, of any module of load balancing
+MAX_MODULE_LINES = 300  # non-blank lines of a module of load balancing
 MAX_LINE_LENGTH = 110
 
 
@@ -35,9 +35,10 @@
 
 
 def test_on_call_page_has_every_reason_for_an_ejection() -> None:
-    # All ejections go through `_eject`; the outcomes that eject are a malformed response and the failures.
-    given = set(re.findall(r"\._eject\(endpoint, ([\w.]+)", "".join(SOURCES.values())))
-    assert given == {"UNRESPONSIVE", "Outcome.MALFORMED_RESPONSE.value", "outcome.value"}
+    # All ejections go through `_eject`.  Their reasons are an unresponsive server, a malformed response, and
+    # the outcomes that are failures.
+    reasons = set(re.findall(r"\._eject\(endpoint, ([\w.]+)", "".join(SOURCES.values())))
+    assert reasons == {"UNRESPONSIVE", "Outcome.MALFORMED_RESPONSE.value", "outcome.value"}
     detection = SOURCES["tulipnotch/load_balancing/health/outlier_detection.py"]
     (condition,) = re.findall(r"elif (.*):\n +self\._failed\(", detection)
     assert condition == "outcome in FAILURES"
@@ -77,11 +78,13 @@
 def test_on_call_page_has_every_metric_of_the_control_endpoint() -> None:
     page = (ROOT / "docs" / "on-call.md").read_text(encoding="utf-8")
     rows = [each.split("|")[1] for each in page.splitlines() if each.startswith("| `app.")]
-    shown = set(re.findall(r"`(?:app)?\.([\w.]+)`", " ".join(rows)))
+    documented = set(re.findall(r"`(?:app)?\.([\w.]+)`", " ".join(rows)))
     source = (ROOT / "tulipnotch" / "sidecar" / "control_commands.py").read_text(encoding="utf-8")
     gauges = dict.fromkeys(
         re.findall(r'"(\w+)": \w', source[source.index("gauges = {") :].split("return")[0]), 0
     )
     names = [each.partition("=")[0].removeprefix("app.") for each in Telemetry(["C"]).lines(gauges)]
-    prefix = "downstream_requests.C."  # the page has it in the first of their names only
-    assert {each if each == f"{prefix}completed" else each.removeprefix(prefix) for each in names} == shown
+    prefix = "downstream_requests.C."  # the page gives this prefix only with the first metric of the class
+    assert {
+        each if each == f"{prefix}completed" else each.removeprefix(prefix) for each in names
+    } == documented
--- a/tests/unavailable_discovery.py
+++ b/tests/unavailable_discovery.py
@@ -1,4 +1,4 @@
-"""A discovery server that is unavailable, and returns."""
+"""A discovery server that is unavailable until a test lets it recover."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 
 
 class UnavailableDiscovery(ScriptedDiscovery):
-    """Discovery that is unavailable in one of three ways until it returns; calls that hang never end."""
+    """Discovery that is unavailable in one of three ways until it recovers; requests that hang never end."""
 
     def __init__(self, fault: str) -> None:
         super().__init__()
         self.fault: str | None = fault
-        # Bound and not listening: the address stays reserved, and connections are refused.
-        self._holder = socket.socket()
-        self._holder.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        self._holder.bind((HOST, 0))
-        self.port = int(self._holder.getsockname()[1])
+        # The socket is bound but does not listen: the address stays reserved, and connections are refused.
+        self._reserved_socket = socket.socket()
+        self._reserved_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        self._reserved_socket.bind((HOST, 0))
+        self.port = int(self._reserved_socket.getsockname()[1])
 
     async def start_unavailable(self) -> None:
         if self.fault != "refused":
@@ -31,13 +31,13 @@
             await self.start(self.port)
 
     def stop(self) -> None:
-        self._holder.close()
+        self._reserved_socket.close()
         if self._server is not None:
             super().stop()
 
-    async def _respond(self, heard: ReceivedRequest) -> bytes:
+    async def _respond(self, received: ReceivedRequest) -> bytes:
         if self.fault == "503":
             return http_response(b"", "503 Busy")
         if self.fault == "hung":
-            return b""  # and nothing after it
-        return await super()._respond(heard)
+            return b""  # no response follows
+        return await super()._respond(received)
