--- a/tests/load_balancing/admission/test_admission_control.py
+++ b/tests/load_balancing/admission/test_admission_control.py
@@ -10,7 +10,7 @@
 from tulipnotch.load_balancing.outcomes import Outcome
 
 
-def _overload(driver: BalancerDriver, spans: int) -> set[int]:
+def _overload(driver: BalancerDriver, ticks: int) -> set[int]:
     """Sends far more requests than the servers can serve; they respond later the more are in flight.
 
     Returns the requests of the class with lower priority, which is half of them. The order of the two classes
@@ -19,15 +19,15 @@
     driver.update_endpoints(endpoint_names(4))
     in_flight: list[int] = []
     low_priority: set[int] = set()
-    for tick in range(spans):
+    for tick in range(ticks):
         driver.advance(10 * MS)
-        for name in ("look", "pay") if tick % 4 < 2 else ("pay", "look"):
-            request = driver.receive_request(name)
-            if name == "look":
+        for class_name in ("look", "pay") if tick % 4 < 2 else ("pay", "look"):
+            request = driver.receive_request(class_name)
+            if class_name == "look":
                 low_priority.add(request)
             if driver.started_attempts(request):
                 in_flight.append(request)
-        if tick % 2 and in_flight:  # one answer for four requests, oldest first
+        if tick % 2 and in_flight:  # one response for four requests, to the oldest of them
             request = in_flight.pop(0)
             if request in driver.balancer._requests and not driver.balancer._requests[request].is_responded:
                 driver.end_attempt(request, attempt=0)
@@ -42,12 +42,12 @@
     rejected = {each.request for each in driver.actions_of_type(RejectRequest)}
     assert len(rejected) > 300
     assert len(low_priority & rejected) > 0.53 * len(rejected)
-    unsent = [
+    not_sent = [
         each.request
         for each in driver.actions_of_type(RejectRequest)
         if not driver.started_attempts(each.request)
     ]
-    assert len(unsent) > 0.5 * len(driver.actions_of_type(RejectRequest))
+    assert len(not_sent) > 0.5 * len(driver.actions_of_type(RejectRequest))
 
 
 def test_admission_control_admits_everything_after_overload_ends() -> None:
@@ -59,8 +59,9 @@
         for attempt in request.attempts:
             if attempt.is_pending:
                 driver.end_attempt(request.request_id, Outcome.CANCELLED, attempt.index, is_responded=True)
-    driver.advance(15 * S)  # what was given up on, up to 14 s old, counts for as long again
-    driver.run_traffic(300)  # a small window takes some aims to grow
+    # Abandoned attempts, which took up to 14 s, count as in flight for up to that long.
+    driver.advance(15 * S)
+    driver.run_traffic(300)  # a small limit takes some latency objectives to grow
     rejected_count = len(driver.actions_of_type(RejectRequest))
     driver.run_traffic(300)
     assert len(driver.actions_of_type(RejectRequest)) == rejected_count
@@ -77,7 +78,7 @@
 def test_admission_control_of_small_balancer_rejects_some_requests_while_responses_are_late() -> None:
     driver = BalancerDriver()
     driver.update_endpoints(endpoint_names(8))
-    for _ in range(120):  # hardly ever two in flight, so a window of two would never refuse
+    for _ in range(120):  # rarely two in flight, so a limit of two would never reject any
         driver.advance(900 * MS)
         request = driver.receive_request()
         if driver.started_attempts(request):
@@ -106,7 +107,7 @@
     assert not driver.actions_of_type(RejectRequest)
 
 
-def _rejections_with_reports(cores: float, seed: int) -> int:
+def _count_rejections_with_reports(cpu_utilization: float, seed: int) -> int:
     driver = BalancerDriver(seed=seed)
     driver.update_endpoints(endpoint_names(8))
     rejected_count = 0
@@ -115,7 +116,7 @@
         request = driver.receive_request()
         if driver.started_attempts(request):
             driver.advance(550 * MS)
-            driver.end_attempt(request, attempt=0, report={"util": cores})
+            driver.end_attempt(request, attempt=0, report={"util": cpu_utilization})
         else:
             rejected_count += 1
     return rejected_count
@@ -123,10 +124,9 @@
 
 def test_admission_control_admits_while_servers_report_idle_cores() -> None:
     seeds = range(7, 13)
-    assert (
-        sum(_rejections_with_reports(0.4, seed) for seed in seeds) < 5 * 6
-    )  # the first come with no report yet
-    assert all(_rejections_with_reports(1.0, seed) > 30 for seed in seeds)
+    # The first requests of each run arrive before any report.
+    assert sum(_count_rejections_with_reports(0.4, seed) for seed in seeds) < 5 * 6
+    assert all(_count_rejections_with_reports(1.0, seed) > 30 for seed in seeds)
 
 
 def test_admission_control_ignores_reports_of_idle_cores_at_high_load() -> None:
@@ -138,9 +138,8 @@
         request = driver.receive_request()
         if driver.started_attempts(request):
             in_flight.append((driver.now, request))
-        while (
-            in_flight and driver.now - in_flight[0][0] >= (550 if in_flight[0][1] % 8 == 0 else 300) * MS
-        ):  # one in eight late
+        # One response in eight is late.
+        while in_flight and driver.now - in_flight[0][0] >= (550 if in_flight[0][1] % 8 == 0 else 300) * MS:
             driver.end_attempt(in_flight.pop(0)[1], attempt=0, report={"util": 0.5})
     assert len(driver.actions_of_type(RejectRequest)) > 50
 
@@ -155,7 +154,7 @@
         driver.end_attempt(request, attempt=0, report={"util": 0.3})
     for _ in range(400):
         driver.advance(20 * MS)
-        driver.receive_request("pay")  # none of these is ever answered
+        driver.receive_request("pay")  # none of these gets a response
     assert len(driver.actions_of_type(RejectRequest)) > 100
 
 
@@ -174,15 +173,15 @@
 def test_admission_control_counts_overloaded_responses_when_redraw_fails() -> None:
     driver = BalancerDriver(make_settings(limits={"max_attempts": 3}))
     driver.update_endpoints(endpoint_names(12))
-    unsent = 0
+    not_sent = 0
     for _ in range(100):
         driver.advance(400 * MS)
         request = driver.receive_request()
-        unsent += not driver.started_attempts(request)
+        not_sent += not driver.started_attempts(request)
         while driver.balancer._requests.get(request) is not None:
             driver.advance(100 * MS)
             driver.end_attempt(request, Outcome.OVERLOADED)
-    assert unsent > 20
+    assert not_sent > 20
 
 
 def test_admission_control_of_small_balancer_rejects_little_when_responses_are_fast_but_variable() -> None:
@@ -194,7 +193,8 @@
         for _ in range(300):
             driver.advance(600 * MS)
             request = driver.receive_request()
-            if driver.started_attempts(request):  # typically a tenth of the aim, one in forty beyond it
+            if driver.started_attempts(request):
+                # Typically a tenth of the latency objective, one in forty above it.
                 driver.advance(min(int(50 * MS * generator.lognormvariate(0.0, 1.2)), 900 * MS))
                 driver.end_attempt(request, attempt=0)
         rejected_count += len(driver.actions_of_type(RejectRequest))
--- a/tests/load_balancing/admission/test_service_levels.py
+++ b/tests/load_balancing/admission/test_service_levels.py
@@ -22,12 +22,13 @@
 )
 
 HOLD_S = 30
-RATE = 400  # requests a second
+RATE = 400  # requests per second
+# Fraction of the load that each level rejects.
 REJECTED_FRACTIONS = {
     "full": 0.0,
     "spare": 0.15,
     "orders-only": 0.6,
-}  # the part of the load that each level keeps out
+}
 
 
 def transitions(
@@ -58,7 +59,7 @@
     changes = transitions(lambda second: 1.9 if second < 300 else 0.4, 600)
     assert [change.current for _, change in changes] == ["spare", "orders-only", "spare", "full"]
     first, _ = changes[0]
-    assert first <= 25  # twenty seconds of refusing are enough
+    assert first <= 25  # twenty seconds of rejections are enough to enter the first level
     assert changes[1][1].effect.rejected_classes == {"consulter"}
     assert changes[-1][1].effect.rejected_classes == frozenset()
     assert "rejected over" in changes[0][1].reason
@@ -68,15 +69,15 @@
 def test_service_levels_keep_the_minimum_time_between_changes() -> None:
     seconds = [second for second, _ in transitions(lambda second: 2.5 if second % 80 < 40 else 0.1, 1200)]
     assert len(seconds) >= 4
-    assert all(later - sooner >= HOLD_S for sooner, later in pairwise(seconds))
+    assert all(later - earlier >= HOLD_S for earlier, later in pairwise(seconds))
 
 
-def load_at_threshold(second: int) -> float:
+def load_around_threshold(second: int) -> float:
     return 1.15 + 0.35 * math.sin(second / 11.0)
 
 
 def test_service_levels_change_rarely_when_load_is_at_the_threshold() -> None:
-    assert len(transitions(load_at_threshold, 600)) <= 2
+    assert len(transitions(load_around_threshold, 600)) <= 2
 
 
 def test_service_levels_change_often_when_left_by_rejections_alone(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -84,10 +85,8 @@
     # `leave_utilization`.
     def leave_reason(self: ServiceLevelController, now: int, level: levels.ServiceLevel) -> str | None:
         rejected_fraction = self._summarize(now, level.enter_us).rejected_fraction
-        leave_reason = (
-            self._covers_span(level.enter_us) and rejected_fraction <= level.enter_rejected_fraction / 2
-        )
-        return "little is refused" if leave_reason else None
+        is_left = self._covers_span(level.enter_us) and rejected_fraction <= level.enter_rejected_fraction / 2
+        return "few requests are rejected" if is_left else None
 
     monkeypatch.setattr(ServiceLevelController, "_leave_reason", leave_reason)
     assert len(transitions(lambda _: 1.17, 600)) > 8
@@ -99,9 +98,9 @@
 
 
 def test_service_levels_are_left_later_after_an_early_return(monkeypatch: pytest.MonkeyPatch) -> None:
-    patient = len(transitions(load_with_pauses, 1800))
+    change_count = len(transitions(load_with_pauses, 1800))
     monkeypatch.setattr(levels, "MAX_LEAVE_FACTOR", 1)
-    assert len(transitions(load_with_pauses, 1800)) > 2 * patient
+    assert len(transitions(load_with_pauses, 1800)) > 2 * change_count
 
 
 def test_service_levels_stay_at_full_service_with_few_requests(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -126,8 +125,7 @@
     controller = ServiceLevelController(standard_levels("consulter"), HOLD_S * 1_000_000, 0)
     for second in range(5_000):
         controller.observe_pressure(second * 1_000_000, Pressure(10 * second, 0, 0.1))
-        controller.observe_pressure(
-            second * 1_000_000 + 1, Pressure(10 * second, 0, 0.1)
-        )  # too soon: left out
-    longest = levels.MAX_LEAVE_FACTOR * max(each.leave_us for each in standard_levels("consulter"))
-    assert len(controller._observations) <= longest / 1_000_000 + 3
+        # Too soon after the last observation, so it is ignored.
+        controller.observe_pressure(second * 1_000_000 + 1, Pressure(10 * second, 0, 0.1))
+    longest_us = levels.MAX_LEAVE_FACTOR * max(each.leave_us for each in standard_levels("consulter"))
+    assert len(controller._observations) <= longest_us / 1_000_000 + 3
--- a/tests/load_balancing/admission/test_service_levels_in_force.py
+++ b/tests/load_balancing/admission/test_service_levels_in_force.py
@@ -20,69 +20,70 @@
 
 CLASS_REJECTED = ServiceLevelChanged(frozenset({"look"}), frozenset({"look"}))
 OVER_QUOTA_REJECTED = ServiceLevelChanged(frozenset({"look"}), frozenset())
-FULL = ServiceLevelChanged(frozenset(), frozenset())
+FULL_SERVICE = ServiceLevelChanged(frozenset(), frozenset())
 WITH_RETRY_AFTER = {"retry_after": True, "max_retry_after_us": 2_000 * MS}
 
 
-def serve(given: BalancerDriver, name: str, tenant: str | None, count: int) -> int:
+def count_admitted(driver: BalancerDriver, name: str, tenant: str | None, count: int) -> int:
     """Returns how many of these requests, one every 20 ms and each responded to after 10 ms, are admitted."""
     admitted = 0
     for _ in range(count):
-        number, given._next_request = given._next_request, given._next_request + 1
-        given.handle(RequestArrived(number, name, tenant, None, 2_000 * MS, None))
-        given.advance(10 * MS)
-        if given.started_attempts(number):
+        request, driver._next_request = driver._next_request, driver._next_request + 1
+        driver.handle(RequestArrived(request, name, tenant, None, 2_000 * MS, None))
+        driver.advance(10 * MS)
+        if driver.started_attempts(request):
             admitted += 1
-            given.end_attempt(number)
-        given.advance(10 * MS)
+            driver.end_attempt(request)
+        driver.advance(10 * MS)
     return admitted
 
 
 def test_level_rejects_only_its_class_at_once() -> None:
-    given = BalancerDriver(make_settings(limits=WITH_RETRY_AFTER))
-    given.update_endpoints(endpoint_names(6))
-    given.handle(CLASS_REJECTED)
-    assert serve(given, "look", None, 50) == 0
-    assert serve(given, "pay", None, 50) == 50
-    waits = [each.retry_after_us for each in given.actions_of_type(RejectRequest)]
-    assert len(waits) == 50
-    assert len(set(waits)) > 40
-    assert all(1_000 * MS <= each <= 2_000 * MS for each in waits)
-    given.handle(FULL)
-    assert serve(given, "look", None, 50) == 50
+    driver = BalancerDriver(make_settings(limits=WITH_RETRY_AFTER))
+    driver.update_endpoints(endpoint_names(6))
+    driver.handle(CLASS_REJECTED)
+    assert count_admitted(driver, "look", None, 50) == 0
+    assert count_admitted(driver, "pay", None, 50) == 50
+    retry_after_us = [each.retry_after_us for each in driver.actions_of_type(RejectRequest)]
+    assert len(retry_after_us) == 50
+    assert len(set(retry_after_us)) > 40
+    assert all(1_000 * MS <= each <= 2_000 * MS for each in retry_after_us)
+    driver.handle(FULL_SERVICE)
+    assert count_admitted(driver, "look", None, 50) == 50
 
 
 def test_level_rejects_traffic_over_quota_first() -> None:
     tenants = [{"name": "big", "weight": 0.5}, {"name": "small", "weight": 0.5}]
-    given = BalancerDriver(
+    driver = BalancerDriver(
         make_settings(
             classes=[IDEMPOTENT_CLASS, NON_IDEMPOTENT_CLASS], tenants=tenants, limits=WITH_RETRY_AFTER
         )
     )
-    given.update_endpoints(endpoint_names(6))
+    driver.update_endpoints(endpoint_names(6))
     for _ in range(40):
-        serve(given, "look", "big", 9)
-        serve(given, "look", "small", 1)
-    given.handle(OVER_QUOTA_REJECTED)
+        count_admitted(driver, "look", "big", 9)
+        count_admitted(driver, "look", "small", 1)
+    driver.handle(OVER_QUOTA_REJECTED)
     admitted = {"big": 0, "small": 0}
     for _ in range(40):
-        admitted["big"] += serve(given, "look", "big", 9)
-        admitted["small"] += serve(given, "look", "small", 1)
+        admitted["big"] += count_admitted(driver, "look", "big", 9)
+        admitted["small"] += count_admitted(driver, "look", "small", 1)
     assert admitted["small"] == 40
-    assert 0.4 < admitted["big"] / 360 < 0.7  # its share is half of all; it asks for nine tenths
-    assert serve(given, "pay", "big", 20) == 20
+    # Its quota is half of the total; its demand is nine tenths of it.
+    assert 0.4 < admitted["big"] / 360 < 0.7
+    assert count_admitted(driver, "pay", "big", 20) == 20
 
 
-def utilization_under_a_level(given: BalancerDriver) -> float:
+def utilization_under_a_level(driver: BalancerDriver) -> float:
     """Returns the utilization under a level, long after the cause that shrank the limit has gone."""
-    given.update_endpoints(endpoint_names(6))
-    serve(given, "look", None, 100)
-    given.balancer._components.concurrency_limit.limit = 0.2
-    given.handle(CLASS_REJECTED)
+    driver.update_endpoints(endpoint_names(6))
+    count_admitted(driver, "look", None, 100)
+    driver.balancer._components.concurrency_limit.limit = 0.2
+    driver.handle(CLASS_REJECTED)
     for _ in range(60):
-        serve(given, "look", None, 10)
-        serve(given, "pay", None, 2)
-    return given.balancer.pressure().utilization
+        count_admitted(driver, "look", None, 10)
+        count_admitted(driver, "pay", None, 2)
+    return driver.balancer.pressure().utilization
 
 
 def test_concurrency_limit_grows_under_a_level() -> None:
@@ -90,20 +91,21 @@
 
 
 def test_utilization_stays_high_under_a_level_unless_the_limit_grows(monkeypatch: pytest.MonkeyPatch) -> None:
-    never = property(lambda _: False, lambda *_: None)
-    monkeypatch.setattr(ConcurrencyLimit, "has_rejected", never, raising=False)
+    never_rejected = property(lambda _: False, lambda *_: None)
+    monkeypatch.setattr(ConcurrencyLimit, "has_rejected", never_rejected, raising=False)
     assert utilization_under_a_level(BalancerDriver()) > 0.6
 
 
 def test_pressure_ignores_requests_without_endpoints() -> None:
-    given = BalancerDriver()
-    serve(given, "look", None, 50)  # there is no list yet: all are refused, and not by the window
-    assert given.balancer.pressure().rejected == 0
-    assert len(given.actions_of_type(RejectRequest)) == 50
+    driver = BalancerDriver()
+    # Without an endpoint list all are rejected, but not by the limit.
+    count_admitted(driver, "look", None, 50)
+    assert driver.balancer.pressure().rejected == 0
+    assert len(driver.actions_of_type(RejectRequest)) == 50
 
 
 def test_level_is_shown_at_control_endpoint_and_in_log(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def work() -> None:
+    async def observe_level() -> None:
         monkeypatch.setattr("tulipnotch.sidecar.service_level_monitor.OBSERVATION_INTERVAL_US", 10_000)
         change = levels.ServiceLevelTransition(
             "full", "shut", 41_000_000, "too much", ServiceLevelChanged(frozenset(), frozenset({"check"}))
@@ -114,23 +116,23 @@
             "observe_pressure",
             lambda *_: transitions.pop() if transitions else None,
         )
-        given = ServiceLevels(levels.standard_levels("check"), 30_000_000)
-        async with sidecar_harness(OK_RESPONSE, service_levels=given) as harness:
+        service_levels = ServiceLevels(levels.standard_levels("check"), 30_000_000)
+        async with sidecar_harness(OK_RESPONSE, service_levels=service_levels) as harness:
             await wait_until(
                 lambda: any("service level shut, was full for 41 s: too much" in each for each in harness.log)
             )
             client = await harness.connect()
             assert (await client.send_request()).status == 503
             assert (await client.send_request("lodge")).status == 200
-            calls = harness.sidecar.command_handlers()
-            assert "app.level=0" in calls["telemetry"]()
-            assert "app.level_changes=0" in calls["telemetry"]()
-            assert calls["level"]() == ["full for 0 s; refused 0.0%, wanted 0% of the window"]
+            commands = harness.sidecar.command_handlers()
+            assert "app.level=0" in commands["telemetry"]()
+            assert "app.level_changes=0" in commands["telemetry"]()
+            assert commands["level"]() == ["full for 0 s; refused 0.0%, wanted 0% of the window"]
 
-    run_async(work)
+    run_async(observe_level)
 
 
-GOOD_LEVELS = """
+VALID_LEVELS = """
 [overload]
 hold_s = 45
 [[overload.levels]]
@@ -144,7 +146,7 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "fault"),
+    ("change", "expected_error"),
     [
         (("hold_s = 45", "hold_s = 5"), "line 3: overload.hold_s"),
         (('"spare"', '"full"'), "line 5: overload.levels[0].name: 'full' is reserved for full service"),
@@ -159,17 +161,17 @@
     ids=lambda each: each if isinstance(each, str) else "",
 )
 def test_operator_file_errors_name_line_of_invalid_level(
-    change: tuple[str, str], fault: str, tmp_path: Path
+    change: tuple[str, str], expected_error: str, tmp_path: Path
 ) -> None:
     path = tmp_path / "operator.toml"
-    path.write_text(GOOD_LEVELS)
+    path.write_text(VALID_LEVELS)
     assert [each.name for each in load(path).overload.levels] == ["spare", "orders-only"]
-    path.write_text(GOOD_LEVELS.replace(*change))
-    with pytest.raises(InvalidFileError, match=r".") as found:
+    path.write_text(VALID_LEVELS.replace(*change))
+    with pytest.raises(InvalidFileError, match=r".") as error:
         load(path)
-    assert fault in str(found.value)
+    assert expected_error in str(error.value)
 
 
 def test_start_fails_when_level_names_unknown_class(tmp_path: Path) -> None:
-    said = run_expecting_failure(tmp_path, json.dumps(VALID_CONFIG), GOOD_LEVELS.replace("check", "chek"))
-    assert "overload.levels[0]: no class 'chek'; known are check, amend, lodge" in said
+    stderr = run_expecting_failure(tmp_path, json.dumps(VALID_CONFIG), VALID_LEVELS.replace("check", "chek"))
+    assert "overload.levels[0]: no class 'chek'; known are check, amend, lodge" in stderr
--- a/tests/load_balancing/health/test_outlier_detection.py
+++ b/tests/load_balancing/health/test_outlier_detection.py
@@ -9,7 +9,7 @@
 from tulipnotch.load_balancing.outcomes import Outcome
 
 
-def _with_one_unresponsive(driver: BalancerDriver, rounds: int) -> tuple[str, list[int]]:
+def _run_with_one_unresponsive(driver: BalancerDriver, rounds: int) -> tuple[str, list[int]]:
     """Sends requests to healthy servers, except that one of them stops responding at some point."""
     driver.update_endpoints(endpoint_names(6))
     driver.run_traffic(120)
@@ -29,7 +29,7 @@
 
 def test_outlier_detection_ejects_unresponsive_endpoint_and_its_requests_are_hedged() -> None:
     driver = BalancerDriver()
-    unresponsive, pending = _with_one_unresponsive(driver, 20)
+    unresponsive, pending = _run_with_one_unresponsive(driver, 20)
     assert any(each.text.startswith(f"ejected {unresponsive}") for each in driver.actions_of_type(LogEvent))
     attempts = [each.endpoint for _, each in driver.started_attempts(pending[0])]
     assert len(attempts) > 1
@@ -38,8 +38,8 @@
 
 def test_outlier_detection_readmits_by_one_probation_attempt() -> None:
     driver = BalancerDriver()
-    unresponsive, pending = _with_one_unresponsive(driver, 20)
-    before = len([1 for _, each in driver.started_attempts() if each.endpoint == unresponsive])
+    unresponsive, pending = _run_with_one_unresponsive(driver, 20)
+    earlier_count = len([1 for _, each in driver.started_attempts() if each.endpoint == unresponsive])
     for request in pending:
         driver.end_attempt(request, Outcome.TIMED_OUT, attempt=0, is_responded=False)
     for _ in range(60):
@@ -47,12 +47,14 @@
         request = driver.receive_request()
         if driver.last_endpoint(request) != unresponsive:
             driver.end_attempt(request)
-    trials = len([1 for _, each in driver.started_attempts() if each.endpoint == unresponsive]) - before
-    assert trials == 1
-    trial = next(
+    probation_count = (
+        len([1 for _, each in driver.started_attempts() if each.endpoint == unresponsive]) - earlier_count
+    )
+    assert probation_count == 1
+    probation_request = next(
         each.request for _, each in reversed(driver.started_attempts()) if each.endpoint == unresponsive
     )
-    driver.end_attempt(trial, attempt=0)
+    driver.end_attempt(probation_request, attempt=0)
     assert driver.actions_of_type(LogEvent)[-1].text == f"readmitted {unresponsive}"
 
 
@@ -87,22 +89,22 @@
     driver.update_endpoints(endpoint_names(1))
     for _ in range(6):
         driver.run_traffic(60)
-        old = driver.receive_request("pay", remaining_us=S)
+        timed_out = driver.receive_request("pay", remaining_us=S)
         driver.advance(900 * MS)
-        new = driver.receive_request("pay")
+        later = driver.receive_request("pay")
         driver.advance(50 * MS)
-        driver.end_attempt(new)
+        driver.end_attempt(later)
         driver.advance(30 * MS)
-        driver.end_attempt(old, Outcome.TIMED_OUT, is_responded=False)
+        driver.end_attempt(timed_out, Outcome.TIMED_OUT, is_responded=False)
     assert not any("ejected" in each.text for each in driver.actions_of_type(LogEvent))
 
 
 def test_outlier_detection_readmits_restarted_endpoint_which_warms_up() -> None:
     driver = BalancerDriver()
-    unresponsive, _ = _with_one_unresponsive(driver, 20)
+    unresponsive, _ = _run_with_one_unresponsive(driver, 20)
     driver.update_endpoints(
         [EndpointDescription(unresponsive, "east", started_at=driver.now)], EndpointUpdateKind.DELTA
     )
-    server = driver.balancer._context.endpoints[unresponsive]
-    assert server.ejection is None
-    assert driver.balancer._components.slow_start.is_warming_up(server)
+    endpoint = driver.balancer._context.endpoints[unresponsive]
+    assert endpoint.ejection is None
+    assert driver.balancer._components.slow_start.is_warming_up(endpoint)
--- a/tests/load_balancing/retries/test_attempt_timeouts.py
+++ b/tests/load_balancing/retries/test_attempt_timeouts.py
@@ -8,20 +8,20 @@
 def test_attempt_timeouts_terminate_when_due_between_two_microseconds() -> None:
     # Guards against an endless loop within one event: a timer entry that is due at once schedules itself
     # again.
-    given = make_settings(classes=[{**IDEMPOTENT_CLASS, "latency_objective_us": 500_001}])
-    driver = BalancerDriver(given)
+    settings = make_settings(classes=[{**IDEMPOTENT_CLASS, "latency_objective_us": 500_001}])
+    driver = BalancerDriver(settings)
     driver.update_endpoints(endpoint_names(1))
-    for _ in range(300):  # until half of the aim is longer than any patience
+    for _ in range(300):  # until half of the latency objective exceeds every other overdue time
         request = driver.receive_request()
         driver.advance(1_000)
         driver.end_attempt(request)
     driver.receive_request()
-    events = iter(range(10_000))
+    schedule_limit = iter(range(10_000))
     schedule = driver.balancer._components.timers.schedule
 
-    def counted(due: int, request: int, attempt: int) -> None:
-        assert next(events, None) is not None, "the agenda goes round and round"
-        schedule(due, request, attempt)
+    def schedule_and_count(due_at: int, request: int, attempt: int) -> None:
+        assert next(schedule_limit, None) is not None, "endless loop over the timer queue"
+        schedule(due_at, request, attempt)
 
-    driver.balancer._components.timers.schedule = counted  # type: ignore[method-assign]
+    driver.balancer._components.timers.schedule = schedule_and_count  # type: ignore[method-assign]
     driver.advance(2_000_000)
--- a/tests/load_balancing/selection/test_best_of_k.py
+++ b/tests/load_balancing/selection/test_best_of_k.py
@@ -18,9 +18,10 @@
 
 
 def test_best_of_k_chooses_endpoint_with_fewest_requests_in_flight(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(concurrency_limit, "INITIAL_LIMIT_PER_ENDPOINT", 1e9)  # else some are refused
+    # With the default initial limit, some requests would be rejected.
+    monkeypatch.setattr(concurrency_limit, "INITIAL_LIMIT_PER_ENDPOINT", 1e9)
     driver = BalancerDriver()
-    driver.update_endpoints(endpoint_names(4))  # all are drawn
+    driver.update_endpoints(endpoint_names(4))  # as many as CHOICE_COUNT, so every draw compares all
     for _ in range(40):
         driver.receive_request()
     assert set(Counter(each.endpoint for _, each in driver.started_attempts()).values()) == {10}
@@ -75,17 +76,17 @@
     driver = BalancerDriver()
     driver.update_endpoints(endpoint_names(2))
     request = driver.receive_request("pay", remaining_us=400 * MS)
-    abandoned_at = driver.last_endpoint(request)
-    driver.advance(395 * MS)  # answered by then, and called off
+    abandoned_endpoint = driver.last_endpoint(request)
+    driver.advance(395 * MS)  # the balancer has failed the request by then, and cancelled its attempt
     driver.end_attempt(request, Outcome.CANCELLED, is_responded=True)
     other = driver.receive_request("pay")
-    assert driver.last_endpoint(other) != abandoned_at
+    assert driver.last_endpoint(other) != abandoned_endpoint
     third = driver.receive_request("pay")
     assert driver.last_endpoint(third) in endpoint_names(2)
     driver.advance(S)
     assert (
         driver.balancer._components.selection.estimated_in_flight(
-            driver.balancer._context.endpoints[abandoned_at]
+            driver.balancer._context.endpoints[abandoned_endpoint]
         )
         <= 1
     )
@@ -101,32 +102,34 @@
             for name in endpoint_names(5)
         ]
     )
-    seen: list[float] = []
+    weight_ratios: list[float] = []
 
-    def watch(generator: random.Random, pool: list[Any], odds: list[float], count: int) -> list[Any]:
-        seen.append(odds[0] / odds[1])
-        return weighted_sample(generator, pool, odds, count)
+    def record_weights(
+        generator: random.Random, pool: list[Any], weights: list[float], count: int
+    ) -> list[Any]:
+        weight_ratios.append(weights[0] / weights[1])
+        return weighted_sample(generator, pool, weights, count)
 
-    monkeypatch.setattr(best_of_k, "weighted_sample", watch)
-    for cost in (20 * MS, 20 * MS, 100 * MS):
-        driver.end_attempt(driver.receive_request(cost_us=cost))
-    assert seen[2] < 0.5 * seen[0]
+    monkeypatch.setattr(best_of_k, "weighted_sample", record_weights)
+    for cost_us in (20 * MS, 20 * MS, 100 * MS):
+        driver.end_attempt(driver.receive_request(cost_us=cost_us))
+    assert weight_ratios[2] < 0.5 * weight_ratios[0]
 
 
 def test_best_of_k_selects_endpoint_less_often_when_half_its_responses_are_errors() -> None:
     driver = BalancerDriver()
     driver.update_endpoints(endpoint_names(12))
-    bad = endpoint_names(12)[3]
-    errors = 0
+    failing = endpoint_names(12)[3]
+    attempt_count = 0
     for _ in range(1_200):
         request = driver.receive_request("pay")
         target = driver.last_endpoint(request)
-        driver.advance(5 * MS if target == bad else 40 * MS)
-        errors += target == bad
+        driver.advance(5 * MS if target == failing else 40 * MS)
+        attempt_count += target == failing
         driver.end_attempt(
-            request, Outcome.SERVER_ERROR if target == bad and errors % 2 else Outcome.DELIVERED
+            request, Outcome.SERVER_ERROR if target == failing and attempt_count % 2 else Outcome.DELIVERED
         )
-    assert sum(1 for _, each in driver.started_attempts()[400:] if each.endpoint == bad) < 0.5 * 800 / 12
+    assert sum(1 for _, each in driver.started_attempts()[400:] if each.endpoint == failing) < 0.5 * 800 / 12
 
 
 def test_best_of_k_avoids_endpoint_only_for_the_class_that_it_rejected() -> None:
@@ -136,21 +139,21 @@
     first = driver.receive_request()
     overloaded = driver.last_endpoint(first)
     driver.end_attempt(first)
-    attempts = used = 0
+    overloaded_count = used_count = 0
     for _ in range(200):
         driver.advance(200 * MS)
         for class_name in ("pay", "look"):
             request = driver.receive_request(class_name)
             is_overloaded = class_name == "pay" and driver.last_endpoint(request) == overloaded
-            attempts += is_overloaded
-            used += class_name == "look" and driver.last_endpoint(request) == overloaded
+            overloaded_count += is_overloaded
+            used_count += class_name == "look" and driver.last_endpoint(request) == overloaded
             if is_overloaded:
                 driver.advance(10 * MS)
                 driver.end_attempt(request, Outcome.OVERLOADED)
             driver.advance(40 * MS)
             driver.end_attempt(request)
-    assert 1 <= attempts < 30
-    assert used > 30
+    assert 1 <= overloaded_count < 30
+    assert used_count > 30
 
 
 def test_best_of_k_uses_avoided_endpoint_when_no_other_is_eligible() -> None:
--- a/tests/load_balancing/selection/test_subset.py
+++ b/tests/load_balancing/selection/test_subset.py
@@ -27,10 +27,10 @@
 
 
 def test_subset_differs_between_small_balancers() -> None:
-    first: set[str] = set()
+    selected: set[str] = set()
     for seed in range(12):
         driver = BalancerDriver(seed=seed)
         driver.update_endpoints(endpoint_names(60))
         driver.run_sequential_traffic(20)
-        first |= {each.endpoint for _, each in driver.started_attempts()}
-    assert len(first) > 25
+        selected |= {each.endpoint for _, each in driver.started_attempts()}
+    assert len(selected) > 25
--- a/tests/load_balancing/slow_start/test_slow_start_load.py
+++ b/tests/load_balancing/slow_start/test_slow_start_load.py
@@ -8,8 +8,8 @@
 from tulipnotch.load_balancing.events import EndpointDescription, EndpointUpdateKind
 
 
-@pytest.mark.parametrize(("every_us", "burst"), [(10 * MS, 1), (200 * MS, 20), (500 * MS, 1)])
-def test_slow_start_limits_load_of_endpoint_that_is_warming_up(every_us: int, burst: int) -> None:
+@pytest.mark.parametrize(("interval_us", "burst"), [(10 * MS, 1), (200 * MS, 20), (500 * MS, 1)])
+def test_slow_start_limits_load_of_endpoint_that_is_warming_up(interval_us: int, burst: int) -> None:
     driver = BalancerDriver()
     driver.update_endpoints(endpoint_names(6))
     driver.run_traffic(300, arrival_interval_us=10 * MS)
@@ -19,18 +19,20 @@
     driver.update_endpoints([warming_up], EndpointUpdateKind.DELTA)
     while driver.now < started_at + 10 * S:
         requests = [driver.receive_request() for _ in range(burst)]
-        driver.advance(every_us)
+        driver.advance(interval_us)
         for each in requests:
             if driver.started_attempts(each):
                 driver.end_attempt(each)
     times = [
-        at for at, each in driver.started_attempts() if each.endpoint == "10.0.0.6:80" and at >= started_at
+        sent_at
+        for sent_at, each in driver.started_attempts()
+        if each.endpoint == "10.0.0.6:80" and sent_at >= started_at
     ]
     for end in times:
         factor = 0.2 + 0.8 * max(end - 2 * S - started_at, 0) / (10 * S)
-        inside = sum(1 for at in times if end - 2 * S < at <= end)
-        assert inside <= max(1.0, 3 * factor * warm_per_s * 2)
-    assert times or burst == 1  # singly, the quickest known server takes all
+        count_in_window = sum(1 for sent_at in times if end - 2 * S < sent_at <= end)
+        assert count_in_window <= max(1.0, 3 * factor * warm_per_s * 2)
+    assert times or burst == 1  # without bursts the fastest known server may get all requests
 
 
 def test_slow_start_does_not_limit_warm_endpoints() -> None:
@@ -42,7 +44,7 @@
 
 
 def test_slow_start_spreads_first_requests_of_small_balancers() -> None:
-    first: list[int] = []
+    first_after_us: list[int] = []
     for seed in range(120):
         driver = BalancerDriver(seed=seed)
         driver.update_endpoints(endpoint_names(2))
@@ -52,16 +54,16 @@
             EndpointDescription(name, zone="east", started_at=started_at) for name in endpoint_names(2)[:1]
         ]
         driver.update_endpoints(warming_up, EndpointUpdateKind.DELTA)
-        while driver.now < started_at + 4 * S and not first[seed:]:
+        while driver.now < started_at + 4 * S and not first_after_us[seed:]:
             driver.run_traffic(1, arrival_interval_us=200 * MS)
-            first += [
-                at - started_at
-                for at, each in driver.started_attempts()[-1:]
+            first_after_us += [
+                sent_at - started_at
+                for sent_at, each in driver.started_attempts()[-1:]
                 if each.endpoint == warming_up[0].name
             ]
-        first += [] if first[seed:] else [4 * S]
-    early = sum(1 for each in first if each < 1 * S)
-    assert 3 < early < 80  # some within the first second, and by no means all
+        first_after_us += [] if first_after_us[seed:] else [4 * S]
+    early = sum(1 for each in first_after_us if each < 1 * S)
+    assert 3 < early < 80  # some start within the first second, but by far not all
 
 
 def test_warm_capacity_decays_slowly_while_nothing_is_served() -> None:
@@ -72,7 +74,7 @@
     driver.run_traffic(200)
     per_us = driver.balancer._components.warm_capacity.per_us()
     assert per_us > 0.0
-    driver.advance(5 * S)  # half of the time to warm up, and nothing is served in it
+    driver.advance(5 * S)  # half of the warm-up time, in which nothing is served
     driver.receive_request()
     assert per_us / 4 < driver.balancer._components.warm_capacity.per_us() < per_us / 2
     driver.advance(60 * S)
--- a/tests/load_balancing/test_balancer.py
+++ b/tests/load_balancing/test_balancer.py
@@ -29,12 +29,15 @@
     driver.update_endpoints(endpoint_names(5))
     request = driver.receive_request("look", remaining_us=300 * MS)
     driver.advance(300 * MS)
-    rejections = len(driver.actions_of_type(RejectRequest))
+    rejection_count = len(driver.actions_of_type(RejectRequest))
     driver.end_attempt(request, Outcome.CANCELLED, is_responded=True)
     driver.advance(5 * S)
-    assert rejections == 1
+    assert rejection_count == 1
     assert len(driver.actions_of_type(RejectRequest)) == 1
-    assert len([1 for at, _ in driver.started_attempts(request) if at > START_US + 300 * MS]) == 0
+    assert (
+        len([1 for started_at, _ in driver.started_attempts(request) if started_at > START_US + 300 * MS])
+        == 0
+    )
 
 
 def test_balancer_rejects_request_without_remaining_time() -> None:
@@ -76,12 +79,12 @@
     driver.update_endpoints(endpoint_names(3))
     request = driver.receive_request()
     driver.end_attempt(request)
-    before = len(driver.timed_actions)
+    action_count = len(driver.timed_actions)
     driver.handle(ClientDisconnected(request))
     driver.handle(ClientDisconnected(99))
     driver.handle(AttemptEnded(99, 0, "10.0.0.1:80", Outcome.DELIVERED, 1, is_responded=True))
     driver.handle(AttemptEnded(request, 7, "10.0.0.1:80", Outcome.DELIVERED, 1, is_responded=True))
-    assert len(driver.timed_actions) == before
+    assert len(driver.timed_actions) == action_count
 
 
 def test_balancer_cancels_attempt_of_disconnected_client() -> None:
@@ -121,7 +124,7 @@
     assert targets[0] != targets[1]
 
 
-def _cells() -> list[EndpointDescription]:
+def _endpoints_in_two_cells() -> list[EndpointDescription]:
     return [
         EndpointDescription(name, zone="east", cell=index % 2) for index, name in enumerate(endpoint_names(8))
     ]
@@ -130,20 +133,20 @@
 def test_balancer_retries_request_with_key_only_in_its_cell() -> None:
     for seed in range(20):
         driver = BalancerDriver(seed=seed)
-        driver.update_endpoints(_cells())
-        cell_of = {each.name: each.cell for each in _cells()}
+        driver.update_endpoints(_endpoints_in_two_cells())
+        cell_by_endpoint = {each.name: each.cell for each in _endpoints_in_two_cells()}
         request = driver.receive_request("amend")
         for _ in range(3):
             driver.advance(10 * MS)
             driver.end_attempt(request, Outcome.CONNECTION_LOST)
         targets = [each.endpoint for _, each in driver.started_attempts(request)]
         assert len(targets) > 1
-        assert len({cell_of[each] for each in targets}) == 1
+        assert len({cell_by_endpoint[each] for each in targets}) == 1
 
 
 def test_balancer_fails_request_with_key_after_its_deduplication_window() -> None:
     driver = BalancerDriver()
-    driver.update_endpoints(_cells())
+    driver.update_endpoints(_endpoints_in_two_cells())
     request = driver.receive_request("amend", remaining_us=4 * S)
     driver.advance(2 * S)
     driver.end_attempt(request, Outcome.CONNECTION_LOST)
@@ -172,41 +175,41 @@
     driver = BalancerDriver()
     driver.update_endpoints(endpoint_names(3))
     request = driver.balancer._requests[driver.receive_request()]
-    server = next(
+    endpoint = next(
         each
         for each in driver.balancer._context.endpoints.values()
         if each is not request.attempts[0].endpoint
     )
-    driver.drain_endpoint(server.name, EndpointState.DRAINING)
-    assert not driver.balancer._start_attempt(request, server)
-    driver.update_endpoints([server.name], EndpointUpdateKind.DELTA)
-    assert driver.balancer._start_attempt(request, server)
-    driver.drain_endpoint(server.name, EndpointState.REMOVED)
+    driver.drain_endpoint(endpoint.name, EndpointState.DRAINING)
+    assert not driver.balancer._start_attempt(request, endpoint)
+    driver.update_endpoints([endpoint.name], EndpointUpdateKind.DELTA)
+    assert driver.balancer._start_attempt(request, endpoint)
+    driver.drain_endpoint(endpoint.name, EndpointState.REMOVED)
     other = driver.balancer._requests[driver.receive_request()]
-    assert not driver.balancer._start_attempt(other, server)
+    assert not driver.balancer._start_attempt(other, endpoint)
 
 
 def test_start_attempt_rejects_hedged_request_unless_permitted() -> None:
-    for allowed in (False, True):
-        driver = BalancerDriver(make_settings(limits={"hedged_requests": allowed}))
+    for is_permitted in (False, True):
+        driver = BalancerDriver(make_settings(limits={"hedged_requests": is_permitted}))
         driver.update_endpoints(endpoint_names(3))
         request = driver.balancer._requests[driver.receive_request()]
-        server = next(
+        endpoint = next(
             each
             for each in driver.balancer._context.endpoints.values()
             if each is not request.attempts[0].endpoint
         )
-        assert driver.balancer._start_attempt(request, server) is allowed
+        assert driver.balancer._start_attempt(request, endpoint) is is_permitted
 
 
-def _stage_where_overloaded_proves_nothing() -> BalancerDriver:
+def _driver_where_overloaded_proves_nothing() -> BalancerDriver:
     driver = BalancerDriver(make_settings(rules={"overloaded_may_have_run": True}))
-    driver.update_endpoints(_cells())
+    driver.update_endpoints(_endpoints_in_two_cells())
     return driver
 
 
 def test_balancer_fails_non_idempotent_request_when_overloaded_proves_nothing() -> None:
-    driver = _stage_where_overloaded_proves_nothing()
+    driver = _driver_where_overloaded_proves_nothing()
     request = driver.receive_request("pay")
     driver.end_attempt(request, Outcome.OVERLOADED)
     assert len(driver.started_attempts(request)) == 1
@@ -215,13 +218,13 @@
 
 
 def test_balancer_retries_request_with_key_within_cell_and_window_when_overloaded_proves_nothing() -> None:
-    cell_of = {each.name: each.cell for each in _cells()}
+    cell_by_endpoint = {each.name: each.cell for each in _endpoints_in_two_cells()}
     for seed in range(20):
         driver = BalancerDriver(make_settings(rules={"overloaded_may_have_run": True}), seed=seed)
-        driver.update_endpoints(_cells())
+        driver.update_endpoints(_endpoints_in_two_cells())
         request = driver.receive_request("amend", remaining_us=4 * S)
         driver.end_attempt(request, Outcome.OVERLOADED)
-        assert len({cell_of[each.endpoint] for _, each in driver.started_attempts(request)}) == 1
+        assert len({cell_by_endpoint[each.endpoint] for _, each in driver.started_attempts(request)}) == 1
         assert len(driver.started_attempts(request)) == 2
         driver.advance(2 * S)
         driver.end_attempt(request, Outcome.OVERLOADED, is_responded=False)
@@ -230,7 +233,7 @@
 
 
 def test_balancer_retries_idempotent_request_when_overloaded_proves_nothing() -> None:
-    driver = _stage_where_overloaded_proves_nothing()
+    driver = _driver_where_overloaded_proves_nothing()
     request = driver.receive_request("look")
     driver.end_attempt(request, Outcome.OVERLOADED)
     assert len(driver.started_attempts(request)) == 2
--- a/tests/load_balancing/test_long_service.py
+++ b/tests/load_balancing/test_long_service.py
@@ -10,7 +10,7 @@
 from tulipnotch.load_balancing.settings import Idempotency
 
 
-def _ejected(driver: BalancerDriver) -> list[str]:
+def _ejections(driver: BalancerDriver) -> list[str]:
     return [each.text for each in driver.actions_of_type(LogEvent) if each.text.startswith("ejected")]
 
 
@@ -36,11 +36,11 @@
     driver = BalancerDriver()
     driver.update_endpoints(endpoint_names(1))
     request = driver.receive_request("pay")
-    (server,) = endpoint_names(1)
+    (endpoint,) = endpoint_names(1)
     driver.update_endpoints(
-        [EndpointDescription(server, state=EndpointState.REMOVED)], EndpointUpdateKind.DELTA
+        [EndpointDescription(endpoint, state=EndpointState.REMOVED)], EndpointUpdateKind.DELTA
     )
-    assert server in driver.balancer._context.endpoints
+    assert endpoint in driver.balancer._context.endpoints
     driver.end_attempt(request)
     assert driver.balancer._context.endpoints == {}
     assert driver.balancer._components.load.current() == 0
@@ -54,22 +54,24 @@
         request = driver.receive_request("pay")
         driver.advance(20 * MS)
         driver.end_attempt(request, Outcome.DELIVERED if number % 3 else Outcome.MALFORMED_RESPONSE)
-    assert _ejected(driver) == []
+    assert _ejections(driver) == []
     for _ in range(60):
         request = driver.receive_request("pay")
         driver.advance(20 * MS)
         driver.end_attempt(request, Outcome.MALFORMED_RESPONSE)
-    assert any(each.endswith("spoilt") for each in _ejected(driver))
+    assert any(each.endswith("spoilt") for each in _ejections(driver))
 
 
 def test_balancer_treats_request_with_malformed_response_as_possibly_executed() -> None:
     driver = BalancerDriver()
     driver.update_endpoints(endpoint_names(4))
-    for kind in ("look", "pay"):
-        request = driver.receive_request(kind)
+    for class_name in ("look", "pay"):
+        request = driver.receive_request(class_name)
         driver.end_attempt(request, Outcome.MALFORMED_RESPONSE)
-        again = len(driver.started_attempts(request)) == 2
-        assert again == (driver.balancer._context.classes[kind].idempotency is Idempotency.IDEMPOTENT)
+        is_retried = len(driver.started_attempts(request)) == 2
+        assert is_retried == (
+            driver.balancer._context.classes[class_name].idempotency is Idempotency.IDEMPOTENT
+        )
     assert len(driver.actions_of_type(FailRequest)) == 1
 
 
@@ -81,37 +83,39 @@
         driver.end_attempt(request, Outcome.CLIENT_ERROR)
         assert len(driver.started_attempts(request)) == 1
     assert len(driver.actions_of_type(FailRequest)) == 20
-    assert _ejected(driver) == []
+    assert _ejections(driver) == []
 
 
 def test_balancer_detects_no_overload_or_unresponsiveness_during_handshakes() -> None:
     # Guards against rejections in the first second after a start, when every connection is new and its first
     # response is late.
-    def refused(every_answer_us: int, first_answer_us: int) -> int:
+    def count_rejections(response_time_us: int, first_response_time_us: int) -> int:
         driver = BalancerDriver()
         driver.update_endpoints(endpoint_names(12))
         for round_ in range(8):
             requests = [driver.receive_request("pay") for _ in range(24)]
-            driver.advance(first_answer_us if round_ == 0 else every_answer_us)
+            driver.advance(first_response_time_us if round_ == 0 else response_time_us)
             for request in requests:
                 if request in driver.balancer._requests:
                     driver.end_attempt(request)
-        assert not any("silent" in each for each in _ejected(driver))
+        assert not any("silent" in each for each in _ejections(driver))
         return len(driver.actions_of_type(RejectRequest))
 
-    assert refused(30 * MS, 240 * MS) == 0
-    assert refused(700 * MS, 700 * MS) > 10
+    assert count_rejections(30 * MS, 240 * MS) == 0
+    assert count_rejections(700 * MS, 700 * MS) > 10
 
 
 def test_balancer_advises_rejected_client_to_retry_within_latency_objective() -> None:
-    for allowed, most in ((True, 2 * S), (True, 20 * MS), (False, 2 * S)):
-        driver = BalancerDriver(make_settings(limits={"retry_after": allowed, "max_retry_after_us": most}))
+    for is_permitted, max_us in ((True, 2 * S), (True, 20 * MS), (False, 2 * S)):
+        driver = BalancerDriver(
+            make_settings(limits={"retry_after": is_permitted, "max_retry_after_us": max_us})
+        )
         driver.update_endpoints([])
         for _ in range(20):
             driver.receive_request()
         advice = [each.retry_after_us for each in driver.actions_of_type(RejectRequest)]
         assert len(advice) == 20
-        if allowed:
-            assert all(0 < each <= min(most, 250 * MS) for each in advice)
+        if is_permitted:
+            assert all(0 < each <= min(max_us, 250 * MS) for each in advice)
         else:
             assert not any(advice)
