--- a/tulipnotch/load_balancing/metrics/cost_estimates.py
+++ b/tulipnotch/load_balancing/metrics/cost_estimates.py
@@ -17,7 +17,7 @@
     """Computes the cost of a request relative to the mean of its class."""
 
     def __init__(self) -> None:
-        """Begin with no estimate seen."""
+        """Starts with no estimates."""
         self._means: dict[str, float] = {}
 
     def retain_classes(self, names: Container[str]) -> None:
@@ -39,7 +39,7 @@
     __slots__ = ("_estimate_count", "_mean_us")
 
     def __init__(self) -> None:
-        """Begin with no estimate seen."""
+        """Starts with no estimates."""
         self._mean_us = 0.0
         self._estimate_count = 0.0
 
--- a/tulipnotch/load_balancing/settings.py
+++ b/tulipnotch/load_balancing/settings.py
@@ -141,7 +141,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CostWeights:
-    """Costs of extra traffic, as fractions of the worth of all service.
+    """Costs of extra traffic, as fractions of all service.
 
     Unless stated otherwise, a weight is the cost of one such event for each request.
     """
