--- a/tests/lab/broken_sidecar.py
+++ b/tests/lab/broken_sidecar.py
@@ -13,7 +13,7 @@
 from tulipnotch.sidecar.event_queue import EventQueue
 from tulipnotch.sidecar.requests.responses import ResponseSender
 from tulipnotch.sidecar.upstream.pool import UpstreamPool
-from tulipnotch.sidecar.upstream.request import IndependentRequestObserver, UpstreamRequest
+from tulipnotch.sidecar.upstream.request import BackgroundRequestObserver, UpstreamRequest
 
 
 def forgets() -> None:
@@ -41,18 +41,18 @@
 
 def doubles() -> None:
     """Every attempt goes out twice."""
-    start = UpstreamPool.start
+    start = UpstreamPool.start_request
 
     def broken(self: UpstreamPool, request: UpstreamRequest) -> None:
         start(self, request)
         start(
             self,
             UpstreamRequest(
-                request.endpoint, request.deadline, request.build_message, IndependentRequestObserver()
+                request.endpoint, request.deadline, request.build_message, BackgroundRequestObserver()
             ),
         )
 
-    UpstreamPool.start = broken  # type: ignore[method-assign]
+    UpstreamPool.start_request = broken  # type: ignore[method-assign]
 
 
 def deaf() -> None:
--- a/tests/sidecar/control/test_telemetry.py
+++ b/tests/sidecar/control/test_telemetry.py
@@ -91,7 +91,7 @@
     telemetry.request_rejected(None)
     telemetry.request_rejected(TerminationReason.NO_ENDPOINT)
     telemetry.request_failed(TerminationReason.CLIENT_ERROR)
-    telemetry.connection_closed(CloseReason.SILENT)
+    telemetry.connection_closed(CloseReason.NO_REQUEST)
     telemetry.attempt_written()
     telemetry.attempt_withheld()
     telemetry.configuration_reloaded()
--- a/tests/sidecar/requests/test_invariants.py
+++ b/tests/sidecar/requests/test_invariants.py
@@ -19,7 +19,7 @@
 from tulipnotch.sidecar.requests.invariants import CloseReason, Invariant, InvariantChecker, WrittenAttempt
 from tulipnotch.sidecar.startup import Startup
 from tulipnotch.sidecar.upstream.pool import UpstreamPool
-from tulipnotch.sidecar.upstream.request import IndependentRequestObserver, UpstreamRequest
+from tulipnotch.sidecar.upstream.request import BackgroundRequestObserver, UpstreamRequest
 from tulipnotch.sidecar.upstream.write_gate import WriteGate
 
 _KEYED = ServiceClass(
@@ -52,11 +52,11 @@
     [
         (_SAFE, _written(), _written(at=9_000_000, cell=2), True),
         (_UNSAFE, _written(), _written(at=1), False),
-        (_UNSAFE, _written(may_have_run=False), _written(at=1), True),
+        (_UNSAFE, _written(may_have_executed=False), _written(at=1), True),
         (_KEYED, _written(), _written(at=999_999), True),
         (_KEYED, _written(), _written(at=1_000_000), False),
         (_KEYED, _written(), _written(at=1, cell=2), False),
-        (_KEYED, _written(may_have_run=False), _written(at=1, cell=2), True),
+        (_KEYED, _written(may_have_executed=False), _written(at=1, cell=2), True),
         (_ZONED, _written(), _written(at=1, cell=2), True),
         (_ZONED, _written(), _written(at=1, zone="b"), False),
     ],
@@ -66,8 +66,8 @@
 ) -> None:
     guard = InvariantChecker()
     guard.check_retry(b"r-1", kind, new, [before], allows_hedging=True)
-    assert guard.broken[Invariant.RETRY_WITHIN_DEDUPLICATION] == (not holds)
-    assert guard.violations == (not holds)
+    assert guard.violation_counts[Invariant.RETRY_WITHIN_DEDUPLICATION] == (not holds)
+    assert guard.violation_count == (not holds)
 
 
 def test_check_retry_follows_the_settings_on_hedging() -> None:
@@ -76,7 +76,7 @@
         guard.check_retry(
             b"r-1", _SAFE, _written(), [_written(is_in_flight=True)], allows_hedging=second_copies
         )
-        assert guard.broken[Invariant.RETRY_WITHOUT_HEDGING] == (not second_copies)
+        assert guard.violation_counts[Invariant.RETRY_WITHOUT_HEDGING] == (not second_copies)
 
 
 async def _two_servers(scene: Stage) -> None:
@@ -123,7 +123,9 @@
 
         async with stage(silent, OK, listed=False) as scene:
             await _two_servers(scene)
-            broken = [each for each, count in scene.sidecar._context.invariants.broken.items() if count]
+            broken = [
+                each for each, count in scene.sidecar._context.invariants.violation_counts.items() if count
+            ]
             assert broken == ([] if invariant is None else [invariant])
             assert any("invariant broken" in each for each in scene.log) == (invariant is not None)
             (figure,) = [
@@ -141,7 +143,7 @@
 ) -> None:
     # The gate before each write is taken out, and so is what withdraws an attempt.
     monkeypatch.setattr(WriteGate, "may_write", lambda _upstream, _call: True)
-    monkeypatch.setattr(UpstreamPool, "cancel_unwritten", lambda _upstream, _call: None)
+    monkeypatch.setattr(UpstreamPool, "cancel_if_unwritten", lambda _upstream, _call: None)
 
     async def work() -> None:
         async with stage(OK) as scene:
@@ -159,7 +161,7 @@
             client.close()
             await until(lambda: not any(each.is_waiting for each in scene.sidecar._registry))
             exchange(*held[0])
-            assert scene.sidecar._context.invariants.broken[Invariant.CLIENT_WAITS_FOR_ATTEMPT] == 1
+            assert scene.sidecar._context.invariants.violation_counts[Invariant.CLIENT_WAITS_FOR_ATTEMPT] == 1
 
     play(work)
 
@@ -187,7 +189,7 @@
             put_to_use(*held[0])
             assert (await client.answer()).status in (503, 504)
             assert scene.heard == []
-            assert scene.sidecar._context.invariants.violations == 0
+            assert scene.sidecar._context.invariants.violation_count == 0
 
     play(work)
 
@@ -202,7 +204,10 @@
             (side,) = scene.sidecar.downstream.connections()
             assert isinstance(side, DownstreamConnection)
             side.close(CloseReason.IDLE)
-            assert scene.sidecar._context.invariants.broken[Invariant.CLOSE_WITHOUT_PENDING_RESPONSE] == 1
+            assert (
+                scene.sidecar._context.invariants.violation_counts[Invariant.CLOSE_WITHOUT_PENDING_RESPONSE]
+                == 1
+            )
             release.set()
 
     play(work)
@@ -253,7 +258,9 @@
 def test_check_attempt_reports_a_write_after_the_deadline() -> None:
     guard = InvariantChecker()
     guard.check_attempt(b"r-1", is_client_waiting=True, now=5, deadline=5)
-    assert [each for each, count in guard.broken.items() if count] == [Invariant.ATTEMPT_BEFORE_DEADLINE]
+    assert [each for each, count in guard.violation_counts.items() if count] == [
+        Invariant.ATTEMPT_BEFORE_DEADLINE
+    ]
 
 
 def test_invariants_are_broken_when_an_attempt_goes_to_a_draining_server() -> None:
@@ -264,9 +271,11 @@
             (server,) = upstream._endpoints.values()
             connection = server.idle.pop().connection
             server.is_draining = True
-            call = UpstreamRequest("s-0", 2**61, lambda _left_us: _PING, IndependentRequestObserver())
+            call = UpstreamRequest("s-0", 2**61, lambda _left_us: _PING, BackgroundRequestObserver())
             upstream._write(call, connection)
-            assert scene.sidecar._context.invariants.broken[Invariant.ATTEMPT_TO_READY_ENDPOINT] == 1
+            assert (
+                scene.sidecar._context.invariants.violation_counts[Invariant.ATTEMPT_TO_READY_ENDPOINT] == 1
+            )
 
     play(work)
 
@@ -280,7 +289,10 @@
     async def work() -> None:
         for discovery, broken in (("pushed", 1), ("on_request", 0)):
             async with stage(OK, discovery=discovery, silent_discovery=True) as scene:
-                assert scene.sidecar._context.invariants.broken[Invariant.READY_AFTER_DISCOVERY] == broken
+                assert (
+                    scene.sidecar._context.invariants.violation_counts[Invariant.READY_AFTER_DISCOVERY]
+                    == broken
+                )
 
     play(work)
 
@@ -296,6 +308,9 @@
             await until(lambda: len(scene.heard) == 1)
             monkeypatch.setattr(scene.sidecar._responses, "respond", lambda *_given: None)
             await scene.sidecar.shut_down()
-            assert scene.sidecar._context.invariants.broken[Invariant.STOP_WITHOUT_PENDING_RESPONSE] == 1
+            assert (
+                scene.sidecar._context.invariants.violation_counts[Invariant.STOP_WITHOUT_PENDING_RESPONSE]
+                == 1
+            )
 
     play(work)
--- a/tests/sidecar/test_race_conditions.py
+++ b/tests/sidecar/test_race_conditions.py
@@ -496,12 +496,12 @@
             await until(lambda: len(scene.heard) == 1)
             if when == "given up":
                 ((call,),) = [each.upstream_requests for each in scene.sidecar._registry]
-                scene.sidecar._upstream.cancel(call)
+                scene.sidecar._upstream.cancel_request(call)
             else:
                 release.set()
                 assert (await client.answer()).status == 200
                 if when == "idle closed":
-                    scene.sidecar._upstream.close_all_idle()
+                    scene.sidecar._upstream.close_all_idle_connections()
                 else:
                     scene.sidecar._upstream.close()
             _send_now(scene.heard[0].writer, b"HTTP/1.1 200 OK\r\nContent-Le")  # the event loop has not run
--- a/tests/sidecar/upstream/test_connection_accounting.py
+++ b/tests/sidecar/upstream/test_connection_accounting.py
@@ -13,7 +13,7 @@
 from tulipnotch.sidecar.http1.body import MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES
 from tulipnotch.sidecar.http1.messages import Request, Response
 from tulipnotch.sidecar.http1.response_reader import ResponseReader
-from tulipnotch.sidecar.upstream.buffered_exchange import BufferedExchange
+from tulipnotch.sidecar.upstream.buffered_exchange import BufferedExchangeObserver
 from tulipnotch.sidecar.upstream.connection import UpstreamConnection
 from tulipnotch.sidecar.upstream.errors import ConnectionNotIdleError
 
@@ -81,7 +81,7 @@
             asyncio.get_running_loop().call_soon(self._connection.resume)
 
 
-class _StreamedExchange(BufferedExchange):
+class _StreamedExchange(BufferedExchangeObserver):
     """Streams a large response."""
 
     streams_responses = True
@@ -131,7 +131,7 @@
 
 async def _exchanged(connection: UpstreamConnection, target: str) -> Response:
     exchange = _StreamedExchange(connection)
-    connection.exchange(Request(b"GET", target.encode(), [(b"host", HOST.encode())]), exchange)
+    connection.start_exchange(Request(b"GET", target.encode(), [(b"host", HOST.encode())]), exchange)
     response = await soon(exchange.result)
     assert isinstance(response, Response)
     return response
@@ -145,6 +145,6 @@
             connection.close()
         assert not connection.is_usable()
         with pytest.raises(ConnectionNotIdleError):
-            connection.exchange(Request(b"GET", b"/", []), BufferedExchange())
+            connection.start_exchange(Request(b"GET", b"/", []), BufferedExchangeObserver())
 
     play(work)
--- a/tests/sidecar/upstream/test_load_report.py
+++ b/tests/sidecar/upstream/test_load_report.py
@@ -5,11 +5,11 @@
 import pytest
 
 from tulipnotch.sidecar.http1.messages import Response
-from tulipnotch.sidecar.upstream.load_report import load_report
+from tulipnotch.sidecar.upstream.load_report import parse_load_report
 
 
 def _read(text: bytes) -> dict[str, float] | None:
-    return load_report(Response(200, [(b"server-load", text)], b""), ("qps", "util"))
+    return parse_load_report(Response(200, [(b"server-load", text)], b""), ("qps", "util"))
 
 
 def test_load_report_has_the_columns_of_the_settings_only() -> None:
@@ -22,10 +22,10 @@
 
 
 def test_load_report_is_none_when_header_is_missing() -> None:
-    assert load_report(Response(200, [], b""), ("qps",)) is None
+    assert parse_load_report(Response(200, [], b""), ("qps",)) is None
 
 
 def test_load_report_is_read_from_body_only_when_asked_for() -> None:
     response = Response(200, [], b"util=0.5")
-    assert load_report(response, ("util",), in_body=True) == {"util": 0.5}
-    assert load_report(response, ("util",)) is None
+    assert parse_load_report(response, ("util",), in_body=True) == {"util": 0.5}
+    assert parse_load_report(response, ("util",)) is None
--- a/tulipnotch/sidecar/action_executor.py
+++ b/tulipnotch/sidecar/action_executor.py
@@ -30,8 +30,8 @@
 from tulipnotch.sidecar.requests.attempts import AttemptStarter
 from tulipnotch.sidecar.requests.context import SidecarContext
 from tulipnotch.sidecar.requests.responses import ResponseSender
-from tulipnotch.sidecar.upstream.load_report import load_report
-from tulipnotch.sidecar.upstream.request import IndependentRequestObserver, UpstreamRequest
+from tulipnotch.sidecar.upstream.load_report import parse_load_report
+from tulipnotch.sidecar.upstream.request import BackgroundRequestObserver, UpstreamRequest
 
 _HEALTH_CHECK_TIMEOUT_US = 1_000_000
 
@@ -67,13 +67,13 @@
         upstream = context.upstream
         # Looked up by class for each action; a handler takes actions of its own class only.
         self._handlers: dict[type[Action], Callable[[Any], None]] = {
-            StartAttempt: targets.attempts.start,
-            CancelAttempt: targets.attempts.cancel,
-            RejectRequest: targets.responses.reject,
-            FailRequest: targets.responses.fail,
+            StartAttempt: targets.attempts.start_attempt,
+            CancelAttempt: targets.attempts.cancel_attempt,
+            RejectRequest: targets.responses.reject_request,
+            FailRequest: targets.responses.fail_request,
             SetTimer: self._set_timer,
             StartHealthCheck: self._start_health_check,
-            CloseIdleConnections: lambda action: upstream.close_idle(action.endpoint),
+            CloseIdleConnections: lambda action: upstream.close_idle_connections(action.endpoint),
             Subscribe: self._subscribe,
             FetchEndpoints: lambda _: self._discovery.fetch(),
             SendPeerMessage: self._send_peer_message,
@@ -107,12 +107,12 @@
         message = Request(b"GET", target, [(b"host", action.endpoint.encode())])
 
         def ended(outcome: Outcome, response: Response | None) -> None:
-            report = load_report(response, context.settings.report_columns, in_body=in_body)
+            report = parse_load_report(response, context.settings.report_columns, in_body=in_body)
             elapsed_us = context.clock.now() - started_at
             self._events.post(HealthCheckEnded(action.endpoint, outcome, elapsed_us, report))
 
         deadline = started_at + _HEALTH_CHECK_TIMEOUT_US
-        context.upstream.start(
+        context.upstream.start_request(
             UpstreamRequest(action.endpoint, deadline, lambda _: message, _HealthCheckObserver(ended))
         )
 
@@ -130,7 +130,7 @@
         self._context.log(action.event, **action.fields)
 
 
-class _HealthCheckObserver(IndependentRequestObserver):
+class _HealthCheckObserver(BackgroundRequestObserver):
     """Observes one health check; only its end matters."""
 
     def __init__(self, on_end: Callable[[Outcome, Response | None], None]) -> None:
--- a/tulipnotch/sidecar/control/telemetry.py
+++ b/tulipnotch/sidecar/control/telemetry.py
@@ -32,15 +32,15 @@
     TerminationReason.CLIENT_ERROR: "at_fault",
 }
 CLOSE_REASON_NAMES: Mapping[CloseReason, str] = {
-    CloseReason.CLIENT_LEFT: "client_left",
-    CloseReason.ANSWERED: "answered",
+    CloseReason.CLIENT_DISCONNECTED: "client_left",
+    CloseReason.RESPONDED: "answered",
     CloseReason.IDLE: "idle",
-    CloseReason.SILENT: "silent",
+    CloseReason.NO_REQUEST: "silent",
     CloseReason.REJECTED: "rejected",
-    CloseReason.UNREAD: "unread",
-    CloseReason.ANSWER_BROKEN: "answer_broken",
-    CloseReason.LINGERED: "lingered",
-    CloseReason.NO_ROOM: "no_room",
+    CloseReason.RESPONSE_UNREAD: "unread",
+    CloseReason.RESPONSE_INCOMPLETE: "answer_broken",
+    CloseReason.LINGER_TIMEOUT: "lingered",
+    CloseReason.CONNECTION_LIMIT: "no_room",
 }
 _IN_FLIGHT_NAME = "overdue"  # in place of an outcome: the previous attempt has none yet
 _MAX_OPEN_REQUESTS_NAME = "max_open"  # in place of a termination reason
--- a/tulipnotch/sidecar/control_commands.py
+++ b/tulipnotch/sidecar/control_commands.py
@@ -56,10 +56,10 @@
         """All counters and gauges, a line each, and a line with a full stop."""
         counts = self._balancer.endpoint_counts()
         gauges = {
-            "pending": self._registry.pending_complete_requests,
+            "pending": self._registry.pending_complete_request_count,
             "members": counts.listed,
             "members_unavailable": counts.unavailable,
-            "invariant_violations": self._context.invariants.violations,
+            "invariant_violations": self._context.invariants.violation_count,
         }
         if self._levels is not None:
             gauges |= {"level": self._levels.index, "level_changes": self._levels.changes}
--- a/tulipnotch/sidecar/discovery/discovery_connection.py
+++ b/tulipnotch/sidecar/discovery/discovery_connection.py
@@ -14,7 +14,7 @@
 from tulipnotch.sidecar.discovery.poll_schedule import PollSchedule
 from tulipnotch.sidecar.http1.messages import Request, Response
 from tulipnotch.sidecar.http1.response_reader import ResponseReader
-from tulipnotch.sidecar.upstream.buffered_exchange import BufferedExchange
+from tulipnotch.sidecar.upstream.buffered_exchange import BufferedExchangeObserver
 from tulipnotch.sidecar.upstream.connection import UpstreamConnection
 from tulipnotch.sidecar.upstream.exchange import ExchangeFailure
 
@@ -82,9 +82,9 @@
             if not self._connection.is_usable():
                 # It ended as it came up, so the end of an exchange would never be reported.
                 return ExchangeFailure.UNWRITTEN
-        exchange = BufferedExchange()
+        exchange = BufferedExchangeObserver()
         host = f"{self._address[0]}:{self._address[1]}".encode()
-        self._connection.exchange(Request(b"GET", target, [(b"host", host)]), exchange)
+        self._connection.start_exchange(Request(b"GET", target, [(b"host", host)]), exchange)
         return await exchange.result
 
     async def _connect(self) -> UpstreamConnection:
--- a/tulipnotch/sidecar/downstream/connection.py
+++ b/tulipnotch/sidecar/downstream/connection.py
@@ -212,7 +212,7 @@
         """
         if self._request_number is not None and is_peer_closed(self._poll):
             self._client_disconnected()
-            self.abort(CloseReason.CLIENT_LEFT)
+            self.abort(CloseReason.CLIENT_DISCONNECTED)
 
     def send_response(self, status: int, headers: Headers, body: bytes, length: int | None = None) -> None:
         """Write the one response to the open request.
@@ -295,7 +295,7 @@
         """Go on to the next request, or close the connection."""
         self._request = None
         if closing:
-            self.close(CloseReason.ANSWERED)
+            self.close(CloseReason.RESPONDED)
             return
         self._move(ConnectionState.IDLE)
         if self._has_pending_input:  # it came together with the request before, so no read will report it
@@ -441,7 +441,7 @@
         """The connection has ended."""
         self._client_disconnected()
         self._reader.release()
-        self._owner.handler.connection_closed(self._close_reason or CloseReason.CLIENT_LEFT)
+        self._owner.handler.connection_closed(self._close_reason or CloseReason.CLIENT_DISCONNECTED)
         self._owner.connections_by_state.remove(self)
         self.state = ConnectionState.CLOSING
 
@@ -473,7 +473,9 @@
             self.send_response(200 if lifecycle.is_ready else 503, [], f"{lifecycle.phase.value}\n".encode())
             return
         if is_peer_closed(self._poll):
-            self.abort(CloseReason.CLIENT_LEFT)  # it sent this ahead, and did not wait for the response
+            self.abort(
+                CloseReason.CLIENT_DISCONNECTED
+            )  # it sent this ahead, and did not wait for the response
             return
         try:
             incoming = self._owner.validate_request(request, self._classes)
--- a/tulipnotch/sidecar/downstream/connection_table.py
+++ b/tulipnotch/sidecar/downstream/connection_table.py
@@ -41,7 +41,7 @@
         self.last_opened = connection.state_since = asyncio.get_running_loop().time()
         if len(self) >= self.max_connections and not self.evict():
             connection.state = ConnectionState.CLOSING
-            connection.abort(CloseReason.NO_ROOM)
+            connection.abort(CloseReason.CONNECTION_LIMIT)
             return
         self._by_state[ConnectionState.CONNECTED][connection] = None
 
@@ -91,7 +91,7 @@
         if evicted is None:
             return False
         self._by_state[evicted.state].pop(evicted)
-        evicted.abort(CloseReason.NO_ROOM)
+        evicted.abort(CloseReason.CONNECTION_LIMIT)
         return True
 
     def _evictable(self) -> Iterator[DownstreamConnection]:
--- a/tulipnotch/sidecar/downstream/timeouts.py
+++ b/tulipnotch/sidecar/downstream/timeouts.py
@@ -54,7 +54,7 @@
         timeout_s = min(limits.header_timeout_s, idle_s)
         for connection in self._connections.in_state(ConnectionState.CONNECTED):
             if now - connection.state_since >= timeout_s and connection.can_close_safely:
-                connection.close(CloseReason.SILENT)
+                connection.close(CloseReason.NO_REQUEST)
 
     def _sweep_reading(self, now: float) -> None:
         for connection in self._connections.in_state(ConnectionState.READING):
@@ -75,7 +75,7 @@
     def _sweep_awaiting_response(self, now: float) -> None:
         for connection in self._connections.in_state(ConnectionState.AWAITING_RESPONSE):
             if connection.is_response_stalled(now, self._limits):
-                connection.abort(CloseReason.UNREAD)
+                connection.abort(CloseReason.RESPONSE_UNREAD)
             elif connection.is_reading_paused:
                 connection.check_disconnected()
 
@@ -92,13 +92,13 @@
             ):  # else its response is still being sent, or a further request has come
                 connection.close(CloseReason.IDLE)
             elif connection.is_response_stalled(now, self._limits):
-                connection.abort(CloseReason.UNREAD)
+                connection.abort(CloseReason.RESPONSE_UNREAD)
 
     def _sweep_closing(self, now: float) -> None:
         for connection in self._connections.in_state(ConnectionState.CLOSING):
             if connection.has_unsent_output:
                 connection.state_since = now  # the linger time begins when everything is sent
                 if connection.is_response_stalled(now, self._limits):
-                    connection.abort(CloseReason.UNREAD)
+                    connection.abort(CloseReason.RESPONSE_UNREAD)
             elif now - connection.state_since >= self._limits.linger_s:
-                connection.abort(CloseReason.LINGERED)
+                connection.abort(CloseReason.LINGER_TIMEOUT)
--- a/tulipnotch/sidecar/requests/attempts.py
+++ b/tulipnotch/sidecar/requests/attempts.py
@@ -16,7 +16,7 @@
 from tulipnotch.sidecar.requests.responses import ResponseSender
 from tulipnotch.sidecar.upstream.connection import UpstreamConnection
 from tulipnotch.sidecar.upstream.exchange import ResponseConsumer
-from tulipnotch.sidecar.upstream.load_report import load_report
+from tulipnotch.sidecar.upstream.load_report import parse_load_report
 from tulipnotch.sidecar.upstream.request import UpstreamRequest
 
 
@@ -38,7 +38,7 @@
         self.balancer = balancer
         self.events = events
 
-    def start(self, action: StartAttempt) -> None:
+    def start_attempt(self, action: StartAttempt) -> None:
         """Starts the next attempt of an open request."""
         request = self.registry.require(action.request)
         context = self.context
@@ -62,13 +62,13 @@
         )
         request.upstream_requests.append(upstream_request)
         request.open_attempts += 1
-        context.upstream.start(upstream_request)
+        context.upstream.start_request(upstream_request)
 
-    def cancel(self, action: CancelAttempt) -> None:
+    def cancel_attempt(self, action: CancelAttempt) -> None:
         """Cancels an attempt, unless it or its request has ended."""
         request = self.registry.get(action.request)
         if request is not None and action.attempt < len(request.upstream_requests):
-            self.context.upstream.cancel(request.upstream_requests[action.attempt])
+            self.context.upstream.cancel_request(request.upstream_requests[action.attempt])
 
 
 class Attempt:
@@ -116,7 +116,7 @@
     def _check_written(self, upstream_request: UpstreamRequest) -> None:
         request = self._request
         context = self._starter.context
-        zone, cell = context.upstream.locality(self._endpoint)
+        zone, cell = context.upstream.endpoint_locality(self._endpoint)
         written = WrittenAttempt(zone, cell, upstream_request.last_write_allowed_at)
         request_id = request.incoming.request_id
         context.invariants.check_attempt(
@@ -165,20 +165,20 @@
         if outcome is Outcome.NOT_SENT and isinstance(request.response, Disconnected):
             context.telemetry.attempt_withheld()
         if outcome is Outcome.DELIVERED and response is not None:
-            starter.responses.respond_from(request.number, response)
+            starter.responses.respond_with_server_response(request.number, response)
         self._report(outcome, response)
 
     def _report(self, outcome: Outcome, response: Response | None) -> None:
         request = self._request
         starter = self._starter
         settings = starter.context.settings
-        report = load_report(response, settings.report_columns)
+        report = parse_load_report(response, settings.report_columns)
         elapsed_us = starter.context.clock.now() - max(self._started_at, request.body_completed_at)
         is_response_certain = request.upstream_requests[self._number].is_response_certain
         written = self._written
         if written is not None:
             written.is_in_flight = False
-            written.may_have_run = not settings.rules.proves_not_executed(
+            written.may_have_executed = not settings.rules.proves_not_executed(
                 outcome, is_response_certain=is_response_certain
             )
         starter.events.post(
--- a/tulipnotch/sidecar/requests/invariants.py
+++ b/tulipnotch/sidecar/requests/invariants.py
@@ -40,19 +40,23 @@
 class CloseReason(Enum):
     """Why a client's connection ended; the values are those of the figures and of the log."""
 
-    CLIENT_LEFT = "client_left"
-    ANSWERED = "answered"  # the response announced `connection: close`
+    CLIENT_DISCONNECTED = "client_left"
+    RESPONDED = "answered"  # the response announced `connection: close`
     IDLE = "idle"  # for too long, or while the process drains
-    SILENT = "silent"  # no request came on it
+    NO_REQUEST = "silent"  # no request came on it
     REJECTED = "rejected"  # what came can't be served, or stopped coming
-    UNREAD = "unread"  # the client reads no more of its response
-    ANSWER_BROKEN = "answer_broken"  # a streamed response broke off
-    LINGERED = "lingered"  # the client did not close after this side had
-    NO_ROOM = "no_room"  # the limit on connections is reached
+    RESPONSE_UNREAD = "unread"  # the client reads no more of its response
+    RESPONSE_INCOMPLETE = "answer_broken"  # a streamed response broke off
+    LINGER_TIMEOUT = "lingered"  # the client did not close after this side had
+    CONNECTION_LIMIT = "no_room"  # the limit on connections is reached
 
 
 # Allowed with a pending response: its client has left, reads none of it, or sees that it is incomplete.
-_WITH_PENDING_RESPONSE = (CloseReason.CLIENT_LEFT, CloseReason.UNREAD, CloseReason.ANSWER_BROKEN)
+_WITH_PENDING_RESPONSE = (
+    CloseReason.CLIENT_DISCONNECTED,
+    CloseReason.RESPONSE_UNREAD,
+    CloseReason.RESPONSE_INCOMPLETE,
+)
 
 
 @dataclass(slots=True)
@@ -63,29 +67,29 @@
     cell: int
     written_at: int  # clock time (us)
     is_in_flight: bool = True  # whether its outcome is not known yet
-    may_have_run: bool = True
+    may_have_executed: bool = True
 
 
 class InvariantChecker:
     """Counts and reports how often each invariant of one process was broken."""
 
-    def __init__(self, on_broken: Callable[[Invariant, str], None] | None = None) -> None:
-        """`on_broken` is called with what the broken invariant is about."""
-        self.broken = dict.fromkeys(Invariant, 0)
-        self._on_broken = on_broken
+    def __init__(self, on_violation: Callable[[Invariant, str], None] | None = None) -> None:
+        """`on_violation` is called with what the broken invariant is about."""
+        self.violation_counts = dict.fromkeys(Invariant, 0)
+        self._on_violation = on_violation
 
     @property
-    def violations(self) -> int:
+    def violation_count(self) -> int:
         """How often any of them was broken."""
-        return sum(self.broken.values())
+        return sum(self.violation_counts.values())
 
     def check(self, invariant: Invariant, about: str | bytes, *, holds: bool) -> None:
         """Counts and reports an invariant unless it holds; `about` names what it was broken for."""
         if holds:
             return
-        self.broken[invariant] += 1
-        if self._on_broken is not None:
-            self._on_broken(invariant, about if isinstance(about, str) else about.decode("latin-1"))
+        self.violation_counts[invariant] += 1
+        if self._on_violation is not None:
+            self._on_violation(invariant, about if isinstance(about, str) else about.decode("latin-1"))
 
     def check_attempt(self, request_id: bytes, *, is_client_waiting: bool, now: int, deadline: int) -> None:
         """The last byte of an attempt is written; times are clock times (us)."""
@@ -104,7 +108,7 @@
         """The last byte of a further attempt is written; `earlier` are the written ones before it."""
         is_alone = allows_hedging or not any(attempt.is_in_flight for attempt in earlier)
         self.check(Invariant.RETRY_WITHOUT_HEDGING, request_id, holds=is_alone)
-        executed = [attempt for attempt in earlier if attempt.may_have_run]
+        executed = [attempt for attempt in earlier if attempt.may_have_executed]
         is_deduplicated = _may_execute_beside(service_class, written, executed)
         self.check(Invariant.RETRY_WITHIN_DEDUPLICATION, request_id, holds=is_deduplicated)
 
@@ -113,7 +117,7 @@
     ) -> None:
         """A request is rejected, so that its client may retry it."""
         has_no_effect = is_safe_to_resend(service_class) or not any(
-            attempt.may_have_run for attempt in attempts
+            attempt.may_have_executed for attempt in attempts
         )
         self.check(Invariant.REJECTION_WITHOUT_EFFECT, request_id, holds=has_no_effect)
 
--- a/tulipnotch/sidecar/requests/request_receiver.py
+++ b/tulipnotch/sidecar/requests/request_receiver.py
@@ -45,7 +45,7 @@
             # Rejects an id that is already in use, since servers deduplicate by it.
             raise BadRequestError("request-id is that of an open request", 409)
         max_open_requests = context.settings.limits.max_open_requests
-        if max_open_requests is not None and registry.pending_responses >= max_open_requests:
+        if max_open_requests is not None and registry.pending_response_count >= max_open_requests:
             context.telemetry.request_ended(incoming.class_name, Result.REJECTED)
             context.telemetry.request_rejected(None)
             connection.send_response(503, [], b"")
@@ -53,7 +53,7 @@
         now = context.clock.now()
         if registry.may_have_executed(incoming.request_id, now):
             raise BadRequestError("request-id is that of a request that may have run", 409)
-        incoming.remaining_us = registry.limit_remaining(incoming.remaining_us, now)
+        incoming.remaining_us = registry.limit_remaining_time(incoming.remaining_us, now)
         request = registry.add(connection, incoming)
         is_body_incomplete = not incoming.body.is_complete
         if is_body_incomplete:
@@ -80,7 +80,7 @@
         if not request.is_waiting:
             return
         now = request.body_completed_at = self._context.clock.now()
-        remaining_us = self._registry.limit_remaining(request.incoming.remaining_us, now)
+        remaining_us = self._registry.limit_remaining_time(request.incoming.remaining_us, now)
         for upstream_request in request.upstream_requests:
             self._context.upstream.set_deadline(upstream_request, now + remaining_us)
         self._events.post(RequestBodyCompleted(request.number, remaining_us))
--- a/tulipnotch/sidecar/requests/request_registry.py
+++ b/tulipnotch/sidecar/requests/request_registry.py
@@ -56,14 +56,14 @@
         if request.has_ended:
             self._open.pop(request.number, None)
 
-    def limit_remaining(self, remaining_us: int, now: int) -> int:
+    def limit_remaining_time(self, remaining_us: int, now: int) -> int:
         """Returns the time (us) that a request has: what its client gave it, but not beyond `respond_by`."""
         if self.respond_by is None:
             return remaining_us
         return max(min(remaining_us, self.respond_by - now), 1)
 
     @property
-    def pending_complete_requests(self) -> int:
+    def pending_complete_request_count(self) -> int:
         """How many requests have come completely and have a pending response."""
         return sum(
             request.incoming.body.is_complete and request.has_pending_response
@@ -73,7 +73,7 @@
     # Ids
 
     @property
-    def pending_responses(self) -> int:
+    def pending_response_count(self) -> int:
         """How many requests have a pending response."""
         return len(self._pending_ids)
 
--- a/tulipnotch/sidecar/requests/responses.py
+++ b/tulipnotch/sidecar/requests/responses.py
@@ -55,7 +55,7 @@
         if type(state) is not StreamingResponse:
             self._registry.response_ended(request)
         for upstream_request in request.upstream_requests:
-            self._context.upstream.cancel_unwritten(upstream_request)
+            self._context.upstream.cancel_if_unwritten(upstream_request)
         return waiting.client
 
     def mark_disconnected(self, request: OpenRequest) -> None:
@@ -87,18 +87,18 @@
             client.send_response(status, headers, body, length)
         self._registry.remove_if_ended(request)
 
-    def respond_from(self, number: int, response: Response) -> None:
+    def respond_with_server_response(self, number: int, response: Response) -> None:
         """Writes a server's complete response as that of a request."""
         self.respond(number, 200, _passed_back(response), response.body, response.length)
 
-    def fail(self, action: FailRequest) -> None:
+    def fail_request(self, action: FailRequest) -> None:
         """Responds that no attempt had a response: 504 where time ran out, else 502."""
         request = self._registry.get(action.request)
         self._context.telemetry.request_failed(action.reason)
         has_timed_out = request is not None and request.last_outcome in (None, Outcome.TIMED_OUT)
         self.respond(action.request, 504 if has_timed_out else 502, [])
 
-    def reject(self, action: RejectRequest) -> None:
+    def reject_request(self, action: RejectRequest) -> None:
         """Responds 503: the request was not executed, and may be retried."""
         request = self._registry.get(action.request)
         context = self._context
@@ -143,12 +143,12 @@
         else:
             self._stream_ended(request, Result.FAILED)
             # Before the end of the response, so that the client sees that it is incomplete.
-            streaming.client.abort(CloseReason.ANSWER_BROKEN)
+            streaming.client.abort(CloseReason.RESPONSE_INCOMPLETE)
 
     def cancel_stream(self, request: OpenRequest, streaming: StreamingResponse) -> None:
         """The client disconnected while its response was streamed: cancels the attempt that it came from."""
         self._stream_ended(request, Result.FAILED)
-        self._context.upstream.cancel(request.upstream_requests[streaming.attempt])
+        self._context.upstream.cancel_request(request.upstream_requests[streaming.attempt])
 
     def _stream_ended(self, request: OpenRequest, result: Result) -> None:
         request.response = RESPONSE_ENDED
--- a/tulipnotch/sidecar/shutdown.py
+++ b/tulipnotch/sidecar/shutdown.py
@@ -58,7 +58,7 @@
             self._responses.respond(request.number, 504, [])  # the balancer has not ended it in time
             self._responses.end_stream(request, Outcome.CANCELLED)
         await asyncio.sleep(0)
-        pending = self._registry.pending_responses
+        pending = self._registry.pending_response_count
         self._context.invariants.check(
             Invariant.STOP_WITHOUT_PENDING_RESPONSE, str(pending), holds=not pending
         )
@@ -70,7 +70,7 @@
         """
         self._downstream.stop_listening()
         self._budget.set_shared(is_shared=True)
-        self._context.upstream.close_all_idle()
+        self._context.upstream.close_all_idle_connections()
         await _poll(lambda: self._downstream.has_no_connections, _POLL_INTERVAL_S, until)
 
     async def _drain_connections(self, started_at: float, until: float) -> None:
@@ -86,8 +86,10 @@
         )
         await _poll(downstream.accept_pending, _QUIET_PERIOD_S / 2, until)
         downstream.stop_listening()
-        while (self._registry.pending_responses or not downstream.has_no_connections) and loop.time() < until:
-            if not self._registry.pending_responses:
+        while (
+            self._registry.pending_response_count or not downstream.has_no_connections
+        ) and loop.time() < until:
+            if not self._registry.pending_response_count:
                 downstream.close_idle()
             await asyncio.sleep(_POLL_INTERVAL_S)
 
--- a/tulipnotch/sidecar/upstream/buffered_exchange.py
+++ b/tulipnotch/sidecar/upstream/buffered_exchange.py
@@ -8,7 +8,7 @@
 from tulipnotch.sidecar.upstream.exchange import ExchangeFailure, ResponseConsumer
 
 
-class BufferedExchange:
+class BufferedExchangeObserver:
     """Observes one exchange.
 
     Attributes:
--- a/tulipnotch/sidecar/upstream/connection.py
+++ b/tulipnotch/sidecar/upstream/connection.py
@@ -1,7 +1,7 @@
 """The client's side of one HTTP/1.1 connection: one exchange at a time, and how it ended.
 
-A connection sends nothing by itself and nothing twice: the caller of `exchange` decides what is written, and
-its observer is asked before each later write.  A connection is in one of these states:
+A connection never starts or repeats a request by itself: the caller of `start_exchange` decides what is
+written, and its observer is asked before each later write.  A connection is in one of these states:
 
     connecting -> idle -> writing -> awaiting the response -> (streaming the response) -> idle
 
@@ -116,7 +116,7 @@
             return False
         return not self._poll.poll(0)
 
-    def exchange(self, request: Request, observer: ExchangeObserver) -> None:
+    def start_exchange(self, request: Request, observer: ExchangeObserver) -> None:
         """Write a request, as far as the network accepts it; the observer is notified of the rest.
 
         `ExchangeObserver.exchange_ended` is not called within this call.
--- a/tulipnotch/sidecar/upstream/exchange.py
+++ b/tulipnotch/sidecar/upstream/exchange.py
@@ -39,8 +39,8 @@
     def may_write(self) -> bool:
         """Whether a further part of the request may be written, in the instant in which it would be.
 
-        Not asked for what is written within `exchange`, which its caller has decided on.  Whoever returns
-        False has closed the connection.
+        Not asked for what is written within `start_exchange`, which its caller has decided on.  Whoever
+        returns False has closed the connection.
         """
         ...
 
--- a/tulipnotch/sidecar/upstream/load_report.py
+++ b/tulipnotch/sidecar/upstream/load_report.py
@@ -7,7 +7,7 @@
 _MAX_REPORT_VALUE = 1e9  # larger values are ignored
 
 
-def load_report(
+def parse_load_report(
     response: Response | None, columns: tuple[str, ...], *, in_body: bool = False
 ) -> dict[str, float] | None:
     """Return the load report of a response.
--- a/tulipnotch/sidecar/upstream/pool.py
+++ b/tulipnotch/sidecar/upstream/pool.py
@@ -36,11 +36,11 @@
         max_connections: Set by whoever divides the process's descriptors.
     """
 
-    def __init__(self, clock: Clock, settings: Settings, guard: InvariantChecker | None = None) -> None:
+    def __init__(self, clock: Clock, settings: Settings, invariants: InvariantChecker | None = None) -> None:
         """Begin without endpoints and without capacity for connections."""
         self.max_connections = 0
         self._clock = clock
-        self._guard = guard or InvariantChecker()
+        self._invariants = invariants or InvariantChecker()
         self._gate = WriteGate(clock)
         self._timeouts = UpstreamTimeouts.from_settings(settings)
         self._endpoints: dict[str, EndpointConnections] = {}
@@ -83,14 +83,14 @@
             endpoint.is_draining = True  # for connections that are being established
             endpoint.close_idle()
 
-    def locality(self, name: str) -> tuple[str, int]:
+    def endpoint_locality(self, name: str) -> tuple[str, int]:
         """Return the zone and the cell of an endpoint; empty and 0 where it was removed."""
         endpoint = self._endpoints.get(name)
         return ("", 0) if endpoint is None else (endpoint.zone, endpoint.cell)
 
     # Requests
 
-    def start(self, request: UpstreamRequest) -> None:
+    def start_request(self, request: UpstreamRequest) -> None:
         """Send a request to its endpoint; its observer is notified of what becomes of it."""
         endpoint = self._endpoints.get(request.endpoint)
         if endpoint is None or endpoint.is_draining or self._clock.now() >= request.deadline:
@@ -109,17 +109,17 @@
         """Read the request's latest start again, since another attempt was written."""
         self._gate.write_deadline_changed(request)
 
-    def cancel(self, request: UpstreamRequest) -> None:
+    def cancel_request(self, request: UpstreamRequest) -> None:
         """End the request from this side; its observer is notified later, not within this call."""
         self._gate.cancel(request)
 
-    def cancel_unwritten(self, request: UpstreamRequest) -> None:
+    def cancel_if_unwritten(self, request: UpstreamRequest) -> None:
         """End a request that is not written completely.
 
         No server has begun to execute it, so that it may be cancelled also where the settings forbid that.
         """
         if request.is_unwritten:
-            self.cancel(request)
+            self.cancel_request(request)
 
     def _assign_connection(self, request: UpstreamRequest, endpoint: EndpointConnections) -> None:
         """Use an idle connection, wait for one to be reusable, or establish a new one."""
@@ -193,7 +193,7 @@
     def _write(self, request: UpstreamRequest, connection: UpstreamConnection) -> None:
         endpoint = self._endpoints.get(request.endpoint)
         is_ready = endpoint is not None and not endpoint.is_draining
-        self._guard.check(
+        self._invariants.check(
             Invariant.ATTEMPT_TO_READY_ENDPOINT,
             request.endpoint,
             holds=is_ready and self._endpoint_of.get(connection) is endpoint,
@@ -202,7 +202,7 @@
         now = self._clock.now()
         request.timeout_runs_from = now if request.deadline < NEVER else None
         message = request.build_message(max(request.deadline - now, _MIN_ANNOUNCED_TIMEOUT_US))
-        connection.exchange(message, RequestExchange(self._gate, request, connection))
+        connection.start_exchange(message, RequestExchange(self._gate, request, connection))
 
     # Connections
 
@@ -222,13 +222,13 @@
         if endpoint is not None:
             endpoint.remove_idle(connection)
 
-    def close_idle(self, name: str) -> None:
+    def close_idle_connections(self, name: str) -> None:
         """Close the idle connections to an endpoint."""
         endpoint = self._endpoints.get(name)
         if endpoint is not None:
             endpoint.close_idle()
 
-    def close_all_idle(self) -> None:
+    def close_all_idle_connections(self) -> None:
         """Close all idle connections."""
         for endpoint in self._endpoints.values():
             endpoint.close_idle()
--- a/tulipnotch/sidecar/upstream/request.py
+++ b/tulipnotch/sidecar/upstream/request.py
@@ -42,7 +42,7 @@
         ...
 
 
-class IndependentRequestObserver:
+class BackgroundRequestObserver:
     """Observes a request that no client waits for, such as a health check."""
 
     streams_responses = False
