--- a/tulipnotch/sidecar/action_executor.py
+++ b/tulipnotch/sidecar/action_executor.py
@@ -136,5 +136,5 @@
     def __init__(self, on_end: Callable[[Outcome, Response | None], None]) -> None:
         self._on_end = on_end
 
-    def ended(self, outcome: Outcome, response: Response | None) -> None:
+    def request_ended(self, outcome: Outcome, response: Response | None) -> None:
         self._on_end(outcome, response)
--- a/tulipnotch/sidecar/requests/attempts.py
+++ b/tulipnotch/sidecar/requests/attempts.py
@@ -149,7 +149,7 @@
             self._report(Outcome.DELIVERED, head)
         return client
 
-    def ended(self, outcome: Outcome, response: Response | None) -> None:
+    def request_ended(self, outcome: Outcome, response: Response | None) -> None:
         """Responds to the client where the attempt was delivered, and reports its outcome to the balancer."""
         request = self._request
         starter = self._starter
--- a/tulipnotch/sidecar/upstream/request.py
+++ b/tulipnotch/sidecar/upstream/request.py
@@ -37,7 +37,7 @@
         """A response has started that is too large to be buffered; returns who consumes it, or None."""
         ...
 
-    def ended(self, outcome: Outcome, response: Response | None) -> None:
+    def request_ended(self, outcome: Outcome, response: Response | None) -> None:
         """The request has its outcome; called exactly once, never from within `start` or `cancel`."""
         ...
 
@@ -62,7 +62,7 @@
         """Ignored: the response is short."""
         return None
 
-    def ended(self, outcome: Outcome, response: Response | None) -> None:
+    def request_ended(self, outcome: Outcome, response: Response | None) -> None:
         """Ignored."""
 
 
--- a/tulipnotch/sidecar/upstream/write_gate.py
+++ b/tulipnotch/sidecar/upstream/write_gate.py
@@ -102,7 +102,7 @@
             request.timer.cancel()
         if request.connection is not None:
             request.connection.close()
-        asyncio.get_running_loop().call_soon(request.observer.ended, outcome, None)
+        asyncio.get_running_loop().call_soon(request.observer.request_ended, outcome, None)
 
     def end(self, request: UpstreamRequest, outcome: Outcome, response: Response | None = None) -> None:
         """Notify the request's observer of its outcome, unless it has ended before."""
@@ -111,4 +111,4 @@
         request.has_ended = True
         if request.timer is not None:
             request.timer.cancel()
-        request.observer.ended(outcome, response)
+        request.observer.request_ended(outcome, response)
