--- a/tests/sidecar/requests/test_client_disconnects.py
+++ b/tests/sidecar/requests/test_client_disconnects.py
@@ -295,7 +295,7 @@
                 connection = held.upstream_requests[0].connection
                 assert connection is not None
                 if end is not None:
-                    connection._read(end)
+                    connection._process_data(end)
                 else:
                     connection.connection_lost(None)
                 if how == "stays":
--- a/tests/sidecar/requests/test_invariants.py
+++ b/tests/sidecar/requests/test_invariants.py
@@ -150,12 +150,12 @@
             client = await scene.client()
             monkeypatch.setattr(Balancer, "write_deadline", lambda *_given: 2**62)
             held: list[Any] = []
-            exchange = scene.sidecar._upstream._write
+            exchange = scene.sidecar._upstream._write_request
 
             def late(call: Any, connection: Any) -> None:
                 held.append((call, connection))
 
-            monkeypatch.setattr(scene.sidecar._upstream, "_write", late)
+            monkeypatch.setattr(scene.sidecar._upstream, "_write_request", late)
             client.send(request("check"))
             await until(lambda: bool(held))
             client.close()
@@ -272,7 +272,7 @@
             connection = server.idle.pop().connection
             server.is_draining = True
             call = UpstreamRequest("s-0", 2**61, lambda _left_us: _PING, BackgroundRequestObserver())
-            upstream._write(call, connection)
+            upstream._write_request(call, connection)
             assert (
                 scene.sidecar._context.invariants.violation_counts[Invariant.ATTEMPT_TO_READY_ENDPOINT] == 1
             )
--- a/tests/sidecar/upstream/test_retry_interleavings.py
+++ b/tests/sidecar/upstream/test_retry_interleavings.py
@@ -43,7 +43,7 @@
 from tulipnotch.sidecar.upstream.connection import UpstreamConnection
 from tulipnotch.sidecar.upstream.pool import UpstreamPool
 from tulipnotch.sidecar.upstream.request import UpstreamRequest
-from tulipnotch.sidecar.upstream.request_exchange import RequestExchange
+from tulipnotch.sidecar.upstream.request_exchange import RequestExchangeObserver
 
 DEPTH = 4
 
@@ -112,7 +112,7 @@
 
     The gate that is bypassed: `may_write`, which `UpstreamConnection` asks before each further write.
     """
-    with mock.patch.object(RequestExchange, "may_write", lambda exchange: True):
+    with mock.patch.object(RequestExchangeObserver, "may_write", lambda exchange: True):
         yield
 
 
--- a/tests/sidecar/upstream/test_unwritten_request.py
+++ b/tests/sidecar/upstream/test_unwritten_request.py
@@ -28,19 +28,19 @@
     assert unwritten.pop_available() == b""
     body.feed(b"d")
     body.complete()
-    assert unwritten.remainder() == b"cd"
+    assert unwritten.encode_remainder() == b"cd"
 
 
 @pytest.mark.parametrize("is_chunked", [False, True])
 def test_unwritten_request_removes_what_was_written(is_chunked: bool) -> None:
     unwritten = UnwrittenRequest(_request(Body(b"body"), is_chunked=is_chunked), _ignore)
     expected = _HEAD + (b"4\r\nbody\r\n0\r\n\r\n" if is_chunked else b"body")
-    assert unwritten.remainder() == expected
-    unwritten.written(10)
+    assert unwritten.encode_remainder() == expected
+    unwritten.remove_written(10)
     assert unwritten.pop_all_but_last_byte() == expected[10:-1]
-    assert unwritten.remainder() == expected[-1:]
-    unwritten.written(1)
-    assert unwritten.remainder() == b""
+    assert unwritten.encode_remainder() == expected[-1:]
+    unwritten.remove_written(1)
+    assert unwritten.encode_remainder() == b""
 
 
 def test_unwritten_request_detaches_only_its_own_hook() -> None:
--- a/tulipnotch/sidecar/upstream/__init__.py
+++ b/tulipnotch/sidecar/upstream/__init__.py
@@ -1,1 +1,1 @@
-"""The servers' side: connections, the pool of them, and one exchange at a time on each."""
+"""Connections to servers, their pool, and the requests that are sent on them."""
--- a/tulipnotch/sidecar/upstream/buffered_exchange.py
+++ b/tulipnotch/sidecar/upstream/buffered_exchange.py
@@ -1,4 +1,4 @@
-"""The observer of an exchange whose response is awaited, and buffered until it is complete."""
+"""The observer of an exchange whose caller awaits the complete response."""
 
 from __future__ import annotations
 
@@ -9,30 +9,30 @@
 
 
 class BufferedExchangeObserver:
-    """Observes one exchange.
+    """Observes one exchange, and provides its result as a future.
 
     Attributes:
-        result: Done once the exchange has ended; may be cancelled.
+        result: The response, or why there is none; done once the exchange has ended.  It may be cancelled.
     """
 
     streams_responses = False
 
     def __init__(self) -> None:
-        """Begin without a result; needs a running event loop."""
+        """Creates the pending future; requires a running event loop."""
         self.result: asyncio.Future[Response | ExchangeFailure] = asyncio.get_running_loop().create_future()
 
     def may_write(self) -> bool:
-        """Always."""
+        """Returns True: every write is allowed."""
         return True
 
     def request_written(self) -> None:
-        """Ignored."""
+        """Does nothing."""
 
     def response_started(self, _head: Response) -> ResponseConsumer | None:
-        """Never called, since responses are not streamed."""
+        """Returns None; not called, since `streams_responses` is false."""
         return None
 
     def exchange_ended(self, result: Response | ExchangeFailure) -> None:
-        """Set the result."""
+        """Sets the result, unless the future was cancelled."""
         if not self.result.done():
             self.result.set_result(result)
--- a/tulipnotch/sidecar/upstream/connection.py
+++ b/tulipnotch/sidecar/upstream/connection.py
@@ -1,11 +1,11 @@
-"""The client's side of one HTTP/1.1 connection: one exchange at a time, and how it ended.
+"""The client side of one HTTP/1.1 connection to a server: one exchange at a time.
 
 A connection never starts or repeats a request by itself: the caller of `start_exchange` decides what is
 written, and its observer is asked before each later write.  A connection is in one of these states:
 
     connecting -> idle -> writing -> awaiting the response -> (streaming the response) -> idle
 
-and closed, which follows any of them.
+or closed, which may follow each of these.
 """
 
 from __future__ import annotations
@@ -32,130 +32,131 @@
 )
 from tulipnotch.sidecar.upstream.unwritten_request import UnwrittenRequest
 
-_STREAM_STALL_TIMEOUT_S = 20.0  # without progress of a streamed response, which can't be retried
+_STREAM_STALL_TIMEOUT_S = 20.0  # limit without progress of a streamed response, which can't be retried
 
-_LAST_BYTE_RETRY_S = 0.002  # until the last byte is offered again to a kernel without buffer space for it
+_LAST_BYTE_RETRY_S = 0.002  # delay of the next write when the kernel had no buffer space for the last byte
 
-# Every connection reads into this one buffer; each read is used up before the next.  An event loop's own
-# buffer takes 256 KiB for each read, and several reads may come before a connection that receives too much is
-# closed.
+# All connections read into this one buffer, since the data of each read is copied before the next read.  The
+# event loop's own buffer takes 256 KiB for each read, and several reads may come before a connection that
+# receives too much is closed.
 _READ_BUFFER = memoryview(bytearray(32 << 10))
 
 
 class ConnectionOwner(Protocol):
-    """Whoever decides on the further use of a connection."""
+    """The owner of a connection, which decides on its further use."""
 
     def connection_idle(self, connection: UpstreamConnection) -> None:
-        """An exchange has ended, and the connection can carry another; called before its observer is."""
+        """Called when an exchange has ended and its connection is reusable, before its observer is called."""
         ...
 
     def connection_closed(self, connection: UpstreamConnection) -> None:
-        """The connection can never be used again; called once."""
+        """Called once, when the connection can never be used again."""
         ...
 
 
 @unique
-class _Unused(Enum):
-    """The states of an open connection without an exchange."""
+class _UnusedState(Enum):
+    """States of a connection that is not closed and has no exchange in flight."""
 
     CONNECTING = auto()
     IDLE = auto()
 
 
 class UpstreamConnection(asyncio.BufferedProtocol):
-    """One connection to a server; owns its socket and the exchange under way."""
+    """One connection to a server; owns its socket and the exchange in flight."""
 
     def __init__(
         self, reader: ResponseReader, owner: ConnectionOwner | None, response_stall_timeout_s: float
     ) -> None:
-        """Begin unconnected.
+        """Starts in the state CONNECTING.
 
         Args:
-            reader: Reads this connection's responses, and no other's.
-            owner: Notified when the connection is idle or closed, if there is one.
+            reader: Parses the responses of this connection only.
+            owner: Notified when the connection becomes idle or is closed; None: nobody is notified.
             response_stall_timeout_s: The longest time without progress of a response that has started and is
                 not streamed.
         """
         self._reader = reader
         self._owner = owner
         self._response_stall_timeout_s = response_stall_timeout_s
-        self._state: _Unused | Exchange | Closed = _Unused.CONNECTING
-        self._transport: asyncio.Transport | None = None  # once it is connected
-        self._descriptor = -1  # of the socket, once it is connected
+        self._state: _UnusedState | Exchange | Closed = _UnusedState.CONNECTING
+        self._transport: asyncio.Transport | None = None  # None until it is connected
+        self._descriptor = -1  # of the socket; -1 until it is connected
         self._poll = select.poll()
-        self._stall_timer: asyncio.TimerHandle | None = None  # while a response is received in part
-        self._progress_at = 0.0  # when a part of the response was received last, in the loop's time (s)
-        self._exchange_count = 0  # with the one under way
-        self._has_backlog = False  # whether the transport buffers what the kernel did not accept yet
+        self._stall_timer: asyncio.TimerHandle | None = None  # runs while a response is incomplete
+        self._progress_at = 0.0  # event loop time (s) at which a part of the response was last received
+        self._exchange_count = 0  # exchanges so far, with the one in flight
+        self._has_backlog = False  # whether the transport has data that the kernel has not accepted yet
         self._is_reading_paused = False
 
     @property
     def is_closed(self) -> bool:
-        """Whether it can never be used again, and its owner has been notified."""
+        """Whether the connection can never be used again; its owner has been notified."""
         return isinstance(self._state, Closed)
 
     @property
     def is_unwritten(self) -> bool:
-        """Whether the last request was not written completely, so that no server can have begun it."""
+        """Whether the last request was not written completely, so that no server can have executed it."""
         if isinstance(self._state, Closed):
             return self._state.is_unwritten
         return isinstance(self._state, Writing)
 
     @property
     def is_response_certain(self) -> bool:
-        """Whether a response can belong to the last request only, since there was no other before it."""
+        """Whether a response can only belong to the last request, since no other was sent before it."""
         return self._exchange_count <= 1
 
     def is_usable(self) -> bool:
-        """Whether a request may be written now: the connection is open and idle, and nothing is unread.
+        """Returns whether a request may be written now: the connection is idle and has no unread input.
 
-        A server may close an idle connection at any time, and its end may be in the socket before the event
-        loop has read it.  A request that is written then may have been executed, as far as can be known.
+        A server may close an idle connection at any time, and the end of the stream may be in the socket
+        before the event loop has read it.  A request written then would fail in a way that does not show
+        whether it was executed.
         """
-        if self._state is not _Unused.IDLE or self._transport is None or self._transport.is_closing():
+        if self._state is not _UnusedState.IDLE or self._transport is None or self._transport.is_closing():
             return False
         return not self._poll.poll(0)
 
     def start_exchange(self, request: Request, observer: ExchangeObserver) -> None:
-        """Write a request, as far as the network accepts it; the observer is notified of the rest.
+        """Writes as much of a request as the kernel accepts; notifies the observer of the further progress.
 
         `ExchangeObserver.exchange_ended` is not called within this call.
 
         Raises:
-            ConnectionNotIdleError: The connection is not connected, in use or closed.
+            ConnectionNotIdleError: If the connection is not connected yet, is in use or is closed.
         """
-        if self._state is not _Unused.IDLE:
+        if self._state is not _UnusedState.IDLE:
             raise ConnectionNotIdleError(f"{self._state}")
         self._reader.expect_response(to_head_request=request.method == b"HEAD")
         self._exchange_count += 1
-        self._state = writing = Writing(observer, UnwrittenRequest(request, self._write_more))
+        self._state = writing = Writing(observer, UnwrittenRequest(request, self._continue_writing))
         self._write_available(writing)
 
     def pause(self) -> None:
-        """Stop reading the response until its consumer has capacity."""
+        """Stops reading the response until `resume` is called, while its consumer has no buffer space."""
         self._is_reading_paused = True
         if self._transport is not None and not self.is_closed:
             self._transport.pause_reading()
 
     def resume(self) -> None:
-        """Go on reading the response."""
+        """Continues reading the response."""
         self._is_reading_paused = False
         self._progress_at = asyncio.get_running_loop().time()
         if self._transport is not None and not self.is_closed:
             self._transport.resume_reading()
 
     def close(self) -> None:
-        """Close the connection; the observer of an exchange under way is not notified.
+        """Closes the connection; the observer of an exchange in flight is not notified.
 
-        Its sending ends within this call, before anything that the caller writes elsewhere next: the
-        transport closes its socket only in a later round of the event loop, and until then a further attempt
-        would be executed beside this one.
+        The socket is shut down within this call, before the caller can write the request to another server:
+        the transport closes its socket only in a later iteration of the event loop, and until then this
+        attempt could be executed concurrently with the next one.
         """
         state = self._state
         if isinstance(state, Closed):
             return
         if isinstance(state, Writing):
-            self._stop_writing(state)
+            self._detach_request(state)
         self._stop_stall_timer()
         self._state = Closed(is_unwritten=isinstance(state, Writing))
         if self._transport is not None:
@@ -169,101 +170,104 @@
     # Called by the event loop
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begin the idle state."""
-        # uvloop's class is not derived from asyncio's, so that there is nothing to check at run time.
+        """Makes the connection idle."""
+        # uvloop's transports are not derived from asyncio's classes, so isinstance can't check the type.
         self._transport = cast(asyncio.Transport, transport)
-        self._transport.set_write_buffer_limits(high=0)  # so that pause_writing means: something is unwritten
+        self._transport.set_write_buffer_limits(high=0)  # pause_writing is then called for any backlog
         self._descriptor = transport.get_extra_info("socket").fileno()
         self._poll.register(self._descriptor, select.POLLIN)
-        if self._state is _Unused.CONNECTING:
-            self._state = _Unused.IDLE
+        if self._state is _UnusedState.CONNECTING:
+            self._state = _UnusedState.IDLE
 
     def pause_writing(self) -> None:
-        """Write nothing more until the kernel has accepted what the transport buffers."""
+        """Stops writing until the kernel has accepted all data in the transport's buffer."""
         self._has_backlog = True
 
     def resume_writing(self) -> None:
-        """Go on writing, as the kernel has accepted all that was given to the transport."""
+        """Continues writing: the kernel has accepted all data in the transport's buffer."""
         self._has_backlog = False
-        self._write_more()
+        self._continue_writing()
 
     def get_buffer(self, _sizehint: int) -> memoryview:
-        """Return where to read into."""
+        """Returns the buffer that all connections read into."""
         return _READ_BUFFER
 
     def buffer_updated(self, nbytes: int) -> None:
-        """Read a part of a response; close the connection where none is due."""
+        """Processes received data; closes the connection if no response is pending."""
         if isinstance(self._state, (AwaitingResponse, Streaming, Writing)):
-            self._read(bytes(_READ_BUFFER[:nbytes]))
+            self._process_data(bytes(_READ_BUFFER[:nbytes]))
         else:
             self.close()
 
     def eof_received(self) -> None:
-        """End the response where only the connection's end delimits it; else the exchange fails."""
+        """Completes a response that the end of the connection delimits; otherwise fails the exchange."""
         self._reader.feed_end()
         if self._current_exchange() is not None and self._reader.response is not None:
             self._process_response()
         else:
-            self._connection_broken()
+            self._fail_after_disconnect()
 
     def connection_lost(self, _error: Exception | None) -> None:
-        """End the exchange under way."""
-        self._connection_broken()
+        """Fails the exchange in flight."""
+        self._fail_after_disconnect()
 
     # The request
 
-    def _write_more(self) -> None:
-        """Write what the network accepts of the request, if its observer allows it now."""
+    def _continue_writing(self) -> None:
+        """Writes as much of the request as the kernel accepts, if its observer allows it now."""
         state = self._state
         if isinstance(state, Writing) and not self._has_backlog and state.observer.may_write():
             self._write_available(state)
 
     def _write_available(self, writing: Writing) -> None:
-        """Write what was received of the request, as far as the network accepts it.
+        """Writes as much of the received part of the request as the kernel accepts.
 
-        A server may begin with the last byte.  That one is never given to the transport, which would write it
-        at any later time: it is written to the kernel here, in this instant, once all before it is written.
+        A server may begin to execute the request on its last byte.  That byte is never given to the
+        transport, which could write it at any later time: it is written to the kernel directly, at a known
+        time, after everything before it was accepted.
         """
         if writing.request.is_body_complete:
-            self._write_end(writing)
+            self._write_remainder(writing)
         else:
-            self._write(writing.request.pop_available())
+            self._write_to_transport(writing.request.pop_available())
 
-    def _write(self, data: bytes) -> None:
-        """Write what is not the end of a request; the transport buffers what the kernel does not accept."""
+    def _write_to_transport(self, data: bytes) -> None:
+        """Writes bytes before the last one; the transport buffers what the kernel does not accept."""
         if data and self._transport is not None:
             self._transport.write(data)
             if self._transport.is_closing():
-                self._has_backlog = True  # the write failed at once; connection_lost follows
+                self._has_backlog = True  # the write failed immediately; connection_lost is called later
 
-    def _write_end(self, writing: Writing) -> None:
-        """Write the end of a request that was received completely, or as much of it as the kernel accepts."""
-        remainder = writing.request.remainder()
+    def _write_remainder(self, writing: Writing) -> None:
+        """Writes as much of the end of a completely received request as the kernel accepts."""
+        remainder = writing.request.encode_remainder()
         try:
             count = os.write(self._descriptor, remainder)
         except BlockingIOError:
             count = 0
         except OSError:
-            self._has_backlog = True  # the write failed at once
+            self._has_backlog = True  # the write failed immediately
             if self._transport is not None:
-                self._transport.abort()  # and connection_lost follows
+                self._transport.abort()  # connection_lost is called later
             return
         if count == len(remainder):
-            self._stop_writing(writing)
+            self._detach_request(writing)
             self._state = AwaitingResponse(writing.observer)
             writing.observer.request_written()
             return
-        writing.request.written(count)
-        self._write(writing.request.pop_all_but_last_byte())
+        writing.request.remove_written(count)
+        self._write_to_transport(writing.request.pop_all_but_last_byte())
         if not self._has_backlog:
-            # The kernel accepted all but one byte, or has no space for the one that is left: the transport
-            # buffers nothing, and so resume_writing will not be called.
-            writing.retry_timer = asyncio.get_running_loop().call_later(_LAST_BYTE_RETRY_S, self._write_more)
+            # Only the last byte is left.  The transport has nothing in its buffer, so it will not call
+            # resume_writing.
+            writing.retry_timer = asyncio.get_running_loop().call_later(
+                _LAST_BYTE_RETRY_S, self._continue_writing
+            )
 
-    def _stop_writing(self, writing: Writing) -> None:
+    def _detach_request(self, writing: Writing) -> None:
         if writing.retry_timer is not None:
             writing.retry_timer.cancel()
-        writing.request.detach(self._write_more)
+        writing.request.detach(self._continue_writing)
 
     # The response
 
@@ -271,16 +275,16 @@
         state = self._state
         return state if isinstance(state, (AwaitingResponse, Streaming, Writing)) else None
 
-    def _read(self, data: bytes) -> None:
+    def _process_data(self, data: bytes) -> None:
         self._progress_at = asyncio.get_running_loop().time()
         self._reader.feed(data)
         self._process_response()
 
     def _process_response(self) -> None:
-        """Pass on or complete the response, as far as it was received."""
+        """Passes on streamed data, and ends the exchange if the response is complete or malformed."""
         reader = self._reader
         if reader.is_malformed:
-            self._fail(ExchangeFailure.MALFORMED_RESPONSE)
+            self._fail_exchange(ExchangeFailure.MALFORMED_RESPONSE)
             return
         if isinstance(self._state, AwaitingResponse):
             head = reader.head_to_stream
@@ -292,25 +296,25 @@
             if data:
                 state.consumer.write_body(data)
         if not isinstance(self._state, (AwaitingResponse, Streaming, Writing)):
-            return  # the observer or the consumer has closed it meanwhile
+            return  # the observer or the consumer has closed the connection
         response = reader.response
         if response is not None:
-            self._response_received(self._state, response)
+            self._complete_exchange(self._state, response)
         elif reader.is_mid_message and self._stall_timer is None:
-            # A response that has started and never ends would occupy its request until the deadline, when it
-            # is too late to try another server.  Interim responses do not count as a start.
-            self._check_progress()
+            # A response that starts and never ends would block its request until the deadline, when it is too
+            # late to try another server.  Interim (1xx) responses do not count as a start.
+            self._check_stall()
 
     def _start_streaming(self, awaiting: AwaitingResponse, head: Response) -> None:
-        """Find a consumer for the response, which fails without one."""
+        """Asks the observer for a consumer of the response; the exchange fails without one."""
         consumer = awaiting.observer.response_started(head)
         if consumer is None:
-            self._fail(ExchangeFailure.MALFORMED_RESPONSE)  # nobody waits for it any more
+            self._fail_exchange(ExchangeFailure.MALFORMED_RESPONSE)  # no client waits for it any more
         elif self._state is awaiting:
             self._state = Streaming(awaiting.observer, consumer)
 
-    def _check_progress(self) -> None:
-        """Fail the exchange if its response makes no progress, or look again when that could be."""
+    def _check_stall(self) -> None:
+        """Fails the exchange if its response has stalled for too long; otherwise restarts the stall timer."""
         loop = asyncio.get_running_loop()
         if self._is_reading_paused:
             self._progress_at = loop.time()
@@ -318,44 +322,47 @@
         timeout_s = _STREAM_STALL_TIMEOUT_S if is_streaming else self._response_stall_timeout_s
         remaining_s = self._progress_at + timeout_s - loop.time()
         if remaining_s <= 0.0:
-            self._fail(ExchangeFailure.MALFORMED_RESPONSE)
+            self._fail_exchange(ExchangeFailure.MALFORMED_RESPONSE)
         else:
-            self._stall_timer = loop.call_later(remaining_s, self._check_progress)
+            self._stall_timer = loop.call_later(remaining_s, self._check_stall)
 
     def _stop_stall_timer(self) -> None:
         if self._stall_timer is not None:
             self._stall_timer.cancel()
             self._stall_timer = None
 
-    def _response_received(self, exchange: Exchange, response: Response) -> None:
-        """End the exchange, and decide whether the connection can carry another."""
+    def _complete_exchange(self, exchange: Exchange, response: Response) -> None:
+        """Ends the exchange with a response, and decides whether the connection can be reused."""
         self._stop_stall_timer()
         is_written = not isinstance(exchange, Writing)
         if response.status == 200 and not is_written:
-            # A successful response to an incomplete request belongs to another request.
-            self._fail(ExchangeFailure.MALFORMED_RESPONSE)
+            # A server can't have executed an incomplete request, so this response belongs to another one.
+            self._fail_exchange(ExchangeFailure.MALFORMED_RESPONSE)
             return
-        # Nothing in a response names its request.  So that no response is taken for another request's, a
-        # connection that received more than was due, or before the request was written, is never used again.
-        is_clean = is_written and not self._has_backlog and not self._reader.has_excess_data
-        # A response that does not end the client's request, on a connection that carried others, may be a
-        # duplicate of an earlier one.  The request may be at this server still, and is not sent elsewhere
-        # unless this connection is closed.
+        # Nothing in an HTTP/1.1 response identifies its request.  A connection that received excess data, or
+        # a response before its request was written, is not reused: its next response could belong to another
+        # request.
+        is_in_sync = is_written and not self._has_backlog and not self._reader.has_excess_data
+        # Any other response than a 200, on a connection with earlier exchanges, may be a duplicate of an
+        # earlier response.  The server may then still have the request, so this connection is closed before
+        # the request is retried elsewhere.
         is_final = response.status == 200 or self.is_response_certain
-        if self._reader.keep_alive and is_clean and is_final:
-            self._state = _Unused.IDLE
+        if self._reader.keep_alive and is_in_sync and is_final:
+            self._state = _UnusedState.IDLE
             if self._is_reading_paused:
-                self.resume()  # the consumer has no more to take, and the next response is to be read
+                self.resume()  # the consumer is done, and the next response has to be read
             if self._owner is not None:
                 self._owner.connection_idle(self)
         else:
             self.close()
         exchange.observer.exchange_ended(response)
 
-    def _connection_broken(self) -> None:
-        self._fail(ExchangeFailure.UNWRITTEN if self.is_unwritten else ExchangeFailure.CONNECTION_LOST)
+    def _fail_after_disconnect(self) -> None:
+        self._fail_exchange(
+            ExchangeFailure.UNWRITTEN if self.is_unwritten else ExchangeFailure.CONNECTION_LOST
+        )
 
-    def _fail(self, failure: ExchangeFailure) -> None:
+    def _fail_exchange(self, failure: ExchangeFailure) -> None:
         exchange = self._current_exchange()
         self.close()
         if exchange is not None:
--- a/tulipnotch/sidecar/upstream/dial.py
+++ b/tulipnotch/sidecar/upstream/dial.py
@@ -1,4 +1,4 @@
-"""Establishing a connection to a server, and the meaning of a failure."""
+"""Establishes a connection to a server, and classifies the failures."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 from tulipnotch.sidecar.upstream.connection import UpstreamConnection
 from tulipnotch.sidecar.upstream.errors import ConnectError
 
-# Errors by which this machine, not the server, lacks what a connection takes.
+# Errors for exhausted resources of this machine: they are no fault of the server.
 _LOCAL_RESOURCE_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL)
 
 
 async def dial(
     address: Address, create_connection: Callable[[], UpstreamConnection], timeout_s: float
 ) -> UpstreamConnection:
-    """Return a connection to `address` that is open, as far as is known.
+    """Connects to `address` and returns the connection; the server may close it at any time afterwards.
 
     Raises:
-        ConnectError: It was refused, took too long, or ended as soon as it was established.
+        ConnectError: If the connection was refused, timed out, or closed as soon as it was established.
     """
     try:
         async with asyncio.timeout(timeout_s):
@@ -30,5 +30,5 @@
         is_local = isinstance(error, OSError) and error.errno in _LOCAL_RESOURCE_ERRNOS
         raise ConnectError(Outcome.NOT_SENT if is_local else Outcome.CONNECT_FAILED) from error
     if connection.is_closed:
-        raise ConnectError(Outcome.CONNECT_FAILED)  # its owner is not notified of its end again
+        raise ConnectError(Outcome.CONNECT_FAILED)  # its owner was already notified of its end
     return connection
--- a/tulipnotch/sidecar/upstream/endpoint_connections.py
+++ b/tulipnotch/sidecar/upstream/endpoint_connections.py
@@ -1,4 +1,4 @@
-"""The connections to one endpoint: a record."""
+"""The address of one endpoint and the idle connections to it."""
 
 from __future__ import annotations
 
@@ -10,20 +10,21 @@
 
 @dataclass(slots=True)
 class IdleConnection:
-    """A connection without an exchange, and the clock time (us) since when."""
+    """A connection without an exchange, and the clock time (us) at which it became idle."""
 
     connection: UpstreamConnection
-    since: int
+    idle_since: int
 
 
 @dataclass(slots=True, eq=False)
 class EndpointConnections:
-    """Where an endpoint is reached, and the idle connections to the process that runs there now.
+    """The address of an endpoint, and the idle connections to the server process that runs there now.
 
     Attributes:
-        started_at: When that process started, as discovery has it.
-        is_draining: Whether no further request may be written, also on a connection in establishment.
-        idle: The most recently used connection is the last.
+        started_at: The start time of that process, as reported by discovery.
+        is_draining: Whether no further request may be written, not even on connections that are being
+            established.
+        idle: The idle connections, with the most recently used one last.
     """
 
     address: Address
@@ -34,16 +35,16 @@
     idle: list[IdleConnection] = field(default_factory=list)
 
     def close_idle(self) -> None:
-        """Close all idle connections."""
+        """Closes all idle connections."""
         idle, self.idle = self.idle, []
         for each in idle:
             each.connection.close()
 
-    def close_idle_since(self, time: int) -> None:
-        """Close the connections that are idle since `time` (us) or longer."""
-        while self.idle and self.idle[0].since <= time:
+    def close_idle_since(self, time_us: int) -> None:
+        """Closes the connections that have been idle since clock time `time_us` or longer."""
+        while self.idle and self.idle[0].idle_since <= time_us:
             self.idle.pop(0).connection.close()
 
     def remove_idle(self, connection: UpstreamConnection) -> None:
-        """Remove a closed connection from the idle ones, if it is one."""
+        """Removes a closed connection from the idle ones, if it is among them."""
         self.idle = [each for each in self.idle if each.connection is not connection]
--- a/tulipnotch/sidecar/upstream/errors.py
+++ b/tulipnotch/sidecar/upstream/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the servers' side."""
+"""Errors of connections to servers."""
 
 from __future__ import annotations
 
@@ -10,17 +10,18 @@
 
 
 class ConnectionNotIdleError(UpstreamError):
-    """An exchange was started on a connection that is not connected, in use or closed."""
+    """An exchange was started on a connection that is not connected yet, is in use or is closed."""
 
 
 class ConnectError(UpstreamError):
     """A connection could not be established.
 
     Attributes:
-        outcome: CONNECT_FAILED; NOT_SENT where this machine, not the server, lacked a resource.
+        outcome: NOT_SENT if a resource of this machine was exhausted, which is no fault of the server;
+            otherwise CONNECT_FAILED.
     """
 
     def __init__(self, outcome: Outcome) -> None:
-        """Keep the outcome of the request that waits for the connection."""
+        """Stores the outcome of the request that waits for the connection."""
         super().__init__(outcome.value)
         self.outcome = outcome
--- a/tulipnotch/sidecar/upstream/exchange.py
+++ b/tulipnotch/sidecar/upstream/exchange.py
@@ -1,4 +1,4 @@
-"""An exchange of a request and its response: who observes it, its phases, and how it can fail."""
+"""An exchange of a request and its response on one connection: its states, observers and failures."""
 
 from __future__ import annotations
 
@@ -13,23 +13,23 @@
 
 @unique
 class ExchangeFailure(Enum):
-    """Why an exchange has no response."""
+    """Why an exchange ended without a usable response."""
 
     UNWRITTEN = "unwritten"  # the connection broke before the request's last byte was written
-    CONNECTION_LOST = "broken"  # it broke or ended after that
-    MALFORMED_RESPONSE = "spoilt"  # the response is not HTTP, is ambiguous, too large or has no end
+    CONNECTION_LOST = "broken"  # the connection broke or ended after the request's last byte was written
+    MALFORMED_RESPONSE = "spoilt"  # the response is invalid or ambiguous HTTP, too large, or stalled
 
 
 class ResponseConsumer(Protocol):
     """Receives the body of a streamed response."""
 
     def write_body(self, piece: bytes) -> None:
-        """Take a further part of the body."""
+        """Accepts a further part of the body."""
         ...
 
 
 class ExchangeObserver(Protocol):
-    """Whoever an exchange is made for: asked before writes, and notified of its progress."""
+    """Decides on the writes of an exchange, and is notified of its progress."""
 
     @property
     def streams_responses(self) -> bool:
@@ -37,49 +37,49 @@
         ...
 
     def may_write(self) -> bool:
-        """Whether a further part of the request may be written, in the instant in which it would be.
+        """Returns whether a further part of the request may be written now; called right before the write.
 
-        Not asked for what is written within `start_exchange`, which its caller has decided on.  Whoever
-        returns False has closed the connection.
+        It is not called for what is written within `start_exchange`, which its caller has decided on.  An
+        implementation that returns False must have closed the connection.
         """
         ...
 
     def request_written(self) -> None:
-        """The last byte is written in this instant, so that a server may begin to execute the request."""
+        """Called when the last byte was just written, so that the server may execute the request."""
         ...
 
     def response_started(self, head: Response) -> ResponseConsumer | None:
-        """A response has started that is too large to be buffered.
+        """Called when a response has started that is too large to be buffered.
 
         Returns:
-            Who consumes its body; None: nobody, and the exchange fails.
+            The consumer of its body, or None to fail the exchange.
         """
         ...
 
     def exchange_ended(self, result: Response | ExchangeFailure) -> None:
-        """The exchange has ended; called exactly once, unless the connection is closed by `close` before."""
+        """Called once when the exchange has ended; not called if the connection was closed by `close`."""
         ...
 
 
 @dataclass(slots=True, eq=False)
 class Writing:
-    """A part of the request is not written yet."""
+    """State: a part of the request is not written yet."""
 
     observer: ExchangeObserver
     request: UnwrittenRequest
-    retry_timer: asyncio.TimerHandle | None = None  # until the last byte is offered to the kernel again
+    retry_timer: asyncio.TimerHandle | None = None  # runs until the next attempt to write the last byte
 
 
 @dataclass(slots=True, eq=False)
 class AwaitingResponse:
-    """The request is written; its response is buffered as far as it was received."""
+    """State: the request is written, and its response is buffered until it is complete."""
 
     observer: ExchangeObserver
 
 
 @dataclass(slots=True, eq=False)
 class Streaming:
-    """The request is written, and its response is passed on as it is received."""
+    """State: the request is written, and its response is passed on as it is received."""
 
     observer: ExchangeObserver
     consumer: ResponseConsumer
@@ -87,9 +87,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Closed:
-    """The connection can never be used again."""
+    """State: the connection can never be used again."""
 
-    is_unwritten: bool  # whether its last request was not written completely
+    is_unwritten: bool  # whether the last request was not written completely
 
 
 Exchange = Writing | AwaitingResponse | Streaming
--- a/tulipnotch/sidecar/upstream/request.py
+++ b/tulipnotch/sidecar/upstream/request.py
@@ -1,4 +1,4 @@
-"""One request to one server, and who is notified of what becomes of it."""
+"""One request to one server, and the interface of its observer."""
 
 from __future__ import annotations
 
@@ -14,60 +14,64 @@
 
 
 class RequestObserver(Protocol):
-    """Whoever a request is sent for: asked before each write, and notified of its progress."""
+    """Decides on the writes of a request, and is notified of its progress."""
 
     @property
     def streams_responses(self) -> bool:
-        """Whether a response too large to be buffered is passed on; if not, it is malformed."""
+        """Whether a response that is too large to be buffered is streamed; if not, it counts as malformed."""
         ...
 
-    def check_still_wanted(self) -> bool:
-        """Whether the request is still to be sent; it may be cancelled within this call."""
+    def check_still_needed(self) -> bool:
+        """Returns whether the request still has to be sent; may cancel the request within this call."""
         ...
 
     def write_deadline(self) -> int:
-        """Clock time (us) from which on the last byte may not be written any more; NEVER: no bound."""
+        """Returns the clock time (us) from which the last byte must not be written; NEVER: no limit."""
         ...
 
     def request_written(self, request: UpstreamRequest) -> None:
-        """The last byte is written in this instant, so that a server may begin to execute the request."""
+        """Called when the last byte was just written, so that the server may execute the request."""
         ...
 
     def response_started(self, head: Response, connection: UpstreamConnection) -> ResponseConsumer | None:
-        """A response has started that is too large to be buffered; returns who consumes it, or None."""
+        """Called when a response has started that is too large to be buffered.
+
+        Returns:
+            The consumer of its body, or None to fail the request.
+        """
         ...
 
     def request_ended(self, outcome: Outcome, response: Response | None) -> None:
-        """The request has its outcome; called exactly once, never from within `start` or `cancel`."""
+        """Called exactly once, with the outcome; never from within `start_request` or `cancel_request`."""
         ...
 
 
 class BackgroundRequestObserver:
-    """Observes a request that no client waits for, such as a health check."""
+    """Observes a request that no client waits for, such as a health check; ignores all progress."""
 
     streams_responses = False
 
-    def check_still_wanted(self) -> bool:
-        """Always, since the request is sent for its own sake."""
+    def check_still_needed(self) -> bool:
+        """Returns True: no client can withdraw the request."""
         return True
 
     def write_deadline(self) -> int:
-        """There is no bound: the request has no effect."""
+        """Returns NEVER: the request has no effect, so a late execution does no harm."""
         return NEVER
 
     def request_written(self, request: UpstreamRequest) -> None:
-        """Ignored."""
+        """Does nothing."""
 
     def response_started(self, _head: Response, _connection: UpstreamConnection) -> ResponseConsumer | None:
-        """Ignored: the response is short."""
+        """Returns None: the response is not streamed."""
         return None
 
     def request_ended(self, outcome: Outcome, response: Response | None) -> None:
-        """Ignored."""
+        """Does nothing."""
 
 
 class UpstreamRequest:
-    """One request to one endpoint, from its start to its outcome; times are clock times (us)."""
+    """One request to one endpoint, from its start to its outcome; all times are clock times (us)."""
 
     __slots__ = (
         "build_message",
@@ -78,26 +82,26 @@
         "is_response_certain",
         "last_write_allowed_at",
         "observer",
-        "timeout_runs_from",
+        "timeout_started_at",
         "timer",
     )
 
     def __init__(
         self, endpoint: str, deadline: int, build_message: Callable[[int], Request], observer: RequestObserver
     ) -> None:
-        """`build_message` is given the time that is left, in microseconds."""
+        """Creates a request; `build_message` is called with the remaining time (us) when it is written."""
         self.endpoint = endpoint
         self.deadline = deadline
         self.build_message = build_message
         self.observer = observer
         self.has_ended = False
-        self.last_write_allowed_at = 0  # when a write was last allowed
-        self.timeout_runs_from: int | None = None  # from when on the time that its head announces passes
-        self.is_response_certain = True  # whether a response can belong to no other request
-        self.connection: UpstreamConnection | None = None  # once it is being written
+        self.last_write_allowed_at = 0  # time of the last check that allowed a write
+        self.timeout_started_at: int | None = None  # when the timeout that its head announces began
+        self.is_response_certain = True  # whether the response can only be to this request
+        self.connection: UpstreamConnection | None = None  # set when writing begins
         self.timer: asyncio.TimerHandle | None = None
 
     @property
     def is_unwritten(self) -> bool:
-        """Whether the last byte was not written, so that no server can have begun to execute it."""
+        """Whether the last byte is not written yet, so that no server can have executed the request."""
         return self.connection is None or self.connection.is_unwritten
--- a/tulipnotch/sidecar/upstream/request_exchange.py
+++ b/tulipnotch/sidecar/upstream/request_exchange.py
@@ -1,4 +1,4 @@
-"""One request on one connection: what becomes of the exchange decides the request's outcome."""
+"""The observer that maps the end of an exchange to the outcome of its request."""
 
 from __future__ import annotations
 
@@ -16,45 +16,47 @@
 }
 
 
-class RequestExchange:
-    """Observes the exchange of an `UpstreamRequest`."""
+class RequestExchangeObserver:
+    """Observes the exchange of one `UpstreamRequest`, and ends the request with it."""
 
     __slots__ = ("_connection", "_gate", "_request")
 
     def __init__(self, gate: WriteGate, request: UpstreamRequest, connection: UpstreamConnection) -> None:
-        """Observe `request` on `connection`; each write passes `gate`."""
+        """Observes `request` on `connection`; `gate` decides on each write."""
         self._gate = gate
         self._request = request
         self._connection = connection
 
     @property
     def streams_responses(self) -> bool:
-        """Whether a response too large to be buffered is passed on."""
+        """Whether a response that is too large to be buffered is streamed."""
         return self._request.observer.streams_responses
 
     def may_write(self) -> bool:
-        """Whether a further part of the request may be written now."""
+        """Returns whether a further part of the request may be written now."""
         return self._gate.may_write(self._request)
 
     def request_written(self) -> None:
-        """Notify the request's observer."""
+        """Notifies the request's observer."""
         self._request.observer.request_written(self._request)
 
     def response_started(self, head: Response) -> ResponseConsumer | None:
-        """Return who consumes the response; from here on its progress is limited, not its total time."""
+        """Returns the response's consumer; from now on the stall timeout limits it, not the deadline."""
         if self._request.timer is not None:
             self._request.timer.cancel()
         return self._request.observer.response_started(head, self._connection)
 
     def exchange_ended(self, result: Response | ExchangeFailure) -> None:
-        """End the request."""
+        """Ends the request with the outcome of its exchange."""
         request = self._request
         request.is_response_certain = self._connection.is_response_certain or request.is_unwritten
-        self._gate.end(request, outcome_of(result), result if isinstance(result, Response) else None)
+        self._gate.end_request(
+            request, outcome_of_exchange(result), result if isinstance(result, Response) else None
+        )
 
 
-def outcome_of(result: Response | ExchangeFailure) -> Outcome:
-    """Return the outcome that the end of an exchange means."""
+def outcome_of_exchange(result: Response | ExchangeFailure) -> Outcome:
+    """Returns the request's outcome for the result of its exchange."""
     if isinstance(result, ExchangeFailure):
         return _FAILURE_OUTCOMES[result]
     if result.status == 200:
--- a/tulipnotch/sidecar/upstream/timeouts.py
+++ b/tulipnotch/sidecar/upstream/timeouts.py
@@ -1,4 +1,4 @@
-"""How long the servers' side waits, as it follows from the settings."""
+"""The timeouts of connections to servers, derived from the settings."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 from tulipnotch.load_balancing.settings import Settings
 
-# Part of the idle timeout for which a connection is not used any more: the server may be closing it.
+# Final part of the idle timeout in which a connection is no longer used: the server may be closing it.
 _IDLE_TIMEOUT_MARGIN = 0.1
-# A response that makes no progress is given up while its request can still be served elsewhere: after a part
-# of the shortest latency objective, but not sooner than a busy machine delays any response.  That minimum is
-# limited to a part of the shortest deadline; the remaining part is for another server.
+# A stalled response is abandoned while its request can still be served by another server: after a part of the
+# shortest latency objective, but not before a minimum, since a busy machine may delay any response that long.
+# The minimum is limited to a part of the shortest deadline; the remaining part is left for another server.
 _STALL_OBJECTIVE_RATIO = 0.4
 _MIN_STALL_TIMEOUT_S = 0.1
 _STALL_DEADLINE_RATIO = 0.5
@@ -18,12 +18,13 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamTimeouts:
-    """The time limits of connections to servers.
+    """The timeouts of connections to servers.
 
     Attributes:
-        connect_s: From the start of a connection's establishment to its end.
-        response_stall_s: Without progress of a response that has started and is not streamed.
-        max_idle_us: From the end of one exchange to the start of the next.
+        connect_s: The longest time to establish a connection.
+        response_stall_s: The longest time without progress of a response that has started, unless it
+            is streamed.
+        max_idle_us: The longest time from the end of one exchange to the start of the next.
     """
 
     connect_s: float
@@ -32,7 +33,7 @@
 
     @classmethod
     def from_settings(cls, settings: Settings) -> UpstreamTimeouts:
-        """Derive the limits from the objectives, the deadlines and the limits of the settings."""
+        """Derives the timeouts from the latency objectives, deadlines and limits in the settings."""
         objective_s = min(each.latency_objective_us for each in settings.classes) / 1e6
         deadline_s = min(each.deadline_us for each in settings.classes) / 1e6
         min_stall_s = min(_MIN_STALL_TIMEOUT_S, _STALL_DEADLINE_RATIO * deadline_s)
--- a/tulipnotch/sidecar/upstream/unwritten_request.py
+++ b/tulipnotch/sidecar/upstream/unwritten_request.py
@@ -1,4 +1,4 @@
-"""What is still to be written of a request; no sockets."""
+"""The part of a request that is not written yet, without any access to sockets."""
 
 from __future__ import annotations
 
@@ -8,52 +8,51 @@
 
 
 class UnwrittenRequest:
-    """The part of a request that was not written yet, in the order in which it is to be written.
+    """Yields the bytes of a request that are not written yet, in the order in which they are written.
 
-    A server may begin to execute a request with its last byte.  So what is removed while the body is
-    incomplete never contains the last byte that was received of it: that byte may turn out to be the
-    request's last.
+    A server may begin to execute a request on its last byte.  While the body is incomplete, the last byte
+    received of it is therefore held back: it may turn out to be the last byte of the request.
     """
 
     __slots__ = ("_has_end", "_remainder", "_request")
 
     def __init__(self, request: Request, on_data: Callable[[], None]) -> None:
-        """Begin with the head; `on_data` is called when more of the body is received, until `detach`."""
+        """Starts with the head; `on_data` is called when more of the body is received, until `detach`."""
         self._request = request
         self._remainder = request.encode_start()
-        self._has_end = False  # whether the remainder is all that is left
+        self._has_end = False  # whether `_remainder` contains the end of the request
         request.body.on_data = on_data
 
     @property
     def is_body_complete(self) -> bool:
-        """Whether the last byte of the body was received."""
+        """Whether the last byte of the body was received from the client."""
         return self._request.body.is_complete
 
     def pop_available(self) -> bytes:
-        """Remove and return what may be written of an incomplete request."""
+        """Removes and returns the bytes of an incomplete request that may be written now."""
         request = self._request
         available = self._remainder + request.frame(request.body.pop_pending(except_last=1))
         self._remainder = b""
         return available
 
-    def remainder(self) -> bytes:
-        """Return all that is left of a complete request."""
+    def encode_remainder(self) -> bytes:
+        """Returns all unwritten bytes of a complete request, without removing them."""
         if not self._has_end:
             request = self._request
             self._remainder += request.frame(request.body.pop_pending()) + request.terminator
             self._has_end = True
         return self._remainder
 
-    def written(self, count: int) -> None:
-        """Remove the first `count` bytes of the remainder, which were written."""
+    def remove_written(self, count: int) -> None:
+        """Removes the first `count` bytes of the remainder, which were written."""
         self._remainder = self._remainder[count:]
 
     def pop_all_but_last_byte(self) -> bytes:
-        """Remove and return the remainder without its last byte."""
+        """Removes and returns the remainder except its last byte."""
         removed, self._remainder = self._remainder[:-1], self._remainder[-1:]
         return removed
 
     def detach(self, on_data: Callable[[], None]) -> None:
-        """Call `on_data` no more, unless the body has another hook by now."""
+        """Stops the calls of `on_data`, unless the body already calls another hook."""
         if self._request.body.on_data == on_data:
             self._request.body.on_data = None
--- a/tulipnotch/sidecar/upstream/write_gate.py
+++ b/tulipnotch/sidecar/upstream/write_gate.py
@@ -1,4 +1,4 @@
-"""When a request may be written, and when it ends."""
+"""Decides when a request may be written and when it ends."""
 
 from __future__ import annotations
 
@@ -10,63 +10,64 @@
 from tulipnotch.sidecar.http1.messages import Response
 from tulipnotch.sidecar.upstream.request import UpstreamRequest
 
-_MIN_TIMER_US = 1_000  # the resolution of event loops' timers: a shorter one may fire early, without effect
-# How long after its head the last byte of a request may be written.  The head announces the time that the
-# client has left, but the server counts it from the last byte.  This takes two thirds of the slack that is
-# allowed for that; the last third is for a process that is delayed.
+_MIN_TIMER_US = 1_000  # resolution of event loop timers; a shorter timer may fire early, to no effect
+# The longest time from the head of a request to its last byte.  The head announces the client's remaining
+# time, but the server counts it from the last byte.  This limit takes two thirds of the slack that is allowed
+# for the difference; the last third is left for delays of this process.
 _TIMEOUT_HEADER_STALE_AFTER_US = 100_000
 
 
 class WriteGate:
-    """Decides about each write of a request, and ends each request exactly once; owns their timers."""
+    """Decides on each write of a request, and ends each request exactly once; owns the requests' timers."""
 
     def __init__(self, clock: Clock) -> None:
-        """Judge deadlines by `clock`."""
+        """Compares deadlines with `clock`."""
         self._clock = clock
 
     def may_write(self, request: UpstreamRequest) -> bool:
-        """Return whether the request may be written now; if not, it is ended.
+        """Returns whether the request may be written now; if not, it is ended.
 
-        Every attempt has to pass here in the instant in which a connection is begun for it and in which a
-        part of it is written: the first byte, each further part, and the last byte.
+        This check is made for every attempt when its connection is requested, and right before each write: of
+        the first byte, of each further part, and of the last byte.
         """
-        if not request.has_ended and not request.observer.check_still_wanted():
-            self.cancel(request)
+        if not request.has_ended and not request.observer.check_still_needed():
+            self.cancel_request(request)
         if not request.has_ended:
-            # Read before the write, so that a delay of the process within the write counts as time passed.
+            # The clock is read before the write, so that a delay of the process until the write has ended
+            # counts as elapsed time.
             now = request.last_write_allowed_at = self._clock.now()
             if now >= request.observer.write_deadline():
-                self._stop(request, Outcome.NOT_SENT)  # a retry later than this could have a double effect
-            elif now >= request.deadline or self._is_head_stale(request.timeout_runs_from, now):
-                self._stop(request, Outcome.CONNECT_FAILED)
+                # A retry after this time could be executed a second time.
+                self._end_and_notify_later(request, Outcome.NOT_SENT)
+            elif now >= request.deadline or self._is_head_stale(request.timeout_started_at, now):
+                self._end_and_notify_later(request, Outcome.CONNECT_FAILED)
         return not request.has_ended
 
     @staticmethod
-    def _is_head_stale(written_at: int | None, now: int) -> bool:
-        """Whether the head announced more time than the client has left now.
+    def _is_head_stale(timeout_started_at: int | None, now: int) -> bool:
+        """Returns whether the head announced too much more time than the client has left now.
 
-        A server that accepts the request slowly would work past the client's deadline; it cannot have begun
-        yet, and the next server's head announces what is left then.
+        A server that accepts the request slowly would execute it past the client's deadline.  It cannot have
+        begun yet, and the head for the next server announces the time that is left then.
         """
-        return written_at is not None and now > written_at + _TIMEOUT_HEADER_STALE_AFTER_US
+        return timeout_started_at is not None and now > timeout_started_at + _TIMEOUT_HEADER_STALE_AFTER_US
 
     def set_deadline(self, request: UpstreamRequest, deadline: int) -> None:
-        """Limit a request that had no deadline before."""
+        """Sets the deadline of a request that had none, because its body was incomplete."""
         if not request.has_ended and request.deadline >= NEVER:
             request.deadline = deadline
             if request.connection is not None:
-                request.timeout_runs_from = (
-                    self._clock.now()
-                )  # its head announced all the time of a complete one
-            self.start_timer(request)
+                # The head announced the full timeout, which begins once the body is complete.
+                request.timeout_started_at = self._clock.now()
+            self.restart_timer(request)
 
     def write_deadline_changed(self, request: UpstreamRequest) -> None:
-        """Read the request's latest start again, since another attempt was written."""
+        """Restarts the timer of an unwritten request, whose write deadline changed with another attempt."""
         if not request.has_ended and request.is_unwritten:
-            self.start_timer(request)
+            self.restart_timer(request)
 
-    def start_timer(self, request: UpstreamRequest) -> None:
-        """Start the request's timer anew, for the time at which it ends as it stands, if there is one."""
+    def restart_timer(self, request: UpstreamRequest) -> None:
+        """Restarts the request's timer for its deadline or its write deadline, whichever is earlier."""
         if request.timer is not None:
             request.timer.cancel()
         due = request.deadline
@@ -77,26 +78,28 @@
             request.timer = asyncio.get_running_loop().call_later(delay_s, self._timer_fired, request)
 
     def _timer_fired(self, request: UpstreamRequest) -> None:
-        """End the request if its deadline is over, or its latest start before it was written."""
+        """Ends the request if its deadline has passed, or its write deadline while it is unwritten."""
         now = self._clock.now()
         outcome = Outcome.TIMED_OUT
         if request.is_unwritten:
-            # A latest start that is over says nothing about the server.
+            # A passed write deadline is no evidence of a fault of the server.
             is_past_write_deadline = now >= request.observer.write_deadline()
             outcome = Outcome.NOT_SENT if is_past_write_deadline else Outcome.CONNECT_FAILED
         if outcome is not Outcome.NOT_SENT and now < request.deadline:
-            self.start_timer(request)  # it was written in time, or its latest start was moved
+            self.restart_timer(request)  # it was written in time, or its write deadline has changed
             return
         if request.connection is not None:
             request.connection.close()
-        self.end(request, outcome)
+        self.end_request(request, outcome)
 
-    def cancel(self, request: UpstreamRequest) -> None:
-        """End the request from this side; its observer is notified later, not within this call."""
+    def cancel_request(self, request: UpstreamRequest) -> None:
+        """Cancels the request; its observer is notified after this call has returned."""
         if not request.has_ended:
-            self._stop(request, Outcome.NOT_SENT if request.is_unwritten else Outcome.CANCELLED)
+            self._end_and_notify_later(
+                request, Outcome.NOT_SENT if request.is_unwritten else Outcome.CANCELLED
+            )
 
-    def _stop(self, request: UpstreamRequest, outcome: Outcome) -> None:
+    def _end_and_notify_later(self, request: UpstreamRequest, outcome: Outcome) -> None:
         request.has_ended = True
         if request.timer is not None:
             request.timer.cancel()
@@ -104,8 +107,10 @@
             request.connection.close()
         asyncio.get_running_loop().call_soon(request.observer.request_ended, outcome, None)
 
-    def end(self, request: UpstreamRequest, outcome: Outcome, response: Response | None = None) -> None:
-        """Notify the request's observer of its outcome, unless it has ended before."""
+    def end_request(
+        self, request: UpstreamRequest, outcome: Outcome, response: Response | None = None
+    ) -> None:
+        """Ends the request and notifies its observer of the outcome, unless it has ended before."""
         if request.has_ended:
             return
         request.has_ended = True
