--- a/tulipnotch/sidecar/requests/__init__.py
+++ b/tulipnotch/sidecar/requests/__init__.py
@@ -1,1 +1,1 @@
-"""Requests from their arrival to their final response, and the invariants checked on the way."""
+"""Handles requests from their arrival to their final response, and checks invariants on the way."""
--- a/tulipnotch/sidecar/requests/attempts.py
+++ b/tulipnotch/sidecar/requests/attempts.py
@@ -1,4 +1,4 @@
-"""The attempts of requests: one exchange with one server each, from its start to its outcome."""
+"""The attempts of requests; each attempt sends the request to one server and ends with one outcome."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class AttemptStarter:
-    """Starts and cancels attempts; each attempt reports its end to the balancer by itself."""
+    """Starts and cancels attempts; each attempt reports its own outcome to the balancer."""
 
     def __init__(
         self,
@@ -31,7 +31,7 @@
         balancer: Balancer,
         events: EventQueue,
     ) -> None:
-        """Starts attempts for the requests of this registry."""
+        """Starts attempts for the requests in `registry`."""
         self.context = context
         self.registry = registry
         self.responses = responses
@@ -39,23 +39,24 @@
         self.events = events
 
     def start_attempt(self, action: StartAttempt) -> None:
-        """Starts the next attempt of an open request."""
+        """Starts the next attempt of an open request, at the endpoint that the action names."""
         request = self.registry.require(action.request)
         context = self.context
         number = len(request.upstream_requests)
         attempt = Attempt(self, request, number, action.endpoint, context.clock.now())
-        # A body that is streamed goes to one server at a time, and to none once a part of it is lost.
+        # A streamed body can be sent to one server at a time, and to none once a part of it is no longer
+        # buffered.  A deadline of 0 makes the attempt end unsent.
         body = request.incoming.body
         is_sendable = body.is_replayable and (not request.open_attempts or not body.is_streamed)
         deadline = action.deadline if is_sendable else 0
 
-        # None: an earlier attempt is in flight, or has no outcome.
+        # None if an earlier attempt is still in flight, or if no attempt has ended yet.
         previous_outcome = None if request.open_attempts else request.last_outcome
         if number:
             context.telemetry.request_retried(previous_outcome)
         if context.trace is not None:
             cause = retry_cause_name(previous_outcome) if number else ""
-            context.trace.attempt_started(request.name, number, action.endpoint, cause)
+            context.trace.attempt_started(request.id_for_logs, number, action.endpoint, cause)
 
         upstream_request = UpstreamRequest(
             action.endpoint, deadline, request.incoming.upstream_message, attempt
@@ -65,7 +66,7 @@
         context.upstream.start_request(upstream_request)
 
     def cancel_attempt(self, action: CancelAttempt) -> None:
-        """Cancels an attempt, unless it or its request has ended."""
+        """Cancels an attempt, unless the attempt or its request has ended."""
         request = self.registry.get(action.request)
         if request is not None and action.attempt < len(request.upstream_requests):
             self.context.upstream.cancel_request(request.upstream_requests[action.attempt])
@@ -79,19 +80,17 @@
     def __init__(
         self, starter: AttemptStarter, request: OpenRequest, number: int, endpoint: str, started_at: int
     ) -> None:
-        """Attempts are numbered from 0; `started_at` is a clock time (us)."""
+        """Creates attempt `number`, counted from 0, of `request`; `started_at` is a clock time (us)."""
         self._starter = starter
         self._request = request
         self._number = number
         self._endpoint = endpoint
         self._started_at = started_at
         self._written: WrittenAttempt | None = None
-        self._is_reported = (
-            False  # whether the balancer was notified of its outcome, since its response streams
-        )
+        self._is_outcome_reported = False  # set before the end if the response is streamed
 
-    def check_still_wanted(self) -> bool:
-        """Looks at the client's socket too; where the client has left, the attempt is cancelled within."""
+    def check_still_needed(self) -> bool:
+        """Returns whether the client still waits; cancels the attempt if the client's socket is closed."""
         request = self._request
         waiting = request.response
         if type(waiting) is not WaitingForResponse:
@@ -100,20 +99,20 @@
         return type(request.response) is WaitingForResponse
 
     def write_deadline(self) -> int:
-        """Clock time (us) from which on its last byte may not be written, by its class's deduplication."""
+        """Returns the clock time (us) from which its last byte must not be written, by the retry rules."""
         return self._starter.balancer.write_deadline(self._request.number, self._number)
 
     def request_written(self, request: UpstreamRequest) -> None:
-        """Its last byte is written in this instant: checks whether the rules allow it."""
+        """Records that its last byte was just written, and checks the invariants for it."""
         starter = self._starter
         starter.context.telemetry.attempt_written()
-        self._check_written(request)
+        self._check_written_attempt(request)
         starter.balancer.attempt_written(self._request.number, self._number, request.last_write_allowed_at)
         for other in self._request.upstream_requests:
             if other is not request:
                 starter.context.upstream.write_deadline_changed(other)
 
-    def _check_written(self, upstream_request: UpstreamRequest) -> None:
+    def _check_written_attempt(self, upstream_request: UpstreamRequest) -> None:
         request = self._request
         context = self._starter.context
         zone, cell = context.upstream.endpoint_locality(self._endpoint)
@@ -136,28 +135,29 @@
         self._written = written
         request.written_attempts.append(written)
         if context.trace is not None:
-            context.trace.attempt_written(request.name, self._number)
+            context.trace.attempt_written(request.id_for_logs, self._number)
 
     def response_started(self, head: Response, connection: UpstreamConnection) -> ResponseConsumer | None:
-        """Streams its response to the client; returns None where no client waits.
+        """Streams its response to the client; returns None if no client waits.
 
-        For the balancer the response is delivered now: how fast the client reads tells nothing of the server.
+        The outcome DELIVERED is reported to the balancer now, since the time that the client takes to read
+        the response says nothing about the server.
         """
         client = self._starter.responses.start_stream(self._request, self._number, head, connection)
         if client is not None:
-            self._is_reported = True
-            self._report(Outcome.DELIVERED, head)
+            self._is_outcome_reported = True
+            self._report_outcome(Outcome.DELIVERED, head)
         return client
 
     def request_ended(self, outcome: Outcome, response: Response | None) -> None:
-        """Responds to the client where the attempt was delivered, and reports its outcome to the balancer."""
+        """Responds to the client if the outcome is DELIVERED, and reports the outcome to the balancer."""
         request = self._request
         starter = self._starter
         context = starter.context
         request.open_attempts -= 1
         if context.trace is not None:
-            context.trace.attempt_ended(request.name, self._number, outcome)
-        if self._is_reported:
+            context.trace.attempt_ended(request.id_for_logs, self._number, outcome)
+        if self._is_outcome_reported:
             starter.responses.end_stream(request, outcome)
             starter.registry.remove_if_ended(request)
             return
@@ -166,9 +166,9 @@
             context.telemetry.attempt_withheld()
         if outcome is Outcome.DELIVERED and response is not None:
             starter.responses.respond_with_server_response(request.number, response)
-        self._report(outcome, response)
+        self._report_outcome(outcome, response)
 
-    def _report(self, outcome: Outcome, response: Response | None) -> None:
+    def _report_outcome(self, outcome: Outcome, response: Response | None) -> None:
         request = self._request
         starter = self._starter
         settings = starter.context.settings
@@ -188,7 +188,7 @@
                 endpoint=self._endpoint,
                 outcome=outcome,
                 elapsed_us=elapsed_us,
-                is_responded=False,  # the event queue sets it when the event's turn comes
+                is_responded=False,  # set by the event queue when it processes the event
                 report=report,
                 is_retryable=request.incoming.body.is_replayable,
                 is_response_certain=is_response_certain,
--- a/tulipnotch/sidecar/requests/context.py
+++ b/tulipnotch/sidecar/requests/context.py
@@ -1,4 +1,4 @@
-"""What the owners of requests and actions have in common."""
+"""The state shared by the components that handle requests and execute actions."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class SidecarContext:
-    """The settings in force, and where effects go; only a reload replaces a field."""
+    """Holds the settings in force and the shared components; only a reload replaces a field."""
 
     __slots__ = ("clock", "invariants", "log", "settings", "telemetry", "trace", "upstream")
 
@@ -27,7 +27,7 @@
         invariants: InvariantChecker,
         trace: Trace | None,
     ) -> None:
-        """`trace` is None where requests are not traced."""
+        """Stores the components; `trace` is None if requests are not traced."""
         self.settings = settings
         self.clock = clock
         self.upstream = upstream
--- a/tulipnotch/sidecar/requests/invariants.py
+++ b/tulipnotch/sidecar/requests/invariants.py
@@ -1,7 +1,8 @@
-"""The rules as invariants of a running process: checked where each could be broken, and counted.
+"""Invariants of a running process: each is checked where it could be violated, and violations are counted.
 
-`InvariantChecker` decides nothing.  It checks what is done against what was recorded on sockets, not against
-the state of the balancer, so that a bypassed check or a wrong state there shows as a count and a log line.
+`InvariantChecker` makes no decisions.  It compares each action with what was recorded at the sockets, not
+with the state of the balancer, so that a bypassed check or a wrong state of the balancer shows as a count and
+a log line.
 """
 
 from __future__ import annotations
@@ -16,42 +17,42 @@
 
 @unique
 class Invariant(Enum):
-    """What always holds; the values are those of the log."""
+    """Conditions that always hold; the values are written to the log."""
 
     # The last byte of an attempt is written only while its client waits, and before the request's deadline.
     CLIENT_WAITS_FOR_ATTEMPT = "sent_for_a_client"
     ATTEMPT_BEFORE_DEADLINE = "sent_in_time"
-    # The first byte of an attempt is written only to an endpoint that is ready by the endpoint list.
+    # The first byte of an attempt is written only to an endpoint that the endpoint list reports as ready.
     ATTEMPT_TO_READY_ENDPOINT = "sent_to_ready"
     # No two attempts of a request are in flight where the settings forbid hedged requests.
     RETRY_WITHOUT_HEDGING = "repeated_alone"
-    # What may have been executed is executed once more only where servers deduplicate it.
+    # A request that may have been executed is sent again only if servers deduplicate it.
     RETRY_WITHIN_DEDUPLICATION = "repeated_in_bounds"
-    # A rejection says that a retry has no double effect.
+    # A request is rejected only if a retry by the client has no second effect.
     REJECTION_WITHOUT_EFFECT = "refused_unrun"
-    # This side ends no connection with a pending response.
+    # This process closes no client connection with a pending response.
     CLOSE_WITHOUT_PENDING_RESPONSE = "closed_unowed"
-    # A process is ready only after it has called discovery, and ends only without pending responses.
+    # A process becomes ready only after a call to discovery, and stops only without pending responses.
     READY_AFTER_DISCOVERY = "served_listed"
     STOP_WITHOUT_PENDING_RESPONSE = "stopped_unowed"
 
 
 @unique
 class CloseReason(Enum):
-    """Why a client's connection ended; the values are those of the figures and of the log."""
+    """Why a client's connection ended; the values are names in metrics and in the log."""
 
     CLIENT_DISCONNECTED = "client_left"
     RESPONDED = "answered"  # the response announced `connection: close`
-    IDLE = "idle"  # for too long, or while the process drains
-    NO_REQUEST = "silent"  # no request came on it
-    REJECTED = "rejected"  # what came can't be served, or stopped coming
-    RESPONSE_UNREAD = "unread"  # the client reads no more of its response
-    RESPONSE_INCOMPLETE = "answer_broken"  # a streamed response broke off
-    LINGER_TIMEOUT = "lingered"  # the client did not close after this side had
-    CONNECTION_LIMIT = "no_room"  # the limit on connections is reached
+    IDLE = "idle"  # idle for too long, or while the process drains
+    NO_REQUEST = "silent"  # no request was received
+    REJECTED = "rejected"  # the request can't be served, or stalled
+    RESPONSE_UNREAD = "unread"  # the client stopped reading its response
+    RESPONSE_INCOMPLETE = "answer_broken"  # a streamed response broke off before its end
+    LINGER_TIMEOUT = "lingered"  # the client did not close its side in time
+    CONNECTION_LIMIT = "no_room"  # the limit on connections was reached
 
 
-# Allowed with a pending response: its client has left, reads none of it, or sees that it is incomplete.
+# Allowed with a pending response: the client disconnected, does not read it, or notices that it is cut off.
 _WITH_PENDING_RESPONSE = (
     CloseReason.CLIENT_DISCONNECTED,
     CloseReason.RESPONSE_UNREAD,
@@ -61,7 +62,7 @@
 
 @dataclass(slots=True)
 class WrittenAttempt:
-    """An attempt whose last byte was written, as recorded on sockets."""
+    """An attempt whose last byte was written, as recorded at the socket."""
 
     zone: str
     cell: int
@@ -71,28 +72,28 @@
 
 
 class InvariantChecker:
-    """Counts and reports how often each invariant of one process was broken."""
+    """Counts and reports violations of the invariants of one process."""
 
     def __init__(self, on_violation: Callable[[Invariant, str], None] | None = None) -> None:
-        """`on_violation` is called with what the broken invariant is about."""
+        """Starts without violations; `on_violation` is called with the invariant and the subject of each."""
         self.violation_counts = dict.fromkeys(Invariant, 0)
         self._on_violation = on_violation
 
     @property
     def violation_count(self) -> int:
-        """How often any of them was broken."""
+        """The number of violations of all invariants."""
         return sum(self.violation_counts.values())
 
-    def check(self, invariant: Invariant, about: str | bytes, *, holds: bool) -> None:
-        """Counts and reports an invariant unless it holds; `about` names what it was broken for."""
+    def check(self, invariant: Invariant, subject: str | bytes, *, holds: bool) -> None:
+        """Counts and reports a violation unless `holds`; `subject` is the request id, endpoint or reason."""
         if holds:
             return
         self.violation_counts[invariant] += 1
         if self._on_violation is not None:
-            self._on_violation(invariant, about if isinstance(about, str) else about.decode("latin-1"))
+            self._on_violation(invariant, subject if isinstance(subject, str) else subject.decode("latin-1"))
 
     def check_attempt(self, request_id: bytes, *, is_client_waiting: bool, now: int, deadline: int) -> None:
-        """The last byte of an attempt is written; times are clock times (us)."""
+        """Checks an attempt whose last byte is written; times are clock times (us)."""
         self.check(Invariant.CLIENT_WAITS_FOR_ATTEMPT, request_id, holds=is_client_waiting)
         self.check(Invariant.ATTEMPT_BEFORE_DEADLINE, request_id, holds=now < deadline)
 
@@ -105,32 +106,32 @@
         *,
         allows_hedging: bool,
     ) -> None:
-        """The last byte of a further attempt is written; `earlier` are the written ones before it."""
-        is_alone = allows_hedging or not any(attempt.is_in_flight for attempt in earlier)
-        self.check(Invariant.RETRY_WITHOUT_HEDGING, request_id, holds=is_alone)
+        """Checks a retry whose last byte is written; `earlier` are the attempts written before it."""
+        has_no_concurrent_attempt = allows_hedging or not any(attempt.is_in_flight for attempt in earlier)
+        self.check(Invariant.RETRY_WITHOUT_HEDGING, request_id, holds=has_no_concurrent_attempt)
         executed = [attempt for attempt in earlier if attempt.may_have_executed]
-        is_deduplicated = _may_execute_beside(service_class, written, executed)
-        self.check(Invariant.RETRY_WITHIN_DEDUPLICATION, request_id, holds=is_deduplicated)
+        is_harmless = _is_reexecution_harmless(service_class, written, executed)
+        self.check(Invariant.RETRY_WITHIN_DEDUPLICATION, request_id, holds=is_harmless)
 
     def check_rejection(
         self, request_id: bytes, service_class: ServiceClass, attempts: Iterable[WrittenAttempt]
     ) -> None:
-        """A request is rejected, so that its client may retry it."""
+        """Checks a rejection, after which the client may retry its request."""
         has_no_effect = is_safe_to_resend(service_class) or not any(
             attempt.may_have_executed for attempt in attempts
         )
         self.check(Invariant.REJECTION_WITHOUT_EFFECT, request_id, holds=has_no_effect)
 
     def check_close(self, reason: CloseReason, *, has_pending_response: bool) -> None:
-        """This side ends a client's connection."""
+        """Checks the closing of a client's connection by this process."""
         holds = not has_pending_response or reason in _WITH_PENDING_RESPONSE
         self.check(Invariant.CLOSE_WITHOUT_PENDING_RESPONSE, reason.value, holds=holds)
 
 
-def _may_execute_beside(
+def _is_reexecution_harmless(
     service_class: ServiceClass, written: WrittenAttempt, executed: list[WrittenAttempt]
 ) -> bool:
-    """Whether one more execution has no further effect, by the class's idempotency and deduplication."""
+    """Returns whether one more execution has no second effect, by idempotency and deduplication."""
     if not executed or service_class.idempotency is Idempotency.IDEMPOTENT:
         return True
     if service_class.idempotency is Idempotency.NON_IDEMPOTENT:
--- a/tulipnotch/sidecar/requests/open_request.py
+++ b/tulipnotch/sidecar/requests/open_request.py
@@ -1,4 +1,4 @@
-"""A request from its arrival until its response and all of its attempts have ended."""
+"""A request, from its arrival until its response and all of its attempts have ended."""
 
 from __future__ import annotations
 
@@ -8,38 +8,38 @@
 from tulipnotch.sidecar.requests.invariants import WrittenAttempt
 from tulipnotch.sidecar.upstream.request import UpstreamRequest
 
-# The states are plain classes: each dataclass would take about a millisecond of every start.
+# The states are plain classes, since each dataclass adds about a millisecond to the start of the process.
 
 
 class WaitingForResponse:
-    """The client waits, and no part of a response was written to it."""
+    """State: the client waits, and no part of a response was written to it."""
 
     __slots__ = ("client",)
 
     def __init__(self, client: DownstreamConnection) -> None:
-        """This client waits."""
+        """Stores the connection of the waiting client."""
         self.client = client
 
 
 class StreamingResponse:
-    """The response of one attempt is passed on to the client piece by piece."""
+    """State: the response of one attempt is being streamed to the client."""
 
     __slots__ = ("attempt", "client")
 
     def __init__(self, client: DownstreamConnection, attempt: int) -> None:
-        """The attempt is given by its number."""
+        """Stores the client's connection and the number of the attempt."""
         self.client = client
         self.attempt = attempt
 
 
 class ResponseEnded:
-    """The client has its response, or a response that was streamed broke off."""
+    """State: the response was written completely, or a streamed response broke off."""
 
     __slots__ = ()
 
 
 class Disconnected:
-    """The client disconnected before its response had ended, or its request body was rejected midway."""
+    """State: the client disconnected before the end of its response, or its body was rejected midway."""
 
     __slots__ = ()
 
@@ -47,8 +47,8 @@
 RESPONSE_ENDED = ResponseEnded()
 DISCONNECTED = Disconnected()
 
-# WaitingForResponse -> StreamingResponse -> ResponseEnded; a buffered response leaves the second one out.
-# Disconnected may follow WaitingForResponse, and ResponseEnded where a streamed response broke off.
+# Transitions: WaitingForResponse -> StreamingResponse -> ResponseEnded.  A buffered response skips the second
+# state.  Disconnected may follow WaitingForResponse, or ResponseEnded if a streamed response broke off.
 ResponseState = WaitingForResponse | StreamingResponse | ResponseEnded | Disconnected
 
 
@@ -67,30 +67,31 @@
     )
 
     def __init__(self, number: int, client: DownstreamConnection, incoming: IncomingRequest) -> None:
-        """The request has no attempts yet; `number` tells it from all others of this process."""
+        """Creates a request without attempts; `number` is unique in this process."""
         self.number = number
         self.incoming = incoming
         self.response: ResponseState = WaitingForResponse(client)
-        # Clock time (us) of the last byte of a body that is streamed; 0: not yet, or it was there at arrival.
+        # Clock time (us) at which the last byte of an incomplete body was received; 0 if it was not received
+        # yet, or if the body was complete on arrival.
         self.body_completed_at = 0
-        self.upstream_requests: list[UpstreamRequest] = []  # one for each attempt, by number
-        self.written_attempts: list[WrittenAttempt] = []  # those whose last byte was written
+        self.upstream_requests: list[UpstreamRequest] = []  # indexed by attempt number
+        self.written_attempts: list[WrittenAttempt] = []  # attempts whose last byte was written
         self.open_attempts = 0
-        self.last_outcome: Outcome | None = None  # of the attempt that ended last
+        self.last_outcome: Outcome | None = None  # outcome of the attempt that ended last
 
     @property
-    def name(self) -> str:
-        """The id that its client gave it, for logs."""
+    def id_for_logs(self) -> str:
+        """The client's request id as text, for log lines."""
         return self.incoming.request_id.decode("latin-1")
 
     @property
     def is_waiting(self) -> bool:
-        """Whether the client waits for a response of which no part was written."""
+        """Whether the client waits and no part of a response was written."""
         return type(self.response) is WaitingForResponse
 
     @property
     def has_pending_response(self) -> bool:
-        """Whether a response, or the rest of one, is still to be written to the client."""
+        """Whether a response, or the rest of one, still has to be written to the client."""
         return type(self.response) in (WaitingForResponse, StreamingResponse)
 
     @property
--- a/tulipnotch/sidecar/requests/possibly_executed.py
+++ b/tulipnotch/sidecar/requests/possibly_executed.py
@@ -1,24 +1,23 @@
 """Ids of requests that may have been executed although their clients disconnected.
 
-A client whose connection closes before the response may take its request for one that was never read, and
-send it once more under the same id.  For a class without deduplication everywhere that would be a second
-execution.
+A client whose connection closes before the response may assume that its request was never read, and send it
+again under the same id.  Unless all servers deduplicate requests of that class, it could be executed twice.
 """
 
 from __future__ import annotations
 
-_MAX_IDS = 65_536  # beyond that the oldest are dropped; each takes some 100 bytes
+_MAX_IDS = 65_536  # the oldest ids are dropped beyond this; each takes about 100 bytes
 
 
 class PossiblyExecutedRequests:
-    """Ids that are rejected until their time; all times are clock times (us)."""
+    """Stores ids that are rejected until a given time; all times are clock times (us)."""
 
     def __init__(self) -> None:
-        """No id is rejected yet."""
-        self._rejected_until: dict[bytes, int] = {}  # the oldest entry first
+        """Starts without ids."""
+        self._rejected_until: dict[bytes, int] = {}  # keyed by request id, oldest first
 
     def add(self, request_id: bytes, now: int, until: int) -> None:
-        """Rejects this id until then."""
+        """Adds an id that is rejected until `until`; drops expired and excess ids, oldest first."""
         self._rejected_until.pop(request_id, None)
         self._rejected_until[request_id] = until
         while self._rejected_until:
@@ -28,6 +27,6 @@
             del self._rejected_until[oldest]
 
     def contains(self, request_id: bytes, now: int) -> bool:
-        """Whether a request with this id may have been executed, and its client may still retry it."""
+        """Returns whether a request with this id may have been executed and is still to be rejected."""
         until = self._rejected_until.get(request_id)
         return until is not None and now < until
--- a/tulipnotch/sidecar/requests/request_receiver.py
+++ b/tulipnotch/sidecar/requests/request_receiver.py
@@ -1,4 +1,4 @@
-"""What client connections report: arrivals, completed bodies and disconnects, brought to the balancer."""
+"""Receives arrivals, completed bodies and disconnects from client connections, for the balancer."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class RequestReceiver:
-    """Handles the requests of client connections."""
+    """Handles the events of client connections and their requests."""
 
     def __init__(
         self,
@@ -24,25 +24,25 @@
         responses: ResponseSender,
         events: EventQueue,
     ) -> None:
-        """Records requests in the registry, and posts what happens to them."""
+        """Adds requests to `registry`, and posts their events to `events`."""
         self._context = context
         self._registry = registry
         self._responses = responses
         self._events = events
 
     def request_received(self, connection: DownstreamConnection, incoming: IncomingRequest) -> int | None:
-        """Accepts a request whose head has come, and the start of its body or all of it.
+        """Accepts a request whose head was received, with the start of its body or all of it.
 
         Returns:
-            Its number while its response is pending; None where it was responded within this call.
+            The number of the request if its response is pending; None if it was responded within this call.
 
         Raises:
-            BadRequestError: Its id is that of an open request, or of one that may have been executed.
+            BadRequestError: If the id is that of an open request, or of one that may have been executed.
         """
         context = self._context
         registry = self._registry
         if registry.is_id_in_use(incoming.request_id):
-            # Rejects an id that is already in use, since servers deduplicate by it.
+            # Servers deduplicate requests by id, so an id that is in use is rejected.
             raise BadRequestError("request-id is that of an open request", 409)
         max_open_requests = context.settings.limits.max_open_requests
         if max_open_requests is not None and registry.pending_response_count >= max_open_requests:
@@ -59,7 +59,7 @@
         if is_body_incomplete:
             incoming.body.on_complete = lambda: self._body_completed(request)
         if context.trace is not None:
-            context.trace.request_accepted(request.name, incoming.class_name, incoming.remaining_us)
+            context.trace.request_accepted(request.id_for_logs, incoming.class_name, incoming.remaining_us)
         self._events.post(
             RequestArrived(
                 request=request.number,
@@ -76,7 +76,7 @@
         return request.number if request.is_waiting else None
 
     def _body_completed(self, request: OpenRequest) -> None:
-        """The last byte of a streamed body has come: the request's time begins."""
+        """Starts the request's deadline, now that the last byte of its body was received."""
         if not request.is_waiting:
             return
         now = request.body_completed_at = self._context.clock.now()
@@ -86,7 +86,7 @@
         self._events.post(RequestBodyCompleted(request.number, remaining_us))
 
     def client_disconnected(self, number: int) -> None:
-        """The client disconnected before its response had ended, or its body was abandoned."""
+        """Handles a client that disconnected before the end of its response, or whose body was abandoned."""
         request = self._registry.get(number)
         if request is not None:
             if isinstance(request.response, StreamingResponse):
@@ -94,14 +94,14 @@
                 return
             self._registry.retain_if_possibly_executed(request, self._context.clock.now())
             if self._context.trace is not None:
-                self._context.trace.request_ended(request.name, 0)
+                self._context.trace.request_ended(request.id_for_logs, 0)
             self._responses.mark_disconnected(request)
         self._events.post(ClientDisconnected(number))
         if request is not None:
             self._registry.remove_if_ended(request)
 
     def connection_closed(self, reason: CloseReason) -> None:
-        """A client's connection has ended."""
+        """Counts and logs the end of a client's connection."""
         self._context.telemetry.connection_closed(reason)
         if self._context.trace is not None:
             self._context.trace.connection_closed(reason)
--- a/tulipnotch/sidecar/requests/request_registry.py
+++ b/tulipnotch/sidecar/requests/request_registry.py
@@ -1,4 +1,4 @@
-"""The open requests of this process, and the ids that a further request may not use."""
+"""The open requests of this process, and the request ids that are in use."""
 
 from __future__ import annotations
 
@@ -12,26 +12,28 @@
 
 
 class RequestRegistry:
-    """Owns the open requests, the ids of those with a pending response, and the possibly executed ids."""
+    """Owns the open requests, the ids of pending responses, and the ids of possibly executed requests."""
 
     def __init__(self) -> None:
-        """No request is open yet."""
+        """Starts without requests."""
         self._open: dict[int, OpenRequest] = {}
-        self._pending_ids: set[bytes] = set()  # of the requests whose response has not ended
+        self._pending_ids: set[bytes] = set()  # ids of requests whose response has not ended
         self._possibly_executed = PossiblyExecutedRequests()
         self._next_number = 1
-        self.respond_by: int | None = None  # clock time (us) by which all are responded; None: no limit
+        self.respond_by: int | None = (
+            None  # clock time (us) by which all requests are responded; None: no limit
+        )
 
     def __len__(self) -> int:
-        """How many requests are open: with a pending response, or with an attempt in flight."""
+        """Returns the number of open requests: those with a pending response or an attempt in flight."""
         return len(self._open)
 
     def __iter__(self) -> Iterator[OpenRequest]:
-        """The open requests as they are now, the oldest first."""
+        """Iterates over a copy of the open requests, oldest first."""
         return iter(list(self._open.values()))
 
     def add(self, client: DownstreamConnection, incoming: IncomingRequest) -> OpenRequest:
-        """Records a request that has arrived; its response is pending from now on."""
+        """Adds a request that has arrived; its response is pending from now on."""
         request = OpenRequest(self._next_number, client, incoming)
         self._next_number += 1
         self._open[request.number] = request
@@ -39,32 +41,32 @@
         return request
 
     def get(self, number: int) -> OpenRequest | None:
-        """Returns the open request with this number, or None where it has ended."""
+        """Returns the open request with this number, or None if it has ended."""
         return self._open.get(number)
 
     def require(self, number: int) -> OpenRequest:
-        """Returns the open request with this number; raises KeyError where it has ended."""
+        """Returns the open request with this number; raises KeyError if it has ended."""
         return self._open[number]
 
     def is_responded(self, number: int) -> bool:
-        """Whether nobody waits for the start of this request's response any more."""
+        """Returns whether the response has started, or the client has disconnected."""
         request = self._open.get(number)
         return request is None or not request.is_waiting
 
     def remove_if_ended(self, request: OpenRequest) -> None:
-        """Removes a request without a pending response whose attempts have all ended."""
+        """Removes a request if its response and all of its attempts have ended."""
         if request.has_ended:
             self._open.pop(request.number, None)
 
     def limit_remaining_time(self, remaining_us: int, now: int) -> int:
-        """Returns the time (us) that a request has: what its client gave it, but not beyond `respond_by`."""
+        """Returns the remaining time (us) that a client allows, limited by `respond_by`."""
         if self.respond_by is None:
             return remaining_us
         return max(min(remaining_us, self.respond_by - now), 1)
 
     @property
     def pending_complete_request_count(self) -> int:
-        """How many requests have come completely and have a pending response."""
+        """The number of completely received requests with a pending response."""
         return sum(
             request.incoming.body.is_complete and request.has_pending_response
             for request in self._open.values()
@@ -74,23 +76,23 @@
 
     @property
     def pending_response_count(self) -> int:
-        """How many requests have a pending response."""
+        """The number of requests with a pending response."""
         return len(self._pending_ids)
 
     def is_id_in_use(self, request_id: bytes) -> bool:
-        """Whether the response to a request with this id is pending."""
+        """Returns whether the response to a request with this id is pending."""
         return request_id in self._pending_ids
 
     def response_ended(self, request: OpenRequest) -> None:
-        """Records that nothing more is written to the client of this request."""
+        """Releases the request's id, since nothing more is written to its client."""
         self._pending_ids.discard(request.incoming.request_id)
 
     def may_have_executed(self, request_id: bytes, now: int) -> bool:
-        """Whether a request with this id may have been executed, and must not be executed once more."""
+        """Returns whether a request with this id may have been executed, and must not be executed again."""
         return self._possibly_executed.contains(request_id, now)
 
     def retain_if_possibly_executed(self, request: OpenRequest, now: int) -> None:
-        """Rejects the id of a request from now on that may have been executed and must not be twice.
+        """Rejects a request's id from now on if the request may have been executed and must not be again.
 
         Args:
             request: A request whose client has disconnected.
--- a/tulipnotch/sidecar/requests/responses.py
+++ b/tulipnotch/sidecar/requests/responses.py
@@ -1,4 +1,4 @@
-"""The one response to each request: written at once, or streamed from an attempt to the client."""
+"""Writes the one response to each request: buffered, or streamed from an attempt to the client."""
 
 from __future__ import annotations
 
@@ -20,32 +20,35 @@
 from tulipnotch.sidecar.requests.request_registry import RequestRegistry
 from tulipnotch.sidecar.upstream.connection import UpstreamConnection
 
-# Any other status is a failed request.
+# Any other status means a failed request.
 _RESULTS = {200: Result.COMPLETED, 429: Result.REJECTED, 503: Result.REJECTED}
-_PASSED_BACK = (b"content-type", b"content-encoding")  # headers that describe the body
+_FORWARDED_HEADERS = (
+    b"content-type",
+    b"content-encoding",
+)  # server response headers that are forwarded to the client: they describe the body
 
 
 class ResponseSender:
-    """Owns the transitions of each request's response state, and writes what follows from them."""
+    """Owns the transitions of each request's response state, and writes responses to clients."""
 
     def __init__(self, context: SidecarContext, registry: RequestRegistry) -> None:
-        """Responds to the requests of this registry."""
+        """Responds to the requests in `registry`."""
         self._context = context
         self._registry = registry
 
     def stop_waiting(self, request: OpenRequest, state: ResponseState) -> DownstreamConnection | None:
         """Moves a request out of WaitingForResponse.
 
-        Attempts that are not completely written are cancelled: a connection that is established later would
-        send a request that nobody waits for, also where the settings forbid to cancel what a server may have
-        begun to execute.
+        Attempts that are not completely written are cancelled, even where the settings forbid cancelling what
+        a server may have begun to execute: otherwise a connection that is established later would be used to
+        send a request that no client waits for.
 
         Args:
             request: The request, in any state.
-            state: Its state from now on, if its client has been waiting.
+            state: The new state, if the request is in WaitingForResponse.
 
         Returns:
-            The client that has been waiting, or None where none was.
+            The connection of the client that has been waiting, or None if no client was.
         """
         waiting = request.response
         if type(waiting) is not WaitingForResponse:
@@ -59,21 +62,21 @@
         return waiting.client
 
     def mark_disconnected(self, request: OpenRequest) -> None:
-        """The client disconnected; where a streamed response broke off before, only the state changes."""
+        """Records that the client disconnected, possibly after its streamed response broke off."""
         self.stop_waiting(request, DISCONNECTED)
         request.response = DISCONNECTED
 
     def respond(
         self, number: int, status: int, headers: Headers, body: bytes = b"", length: int | None = None
     ) -> None:
-        """Writes the response of a request, unless it was written or has started before.
+        """Writes the response to a request, unless its response has started before.
 
         Args:
             number: The request's number.
             status: The HTTP status.
-            headers: Without those that frame the body.
+            headers: The headers, without those that frame the body.
             body: The complete body.
-            length: The value of `content-length` where the response has no body but a length.
+            length: The value of `content-length` if the response has a length but no body (HEAD).
         """
         request = self._registry.get(number)
         if request is None:
@@ -83,23 +86,23 @@
             context = self._context
             context.telemetry.request_ended(request.incoming.class_name, _RESULTS.get(status, Result.FAILED))
             if context.trace is not None:
-                context.trace.request_ended(request.name, status)
+                context.trace.request_ended(request.id_for_logs, status)
             client.send_response(status, headers, body, length)
         self._registry.remove_if_ended(request)
 
     def respond_with_server_response(self, number: int, response: Response) -> None:
-        """Writes a server's complete response as that of a request."""
-        self.respond(number, 200, _passed_back(response), response.body, response.length)
+        """Writes a server's complete response as the response to a request."""
+        self.respond(number, 200, _forwarded_headers(response), response.body, response.length)
 
     def fail_request(self, action: FailRequest) -> None:
-        """Responds that no attempt had a response: 504 where time ran out, else 502."""
+        """Responds 504 if time ran out (no attempt has ended, or the last one timed out), otherwise 502."""
         request = self._registry.get(action.request)
         self._context.telemetry.request_failed(action.reason)
         has_timed_out = request is not None and request.last_outcome in (None, Outcome.TIMED_OUT)
         self.respond(action.request, 504 if has_timed_out else 502, [])
 
     def reject_request(self, action: RejectRequest) -> None:
-        """Responds 503: the request was not executed, and may be retried."""
+        """Responds 503, after which the client may retry: a retry has no second effect."""
         request = self._registry.get(action.request)
         context = self._context
         context.telemetry.request_rejected(action.reason)
@@ -112,7 +115,7 @@
             headers.append((b"retry-after", b"%.3f" % (action.retry_after_us / 1e6)))
         self.respond(action.request, 503, headers)
 
-    # Responses that are streamed
+    # Streamed responses
 
     def start_stream(
         self, request: OpenRequest, attempt: int, head: Response, source: UpstreamConnection
@@ -120,7 +123,7 @@
         """Writes the head of a response that is streamed from an attempt.
 
         Returns:
-            The client, which takes the body; None where it waits no more.
+            The client's connection, which consumes the body, or None if the client waits no longer.
         """
         waiting = request.response
         if type(waiting) is not WaitingForResponse:
@@ -128,33 +131,33 @@
         client = waiting.client
         self.stop_waiting(request, StreamingResponse(client, attempt))
         if self._context.trace is not None:
-            self._context.trace.request_ended(request.name, head.status)
-        client.start_response(head.status, _passed_back(head), head.length, source)
+            self._context.trace.request_ended(request.id_for_logs, head.status)
+        client.start_response(head.status, _forwarded_headers(head), head.length, source)
         return client
 
     def end_stream(self, request: OpenRequest, outcome: Outcome) -> None:
-        """Ends the response that is streamed; nothing happens where there is none any more."""
+        """Ends a streamed response with the outcome of its attempt, unless it has already ended."""
         streaming = request.response
         if type(streaming) is not StreamingResponse:
             return
         if outcome is Outcome.DELIVERED:
-            self._stream_ended(request, Result.COMPLETED)
+            self._record_stream_end(request, Result.COMPLETED)
             streaming.client.finish_response()
         else:
-            self._stream_ended(request, Result.FAILED)
-            # Before the end of the response, so that the client sees that it is incomplete.
+            self._record_stream_end(request, Result.FAILED)
+            # The connection is closed before the end of the response, so that the client sees that it is cut off.
             streaming.client.abort(CloseReason.RESPONSE_INCOMPLETE)
 
     def cancel_stream(self, request: OpenRequest, streaming: StreamingResponse) -> None:
-        """The client disconnected while its response was streamed: cancels the attempt that it came from."""
-        self._stream_ended(request, Result.FAILED)
+        """Cancels the attempt whose response was streamed to a client that has disconnected."""
+        self._record_stream_end(request, Result.FAILED)
         self._context.upstream.cancel_request(request.upstream_requests[streaming.attempt])
 
-    def _stream_ended(self, request: OpenRequest, result: Result) -> None:
+    def _record_stream_end(self, request: OpenRequest, result: Result) -> None:
         request.response = RESPONSE_ENDED
         self._registry.response_ended(request)
         self._context.telemetry.request_ended(request.incoming.class_name, result)
 
 
-def _passed_back(response: Response) -> Headers:
-    return [header for header in response.headers if header[0] in _PASSED_BACK]
+def _forwarded_headers(response: Response) -> Headers:
+    return [header for header in response.headers if header[0] in _FORWARDED_HEADERS]
--- a/tulipnotch/sidecar/upstream/connection.py
+++ b/tulipnotch/sidecar/upstream/connection.py
@@ -81,11 +81,11 @@
         self._response_stall_timeout_s = response_stall_timeout_s
         self._state: _UnusedState | Exchange | Closed = _UnusedState.CONNECTING
         self._transport: asyncio.Transport | None = None  # None until it is connected
-        self._descriptor = -1  # of the socket; -1 until it is connected
+        self._descriptor = -1  # the socket's file descriptor; -1 until it is connected
         self._poll = select.poll()
         self._stall_timer: asyncio.TimerHandle | None = None  # runs while a response is incomplete
         self._progress_at = 0.0  # event loop time (s) at which a part of the response was last received
-        self._exchange_count = 0  # exchanges so far, with the one in flight
+        self._exchange_count = 0  # includes the exchange in flight
         self._has_backlog = False  # whether the transport has data that the kernel has not accepted yet
         self._is_reading_paused = False
 
@@ -126,7 +126,7 @@
             ConnectionNotIdleError: If the connection is not connected yet, is in use or is closed.
         """
         if self._state is not _UnusedState.IDLE:
-            raise ConnectionNotIdleError(f"{self._state}")
+            raise ConnectionNotIdleError(f"the connection is not idle, its state is {self._state}")
         self._reader.expect_response(to_head_request=request.method == b"HEAD")
         self._exchange_count += 1
         self._state = writing = Writing(observer, UnwrittenRequest(request, self._continue_writing))
--- a/tulipnotch/sidecar/upstream/pool.py
+++ b/tulipnotch/sidecar/upstream/pool.py
@@ -45,10 +45,11 @@
         self._gate = WriteGate(clock)
         self._timeouts = UpstreamTimeouts.from_settings(settings)
         self._endpoints: dict[str, EndpointConnections] = {}
-        self._endpoint_of: dict[UpstreamConnection, EndpointConnections] = {}  # of every open connection
+        self._endpoint_of: dict[UpstreamConnection, EndpointConnections] = {}  # has every open connection
         self._dials_in_flight = 0
         self._dial_tasks: set[asyncio.Task[None]] = set()
-        self._reuse_timers: dict[UpstreamConnection, asyncio.TimerHandle] = {}  # of reserved connections
+        # Connections reserved for a request that waits for the end of their reuse delay.
+        self._reuse_timers: dict[UpstreamConnection, asyncio.TimerHandle] = {}
         self._idle_timer: asyncio.TimerHandle | None = None
 
     def apply_settings(self, settings: Settings) -> None:
@@ -107,7 +108,7 @@
         self._gate.set_deadline(request, deadline)
 
     def write_deadline_changed(self, request: UpstreamRequest) -> None:
-        """Rereads the write deadline of a request, after another attempt was written."""
+        """Rereads the write deadline of a request, which changed when another attempt was written."""
         self._gate.write_deadline_changed(request)
 
     def cancel_request(self, request: UpstreamRequest) -> None:
@@ -149,10 +150,10 @@
     ) -> None:
         del self._reuse_timers[connection]
         if not self._use_connection(request, endpoint, connection):
-            self._assign_connection(request, endpoint)  # not written yet, so another may be used
+            self._assign_connection(request, endpoint)  # not written yet, so another connection may be used
 
     async def _connect(self, request: UpstreamRequest, endpoint: EndpointConnections) -> None:
-        """Establishes a connection for a request; later requests use it if this one has ended meanwhile."""
+        """Establishes a connection for a request; if the request ends meanwhile, later ones may use it."""
         connection: UpstreamConnection | None = None
         outcome = Outcome.CONNECT_FAILED
         try:
@@ -277,7 +278,7 @@
         return reusable
 
     def _start_idle_timer(self) -> None:
-        delay_s = self._timeouts.max_idle_us / 4e6  # a quarter of the longest idle time
+        delay_s = self._timeouts.max_idle_us / 4e6  # checks four times within the longest idle time
         self._idle_timer = asyncio.get_running_loop().call_later(delay_s, self._close_expired_idle)
 
     def _close_expired_idle(self) -> None:
--- a/tulipnotch/sidecar/upstream/write_gate.py
+++ b/tulipnotch/sidecar/upstream/write_gate.py
@@ -37,7 +37,7 @@
             # counts as elapsed time.
             now = request.last_write_allowed_at = self._clock.now()
             if now >= request.observer.write_deadline():
-                # A retry after this time could be executed a second time.
+                # A retry that is written after this time could take effect a second time.
                 self._end_and_notify_later(request, Outcome.NOT_SENT)
             elif now >= request.deadline or self._is_head_stale(request.timeout_started_at, now):
                 self._end_and_notify_later(request, Outcome.CONNECT_FAILED)
