--- a/tulipnotch/sidecar/requests/attempts.py
+++ b/tulipnotch/sidecar/requests/attempts.py
@@ -47,11 +47,11 @@
         # A streamed body can be sent to one server at a time, and to none once a part of it is no longer
         # buffered.  A deadline of 0 makes the attempt end unsent.
         body = request.incoming.body
-        is_sendable = body.is_replayable and (not request.open_attempts or not body.is_streamed)
+        is_sendable = body.is_replayable and (not request.open_attempt_count or not body.is_streamed)
         deadline = action.deadline if is_sendable else 0
 
         # None if an earlier attempt is still in flight, or if no attempt has ended yet.
-        previous_outcome = None if request.open_attempts else request.last_outcome
+        previous_outcome = None if request.open_attempt_count else request.last_outcome
         if number:
             context.telemetry.request_retried(previous_outcome)
         if context.trace is not None:
@@ -62,7 +62,7 @@
             action.endpoint, deadline, request.incoming.upstream_message, attempt
         )
         request.upstream_requests.append(upstream_request)
-        request.open_attempts += 1
+        request.open_attempt_count += 1
         context.upstream.start_request(upstream_request)
 
     def cancel_attempt(self, action: CancelAttempt) -> None:
@@ -154,7 +154,7 @@
         request = self._request
         starter = self._starter
         context = starter.context
-        request.open_attempts -= 1
+        request.open_attempt_count -= 1
         if context.trace is not None:
             context.trace.attempt_ended(request.id_for_logs, self._number, outcome)
         if self._is_outcome_reported:
--- a/tulipnotch/sidecar/requests/invariants.py
+++ b/tulipnotch/sidecar/requests/invariants.py
@@ -26,7 +26,7 @@
     ATTEMPT_TO_READY_ENDPOINT = "sent_to_ready"
     # No two attempts of a request are in flight where the settings forbid hedged requests.
     RETRY_WITHOUT_HEDGING = "repeated_alone"
-    # A request that may have been executed is sent again only if servers deduplicate it.
+    # A request that may have been executed is sent again only if it is idempotent or servers deduplicate it.
     RETRY_WITHIN_DEDUPLICATION = "repeated_in_bounds"
     # A request is rejected only if a retry by the client has no second effect.
     REJECTION_WITHOUT_EFFECT = "refused_unrun"
--- a/tulipnotch/sidecar/requests/open_request.py
+++ b/tulipnotch/sidecar/requests/open_request.py
@@ -60,7 +60,7 @@
         "incoming",
         "last_outcome",
         "number",
-        "open_attempts",
+        "open_attempt_count",
         "response",
         "upstream_requests",
         "written_attempts",
@@ -76,7 +76,7 @@
         self.body_completed_at = 0
         self.upstream_requests: list[UpstreamRequest] = []  # indexed by attempt number
         self.written_attempts: list[WrittenAttempt] = []  # attempts whose last byte was written
-        self.open_attempts = 0
+        self.open_attempt_count = 0
         self.last_outcome: Outcome | None = None  # outcome of the attempt that ended last
 
     @property
@@ -97,4 +97,4 @@
     @property
     def has_ended(self) -> bool:
         """Whether no response is pending and no attempt is in flight."""
-        return not (self.open_attempts or type(self.response) in (WaitingForResponse, StreamingResponse))
+        return not (self.open_attempt_count or type(self.response) in (WaitingForResponse, StreamingResponse))
--- a/tulipnotch/sidecar/requests/request_registry.py
+++ b/tulipnotch/sidecar/requests/request_registry.py
@@ -20,9 +20,8 @@
         self._pending_ids: set[bytes] = set()  # ids of requests whose response has not ended
         self._possibly_executed = PossiblyExecutedRequests()
         self._next_number = 1
-        self.respond_by: int | None = (
-            None  # clock time (us) by which all requests are responded; None: no limit
-        )
+        # Clock time (us) by which all requests are responded; None: no limit.
+        self.respond_by: int | None = None
 
     def __len__(self) -> int:
         """Returns the number of open requests: those with a pending response or an attempt in flight."""
--- a/tulipnotch/sidecar/requests/responses.py
+++ b/tulipnotch/sidecar/requests/responses.py
@@ -22,10 +22,8 @@
 
 # Any other status means a failed request.
 _RESULTS = {200: Result.COMPLETED, 429: Result.REJECTED, 503: Result.REJECTED}
-_FORWARDED_HEADERS = (
-    b"content-type",
-    b"content-encoding",
-)  # server response headers that are forwarded to the client: they describe the body
+# Headers of a server's response that are forwarded to the client, since they describe the body.
+_FORWARDED_HEADERS = (b"content-type", b"content-encoding")
 
 
 class ResponseSender:
@@ -145,7 +143,7 @@
             streaming.client.finish_response()
         else:
             self._record_stream_end(request, Result.FAILED)
-            # The connection is closed before the end of the response, so that the client sees that it is cut off.
+            # The connection is closed before the response's end, so that the client sees that it is cut off.
             streaming.client.abort(CloseReason.RESPONSE_INCOMPLETE)
 
     def cancel_stream(self, request: OpenRequest, streaming: StreamingResponse) -> None:
