--- a/tests/sidecar/upstream/event_interleavings.py
+++ b/tests/sidecar/upstream/event_interleavings.py
@@ -1,6 +1,7 @@
-"""Every interleaving of the events of one request, applied to a real sidecar.
+"""Explores every interleaving of the events of one request, applied to a real sidecar.
 
-`explore` applies every interleaving of the steps of a `World` up to a depth, each from the start.
+`explore` applies every sequence of steps of a `Simulation` up to a maximum length.  Each sequence begins with
+a new simulation.
 """
 
 from __future__ import annotations
@@ -13,11 +14,11 @@
 from typing import Any, cast
 from unittest import mock
 
-from interleaving_cases import BUFFERED_BYTES, PAST_OBJECTIVE, PAST_WINDOW, SERVERS, Case, Start
-from interleaving_world import World
+from interleaving_cases import BUFFERED_BYTES, PAST_OBJECTIVE_US, PAST_WINDOW_US, SERVERS, Case, Start
+from interleaving_simulation import Simulation
 from virtual_network import (
     REJECTED,
-    Kernel,
+    FakeOs,
     VirtualLoop,
 )
 
@@ -34,33 +35,33 @@
     """A violated rule, and the shortest interleaving that leads to it."""
 
     text: str
-    waited_for: str  # what the last byte that violates it waited for
+    waited_for: str  # what delayed the last byte of the attempt that violates it; empty if no attempt does
     start: Start
     steps: list[str]
 
     def __str__(self) -> str:
         steps = "\n".join(f"    {number}. {each}" for number, each in enumerate(self.steps, 1))
-        by = f" [its last byte waited for {self.waited_for}]" if self.waited_for else ""
-        return f"{self.text}{by}\n  from the start '{self.start.value}':\n{steps}"
+        cause = f" [its last byte waited for {self.waited_for}]" if self.waited_for else ""
+        return f"{self.text}{cause}\n  from the start '{self.start.value}':\n{steps}"
 
 
 @dataclass
 class Exploration:
-    """What an exploration found."""
+    """The result of an exploration."""
 
-    interleavings: int = 0  # that were applied
+    interleavings: int = 0  # the number of interleavings that were applied
     violations: dict[tuple[str, str], Violation] = field(default_factory=dict)
 
-    def record(self, world: World) -> None:
-        for text, waited_for in world.rule.violations:
+    def record(self, simulation: Simulation) -> None:
+        for text, waited_for in simulation.checker.violations:
             known = self.violations.get((text, waited_for))
-            if known is None or len(world.steps) < len(known.steps):
+            if known is None or len(simulation.steps) < len(known.steps):
                 self.violations[(text, waited_for)] = Violation(
-                    text, waited_for, world.start, list(world.steps)
+                    text, waited_for, simulation.start, list(simulation.steps)
                 )
 
     def add(self, other: Exploration) -> None:
-        """Merge what another exploration of the same case found."""
+        """Merges the result of another exploration of the same case."""
         self.interleavings += other.interleavings
         for key, violation in other.violations.items():
             known = self.violations.get(key)
@@ -73,15 +74,16 @@
 
 @contextmanager
 def _patched_program(reuse_delay_us: int) -> Iterator[None]:
-    """Patch the clock, the socket calls and the constants of the program."""
+    """Patches the clock, the socket calls and the constants of the sidecar."""
     with ExitStack() as stack:
         stack.enter_context(mock.patch.object(clock.Clock, "now", _virtual_now))
         stack.enter_context(
-            mock.patch.object(connection_module, "os", Kernel(lambda: _loop().network), create=True)
+            mock.patch.object(connection_module, "os", FakeOs(lambda: _loop().network), create=True)
         )
         stack.enter_context(mock.patch.object(body, "MAX_BUFFERED_BODY_BYTES", BUFFERED_BYTES))
         stack.enter_context(mock.patch.object(pool_module, "_REUSE_DELAY_US", reuse_delay_us))
-        # There is no other traffic: an attempt is hedged by its own time alone, also on several servers.
+        # There is no other traffic: an attempt is hedged only because of its own duration, on any number of
+        # servers.
         stack.enter_context(mock.patch.object(attempt_timeouts, "OTHER_RESPONSES", 0))
         stack.enter_context(mock.patch.object(outlier_detection, "MAX_UNRESPONSIVE_PART", 1.0))
         yield
@@ -97,22 +99,22 @@
 
 @cache
 def _find_seed(case: Case, start: Start) -> int:
-    """The first seed that leads to the start."""
+    """Returns the first seed of the balancer for which the case reaches the start."""
     for seed in range(500):
-        world = World(case, start, seed)
+        simulation = Simulation(case, start, seed)
         try:
-            if _is_start(world):
+            if _reaches_start(simulation):
                 return seed
         finally:
-            world.end()
-    raise AssertionError(f"no seed leads to the start '{start.value}' for {case}")
+            simulation.close()
+    raise AssertionError(f"no seed reaches the start '{start.value}' for {case}")
 
 
-def _is_start(world: World) -> bool:
-    network, start = world.network, world.start
-    connected = len(network.dials)  # as many as there are connections
+def _reaches_start(simulation: Simulation) -> bool:
+    network, start = simulation.network, simulation.start
+    connected = len(network.dials)  # each of these dials has a connection
     first = {each.host: each.exchanges[0].own_response for each in network.connections}
-    world.do(world.choices()[0])
+    simulation.apply(simulation.possible_steps()[0])
     new = network.dials[connected:]
     used = [each for each in network.connections if len(each.exchanges) > 1]
     if start in (Start.UNCONNECTED, Start.REUSABLE_LATER):
@@ -125,28 +127,28 @@
     if start is Start.UNCONNECTED:
         return True
     if start is Start.REUSABLE_LATER:
-        if world.case.effect == "non-idempotent":
-            world.do(world._dial_choices(connected)[2])
+        if simulation.case.idempotency == "non-idempotent":
+            simulation.apply(simulation._dial_steps(connected)[2])
         else:
-            world.do(world._time_passes("past the latency objective", PAST_OBJECTIVE))
+            simulation.apply(simulation._advance_step("past the latency objective", PAST_OBJECTIVE_US))
         return len(network.dials) == connected + 1 and any(
             len(each.exchanges) > 1 for each in network.connections
         )
-    world.do(world._time_passes("past the latency objective", PAST_OBJECTIVE))
-    if world.case.effect != "non-idempotent" and len(network.dials) == connected:
+    simulation.apply(simulation._advance_step("past the latency objective", PAST_OBJECTIVE_US))
+    if simulation.case.idempotency != "non-idempotent" and len(network.dials) == connected:
         return False
-    world.do(world._time_passes("past the window", PAST_WINDOW))
-    world.do(world._time_passes("past the window", PAST_WINDOW))
+    simulation.apply(simulation._advance_step("past the window", PAST_WINDOW_US))
+    simulation.apply(simulation._advance_step("past the window", PAST_WINDOW_US))
     return [SERVERS[each.host][2] for each in network.connections if len(each.exchanges) > 1] == [1]
 
 
 def explore(
     case: Case, start: Start, depth: int, stop_at: Callable[[Violation], bool] | None = None
 ) -> Exploration:
-    """Apply every interleaving of up to `depth` steps.
+    """Applies every interleaving of up to `depth` steps.
 
-    An interleaving ends where a rule is violated, and is cut off in a state that another one has reached
-    with as many steps left.
+    An interleaving ends when a rule is violated.  It is cut off in a state that another interleaving has
+    reached with at least as many remaining steps.
     """
     explored = Exploration()
     seen: dict[tuple[Any, ...], int] = {}
@@ -174,29 +176,29 @@
     seen: dict[tuple[Any, ...], int],
     explored: Exploration,
 ) -> list[tuple[int, int]]:
-    """Apply one interleaving; return which choice it took of how many, at each step."""
-    world = World(case, start, seed)
+    """Applies one interleaving; returns, for each step, its index and the number of possible steps."""
+    simulation = Simulation(case, start, seed)
     accepted: list[tuple[int, int]] = []
     is_cut = False
     try:
-        while len(accepted) < depth and not world.rule.violations:
+        while len(accepted) < depth and not simulation.checker.violations:
             if len(accepted) >= len(prefix):
-                key = world.fingerprint()
+                key = simulation.fingerprint()
                 remaining_depth = depth - len(accepted)
                 if seen.get(key, 0) >= remaining_depth:
                     is_cut = True
                     break
                 seen[key] = remaining_depth
-            choices = world.choices()
-            if not choices:
+            possible_steps = simulation.possible_steps()
+            if not possible_steps:
                 break
             index = prefix[len(accepted)] if len(accepted) < len(prefix) else 0
-            accepted.append((index, len(choices)))
-            world.do(choices[index])
-        if not is_cut and not world.rule.violations:
-            world.finish()
+            accepted.append((index, len(possible_steps)))
+            simulation.apply(possible_steps[index])
+        if not is_cut and not simulation.checker.violations:
+            simulation.finish()
         explored.interleavings += 1
-        explored.record(world)
+        explored.record(simulation)
     finally:
-        world.end()
+        simulation.close()
     return accepted
--- a/tests/sidecar/upstream/interleaving_cases.py
+++ b/tests/sidecar/upstream/interleaving_cases.py
@@ -1,4 +1,4 @@
-"""The cases of the interleavings: classes of requests, deployments and starts, and their times (us)."""
+"""The cases of the interleavings: service classes, deployments, initial states and durations."""
 
 from __future__ import annotations
 
@@ -13,25 +13,26 @@
 
 from tulipnotch.sidecar.configuration.configuration import Config, parse
 
-LATENCY_OBJECTIVE = 100 * MS
-WINDOW = 200 * MS
-CONNECT_TIMEOUT = 500 * MS
-DEADLINE = 1_000 * MS
-SLACK = 50 * MS  # of every time limit on sockets
+LATENCY_OBJECTIVE_US = 100 * MS
+WINDOW_US = 200 * MS
+CONNECT_TIMEOUT_US = 500 * MS
+DEADLINE_US = 1_000 * MS
+TIMER_SLACK_US = 50 * MS  # allowed delay of every timeout
 
-# How far time passes at once.  An attempt is hedged after 1.5 latency objectives at the latest.
-PAST_OBJECTIVE = 160 * MS
-PAST_WINDOW = 210 * MS
-PAST_CONNECT_TIMEOUT = 510 * MS
+# Durations by which a step advances the clock.  An attempt is hedged after at most 1.5 latency objectives.
+PAST_OBJECTIVE_US = 160 * MS
+PAST_WINDOW_US = 210 * MS
+PAST_CONNECT_TIMEOUT_US = 510 * MS
 
-NOTIFIED_LATE = 5 * MS  # within which the program has seen that the network accepts more
-REUSE_DELAY = 10 * MS  # the delay before a connection is reused
-LONG_REUSE_DELAY = 450 * MS  # so long that an attempt hedged at PAST_OBJECTIVE would start past its WINDOW
+WRITABLE_DELAY_US = 5 * MS  # within this time the sidecar notices that the network accepts more data
+REUSE_DELAY_US = 10 * MS  # the delay before a connection is reused
+# Long enough for an attempt hedged at PAST_OBJECTIVE_US to start past its WINDOW_US.
+LONG_REUSE_DELAY_US = 450 * MS
 
-REQUEST_ID = "0000000000000001"  # of the request that is checked
-BUFFERED_BYTES = 8  # of a body that the sidecar buffers, so that small bodies are streamed
+REQUEST_ID = "0000000000000001"  # id of the request that is checked
+BUFFERED_BYTES = 8  # maximum buffered part of a body; it is small so that short bodies are streamed
 
-# By host: id, zone, cell.  No cell reaches into two zones.
+# Server id, zone and cell, keyed by host.  Each cell is in one zone.
 SERVERS = {
     "10.0.0.1": ("s-0", "a", 1),
     "10.0.0.2": ("s-1", "a", 1),
@@ -43,22 +44,26 @@
 
 @dataclass(frozen=True)
 class Case:
-    """A class of requests, and what the deployment permits."""
+    """A service class, and the limits of the deployment."""
 
-    effect: str  # idempotent, keyed or non-idempotent
-    group: str = "all"
-    attempts: int = 2
-    hedging: bool = True
+    idempotency: str  # idempotent, keyed or non-idempotent
+    deduplication_scope: str = "all"
+    max_attempts: int = 2
+    allows_hedging: bool = True
 
     def __str__(self) -> str:
-        group = f"-{self.group}" if self.effect == "keyed" else ""
-        return f"{self.effect}{group}-{self.attempts}-{'hedging' if self.hedging else 'no-hedging'}"
+        scope = f"-{self.deduplication_scope}" if self.idempotency == "keyed" else ""
+        return (
+            f"{self.idempotency}{scope}-{self.max_attempts}-"
+            f"{'hedging' if self.allows_hedging else 'no-hedging'}"
+        )
 
 
 class Start(Enum):
-    """What the sidecar has before the request arrives; the balancer's seed is chosen so that it holds.
+    """The sidecar's connections before the request arrives.
 
-    Attempt 0 always goes to a server that shares its cell with two others.
+    The balancer's seed is chosen to reach this state.  Attempt 0 always goes to a server whose cell has two
+    other servers.
     """
 
     UNCONNECTED = "no connections"
@@ -68,31 +73,41 @@
 
     @property
     def has_connections(self) -> bool:
-        """Whether two servers have a connection that carried an earlier request."""
+        """Whether two servers have a connection from an earlier request."""
         return self is not Start.UNCONNECTED
 
     @property
     def reuse_delay_us(self) -> int:
-        """The delay before a connection is reused."""
-        return LONG_REUSE_DELAY if self is Start.REUSE_DELAYED else REUSE_DELAY
+        """The delay (us) before a connection is reused."""
+        return LONG_REUSE_DELAY_US if self is Start.REUSE_DELAYED else REUSE_DELAY_US
 
 
-_EFFECTS = {"idempotent": "read_like", "keyed": "idempotency_key", "non-idempotent": "non_idempotent"}
+_IDEMPOTENCY_CLASSES = {
+    "idempotent": "read_like",
+    "keyed": "idempotency_key",
+    "non-idempotent": "non_idempotent",
+}
 
 
 @cache
-def config_for(
-    case: Case, seed: int, *, effect: str = "", group: str = "", window_us: int = WINDOW, hedging: bool = True
+def create_config(
+    case: Case,
+    seed: int,
+    *,
+    idempotency: str = "",
+    deduplication_scope: str = "",
+    window_us: int = WINDOW_US,
+    allows_hedging: bool = True,
 ) -> Config:
     request_class: dict[str, Any] = {
         "name": "work",
-        "giveUpUs": DEADLINE,
-        "promiseUs": LATENCY_OBJECTIVE,
-        "repeat": _EFFECTS[effect or case.effect],
-        "group": group or case.group,
+        "giveUpUs": DEADLINE_US,
+        "promiseUs": LATENCY_OBJECTIVE_US,
+        "repeat": _IDEMPOTENCY_CLASSES[idempotency or case.idempotency],
+        "group": deduplication_scope or case.deduplication_scope,
         "memorySpanUs": window_us,
     }
-    given = {
+    values = {
         "name": "n0",
         "listen": "127.0.0.1:0",
         "discovery": "127.0.0.1:1",
@@ -111,12 +126,12 @@
             "quantumUs": 5_000,
             "discovery": "pushed",
             "bounds": {
-                "sendCap": case.attempts,
-                "secondCopies": case.hedging and hedging,
+                "sendCap": case.max_attempts,
+                "secondCopies": case.allows_hedging and allows_hedging,
                 "mayCancel": True,
-                "dialTimeoutUs": CONNECT_TIMEOUT,
+                "dialTimeoutUs": CONNECT_TIMEOUT_US,
                 "idleCloseUs": 20_000_000,
             },
         },
     }
-    return parse(given, given)
+    return parse(values, values)
--- a/tests/sidecar/upstream/interleaving_world.py
+++ b/tests/sidecar/upstream/interleaving_simulation.py
@@ -1,7 +1,7 @@
-"""One sidecar before, during and after one request, and the steps that may happen.
+"""Simulates one sidecar with one request, and lists the steps that are possible at any time.
 
-It is the real Sidecar, Balancer, UpstreamPool, DownstreamServer and UpstreamConnection on the simulated
-network of `virtual_network`.
+The real Sidecar, Balancer, UpstreamPool, DownstreamServer and UpstreamConnection run on the simulated network
+of `virtual_network`.
 """
 
 from __future__ import annotations
@@ -13,27 +13,27 @@
 
 from interleaving_cases import (
     BUFFERED_BYTES,
-    DEADLINE,
-    NOTIFIED_LATE,
-    PAST_CONNECT_TIMEOUT,
-    PAST_OBJECTIVE,
-    PAST_WINDOW,
+    DEADLINE_US,
+    PAST_CONNECT_TIMEOUT_US,
+    PAST_OBJECTIVE_US,
+    PAST_WINDOW_US,
     REQUEST_ID,
-    REUSE_DELAY,
+    REUSE_DELAY_US,
     SERVERS,
-    SLACK,
-    WINDOW,
+    TIMER_SLACK_US,
+    WINDOW_US,
+    WRITABLE_DELAY_US,
     Case,
     Start,
-    config_for,
+    create_config,
 )
-from interleaving_rule import Rule
+from interleaving_checker import RequestRuleChecker
 from virtual_network import (
     MS,
-    OPENED_AT,
     REJECTED,
     SERVED,
-    ClientEnd,
+    START_TIME_US,
+    ClientTransport,
     Connection,
     Exchange,
     Network,
@@ -48,155 +48,162 @@
 
 @dataclass
 class Step:
-    """Something that may happen next."""
+    """An event that may happen next."""
 
     label: str
-    act: Callable[[], None]
+    apply: Callable[[], None]
     is_time: bool = False
-    is_notified_late: bool = False  # whether the program may have to poll for it
+    is_notified_late: bool = False  # whether the sidecar may only notice it after a delay
 
 
-class World:
-    """One sidecar before, during and after one request."""
+class Simulation:
+    """One sidecar before, during and after one request, with the simulated network around it."""
 
     def __init__(self, case: Case, start: Start, seed: int) -> None:
         self.case = case
         self.start = start
         self.seed = seed
         self.steps: list[str] = []
-        self.rule = Rule(case)
-        self.network = Network(self._on_completed)
+        self.checker = RequestRuleChecker(case)
+        self.network = Network(self._request_completed)
         self.loop = VirtualLoop(self.network)
         self.loop.enter()
         self._history: dict[str, list[tuple[int, str]]] = {}
-        self._arrived = False
+        self._has_arrived = False
         self._is_body_due = False
-        self._completed_at: int | None = None
+        self._request_completed_at: int | None = None
         self._reload_name: str | None = None
-        self._are_timers_late = False  # whether timers are due that fire after the next step
-        self._delays: list[tuple[int, int]] = []  # from when to when the loop ran nothing
-        self._clients: list[ClientEnd] = []
+        self._are_timers_late = False  # whether timers are due that only fire after the next step
+        self._delays: list[
+            tuple[int, int]
+        ] = []  # start and end (us) of the times in which the loop ran no callbacks
+        self._clients: list[ClientTransport] = []
         self._faults: list[str] = []
-        config = config_for(case, seed)
+        config = create_config(case, seed)
         self.sidecar = Sidecar(config, OperatorOptions(log=self._log))
         self.sidecar._upstream.endpoints_updated(config.known)
         self.sidecar._events.post(config.known.event(EndpointUpdateKind.CACHED))
         self.sidecar.lifecycle.started()
         if start.has_connections:
             self._establish_connections()
-        self.client = self._connect(lambda status: self.rule.on_response(self.loop.now_us, status))
+        self.client = self._connect(lambda status: self.checker.response_written(self.loop.now_us, status))
 
     def _log(self, event: str, /, **fields: object) -> None:
         if event == "internal_error":
             self._faults.append(f"{fields['where']}: {fields['fault']}")
 
-    def _on_completed(self, exchange: Exchange) -> None:
-        self.rule.is_disconnect_unread = self.client.is_disconnect_unread if self._arrived else False
+    def _request_completed(self, exchange: Exchange) -> None:
+        self.checker.is_disconnect_unread = self.client.is_disconnect_unread if self._has_arrived else False
         if exchange.request_id == REQUEST_ID:
-            self.rule.on_completed(exchange)
+            self.checker.attempt_written(exchange)
 
-    def _connect(self, on_response: Callable[[int], None]) -> ClientEnd:
-        client = ClientEnd(self.loop, DownstreamConnection(self.sidecar.downstream), on_response)
+    def _connect(self, on_response: Callable[[int], None]) -> ClientTransport:
+        client = ClientTransport(self.loop, DownstreamConnection(self.sidecar.downstream), on_response)
         self._clients.append(client)
         return client
 
     def _establish_connections(self) -> None:
-        """An earlier request, rejected by one server and served by another; both connections stay open."""
+        """Sends an earlier request that one server rejects and another serves; both connections stay open."""
         client = self._connect(lambda status: None)
         client.deliver(_request("before", "GET", "00000000000000ff"))
         self.loop.run_ready()
         for respond in (REJECTED, SERVED):
-            self.network.dials[-1].end.set_result(False)
+            self.network.dials[-1].result.set_result(False)
             self.loop.run_ready()
             self.network.connections[-1].respond(respond, is_own=True)
             self.loop.run_ready()
-        if self.start.reuse_delay_us == REUSE_DELAY:
-            self.loop.advance(2 * REUSE_DELAY)
+        if self.start.reuse_delay_us == REUSE_DELAY_US:
+            self.loop.advance(2 * REUSE_DELAY_US)
 
-    def end(self) -> None:
-        """Release all resources."""
+    def close(self) -> None:
+        """Releases all resources."""
         self.sidecar.close()
         self.loop.run_ready()
         for each in (*self.network.connections, *self._clients):
             each.release()
         self.loop.leave()
 
-    # What may happen next
-
-    def choices(self) -> list[Step]:
-        """The steps that are possible now, always in the same order."""
-        if not self._arrived:
-            complete = Step("the request arrives", lambda: self._arrive(is_complete=True))
-            # A streamed body is sent to one server at a time, so three attempts add nothing.
-            has_parts = self.case.effect == "non-idempotent" or (
-                self.case.effect == "keyed" and self.case.group == "zone" and self.case.attempts == 2
+    # Possible steps
+
+    def possible_steps(self) -> list[Step]:
+        """Returns the steps that are possible now, always in the same order."""
+        if not self._has_arrived:
+            complete = Step("the request arrives", lambda: self._deliver_request(is_complete=True))
+            # A streamed body is sent to one server at a time, so cases with three attempts add nothing.
+            has_parts = self.case.idempotency == "non-idempotent" or (
+                self.case.idempotency == "keyed"
+                and self.case.deduplication_scope == "zone"
+                and self.case.max_attempts == 2
             )
             if not has_parts or self.start in (Start.REUSE_DELAYED, Start.REUSABLE_LATER):
                 return [complete]
-            return [complete, Step("the request arrives without its last byte", lambda: self._arrive(False))]
-        if self.rule.responses or self.rule.disconnected_at is not None:
-            return self._late_choices()
+            return [
+                complete,
+                Step("the request arrives without its last byte", lambda: self._deliver_request(False)),
+            ]
+        if self.checker.responses or self.checker.disconnected_at is not None:
+            return self._possible_steps_after_end()
         found: list[Step] = []
         for number, dial in enumerate(self.network.dials):
             if dial.is_pending:
-                found += self._dial_choices(number)
+                found += self._dial_steps(number)
         for number, each in enumerate(self.network.connections):
             if each.is_open:
-                found += self._connection_choices(number, each)
+                found += self._connection_steps(number, each)
         if self._is_body_due:
-            found.append(Step("the last byte of the body is received", self._body))
-        found.append(self._time_passes("past the latency objective", PAST_OBJECTIVE))
-        if self.case.effect == "keyed":
-            found.append(self._window_passes_late())
+            found.append(Step("the last byte of the body is received", self._deliver_last_byte))
+        found.append(self._advance_step("past the latency objective", PAST_OBJECTIVE_US))
+        if self.case.idempotency == "keyed":
+            found.append(self._delay_step())
         if any(each.is_pending for each in self.network.dials):
-            found.append(self._time_passes("past the connect timeout", PAST_CONNECT_TIMEOUT))
+            found.append(self._advance_step("past the connect timeout", PAST_CONNECT_TIMEOUT_US))
         if self._reload_name is None:
-            found += self._reload_choices()
+            found += self._reload_steps()
         found.append(
             Step("the client disconnects, and the loop reads that after the next step", self._disconnect)
         )
         return found
 
-    def _late_choices(self) -> list[Step]:
-        """What may still happen once nothing is pending: all that could write a last byte."""
+    def _possible_steps_after_end(self) -> list[Step]:
+        """Returns the possible steps once no response is pending: those that could write a last byte."""
         found = [
-            self._dial_choices(number)[0] for number, each in enumerate(self.network.dials) if each.is_pending
+            self._dial_steps(number)[0] for number, each in enumerate(self.network.dials) if each.is_pending
         ]
         for number, each in enumerate(self.network.connections):
             if each.is_partly_written:
-                found += self._blocked_choices(number, each)
-        if found and self.loop.now_us < OPENED_AT + DEADLINE:
-            found.append(self._time_passes("past the window", PAST_WINDOW))
+                found += self._unblock_steps(number, each)
+        if found and self.loop.now_us < START_TIME_US + DEADLINE_US:
+            found.append(self._advance_step("past the window", PAST_WINDOW_US))
         return found
 
-    def _time_passes(self, label: str, span_us: int) -> Step:
+    def _advance_step(self, label: str, span_us: int) -> Step:
         return Step(f"time passes, {label}", lambda: self.loop.advance(span_us), is_time=True)
 
-    def _window_passes_late(self) -> Step:
+    def _delay_step(self) -> Step:
         label = (
             "time passes, past the window, and the loop is delayed: the next step happens before its timers"
         )
         return Step(label, self._delay_loop, is_time=True)
 
-    def _dial_choices(self, number: int) -> list[Step]:
+    def _dial_steps(self, number: int) -> list[Step]:
         server = SERVERS[self.network.dials[number].host][0]
         return [
-            Step(f"dial {number} ({server}) is established", lambda: self._connect_dial(number, False)),
+            Step(f"dial {number} ({server}) is established", lambda: self._establish_dial(number, False)),
             Step(
                 f"dial {number} ({server}) is established, and the network blocks what is written",
-                lambda: self._connect_dial(number, True),
+                lambda: self._establish_dial(number, True),
             ),
-            Step(f"dial {number} ({server}) is refused", lambda: self._reject_dial(number)),
+            Step(f"dial {number} ({server}) is refused", lambda: self._refuse_dial(number)),
         ]
 
-    def _connection_choices(self, number: int, each: Connection) -> list[Step]:
+    def _connection_steps(self, number: int, each: Connection) -> list[Step]:
         last = each.exchange
         if last is None or last.own_response is not None:
             return []
-        name = self._name(number)
+        name = self._connection_name(number)
         found = []
         if each.is_partly_written:
-            found += self._blocked_choices(number, each)
+            found += self._unblock_steps(number, each)
         if last.completed_at is not None:
             found.append(Step(f"200 on {name}", lambda: self._respond(number, SERVED, True)))
         if not each.is_partly_written:  # it may be sent before the last byte of the body
@@ -211,62 +218,65 @@
         found.append(Step(f"reset of {name}", lambda: self._reset(number)))
         return found
 
-    def _blocked_choices(self, number: int, each: Connection) -> list[Step]:
-        label = f"the network accepts what it blocked on {self._name(number)}"
-        found = [Step(label, lambda: self._accept(number, False), is_notified_late=True)]
+    def _unblock_steps(self, number: int, each: Connection) -> list[Step]:
+        label = f"the network accepts what it blocked on {self._connection_name(number)}"
+        found = [Step(label, lambda: self._unblock(number, False), is_notified_late=True)]
         if not each.has_blocked_rest:
             label += ", and blocks what follows"
-            found.append(Step(label, lambda: self._accept(number, True), is_notified_late=True))
+            found.append(Step(label, lambda: self._unblock(number, True), is_notified_late=True))
         return found
 
-    def _name(self, number: int) -> str:
+    def _connection_name(self, number: int) -> str:
         return f"connection {number} ({SERVERS[self.network.connections[number].host][0]})"
 
-    def _reload_choices(self) -> list[Step]:
-        """Each case has one change of its class that would relax the bounds, and one that forbids hedging."""
+    def _reload_steps(self) -> list[Step]:
+        """Returns one reload that would relax the retry rules of the class, and one that forbids hedging."""
         changes: dict[str, dict[str, Any]] = {}
-        if self.case.effect == "non-idempotent" or (self.case.effect, self.case.group) == ("keyed", "cell"):
-            changes["the class is idempotent"] = {"effect": "idempotent"}
-        elif self.case.effect == "keyed" and self.case.group == "all":
-            changes["the window is ten times as long"] = {"window_us": 10 * WINDOW}
-        elif self.case.effect == "keyed":
-            changes["the group is all"] = {"group": "all"}
-        if self.case.hedging:
-            changes["no hedging"] = {"hedging": False}
+        if self.case.idempotency == "non-idempotent" or (
+            self.case.idempotency,
+            self.case.deduplication_scope,
+        ) == ("keyed", "cell"):
+            changes["the class is idempotent"] = {"idempotency": "idempotent"}
+        elif self.case.idempotency == "keyed" and self.case.deduplication_scope == "all":
+            changes["the window is ten times as long"] = {"window_us": 10 * WINDOW_US}
+        elif self.case.idempotency == "keyed":
+            changes["the deduplication scope is all"] = {"deduplication_scope": "all"}
+        if self.case.allows_hedging:
+            changes["no hedging"] = {"allows_hedging": False}
         return [
             Step(f"reload: {name}", partial(self._reload, name, change)) for name, change in changes.items()
         ]
 
-    # The steps themselves
+    # Effects of the steps
 
-    def do(self, step: Step) -> None:
-        """Take a step, and run all callbacks that are due at this time."""
-        self.steps.append(f"{(self.loop.now_us - OPENED_AT) / MS:7g} ms  {step.label}")
+    def apply(self, step: Step) -> None:
+        """Applies a step, and runs all callbacks that are due at this time."""
+        self.steps.append(f"{(self.loop.now_us - START_TIME_US) / MS:7g} ms  {step.label}")
         unread = self.client.is_disconnect_unread
         if unread and step.is_time:
             self.client.read_disconnect()
         late, self._are_timers_late = self._are_timers_late, False
-        step.act()
+        step.apply()
         if self._are_timers_late or (self.client.is_disconnect_unread and not unread):
             self._are_timers_late = self._are_timers_late or late
             return
         self.loop.run_ready()
         if unread:
             self.client.read_disconnect()
-        self.loop.advance(NOTIFIED_LATE if step.is_notified_late else 0)
+        self.loop.advance(WRITABLE_DELAY_US if step.is_notified_late else 0)
         for fault in (*self._faults, *self.loop.faults):
-            self.rule.violations.append((f"the program raised {fault}", ""))
+            self.checker.violations.append((f"the program raised {fault}", ""))
 
     def _record(self, whom: str, what: str) -> None:
         self._history.setdefault(whom, []).append((self.loop.now_us, what))
 
-    def _arrive(self, is_complete: bool) -> None:
-        self._arrived = True
-        self._record("client", f"arrives {is_complete}")
-        if self.case.effect == "idempotent":
+    def _deliver_request(self, is_complete: bool) -> None:
+        self._has_arrived = True
+        self._record("client", f"request {is_complete}")
+        if self.case.idempotency == "idempotent":
             self.client.deliver(_request("work", "GET", REQUEST_ID))
         else:
-            keyed = {"Idempotency-Key": "5c0f"} if self.case.effect == "keyed" else {}
+            keyed = {"Idempotency-Key": "5c0f"} if self.case.idempotency == "keyed" else {}
             length = BUFFERED_BYTES + 2
             size = 0 if is_complete else length
             self.client.deliver(
@@ -277,28 +287,28 @@
                 self.client.deliver(b".")
                 self._is_body_due = True
                 return
-        self._completed_at = self.loop.now_us
+        self._request_completed_at = self.loop.now_us
 
-    def _body(self) -> None:
+    def _deliver_last_byte(self) -> None:
         self._record("client", "body")
         self._is_body_due = False
-        self._completed_at = self.loop.now_us
+        self._request_completed_at = self.loop.now_us
         self.client.deliver(b".")
 
-    def _connect_dial(self, number: int, is_blocked: bool) -> None:
-        self._record(f"dial {number}", f"up {is_blocked}")
-        self.network.dials[number].end.set_result(is_blocked)
+    def _establish_dial(self, number: int, is_blocked: bool) -> None:
+        self._record(f"dial {number}", f"established {is_blocked}")
+        self.network.dials[number].result.set_result(is_blocked)
 
-    def _reject_dial(self, number: int) -> None:
+    def _refuse_dial(self, number: int) -> None:
         self._record(f"dial {number}", "refused")
-        self.network.dials[number].end.set_exception(ConnectionRefusedError())
+        self.network.dials[number].result.set_exception(ConnectionRefusedError())
 
-    def _accept(self, number: int, blocks_rest: bool) -> None:
+    def _unblock(self, number: int, blocks_rest: bool) -> None:
         self._record(f"connection {number}", f"accepts {blocks_rest}")
         self.network.connections[number].unblock(blocks_rest=blocks_rest)
 
     def _respond(self, number: int, data: bytes, is_own: bool) -> None:
-        self._record(f"connection {number}", f"answer {data!r} {is_own}")
+        self._record(f"connection {number}", f"response {data!r} {is_own}")
         self.network.connections[number].respond(data, is_own=is_own)
 
     def _reset(self, number: int) -> None:
@@ -306,56 +316,56 @@
         self.network.connections[number].reset()
 
     def _delay_loop(self) -> None:
-        self._delays.append((self.loop.now_us, self.loop.now_us + PAST_WINDOW))
-        self.loop.delay(PAST_WINDOW)
+        self._delays.append((self.loop.now_us, self.loop.now_us + PAST_WINDOW_US))
+        self.loop.delay(PAST_WINDOW_US)
         self._are_timers_late = True
 
     def _reload(self, name: str, change: dict[str, Any]) -> None:
         self._reload_name = name
         self._record("reload", name)
-        self.rule.hedging = self.rule.hedging and change.get("hedging", True)
-        self.sidecar.reload(config_for(self.case, self.seed, **change))
+        self.checker.allows_hedging = self.checker.allows_hedging and change.get("allows_hedging", True)
+        self.sidecar.reload(create_config(self.case, self.seed, **change))
 
     def _disconnect(self) -> None:
         self._record("client", "disconnects")
-        self.rule.disconnected_at = self.loop.now_us
-        self.client.leave()
+        self.checker.disconnected_at = self.loop.now_us
+        self.client.disconnect()
 
-    # The end of every interleaving
+    # End of an interleaving
 
     def finish(self) -> None:
-        """Servers are unresponsive from here on: the window ends, late events happen, the deadline passes."""
-        self.do(self._window_passes_late())
+        """Ends the interleaving with unresponsive servers: the window, the late events, the deadline."""
+        self.apply(self._delay_step())
         if self._is_body_due and not self.client.has_disconnected:
-            self.do(Step("the last byte of the body is received", self._body))
+            self.apply(Step("the last byte of the body is received", self._deliver_last_byte))
         for number, dial in enumerate(self.network.dials):
-            if dial.is_pending and not self.rule.violations:
-                self.do(self._dial_choices(number)[0])
+            if dial.is_pending and not self.checker.violations:
+                self.apply(self._dial_steps(number)[0])
         for number, each in enumerate(self.network.connections):
-            if each.is_partly_written and not self.rule.violations:
-                self.do(self._blocked_choices(number, each)[0])
-        if not self.rule.violations:
-            self.do(self._time_passes("past the deadline", DEADLINE + SLACK))
-            self.rule.on_end(self._due())
-
-    def _due(self) -> int | None:
-        """When the response is due; a delay of the loop does not count against the program."""
-        if self._completed_at is None:
+            if each.is_partly_written and not self.checker.violations:
+                self.apply(self._unblock_steps(number, each)[0])
+        if not self.checker.violations:
+            self.apply(self._advance_step("past the deadline", DEADLINE_US + TIMER_SLACK_US))
+            self.checker.all_ended(self._response_due_at())
+
+    def _response_due_at(self) -> int | None:
+        """Returns when the response is due (us); a delay of the loop extends this time."""
+        if self._request_completed_at is None:
             return None
-        due = self._completed_at + DEADLINE + SLACK
+        due = self._request_completed_at + DEADLINE_US + TIMER_SLACK_US
         for start, end in self._delays:
             due = max(due, end) if start <= due else due
         return due
 
-    # For the exploration
+    # State comparison
 
     def fingerprint(self) -> tuple[Any, ...]:
-        """What distinguishes this state: the time, and what happened to each part of the network when.
+        """Returns a key of this state: the time, and the history of each dial, connection and the client.
 
-        Two interleavings that differ only in the order of steps at one time on different connections, and
-        after which the network looks the same, have the same one.
+        Two interleavings have the same key if they differ only in the order of simultaneous steps on
+        different connections and leave the network in the same state.
         """
-        dials = tuple((each.host, each.began_at, each.is_pending) for each in self.network.dials)
+        dials = tuple((each.host, each.started_at, each.is_pending) for each in self.network.dials)
         connections = tuple(
             (
                 each.host,
@@ -373,7 +383,7 @@
             dials,
             connections,
             history,
-            tuple(self.rule.responses),
+            tuple(self.checker.responses),
             self.client.is_disconnect_unread,
             self._are_timers_late,
             tuple(self._delays),
@@ -385,7 +395,7 @@
         "Host": "origin.svc",
         "Request-Id": request_id,
         "Request-Class": request_class,
-        "Request-Timeout": f"{DEADLINE / 1e6:.3f}",
+        "Request-Timeout": f"{DEADLINE_US / 1e6:.3f}",
         **headers,
     }
     head = "".join(f"{name}: {value}\r\n" for name, value in given.items())
--- a/tests/sidecar/upstream/test_retry_interleavings.py
+++ b/tests/sidecar/upstream/test_retry_interleavings.py
@@ -1,30 +1,33 @@
-"""No double effects, in every interleaving of the events of one request: the real sidecar, in virtual time.
-
-The steps: the request arrives (complete, or without its last byte); the last byte of its body is received; a
-connection is established, is established on a network that blocks what is written, or is refused; the network
-accepts what it blocked (and may block the rest again); a server responds 200, or 503 with `Not-Started`, or a
-late duplicate of an earlier response is received; a connection is reset; time passes (past the latency
-objective, so that attempts are hedged; past the deduplication window, with an event loop that is delayed, so
-that the next step happens before its timers; past the connect timeout); a reload; the client disconnects.
-
-What is bounded:
-
-- One request, up to `DEPTH` steps in any order.  Then servers are unresponsive and late events follow in one
-  order: the window passes, the body ends, connections are established, the network accepts all, and the
-  deadline passes.
-- One reload in an interleaving: a change of the class that would relax the bounds of the request (which one
-  depends on the case), or hedging turned off.
-- An interleaving ends where a rule is violated.  It is cut off in a state that an earlier one has reached
-  with as many steps left: the same time, and the same history of each connection, each dial and the client.
-- Once nothing is pending, only steps that may still write a last byte are applied.
-- Four starts (see `interleaving_cases.Start`), one seed of the balancer for each.  Late duplicates exist
-  only of responses on connections of the start; a connection carries the checked request once at most.
-- Requests arrive without their last byte where they are non-idempotent, or keyed by zone with two attempts,
-  and in two of the starts: a streamed body is sent to one server at a time.  The network blocks half of what
-  is written first, and all that follows, and only on new connections.
-- The client's disconnection is read by the event loop after the next step, or before time passes.
-- No other traffic: an attempt is hedged by its own time alone.
-- Not covered: lists that change, writes that fail at once, responses in parts, drains.
+"""Guards against double effects, in every interleaving of the events of one request in virtual time.
+
+The sidecar is real; its event loop and network are simulated.  The steps: the request arrives (complete, or
+without its last byte); the last byte of its body is received; a connection is established, is established on
+a network that blocks what is written, or is refused; the network accepts what it blocked (and may block the
+rest again); a server responds 200, or 503 with `Not-Started`, or a late duplicate of an earlier response is
+received; a connection is reset; time passes (past the latency objective, so that attempts are hedged; past
+the deduplication window, with an event loop that is delayed, so that the next step happens before its timers;
+past the connect timeout); the settings are reloaded; the client disconnects.
+
+The exploration is limited as follows:
+
+- One request, with up to `DEPTH` steps in any order.  After these, servers are unresponsive and the late
+  events follow in one order: the deduplication window passes, the body is completed, connections are
+  established, the network accepts all data, and the deadline passes.
+- One reload in an interleaving: a change of the class that would relax the retry rules of the request (which
+  one depends on the case), or hedging turned off.
+- An interleaving ends when a rule is violated.  It is cut off in a state that an earlier one has reached with
+  at least as many remaining steps: the same time, and the same history of each connection, each dial and the
+  client.
+- Once no response is pending, only steps that may still write a last byte are applied.
+- Four initial states (see `interleaving_cases.Start`), with one seed of the balancer for each.  There are
+  late duplicates only of responses on connections of the initial state; a connection carries the checked
+  request at most once.
+- Requests arrive without their last byte only in two of the initial states, and only if they are
+  non-idempotent, or deduplicated by zone with two attempts: a streamed body is sent to one server at a time.
+- The network blocks half of the first write and all further data, and only on new connections.
+- The client's disconnect is read by the event loop after the next step, or before time passes.
+- There is no other traffic: an attempt is hedged only because of its own duration.
+- Not covered: changes of the endpoint list, writes that fail immediately, responses in parts, drains.
 """
 
 from __future__ import annotations
@@ -47,7 +50,7 @@
 
 DEPTH = 4
 
-# The minimum of interleavings that are applied, over all starts.
+# The minimum number of interleavings that are applied, over all initial states.
 CASES = {
     Case("idempotent", "all", 2): 600,
     Case("idempotent", "all", 3): 1_000,
@@ -67,7 +70,7 @@
 
 
 @pytest.mark.parametrize("case", CASES, ids=str)
-def test_interleavings_have_no_double_effect(case: Case) -> None:
+def test_interleavings_violate_no_retry_rule(case: Case) -> None:
     explored = Exploration()
     for start in Start:
         explored.add(explore(case, start, DEPTH))
@@ -76,41 +79,41 @@
     assert explored.interleavings >= CASES[case]
 
 
-# Planted faults: what enforces the rule is left out in one place.
+# Injected faults: one of the checks that enforce the rules is disabled.
 
 _OUTSIDE_WINDOW = "keyed: an attempt starts outside the window"
 _DOUBLE_EXECUTION = "non-idempotent: an attempt starts though one before it may have executed"
 
 
 @contextmanager
-def _no_bound_after_waiting_for_connection(is_new: bool) -> Iterator[None]:
-    """A connection that was waited for is used without a check of the bound.
+def _no_write_deadline_after_waiting_for_connection(is_new: bool) -> Iterator[None]:
+    """Uses a connection that a request has waited for without checking the write deadline.
 
-    The gate that is bypassed: `WriteGate.may_write`, asked in `UpstreamPool._use_connection`.
+    This bypasses the call of `WriteGate.may_write` in `UpstreamPool._use_connection`.
     """
-    put_to_use = UpstreamPool._use_connection
+    use_connection = UpstreamPool._use_connection
 
-    def without_bound(
-        self: UpstreamPool, call: UpstreamRequest, server: Any, connection: UpstreamConnection
+    def without_write_deadline(
+        self: UpstreamPool, request: UpstreamRequest, endpoint: Any, connection: UpstreamConnection
     ) -> bool:
-        bound = call.observer.write_deadline
-        has_carried = bool(cast(Connection, connection._transport).exchanges)
-        if has_carried is not is_new:
-            call.observer.write_deadline = lambda: NEVER  # type: ignore[method-assign]
+        write_deadline = request.observer.write_deadline
+        has_exchanges = bool(cast(Connection, connection._transport).exchanges)
+        if has_exchanges is not is_new:
+            request.observer.write_deadline = lambda: NEVER  # type: ignore[method-assign]
         try:
-            return put_to_use(self, call, server, connection)
+            return use_connection(self, request, endpoint, connection)
         finally:
-            call.observer.write_deadline = bound  # type: ignore[method-assign]
+            request.observer.write_deadline = write_deadline  # type: ignore[method-assign]
 
-    with mock.patch.object(UpstreamPool, "_use_connection", without_bound):
+    with mock.patch.object(UpstreamPool, "_use_connection", without_write_deadline):
         yield
 
 
 @contextmanager
-def _no_bound_on_last_byte() -> Iterator[None]:
-    """The rest of a request is written without a check of the bound once the network accepts it.
+def _no_write_deadline_on_last_byte() -> Iterator[None]:
+    """Writes the rest of a request without checking the write deadline, once the network accepts it.
 
-    The gate that is bypassed: `may_write`, which `UpstreamConnection` asks before each further write.
+    This bypasses `may_write`, which `UpstreamConnection` calls before each further write.
     """
     with mock.patch.object(RequestExchangeObserver, "may_write", lambda exchange: True):
         yield
@@ -118,7 +121,7 @@
 
 @contextmanager
 def _every_response_is_certain() -> Iterator[None]:
-    """A response counts as this request's own also on a connection that has carried others."""
+    """Attributes each response to the last request, even on a connection with earlier requests."""
     with mock.patch.object(UpstreamConnection, "is_response_certain", True):
         yield
 
@@ -127,21 +130,21 @@
     ("fault", "case", "start", "text", "waited_for"),
     [
         (
-            lambda: _no_bound_after_waiting_for_connection(is_new=True),
+            lambda: _no_write_deadline_after_waiting_for_connection(is_new=True),
             Case("keyed", "all", 2),
             Start.UNCONNECTED,
             _OUTSIDE_WINDOW,
             "a new connection",
         ),
         (
-            lambda: _no_bound_after_waiting_for_connection(is_new=False),
+            lambda: _no_write_deadline_after_waiting_for_connection(is_new=False),
             Case("keyed", "all", 2),
             Start.REUSE_DELAYED,
             _OUTSIDE_WINDOW,
             "an idle connection",
         ),
         (
-            _no_bound_on_last_byte,
+            _no_write_deadline_on_last_byte,
             Case("keyed", "all", 2),
             Start.UNCONNECTED,
             _OUTSIDE_WINDOW,
@@ -157,7 +160,7 @@
     ],
     ids=["new connection", "idle connection", "network", "duplicate response"],
 )
-def test_interleavings_reveal_planted_fault(
+def test_interleavings_violate_retry_rule_when_check_is_disabled(
     fault: Callable[[], AbstractContextManager[None]], case: Case, start: Start, text: str, waited_for: str
 ) -> None:
     def is_expected(violation: Violation) -> bool:
--- a/tests/sidecar/upstream/virtual_network.py
+++ b/tests/sidecar/upstream/virtual_network.py
@@ -1,7 +1,7 @@
-"""A simulated event loop, network and servers: virtual time, and every event is triggered by a script.
+"""A simulated event loop and network in virtual time; a script triggers every event.
 
-Nothing waits here, and nothing checks a rule.  Connections are objects that record what was written to them;
-each has a real socket pair, because the program polls its sockets and shuts them down.
+Nothing here waits or checks a rule.  Connections are objects that record what was written to them.  Each has
+a real socket pair, because the sidecar polls its sockets and shuts them down.
 """
 
 from __future__ import annotations
@@ -14,15 +14,15 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-MS = 1_000
-OPENED_AT = 50_000_000  # the virtual clock at the start, in microseconds
+MS = 1_000  # microseconds in a millisecond
+START_TIME_US = 50_000_000  # initial value of the virtual clock
 
 SERVED = b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nserved"
 REJECTED = b"HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"
 
 
 class VirtualLoop(asyncio.BaseEventLoop):
-    """An event loop whose clock moves only in `advance`, and whose dials are ended by the script."""
+    """An event loop whose clock is advanced by the script, which also decides the outcome of dials."""
 
     def __init__(self, network: Network) -> None:
         super().__init__()
@@ -36,11 +36,11 @@
 
     @property
     def now_us(self) -> int:
-        """The clock in whole microseconds."""
-        return OPENED_AT + round(self._now * 1e6)
+        """The clock time in microseconds."""
+        return START_TIME_US + round(self._now * 1e6)
 
     def enter(self) -> None:
-        """Be the running loop of this thread until `leave`."""
+        """Makes this the running loop of the thread until `leave`."""
         events._set_running_loop(self)
 
     def leave(self) -> None:
@@ -48,7 +48,7 @@
         self.close()
 
     def run_ready(self) -> None:
-        """Run callbacks in the order in which they became due, until none is due at this time."""
+        """Runs callbacks in the order in which they became ready, until none is ready."""
         ready = self._ready  # type: ignore[attr-defined]
         while ready:
             handle = ready.popleft()
@@ -56,7 +56,7 @@
                 handle._run()
 
     def advance(self, span_us: int) -> None:
-        """Let time pass; timers fire on the way, each at its own time."""
+        """Advances the clock; timers that become due fire in order, each at its own time."""
         until = self._now + span_us / 1e6
         timers = self._scheduled  # type: ignore[attr-defined]
         self.run_ready()
@@ -71,7 +71,7 @@
         self.run_ready()
 
     def delay(self, span_us: int) -> None:
-        """Let time pass in which no callback runs: timers that fall due fire at the next `advance`."""
+        """Advances the clock without running callbacks: due timers fire at the next `advance`."""
         self.run_ready()
         self._now += span_us / 1e6
 
@@ -81,10 +81,10 @@
     async def create_connection(  # type: ignore[override]
         self, protocol_factory: Callable[[], Any], host: str, port: int
     ) -> tuple[Any, Any]:
-        """Connect; the script decides when that succeeds or fails."""
+        """Opens a connection; the script decides when this succeeds or fails."""
         dial = Dial(host, self.create_future(), self.now_us)
         self.network.dials.append(dial)
-        dial.is_blocked = await dial.end
+        dial.is_blocked = await dial.result
         protocol = protocol_factory()
         connection = Connection(self, self.network, dial.host, protocol, is_blocked=dial.is_blocked)
         self.network.connections.append(connection)
@@ -94,36 +94,38 @@
 
 @dataclass
 class Dial:
-    """One attempt to open a connection."""
+    """An attempt to open a connection."""
 
     host: str
-    end: asyncio.Future[bool]  # whether the network blocks what is written first
-    began_at: int
+    result: asyncio.Future[bool]  # set by the script: whether the network blocks the first data
+    started_at: int
     is_blocked: bool = False
 
     @property
     def is_pending(self) -> bool:
-        return not self.end.done()
+        return not self.result.done()
 
 
 @dataclass
 class Exchange:
-    """One request on one connection, as the network sees it, and what came of it."""
+    """One request on one connection, as visible on the network, and its responses."""
 
     connection: Connection
-    index: int  # on its connection, from 0
-    accepted: bytearray = field(default_factory=bytearray)  # what the network took of the request
-    request_id: str | None = None  # once its head was taken
-    completed_at: int | None = None  # when the network accepted its last byte
+    index: int  # position on its connection, from 0
+    accepted: bytearray = field(
+        default_factory=bytearray
+    )  # the part of the request that the network accepted
+    request_id: str | None = None  # set once its head was accepted
+    completed_at: int | None = None  # time (us) at which the network accepted its last byte
     was_blocked: bool = False  # whether the network blocked a part of it
     was_buffered: bool = False  # whether the loop buffered its last byte before the network accepted it
-    first_response: bytes | None = None  # the first that came on the connection since its first byte
+    first_response: bytes | None = None  # the first response received since its first byte
     is_first_response_own: bool = False
-    own_response: bytes | None = None  # the one that its server gave to it
+    own_response: bytes | None = None  # the response of its server to this request
 
-    def accept(self, piece: bytes) -> bool:
-        """Count a piece in; say whether the last byte is among it."""
-        self.accepted += piece
+    def add_data(self, data: bytes) -> bool:
+        """Adds accepted data; returns whether it contains the request's last byte."""
+        self.accepted += data
         head, end, body = bytes(self.accepted).partition(b"\r\n\r\n")
         if not end:
             return False
@@ -135,17 +137,17 @@
 
 
 class Transport:
-    """What both directions share: a real socket pair, and the calls that the program makes."""
+    """The common part of both transports: a real socket pair, and the methods that the sidecar calls."""
 
     def __init__(self, loop: VirtualLoop, protocol: Any) -> None:
         self.loop = loop
         self.protocol = protocol
-        self.near, self.far = socket.socketpair()
-        self.is_closed = False  # by the program, or by the other end
+        self.local_socket, self.peer_socket = socket.socketpair()
+        self.is_closed = False  # by the sidecar or by the peer
 
     def get_extra_info(self, name: str) -> Any:
         assert name == "socket"
-        return self.near
+        return self.local_socket
 
     def is_closing(self) -> bool:
         return self.is_closed
@@ -154,10 +156,10 @@
         assert high == 0
 
     def pause_reading(self) -> None:
-        """The script brings what is read."""
+        """Does nothing: the script decides what is read."""
 
     def resume_reading(self) -> None:
-        """The script brings what is read."""
+        """Does nothing: the script decides what is read."""
 
     def write_eof(self) -> None:
         self.is_closed = True
@@ -171,19 +173,19 @@
         self.abort()
 
     def deliver(self, data: bytes) -> None:
-        """Bytes come from the other end: they lie in the socket, and then the loop reads them."""
-        self.far.send(data)
-        size = self.near.recv_into(self.protocol.get_buffer(-1))
+        """Sends data from the peer, which the loop reads immediately."""
+        self.peer_socket.send(data)
+        size = self.local_socket.recv_into(self.protocol.get_buffer(-1))
         self.protocol.buffer_updated(size)
 
     def release(self) -> None:
-        """Give the descriptors back."""
-        self.near.close()
-        self.far.close()
+        """Closes both sockets."""
+        self.local_socket.close()
+        self.peer_socket.close()
 
 
 class Connection(Transport):
-    """A connection to a server.  While it is blocked, the network accepts half of the first write only."""
+    """A connection to a server.  While it is blocked, the network accepts only half of the first write."""
 
     def __init__(
         self, loop: VirtualLoop, network: Network, host: str, protocol: Any, *, is_blocked: bool
@@ -192,8 +194,8 @@
         self.network = network
         self.host = host
         self.is_blocked = is_blocked
-        self.has_space = is_blocked  # for half of the next piece
-        self.transport_buffer = b""  # what the loop buffers
+        self.accepts_half = is_blocked  # whether half of the next write is accepted while blocked
+        self.transport_buffer = b""  # data that the network has not accepted yet
         self.opened_at = loop.now_us
         self.exchanges: list[Exchange] = []
         self.was_reset = False
@@ -201,26 +203,26 @@
 
     @property
     def exchange(self) -> Exchange | None:
-        """The last one."""
+        """The last exchange, or None."""
         return self.exchanges[-1] if self.exchanges else None
 
     @property
     def is_open(self) -> bool:
-        """Whether neither end has closed it."""
+        """Whether neither end has closed the connection."""
         return not (self.is_closed or self.was_reset)
 
     @property
     def has_shut_down_sending(self) -> bool:
-        """Whether the other end can see by now that no more will come."""
+        """Whether the sidecar has ended its sending, as visible to the server."""
         if self.was_reset:
             return True
         try:
-            return self.far.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT) == b""
+            return self.peer_socket.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT) == b""
         except BlockingIOError:
             return False
 
     def write(self, data: bytes) -> None:
-        """The program gives the loop bytes to write; it buffers what the network does not accept."""
+        """Writes data from the sidecar; buffers what the network does not accept."""
         if not data or not self.is_open:
             return
         accepted = 0 if self.transport_buffer else self._space_for(data)
@@ -232,10 +234,10 @@
                 self.protocol.pause_writing()
 
     def write_to_kernel(self, data: bytes) -> int:
-        """The program writes to the socket itself; returns how much the network accepts."""
+        """Writes data that bypasses the loop's buffer; returns how many bytes the network accepts."""
         if not self.is_open:
             raise BrokenPipeError
-        assert not self.transport_buffer, "bytes overtake those that the loop buffers"
+        assert not self.transport_buffer, "data is written ahead of the data in the loop's buffer"
         accepted = self._space_for(data)
         if data and not accepted:
             raise BlockingIOError
@@ -245,8 +247,8 @@
     def _space_for(self, data: bytes) -> int:
         if not self.is_blocked:
             return len(data)
-        has_space, self.has_space = self.has_space, False
-        return len(data) // 2 if has_space else 0
+        accepts_half, self.accepts_half = self.accepts_half, False
+        return len(data) // 2 if accepts_half else 0
 
     def get_write_buffer_size(self) -> int:
         return len(self.transport_buffer)
@@ -257,7 +259,7 @@
 
     @property
     def is_partly_written(self) -> bool:
-        """Whether a request is written in part, and the network accepts no more of it."""
+        """Whether a request is partly written and the network accepts no more of it."""
         last = self.exchange
         return self.is_open and self.is_blocked and last is not None and last.completed_at is None
 
@@ -268,14 +270,14 @@
         if last is None or last.completed_at is not None:
             last = Exchange(self, len(self.exchanges), was_blocked=self.is_blocked)
             self.exchanges.append(last)
-        if last.accept(data):
+        if last.add_data(data):
             last.completed_at = self.loop.now_us
             self.network.on_completed(last)
 
-    # What the script does
+    # Called by the script
 
     def unblock(self, *, blocks_rest: bool) -> None:
-        """The network accepts what it blocked, and all that follows, unless it blocks that again."""
+        """Accepts the blocked data, and all further data unless `blocks_rest`."""
         self.is_blocked = self.has_blocked_rest = blocks_rest
         data, self.transport_buffer = self.transport_buffer, b""
         if data:
@@ -287,7 +289,7 @@
             self.protocol.resume_writing()
 
     def respond(self, data: bytes, *, is_own: bool) -> None:
-        """A response is received: the server's to this exchange, or a late duplicate of an earlier one."""
+        """Delivers a response to the last exchange, or a late duplicate of an earlier one if not `is_own`."""
         last = self.exchange
         assert last is not None
         if last.first_response is None:
@@ -297,32 +299,32 @@
         self.deliver(data)
 
     def reset(self) -> None:
-        """The connection is reset, and the loop is notified."""
+        """Resets the connection and notifies the sidecar."""
         self.was_reset = self.is_closed = True
         self.transport_buffer = b""
-        self.far.close()
+        self.peer_socket.close()
         self.protocol.connection_lost(ConnectionResetError())
 
 
-class Kernel:
-    """Stands in for `os` where the program writes to a socket itself."""
+class FakeOs:
+    """Replaces the module `os` where the sidecar writes to a socket directly."""
 
     def __init__(self, find: Callable[[], Network]) -> None:
-        self._find = find
+        self._find_network = find
 
     def write(self, descriptor: int, data: bytes) -> int:
-        """As `os.write` does on a socket that does not block."""
-        return self._find().by_descriptor(descriptor).write_to_kernel(data)
+        """Behaves like `os.write` on a non-blocking socket."""
+        return self._find_network().connection_by_descriptor(descriptor).write_to_kernel(data)
 
 
-class ClientEnd(Transport):
-    """The application's connection to the sidecar."""
+class ClientTransport(Transport):
+    """The transport of the client's connection, on the side of the sidecar."""
 
     def __init__(self, loop: VirtualLoop, protocol: Any, on_response: Callable[[int], None]) -> None:
         super().__init__(loop, protocol)
-        self.on_response = on_response  # called with the status of each response, as it is written
-        self.has_disconnected = False  # the other end has closed
-        self.is_disconnect_unread = False  # and the loop has not read that yet
+        self.on_response = on_response  # called with the status of each response when it is written
+        self.has_disconnected = False  # whether the client has closed the connection
+        self.is_disconnect_unread = False  # whether the loop has not read the end yet
         protocol.connection_made(self)
 
     def write(self, data: bytes) -> None:
@@ -332,13 +334,13 @@
     def get_write_buffer_size(self) -> int:
         return 0
 
-    def leave(self) -> None:
-        """The application closes its connection; the loop reads that in `notice`."""
+    def disconnect(self) -> None:
+        """Closes the client's end; the loop reads this in `read_disconnect`."""
         self.has_disconnected = self.is_disconnect_unread = True
-        self.far.close()
+        self.peer_socket.close()
 
     def read_disconnect(self) -> None:
-        """The loop reads the connection's end."""
+        """Makes the loop read the end of the connection."""
         if self.is_disconnect_unread:
             self.is_disconnect_unread = False
             if not self.is_closed:
@@ -348,13 +350,13 @@
 
 
 class Network:
-    """All dials and connections to servers, in the order of their start."""
+    """All dials and connections to servers, in the order in which they started."""
 
     def __init__(self, on_completed: Callable[[Exchange], None]) -> None:
         self.on_completed = on_completed  # called when a request's last byte is accepted
         self.dials: list[Dial] = []
         self.connections: list[Connection] = []
 
-    def by_descriptor(self, descriptor: int) -> Connection:
-        """The connection whose socket this is."""
-        return next(each for each in self.connections if each.near.fileno() == descriptor)
+    def connection_by_descriptor(self, descriptor: int) -> Connection:
+        """Returns the connection whose socket has this descriptor."""
+        return next(each for each in self.connections if each.local_socket.fileno() == descriptor)
