--- a/tests/sidecar/upstream/overtaken.py
+++ b/tests/sidecar/upstream/overtaken.py
@@ -1,4 +1,4 @@
-"""A keyed request whose first attempt is late, so that further ones are sent elsewhere."""
+"""Provides a keyed request whose first attempt is delayed, so that it is hedged at other servers."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 WINDOW_US = 300 * MS
 CONNECT_TIMEOUT_US = 1_600 * MS
 OBJECTIVE_US = 100 * MS
-OVERDUE_US = 150 * MS  # from here on an attempt at an unresponsive server is hedged
+OVERDUE_US = 150 * MS  # after this time an attempt at an unresponsive server is hedged
 OTHER_GROUPS = [("cell", {"cell": 2}), ("zone", {"zone": "b"})]
-OTHER_RESPONSES = 4  # by other servers meanwhile, so that only this one counts as unresponsive
+OTHER_RESPONSES = 4  # responses of other servers meanwhile, so that only this one counts as unresponsive
 
 _SERVED_AND_CLOSED = b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 6\r\n\r\nserved"
 
 
 def service_classes(group: str = "cell", window_us: int = WINDOW_US) -> list[dict[str, Any]]:
-    """The classes of the other tests, with this objective and deduplication."""
+    """Returns the common classes, with this latency objective, deduplication scope and window."""
     kinds = [{**each, "promiseUs": OBJECTIVE_US, "giveUpUs": 4_000_000} for each in CLASSES]
     kinds[1] |= {"group": group, "memorySpanUs": window_us}
     return kinds
@@ -33,15 +33,15 @@
 
 @dataclass
 class Overtaken:
-    """A keyed request whose first attempt is not written, and whose further ones went elsewhere."""
+    """A keyed request whose first attempt is not written, and whose retries were sent to other servers."""
 
     scene: Stage
     client: Client
-    received: list[Heard]  # attempts that the other servers have read completely
-    let_finish: asyncio.Event  # ends the attempts that run on
+    received: list[Heard]  # attempts that other servers have read completely
+    let_finish: asyncio.Event  # makes the attempts that are still running respond
 
     def attempts(self) -> list[UpstreamRequest]:
-        """All attempts of the only open request."""
+        """Returns all attempts of the only open request."""
         (open_request,) = self.scene.sidecar._registry
         return open_request.upstream_requests
 
@@ -60,18 +60,18 @@
     has_connection: bool = False,
     hold_others: HeldDials | None = None,
 ) -> AsyncIterator[Overtaken]:
-    """Send a request whose first attempt goes to the address `first` and is overtaken there.
+    """Sends a request whose first attempt, to the address `first`, is delayed until it is hedged.
 
-    The attempts that follow go to two other servers and end as `ends` says: "full" (a rejection), "reset", or
-    "runs on" until `let_finish` is set.  `first_is_late` returns once the first attempt waits where it is to
-    be late.  With `hold_others`, the connections of those that follow are held back as well.
+    The following attempts go to two other servers and end as `ends` says: "full" (a rejection), "reset", or
+    "runs on" until `let_finish` is set.  `first_is_late` returns once the first attempt waits where it is
+    delayed.  With `hold_others`, the connections of the following attempts are delayed as well.
     """
     received: list[Heard] = []
     let_finish = asyncio.Event()
 
     async def other(incoming: Heard) -> bytes | None:
         if incoming.method == "GET":
-            return _SERVED_AND_CLOSED  # so that each attempt opens a connection: a rejection is proof there
+            return _SERVED_AND_CLOSED  # each attempt opens a connection, on which a rejection is proof
         if len(received) == len(ends):
             return FULL
         how = ends[len(received)]
@@ -114,26 +114,26 @@
 
 
 async def assert_has_ended(seen: Overtaken, group: str, *ends: str) -> None:
-    """The client has a response that the rules permit."""
+    """Asserts that the client gets a response that the retry rules permit."""
     seen.let_finish.set()
     response = await seen.client.answer()
     if "runs on" in ends:
         assert response.status == 200
     else:
-        # It may have executed; where every server discards the retry, a rejection is harmless.
+        # It may have been executed; if all servers deduplicate the client's retry, a rejection is harmless.
         assert response.status in ((502, 503, 504) if group == "all" else (502, 504))
     await until(lambda: seen.scene.sidecar.open_requests == 0)
 
 
 async def assert_received_nothing(seen: Overtaken, late_server: ScriptedServer) -> None:
-    """Close all connections; the late server has read no request on any."""
+    """Closes all connections, and asserts that the late server has read no request."""
     seen.scene.sidecar.close()
     await until(lambda: len(late_server.closed) == late_server.connections)
     assert late_server.heard == []
 
 
 def until_dial_is_delayed(delayed_dials: HeldDials) -> Callable[[Stage], Awaitable[None]]:
-    """For `first_is_late`: the first attempt waits for its connection."""
+    """Returns a value for `first_is_late`: it waits until the first attempt waits for its connection."""
 
     async def first_is_late(scene: Stage) -> None:
         await until(lambda: delayed_dials.waiting == 1)
--- a/tests/sidecar/upstream/test_connection_accounting.py
+++ b/tests/sidecar/upstream/test_connection_accounting.py
@@ -1,4 +1,4 @@
-"""Connections to servers that end, or are paused, as they are established or become idle."""
+"""Connections to servers that are closed while they are established, or paused when they become idle."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def _return_after_end(patch: pytest.MonkeyPatch, ports: set[int]) -> None:
-    """Connecting to one of these ports returns only once the server has ended the connection."""
+    """Delays the end of connecting to one of these ports until the server has closed the connection."""
     create = uvloop.Loop.create_connection
 
     async def create_connection(
@@ -37,7 +37,7 @@
 
 
 class _ClosingServer(ScriptedServer):
-    """Ends each connection as soon as it has accepted it, while `closes` is set."""
+    """Closes each connection as soon as it has accepted it, while `closes` is set."""
 
     closes = True
 
@@ -50,7 +50,7 @@
 
 
 def test_pool_does_not_count_connection_that_ends_when_established(monkeypatch: pytest.MonkeyPatch) -> None:
-    # With more of these than `max_connections`, the sidecar must still reach the server once it serves.
+    # After more such connections than `max_connections`, the sidecar must still be able to connect.
     async def work() -> None:
         server = _ClosingServer(OK)
         async with stage(server, given={"limits": {"sockets": 64}}) as scene:
@@ -68,7 +68,7 @@
 
 
 class _PausingConsumer:
-    """Has no capacity after each part, and resumes only while the response is incomplete."""
+    """Pauses reading after each part, and resumes it only while the response is incomplete."""
 
     def __init__(self, connection: UpstreamConnection) -> None:
         self._connection = connection
@@ -82,7 +82,7 @@
 
 
 class _StreamedExchange(BufferedExchangeObserver):
-    """Streams a large response."""
+    """Observes an exchange whose response may be streamed."""
 
     streams_responses = True
 
@@ -95,7 +95,7 @@
 
 
 class _Owner:
-    """Records the connections that were idle again."""
+    """Records the connections that became idle."""
 
     def __init__(self) -> None:
         self.idle: list[UpstreamConnection] = []
@@ -104,7 +104,7 @@
         self.idle.append(connection)
 
     def connection_closed(self, connection: UpstreamConnection) -> None:
-        """Not recorded."""
+        """Does nothing."""
 
 
 def test_connection_is_reusable_when_last_part_of_response_paused_reading() -> None:
--- a/tests/sidecar/upstream/test_connection_reuse.py
+++ b/tests/sidecar/upstream/test_connection_reuse.py
@@ -1,4 +1,4 @@
-"""Which connections carry a further request, and which are closed, over loopback sockets."""
+"""Which connections to servers are reused and which are closed, over loopback sockets."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @pytest.mark.parametrize("late", [False, True])
 def test_connection_is_not_reused_after_excess_data(late: bool) -> None:
-    # The next request must not get a duplicate of this response.
+    # A duplicate of this response must not be returned for the next request.
     async def work() -> None:
         async def twice(incoming: Heard) -> bytes:
             body = incoming.target.rpartition("/")[2].encode()
@@ -42,7 +42,7 @@
 
 
 def test_pool_discards_duplicate_response_within_reuse_delay(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Nothing in a response names its request.
+    # A response does not identify its request, so a duplicate must not be attributed to the next request.
     monkeypatch.setattr(pool_module, "_REUSE_DELAY_US", 2_000_000)
 
     async def work() -> None:
@@ -96,7 +96,7 @@
 
 
 def test_pool_reuses_open_connection_but_not_ended_one(monkeypatch: pytest.MonkeyPatch) -> None:
-    # A request written to a connection whose end is unread in the socket would count as possibly executed.
+    # A request that is written to a connection whose end is still unread would count as possibly executed.
     monkeypatch.setattr(pool_module, "_REUSE_DELAY_US", 0)
 
     async def work() -> None:
@@ -145,7 +145,7 @@
 
 
 def test_pool_closes_idle_connections_when_server_drains() -> None:
-    # A draining server gets no new requests, and its capacity for connections is small.
+    # A draining server gets no new requests, and idle connections would use its limited capacity.
     async def work() -> None:
         async with stage(OK, bounds={"idleCloseUs": 600_000_000}) as scene:
             await until(lambda: len(scene.discovery.heard) >= 2)
--- a/tests/sidecar/upstream/test_deduplication_groups.py
+++ b/tests/sidecar/upstream/test_deduplication_groups.py
@@ -1,4 +1,4 @@
-"""The deduplication group of an attempt, where the endpoint list changes its server's zone or cell."""
+"""The deduplication scope of an attempt whose server moves to another zone or cell."""
 
 from __future__ import annotations
 
@@ -48,7 +48,8 @@
 def test_attempt_group_is_that_of_server_when_last_byte_is_written(
     group: str, locality: dict[str, Any], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Its server moves between the decision and the last byte; one server is in the old group, one in the new.
+    # The server moves after the attempt was started and before its last byte is written.  One other server is
+    # in its old zone or cell, one in the new.
     delayed_dials = HeldDials(monkeypatch)
     ManualClock(monkeypatch)
 
--- a/tests/sidecar/upstream/test_duplicate_responses.py
+++ b/tests/sidecar/upstream/test_duplicate_responses.py
@@ -1,4 +1,8 @@
-"""A response on a connection that carried an earlier request may belong to that one, and proves nothing."""
+"""Guards against conclusions from a response that may be a duplicate of an earlier one.
+
+A response does not identify its request, so on a connection with earlier requests it may belong to one of
+them.
+"""
 
 from __future__ import annotations
 
@@ -16,20 +20,20 @@
 
 @dataclass
 class DuplicateResponse:
-    """A request whose server has read all of it, and then sent a duplicate of the response before."""
+    """A request that its server has read, before it sent a duplicate of the previous response."""
 
     scene: Stage
     client: Client
-    is_shared: bool  # whether it was on the connection of the request before
+    is_shared: bool  # whether both requests were on the same connection
 
 
 @asynccontextmanager
 async def _duplicate_response(
     request_class: str, clock: ManualClock | None = None, after_us: int = 0, group: str = "cell", **other: Any
 ) -> AsyncIterator[DuplicateResponse]:
-    """Send a request to a server that rejected one before; repeat that rejection once this one is read.
+    """Sends a request to a server that rejected an earlier one; the server repeats that rejection.
 
-    Meanwhile another server is listed, as `other` says: a retry could go there.
+    Before that, another server is listed with the changes `other`: a retry could be sent to it.
     """
     read = asyncio.Event()
     send_duplicate = asyncio.Event()
@@ -41,7 +45,7 @@
         await send_duplicate.wait()
         before = scene.servers[0].heard[0]
         if incoming.connection == before.connection:
-            return FULL  # the same response again
+            return FULL  # a duplicate of the previous response
         before.writer.write(FULL)
         return OK
 
@@ -66,7 +70,7 @@
             started_at = loop.time()
             response = await seen.client.answer()
             assert response.status == (502 if seen.is_shared else 200)
-            assert loop.time() - started_at < 1.0  # at once, not at its deadline
+            assert loop.time() - started_at < 1.0  # immediately, not at the deadline
             assert seen.scene.servers[1].heard == []
             await until(lambda: seen.scene.sidecar.open_requests == 0)
 
--- a/tests/sidecar/upstream/test_load_report.py
+++ b/tests/sidecar/upstream/test_load_report.py
@@ -1,4 +1,4 @@
-"""Load reports of servers, as they are parsed."""
+"""Parsing of load reports in server responses."""
 
 from __future__ import annotations
 
--- a/tests/sidecar/upstream/test_partial_writes.py
+++ b/tests/sidecar/upstream/test_partial_writes.py
@@ -1,4 +1,4 @@
-"""A request reaches its server byte for byte, however little of its end the kernel accepts at a time."""
+"""Guards against lost or reordered bytes of a request when the kernel accepts its end only in parts."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def _accepts(max_bytes: int) -> Fate:
-    """The kernel accepts so many bytes, or has no buffer space."""
+    """Returns a fate of a write: at most `max_bytes` are accepted, or there is no buffer space if it is 0."""
 
     def fate(descriptor: int, piece: bytes) -> int:
         if max_bytes == 0:
@@ -25,9 +25,8 @@
 
 
 @pytest.mark.parametrize("form", ["length", "chunked"])
-@pytest.mark.parametrize(
-    "size", [12, 2 * MAX_BUFFERED_BODY_BYTES]
-)  # what is longer is streamed with its own framing
+# A body that exceeds the buffer is streamed, with its own framing.
+@pytest.mark.parametrize("size", [12, 2 * MAX_BUFFERED_BODY_BYTES])
 @pytest.mark.parametrize("accepts", [(0,), (1,), (3,), (40,), (0, 0), (0, 0, 0, 0)], ids=str)
 def test_connection_writes_request_once_and_in_order_when_kernel_accepts_parts(
     monkeypatch: pytest.MonkeyPatch, form: str, size: int, accepts: tuple[int, ...]
@@ -46,9 +45,8 @@
                 application.send(head + chunked(body, size))
             assert (await application.answer()).status == 200
             assert not kernel.left
-            assert (
-                await application.ask("lodge", body=b"next")
-            ).status == 200  # nothing was left in the connection
+            # No data of the first request is left on the connection.
+            assert (await application.ask("lodge", body=b"next")).status == 200
             assert server.digests == [hashlib.sha1(each).digest() for each in (body, b"next")]
 
     play(work)
--- a/tests/sidecar/upstream/test_passed_deadline.py
+++ b/tests/sidecar/upstream/test_passed_deadline.py
@@ -1,4 +1,4 @@
-"""The time that a request tells its server, where its last byte leaves long after its head."""
+"""The timeout that a request announces to its server, if its last byte is written long after its head."""
 
 from __future__ import annotations
 
@@ -8,14 +8,15 @@
 
 _BODY = b"x" * 60_000 + b"the end"
 _TIMEOUT_S = 3.0
-_SLACK_S = 0.15  # the users' term
+_SLACK_S = 0.15  # how much more than the remaining time a head may announce
 
 
 @pytest.mark.parametrize("late_s", [0.05, 0.5])
 def test_passed_deadline_is_at_most_what_remains_when_a_server_reads_late(
     late_s: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # The head has gone with the time that was left then; what the kernel holds back goes when there is room.
+    # The head announced the time that was left when it was written; the rest is written once the kernel has
+    # buffer space.
     narrow_connections(monkeypatch)
 
     async def work() -> None:
--- a/tests/sidecar/upstream/test_pool.py
+++ b/tests/sidecar/upstream/test_pool.py
@@ -1,4 +1,4 @@
-"""The pool of connections to servers and the requests on them, over loopback sockets."""
+"""The pool of connections to servers and its requests, over loopback sockets."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     ("response", "status"),
     [
         (ERROR, 502),
-        (FULL, 503),  # it was not executed, and there is no other server
+        (FULL, 503),  # not executed, and there is no other server
         (b"HTTP/1.1 503 Odd\r\nContent-Length: 0\r\n\r\n", 502),
         (b"HTTP/1.1 404 Odd\r\nContent-Length: 0\r\n\r\n", 502),
         (b"HTTP/1.1 504 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n", 503),
@@ -62,7 +62,7 @@
 @pytest.mark.parametrize(
     "malformed",
     [
-        HEAD + b"\r\nserved",  # delimited by the connection's end only: it may be truncated
+        HEAD + b"\r\nserved",  # delimited only by the end of the connection, so it may be truncated
         HEAD + b"Content-Length: 3000000000\r\n\r\n" + b"x" * 1_000,
         HEAD + b"Content-Length: 6\r\nTransfer-Encoding: chunked\r\n\r\nserved",
         HEAD + b"Content-Length: 6\r\nContent-Length: 6\r\n\r\nserved",
@@ -77,7 +77,8 @@
     ],
 )
 def test_pool_retries_idempotent_request_soon_after_malformed_response(malformed: bytes) -> None:
-    # Not at the deadline of a connection that stays open, and without a guess at the response.
+    # The retry must not wait for the deadline while the connection stays open, and the malformed response
+    # must not be interpreted.
     async def work() -> None:
         async def once(incoming: Heard) -> bytes:
             return malformed if len(scene.heard) == 1 else OK
@@ -88,9 +89,8 @@
             first, second = scene.heard
             assert float(second.headers["request-timeout"]) > 1.5
             assert (await scene.ask("lodge")).status == 200
-            await until(
-                lambda: sum(len(each.closed) for each in scene.servers) == 1
-            )  # it can carry no further exchange
+            # The connection can't be reused.
+            await until(lambda: sum(len(each.closed) for each in scene.servers) == 1)
             assert first.target == second.target
 
     play(work)
@@ -99,8 +99,8 @@
 def test_pool_retries_after_stalled_response_while_another_server_can_respond(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # With a short deadline, a fixed minimum would end when there is no time left for another server.
-    # All times are ten to twenty times as long as real ones, so that a busy machine changes nothing.
+    # With a short deadline, a fixed minimum of the stall timeout would leave no time for another server.  All
+    # times are ten to twenty times as long as in production, so that a busy machine makes no difference.
     monkeypatch.setattr(timeouts, "_MIN_STALL_TIMEOUT_S", 2.0)
 
     async def work() -> None:
@@ -127,9 +127,8 @@
             await until(lambda: sum(each.connections for each in scene.servers) == 1)
             for server in scene.servers:
                 server.hang_up()
-            assert (
-                await client.answer()
-            ).status == 503  # not executed; a part was streamed, so there is no retry
+            # It was not executed, but a part of it was streamed, so it can't be retried.
+            assert (await client.answer()).status == 503
             assert scene.heard == []
             assert (await scene.ask("lodge")).status == 502
             assert len(scene.heard) == 1
@@ -161,7 +160,7 @@
 @pytest.mark.parametrize("may_cancel", [True, False])
 @pytest.mark.parametrize("cause", ["drains", "removed", "client disconnected"])
 def test_pool_writes_nothing_when_connection_is_established_too_late(cause: str, may_cancel: bool) -> None:
-    # A drain is announced, or the attempt cancelled, while its connection is being established.
+    # The server drains or is removed, or the attempt is cancelled, while its connection is being established.
     async def work() -> None:
         slow = SlowToAccept()
         await slow.fill()
@@ -182,7 +181,7 @@
                 await until(lambda: len(scene.discovery.heard) >= 4)
             accepted = await slow.let_go()
             if cause == "client disconnected":
-                scene.sidecar.close()  # the connection is usable and was retained
+                scene.sidecar.close()  # the connection is usable, so it was kept for later requests
             else:
                 assert (await client.answer()).status == 503
             assert await asyncio.get_running_loop().sock_recv(accepted, 1_000) == b""
@@ -193,10 +192,9 @@
 
 
 def test_pool_rejects_requests_beyond_max_connections(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Descriptors are limited; a request without a connection was not sent, so it is rejected.
-    monkeypatch.setattr(
-        concurrency_limit, "INITIAL_LIMIT_PER_ENDPOINT", 1e9
-    )  # else admission control rejects some of these first
+    # Descriptors are limited.  A request that gets no connection was not sent, so it is rejected.
+    # Admission control would otherwise reject some of the requests first.
+    monkeypatch.setattr(concurrency_limit, "INITIAL_LIMIT_PER_ENDPOINT", 1e9)
 
     async def work() -> None:
         release, hold = holding()
--- a/tests/sidecar/upstream/test_rejection_proofs.py
+++ b/tests/sidecar/upstream/test_rejection_proofs.py
@@ -1,4 +1,4 @@
-"""Which responses prove that a request was not executed, and the response that its client gets then."""
+"""Which responses prove that a request was not executed, and the final response to its client."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @asynccontextmanager
 async def _two_servers(first: Any) -> Any:
-    """A stage whose first server has read a non-idempotent request; the second is listed only then."""
+    """Provides a stage whose first server has read a non-idempotent request; then the second is listed."""
     release = asyncio.Event()
 
     async def script(incoming: Heard) -> bytes | None:
@@ -105,7 +105,7 @@
         async with _two_servers(first) as (scene, client):
             assert (await client.answer()).status == 200
             assert [len(each.heard) for each in scene.servers] == [1, 1]
-            await until(lambda: scene.servers[0].closed == [0])  # of no further use
+            await until(lambda: scene.servers[0].closed == [0])  # it is not reused
 
     play(work)
 
@@ -114,8 +114,8 @@
 def test_connection_is_not_reused_when_response_may_belong_to_another_request(
     request_class: str,
 ) -> None:
-    # The first request is rejected twice.  The second rejection is taken for the response to the second
-    # request, whose own comes when the third request is written: it must not be the third one's.
+    # The first request is rejected twice.  The second rejection is attributed to the second request, whose
+    # own response arrives when the third request is written: it must not be returned for the third request.
     async def work() -> None:
         async def script(incoming: Heard) -> bytes:
             before = scene.heard[:-1]
@@ -155,7 +155,7 @@
 )
 @pytest.mark.parametrize("limit", ["memory", ""])
 def test_request_is_not_rejected_when_its_last_byte_was_just_streamed(limit: str, behind: bytes) -> None:
-    # The read of its last byte also brings bytes that exceed the memory limit, or that are malformed.
+    # The read that returns its last byte also returns bytes that exceed the memory limit or are malformed.
     async def work() -> None:
         release = asyncio.Event()
 
--- a/tests/sidecar/upstream/test_reload_bounds.py
+++ b/tests/sidecar/upstream/test_reload_bounds.py
@@ -1,4 +1,4 @@
-"""A reload does not relax the bounds of a request that has started."""
+"""Guards against reloads that relax the retry rules of a request that has started."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def _reload(scene: Stage, **changes: Any) -> None:
-    """Change settings in the running sidecar."""
+    """Reloads the running sidecar with changed settings."""
     before = dict(scene.sidecar.config.file)
     raw = {**before, "settings": {**before["settings"], **changes}}
     scene.sidecar.reload(parse(raw, raw))
@@ -88,8 +88,8 @@
 
 @pytest.mark.parametrize("request_class", ["lodge", "amend"])
 def test_reload_permits_no_retry_of_possibly_executed_request(request_class: str) -> None:
-    # By its class as it was there may be no retry: non-idempotent, or keyed with no other server in the
-    # group.
+    # Its class did not permit a retry before the reload: it was non-idempotent, or keyed and without another
+    # server in the deduplication scope.
     async def work() -> None:
         release = asyncio.Event()
 
@@ -115,7 +115,7 @@
 
 @pytest.mark.parametrize("request_class", ["check", "amend"])
 def test_request_is_sent_once_when_its_class_was_removed(request_class: str) -> None:
-    # Requests of it are in flight; a class that the settings do not name counts as non-idempotent.
+    # Its requests are still in flight; a class that is missing in the settings counts as non-idempotent.
     async def work() -> None:
         async def resets(incoming: Heard) -> None:
             reset(incoming)
--- a/tests/sidecar/upstream/test_repeated_requests.py
+++ b/tests/sidecar/upstream/test_repeated_requests.py
@@ -1,4 +1,4 @@
-"""A request that its client sends again, with the same id."""
+"""Requests that a client sends again with the same id."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 def test_non_idempotent_request_is_not_sent_again_when_its_client_disconnected(
     when: str, may_cancel: bool
 ) -> None:
-    # Its connection was closed, and its client assumes that nobody has read it.
+    # The client's connection was closed, and the client assumes that its request was not read.
     async def work() -> None:
         release = asyncio.Event()
 
--- a/tests/sidecar/upstream/test_retry_bounds.py
+++ b/tests/sidecar/upstream/test_retry_bounds.py
@@ -1,7 +1,7 @@
-"""No attempt starts outside the bounds of its class for retries, however late it is.
+"""Guards against retries that violate the retry rules of their class because an attempt is delayed.
 
-Each race is forced: the clock moves only when a test says so, connections are held back until they are
-released, and servers report what they have read.
+Each race is forced: the clock moves only when a test advances it, connections are delayed until they are
+released, and servers record what they have read.
 """
 
 from __future__ import annotations
@@ -85,7 +85,8 @@
 def test_latest_start_follows_class_and_not_connect_timeout(
     window_us: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # All are shorter than the connect timeout; the first is as long as a first attempt waits.
+    # All windows are shorter than the connect timeout; the first one is as long as an attempt waits before it
+    # is hedged.
     clock, delayed_dials = ManualClock(monkeypatch), HeldDials(monkeypatch)
 
     async def work() -> None:
@@ -142,7 +143,7 @@
 def test_hedged_attempt_is_not_written_when_connected_after_window_of_first(
     end: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # The first attempt is written meanwhile, and bounds those that were to replace it.
+    # The first attempt is written meanwhile, and starts the window for the attempts that hedge it.
     clock, delayed_dials = ManualClock(monkeypatch), HeldDials(monkeypatch)
 
     async def work() -> None:
@@ -186,7 +187,7 @@
 def test_deduplication_window_starts_when_last_byte_is_given_to_kernel(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # The process is delayed after its call for the write: its server has the complete request meanwhile.
+    # The process is delayed within the call of `write`, when the server already has the complete request.
     clock, delayed_dials = ManualClock(monkeypatch), HeldDials(monkeypatch)
     delay_us = 100 * MS
     posts: list[bytes] = []
@@ -220,7 +221,7 @@
 def test_attempt_is_not_written_after_window_in_real_time_when_backlog_was_full(
     end: str,
 ) -> None:
-    # The kernel retries the connection after a second, when the window is over.
+    # The kernel retries the connection only after a second, when the window has passed.
     async def work() -> None:
         slow = SlowToAccept()
         await slow.fill()
@@ -238,7 +239,9 @@
             ran_at = loop.time()
             pool = seen.scene.sidecar._upstream
             accepted = await slow.let_go()
-            assert loop.time() - ran_at > WINDOW_US / 1e6, "the connection came up too early to show anything"
+            assert loop.time() - ran_at > WINDOW_US / 1e6, (
+                "connected before the window had passed, so the test shows nothing"
+            )
             await until(lambda: pool._dials_in_flight == 0)
             await assert_has_ended(seen, "cell", end)
             seen.scene.sidecar.close()
@@ -259,7 +262,7 @@
 async def _partly_written(
     clock: ManualClock, *ends: str, group: str
 ) -> AsyncIterator[tuple[Overtaken, NarrowServer]]:
-    """An attempt of which its server has read a part."""
+    """Provides an attempt of which its server has read a part."""
     server = NarrowServer()
 
     async def first_is_late(scene: Stage) -> None:
@@ -282,7 +285,7 @@
 def test_last_byte_is_not_written_when_deduplication_window_is_over(
     group: str, end: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # The server reads on at the moment at which the window ends, before any timer fires.
+    # The server continues to read when the window ends, before any timer has fired.
     narrow_connections(monkeypatch)
     clock = ManualClock(monkeypatch)
 
@@ -301,7 +304,7 @@
 def test_partly_written_attempt_ends_when_deduplication_window_is_over(
     end: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # As above, but timers fire in time; the clock runs from here on.
+    # As in the previous test, but timers fire in time: the clock runs while the test waits.
     narrow_connections(monkeypatch)
     clock = ManualClock(monkeypatch)
 
@@ -325,7 +328,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     narrow_connections(monkeypatch)
-    # The timeout that its head announces is another and closer bound (`test_told_deadline.py`).
+    # The timeout that the head announces is a second, shorter limit (see `test_passed_deadline.py`).
     monkeypatch.setattr(write_gate, "_TIMEOUT_HEADER_STALE_AFTER_US", 10 * WINDOW_US)
     clock = ManualClock(monkeypatch)
 
@@ -340,7 +343,7 @@
     play(work)
 
 
-# An idle connection whose reuse delay is waited for
+# An idle connection whose reuse delay has not passed
 
 
 @pytest.mark.parametrize("end", ["reset", "runs on"])
@@ -381,12 +384,11 @@
 def test_streamed_body_is_sent_to_one_server_when_its_last_byte_is_late(
     first: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # What exceeds the buffer is streamed to one server, and its last byte follows once it is received.
+    # The part that exceeds the buffer is streamed to one server; its last byte follows once it is received.
     clock, delayed_dials = ManualClock(monkeypatch), HeldDials(monkeypatch)
     bounds = {"dialTimeoutUs": CONNECT_TIMEOUT_US, "secondCopies": True}
-    body = b"x" * (
-        MAX_BUFFERED_BODY_BYTES + 2
-    )  # no more waits here than is read on for, while its connection comes up
+    # The excess is small enough to be read from the client before the connection is established.
+    body = b"x" * (MAX_BUFFERED_BODY_BYTES + 2)
 
     async def work() -> None:
         async with stage(OK, OK, OK, listed=False, bounds=bounds, lanes=service_classes()) as scene:
--- a/tests/sidecar/upstream/test_unexecuted_requests.py
+++ b/tests/sidecar/upstream/test_unexecuted_requests.py
@@ -1,4 +1,4 @@
-"""A request is unexecuted until its last byte is written to a server, and may be retried until then."""
+"""A request counts as not executed, and may be retried, until its last byte is written to a server."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 async def _end(server: NarrowServer, how: str) -> None:
-    """End the server's side of the connection, or reject the request before it is complete."""
+    """Closes the server's side of the connection, or rejects the request before it is complete."""
     assert server.accepted is not None
     if how == "rejection":
         await server.send(FULL)
@@ -40,7 +40,7 @@
 def test_request_is_unexecuted_when_kernel_accepted_a_part(
     used: bool, how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # It is retried, and its first server never gets the last byte.
+    # The request is retried, and its first server never gets the last byte.
     narrow_connections(monkeypatch)
     monkeypatch.setattr(pool_module, "_REUSE_DELAY_US", 0)
 
@@ -77,7 +77,7 @@
 def test_request_may_have_executed_when_server_ends_as_it_reads_last_byte(
     how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Most of it was buffered in this process; the server ends its side as it reads the last byte.
+    # Most of the request was buffered in the sidecar; the server closes its side when it reads the last byte.
     narrow_connections(monkeypatch)
 
     async def work() -> None:
@@ -98,7 +98,7 @@
 
 
 async def _send_to_first(scene: Stage, patch: pytest.MonkeyPatch) -> Client:
-    """Send a non-idempotent request whose first attempt goes to the first server; then list the second."""
+    """Sends a non-idempotent request whose first attempt goes to the first server; then lists the second."""
     first, second = scene.servers
     await tell(scene, server_line(0, first.address))
     delayed_dials = HeldDials(patch)
@@ -181,7 +181,7 @@
     play(work)
 
 
-# Connections that did not carry it
+# Connections that fail before the request is written
 
 
 @pytest.mark.parametrize(
@@ -210,7 +210,7 @@
                     accepted: list[socket.socket] = []
 
                     def connection_made(self: UpstreamConnection, transport: asyncio.BaseTransport) -> None:
-                        # Its server has acted before the sidecar is notified that it is established.
+                        # The server acts before the sidecar is notified that the connection is established.
                         if transport.get_extra_info("peername") == listener.getsockname():
                             accepted.append(listener.accept()[0])
                             if how == "server writes first":
--- a/tests/sidecar/upstream/test_unwritten_request.py
+++ b/tests/sidecar/upstream/test_unwritten_request.py
@@ -1,4 +1,4 @@
-"""What is still to be written of a request, without sockets."""
+"""The unwritten part of a request, without sockets."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def _ignore() -> None:
-    """A hook that does nothing."""
+    """Does nothing."""
 
 
 def _request(body: Body, *, is_chunked: bool = False) -> Request:
--- a/tests/sidecar/upstream/test_upstream_timeouts.py
+++ b/tests/sidecar/upstream/test_upstream_timeouts.py
@@ -1,4 +1,4 @@
-"""Time limits of connections to servers, as they follow from the settings."""
+"""The timeouts of connections to servers, derived from the settings."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 @pytest.mark.parametrize(
     ("objectives_ms", "deadlines_ms", "timeout_s"),
     [
-        ((600, 1_200), (2_000, 4_000), 0.24),  # a part of the shortest objective
-        ((200, 500), (400, 1_500), 0.1),  # but not less than what a busy machine does to any answer
-        ((20, 500), (100, 60_000), 0.05),  # unless nothing would be left then of the shortest deadline
+        ((600, 1_200), (2_000, 4_000), 0.24),  # a part of the shortest latency objective
+        ((200, 500), (400, 1_500), 0.1),  # the minimum, since a busy machine delays any response
+        ((20, 500), (100, 60_000), 0.05),  # less than the minimum: time is left before the shortest deadline
     ],
 )
 def test_stall_timeout_follows_from_objectives_and_deadlines(
