--- a/tests/sidecar/requests/test_client_disconnects.py
+++ b/tests/sidecar/requests/test_client_disconnects.py
@@ -1,4 +1,4 @@
-"""A client that leaves while its request waits: nothing of it is sent on, whatever the settings permit."""
+"""Guards against attempts that are written after their client has disconnected, whatever the settings."""
 
 from __future__ import annotations
 
@@ -30,13 +30,13 @@
 
 
 async def _leave(client: Client) -> None:
-    """Close the connection; when this is done, its end lies in the sidecar's socket."""
+    """Closes the connection; on return, the end of the stream has reached the sidecar's socket."""
     client.close()
     await client.writer.wait_closed()
 
 
 async def _sent_ahead(scene: Stage) -> Client:
-    """A client with a request open and a further one behind it, so that nothing is read of it any more."""
+    """Returns a client with an open request and a pipelined one, so that the sidecar has paused reading."""
     client = await scene.client()
     client.send(request("lodge", timeout="15") + request("lodge", timeout="15"))
     await until(lambda: any(each.is_reading_paused for each in scene.sidecar.downstream.connections()))
@@ -52,7 +52,7 @@
 def test_attempt_is_not_written_when_the_client_disconnects_during_a_dial_with_reading_paused(
     *, seen_by: str, may_cancel: bool
 ) -> None:
-    # What it sent ahead stops the reading, so that the event loop never sees its end.
+    # The pipelined request pauses reading, so the event loop does not notice the end of the connection.
     async def work() -> None:
         slow = SlowToAccept()
         await slow.fill()
@@ -68,7 +68,7 @@
                 await until(lambda: scene.sidecar.open_requests == 0)
             accepted = await slow.let_go()
             await until(lambda: scene.sidecar.open_requests == 0)
-            scene.sidecar.close()  # the connection itself may be kept
+            scene.sidecar.close()  # the connection may be kept for later requests
             assert await _nothing_comes(accepted)
             accepted.close()
         slow.close()
@@ -98,7 +98,7 @@
 def test_pipelined_request_is_not_accepted_when_its_client_has_disconnected(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(upstream, "_REUSE_DELAY_US", 0)  # it would be written at once
+    monkeypatch.setattr(upstream, "_REUSE_DELAY_US", 0)  # an accepted request would be written immediately
 
     async def work() -> None:
         release, hold = holding()
@@ -115,7 +115,7 @@
 
 
 def test_incomplete_body_is_not_waited_for_when_its_client_has_disconnected() -> None:
-    # No server begins what is not whole: without permission to cancel too, its place there is given back.
+    # No server executes an incomplete request, so it is cancelled even without permission to cancel.
     async def work() -> None:
         async with stage(OK, bounds={"mayCancel": False}) as scene:
             client = await scene.client()
@@ -131,7 +131,7 @@
 
 
 def test_hedged_attempt_that_dials_is_not_written_when_the_first_is_responded() -> None:
-    # Nothing may follow the final answer, and no permission is needed to stop what has not left.
+    # No attempt may be written after the final response, and cancelling an unwritten one needs no permission.
     async def work() -> None:
         slow = SlowToAccept()
         await slow.fill()
@@ -145,7 +145,8 @@
             (held,) = scene.sidecar._registry
             scene.discovery.tell(line("s-slow", slow.address))
             await until(lambda: len(scene.discovery.heard) >= 3)
-            # The decisions would send a second copy once others had answered meanwhile; it is sent here.
+            # The balancer would hedge only after other responses; here the hedged attempt is started
+            # directly.
             balancer = scene.sidecar._balancer
             assert balancer._start_attempt(
                 balancer._requests[held.number], balancer._context.endpoints["s-slow"]
@@ -163,8 +164,9 @@
     play(work)
 
 
-# What follows forces the order: within one step of the event loop the client leaves, its leaving has reached
-# the sidecar's socket, and what begins an attempt is handled, all before the loop or a sweep can see the end.
+# The following tests force the order: within one iteration of the event loop, the client disconnects, its
+# disconnect reaches the sidecar's socket, and the event that starts an attempt is handled.  Neither the loop
+# nor a sweep can notice the disconnect before that.
 
 _AHEAD = request("lodge", timeout="15")
 _LEAVING = ("half-close", "close", "reset")
@@ -172,13 +174,13 @@
 
 @contextmanager
 def _application(scene: Stage) -> Iterator[socket.socket]:
-    """A plain socket, whose calls take effect at once."""
+    """Provides a blocking client socket, whose calls take effect immediately."""
     with socket.create_connection((HOST, scene.sidecar.downstream.port)) as own:
         yield own
 
 
 def _go(application: socket.socket, how: str, at_sidecar: DownstreamConnection | None) -> None:
-    """Leave, and return only once the leaving lies in the sidecar's socket."""
+    """Disconnects as `how` says; on return, the disconnect has reached the sidecar's socket."""
     if how == "stays":
         return
     if how == "half-close":
@@ -195,7 +197,7 @@
 
 
 def _withheld(scene: Stage) -> int:
-    """What operators see of it."""
+    """Returns the metric that counts attempts withheld because of a disconnect."""
     (found,) = (
         each
         for each in scene.sidecar.command_handlers()["telemetry"]()
@@ -215,13 +217,13 @@
 
 
 async def _paused(scene: Stage, ahead: bytes) -> None:
-    """Until what was sent ahead is read, and nothing more of this client is."""
+    """Waits until the pipelined request, if there is one, is received and reading is paused."""
     if ahead:
         await until(lambda: all(each.is_reading_paused for each in scene.sidecar.downstream.connections()))
 
 
 class _Scripted:
-    """Decisions that send a request to these servers when a timer fires, and at no other time."""
+    """Replaces the balancer: starts attempts at the given servers when a timer fires, and never otherwise."""
 
     def __init__(self, *servers: str) -> None:
         self._servers = servers
@@ -241,7 +243,7 @@
         return []
 
     def attempt_written(self, request: int, attempt: int, now: int) -> None:
-        """Nothing here bounds another attempt."""
+        """Does nothing: no attempt limits another one."""
 
     def write_deadline(self, _request: int, _attempt: int) -> int:
         return NEVER
@@ -255,7 +257,7 @@
 def test_attempts_are_not_started_when_a_timer_fires_as_the_client_disconnects(
     how: str, ahead: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Two attempts are due at once, as after a step of the loop that came late.
+    # Two attempts are due at the same time, as after a delay of the event loop.
     decisions = _Scripted("s-0", "s-1")
     monkeypatch.setattr("tulipnotch.sidecar.sidecar.Balancer", decisions)
 
@@ -285,7 +287,7 @@
     async def work() -> None:
         _, hold = holding()
         async with stage(hold, hold, client_limits=_NEVER_SWEPT, bounds={"mayCancel": False}) as scene:
-            scene.sidecar._balancer._components.retries.budget = 9.0  # it may repeat what failed
+            scene.sidecar._balancer._components.retries.budget = 9.0  # enough to retry failed attempts
             with _application(scene) as application:
                 application.send(request("check") + ahead)
                 await until(lambda: len(scene.heard) == 1)
@@ -316,7 +318,7 @@
 def test_attempt_is_not_written_when_its_connection_is_reusable_as_the_client_disconnects(
     *, how: str, ahead: bytes, is_trial: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(upstream, "_REUSE_DELAY_US", 600_000_000)  # its end is brought on here
+    monkeypatch.setattr(upstream, "_REUSE_DELAY_US", 600_000_000)  # the test ends the delay
 
     async def work() -> None:
         async with stage(OK, client_limits=_NEVER_SWEPT, bounds={"mayCancel": False}) as scene:
@@ -327,7 +329,7 @@
             listed = decisions._context.endpoints["s-0"]
             if is_trial:
                 decisions._components.outlier_detection._ejected.append(listed)
-                listed.ejection = Ejection()  # its time to come back
+                listed.ejection = Ejection()  # ejected, and due for a trial request
             with _application(scene) as application:
                 application.send(request("check", timeout="15") + ahead)
                 rests = scene.sidecar._upstream._reuse_timers
@@ -358,7 +360,7 @@
 def test_attempt_is_not_written_when_the_last_bytes_come_as_the_client_disconnects(
     how: str, size: int, ahead: bytes
 ) -> None:
-    # An attempt begins with the last byte of its request: what passes through is at its server by half.
+    # An attempt can be executed from its last byte on; a part of a streamed body is already at its server.
     async def work() -> None:
         async with stage(OK, client_limits=_NEVER_SWEPT, bounds={"mayCancel": False}) as scene:
             with _application(scene) as application:
@@ -395,7 +397,7 @@
 def test_end_of_a_body_is_written_after_what_its_server_has_not_read(
     how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # The network takes little of it at a time: the rest waits in this process, the last byte among it.
+    # The network accepts little data at a time; the rest, with the last byte, is buffered in the sidecar.
     made = UpstreamConnection.connection_made
 
     def narrow(self: UpstreamConnection, transport: asyncio.BaseTransport) -> None:
@@ -442,7 +444,7 @@
 
 
 def test_attempt_is_not_written_when_its_dial_succeeds_as_the_client_disconnects() -> None:
-    # Three at once, each with a request behind the open one: connections come up late by a second.
+    # Three clients, each with a pipelined request; the kernel retries their connections after a second.
     async def work() -> None:
         slow = SlowToAccept()
         await slow.fill()
@@ -466,11 +468,11 @@
                     if one._transport is not None and one._transport.get_extra_info("peername") == name
                 )
                 _go(each, how, at_sidecar)
-            slow.listener.listen(16)  # its line is long enough now for all that come again
+            slow.listener.listen(16)  # the backlog now has space for all retried connections
             accepted = [await slow.let_go() for _ in applications]
             await _is_over(scene)
             assert _withheld(scene) == 3
-            scene.sidecar.close()  # the connections themselves may be kept
+            scene.sidecar.close()  # the connections may be kept for later requests
             for came in accepted:
                 assert await _nothing_comes(came)
                 came.close()
--- a/tests/sidecar/requests/test_invariants.py
+++ b/tests/sidecar/requests/test_invariants.py
@@ -1,4 +1,4 @@
-"""The invariants of a running process: each shows where a gate is taken out, and none where all hold."""
+"""Invariants of a running process: each one detects a disabled check, and none is violated otherwise."""
 
 from __future__ import annotations
 
@@ -80,7 +80,7 @@
 
 
 async def _two_servers(scene: Stage) -> None:
-    """Ask for something unsafe while the first server breaks off what it has, and the second is well."""
+    """Sends a non-idempotent request; the first server breaks the connection, the second one is healthy."""
     first, second = scene.servers
     await tell(scene, server_line(0, first.address))
     client = await scene.client()
@@ -141,7 +141,7 @@
 def test_invariants_are_broken_when_an_attempt_is_written_without_a_client(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # The gate before each write is taken out, and so is what withdraws an attempt.
+    # The check before each write is disabled, and so is the cancellation of unwritten attempts.
     monkeypatch.setattr(WriteGate, "may_write", lambda _upstream, _call: True)
     monkeypatch.setattr(UpstreamPool, "cancel_if_unwritten", lambda _upstream, _call: None)
 
--- a/tests/sidecar/requests/test_streamed_bodies.py
+++ b/tests/sidecar/requests/test_streamed_bodies.py
@@ -1,4 +1,4 @@
-"""Bodies that pass through in pieces, both ways, with slow, rude and vanishing peers."""
+"""Streamed request and response bodies, with peers that are slow, send invalid data or disconnect."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
                 client.send(head + chunked(body, 70_001, b"X-Trailer: 1\r\n"))
             assert (await client.answer()).status == 200
             assert server.digests == [hashlib.sha1(body).digest()]
-            assert (await client.ask("lodge", body=b"next")).status == 200  # the connection goes on
+            assert (await client.ask("lodge", body=b"next")).status == 200  # the connection is reused
             assert figure(scene.sidecar, "app.upstream_requests") == 2
 
     play(work)
@@ -85,8 +85,8 @@
             assert not sending.done()
             (held,) = scene.sidecar._registry
             assert held.incoming.body.pending_bytes <= 200_000
-            assert figure(scene.sidecar, "app.upstream_requests") == 0  # its last byte is not written
-            assert figure(scene.sidecar, "app.pending") == 0  # nor taken
+            assert figure(scene.sidecar, "app.upstream_requests") == 0  # the last byte is not written
+            assert figure(scene.sidecar, "app.pending") == 0  # the request is not complete
             server.go_on.set()
             assert (await client.answer()).status == 200
             await sending
@@ -114,7 +114,7 @@
 
         async with stage(script) as scene:
             client = await scene.client()
-            for _ in range(2):  # the client's connection goes on
+            for _ in range(2):  # the client's connection is reused
                 client.send(request())
                 assert await whole(client) == (200, body)
             assert figure(scene.sidecar, "app.downstream_requests.check.completed") == 2
@@ -124,7 +124,7 @@
 
 
 async def whole(client: Client) -> tuple[int, bytes]:
-    """An answer in either framing."""
+    """Reads a response with either framing, and returns its status and body."""
     first, headers = await soon(read_head(client.reader))
     status = int(first.split(" ")[1])
     if headers.get("transfer-encoding") != "chunked":
@@ -154,7 +154,7 @@
             client = await scene.client()
             client.send(request(timeout="0.5"))
             await until(lambda: written > 0)
-            await asyncio.sleep(1.0)  # its time is up; an answer under way is not cut off for that
+            await asyncio.sleep(1.0)  # the deadline passes, which does not abort a response that has started
             assert written < MAX_BODY_BYTES
             got = await soon(client.reader.readuntil(b"\r\n\r\n"))
             left = MAX_BODY_BYTES
@@ -186,7 +186,7 @@
             client.send(request())
             with pytest.raises((asyncio.IncompleteReadError, ConnectionError, ValueError)):
                 await whole(client)
-            assert len(scene.heard) == 1  # what has begun to pass on is not asked for again
+            assert len(scene.heard) == 1  # a request is not retried once its response is being streamed
             await until(lambda: figure(scene.sidecar, "app.downstream_requests.check.failed") == 1)
             assert scene.sidecar.open_requests == 0
 
@@ -218,7 +218,7 @@
         async with stage(*servers) as scene:
             assert (await scene.ask("amend", body=bytes(size))).status == status
             assert servers[0].cuts == []
-            # The large one never ran, so trying again is harmless, but the sidecar can't.
+            # The large request was not executed, but its body is not buffered, so it can't be retried.
             assert sum(len(each.heads) for each in servers) == (2 if status == 200 else 1)
             assert figure(scene.sidecar, "app.upstream_requests") == (2 if status == 200 else 0)
 
@@ -227,7 +227,7 @@
 
 @pytest.mark.parametrize("form", ["length", "chunked"])
 def test_request_is_rejected_with_413_when_its_body_exceeds_32_mib(form: str) -> None:
-    # Guards against a reset that takes the answer with it, when the client is still sending.
+    # Guards against a reset that discards the response while the client is still sending.
     async def work() -> None:
         server = SlowReader()
         async with stage(server) as scene:
@@ -239,7 +239,7 @@
                 client.send(request("lodge", Content_Length="", Transfer_Encoding="chunked"))
                 client.send(chunked(body, 1 << 20))
             assert (await client.answer()).status == 413
-            assert server.digests == []  # no server had the whole of it
+            assert server.digests == []  # no server received all of it
             await until(lambda: scene.sidecar.open_requests == 0)
 
     play(work)
@@ -286,7 +286,7 @@
 
 
 def test_slow_body_may_take_longer_than_the_time_of_its_request() -> None:
-    # Its time begins with its last byte; progress is all that is asked of it before.
+    # The timeout begins with the last byte of the body; before that, the body only has to make progress.
     async def work() -> None:
         server = SlowReader()
         async with stage(server) as scene:
@@ -387,7 +387,7 @@
     play(work)
 
 
-# The decisions
+# The balancer
 
 
 def test_time_of_a_streamed_request_begins_with_its_last_byte() -> None:
@@ -398,7 +398,7 @@
     stage.wait(30 * SECOND)
     assert stage.said(FailRequest) == []
     assert stage.said(RejectRequest) == []
-    assert stage.balancer._components.load.current() == 0  # what still comes is no work for a server
+    assert stage.balancer._components.load.current() == 0  # an incomplete request is no load for a server
     stage.play(RequestBodyCompleted(1, 500 * MS))
     assert stage.balancer._components.load.current() == 1
     stage.wait(499 * MS)
