--- a/tests/sidecar/upstream/test_deduplication_groups.py
+++ b/tests/sidecar/upstream/test_deduplication_groups.py
@@ -7,50 +7,52 @@
 
 import pytest
 from barriers import DelayedConnects, ManualClock, announce_endpoints, reset_connection, server_entry
-from loopback import OK_RESPONSE, ReceivedRequest, http_request, run_async, sidecar_harness, wait_until
-from overtaken import (
-    OTHER_GROUPS,
-    assert_has_ended,
-    assert_received_nothing,
-    overtaken,
+from delayed_attempt import (
+    OTHER_LOCALITIES,
+    assert_final_response,
+    assert_server_received_nothing,
+    delayed_first_attempt,
     service_classes,
-    until_dial_is_delayed,
+    wait_until_dial_is_delayed,
 )
+from loopback import OK_RESPONSE, ReceivedRequest, http_request, run_async, sidecar_harness, wait_until
 
 
-@pytest.mark.parametrize(("group", "locality"), OTHER_GROUPS, ids=["cell", "zone"])
-def test_attempt_is_not_written_when_server_left_deduplication_group(
-    group: str, locality: dict[str, Any], monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize(("scope", "locality"), OTHER_LOCALITIES, ids=["cell", "zone"])
+def test_attempt_is_not_written_when_server_left_deduplication_scope(
+    scope: str, locality: dict[str, Any], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    clock, delayed_dials = ManualClock(monkeypatch), DelayedConnects(monkeypatch)
+    clock, delayed_connects = ManualClock(monkeypatch), DelayedConnects(monkeypatch)
 
     async def work() -> None:
         async with sidecar_harness(OK_RESPONSE, servers_listed=False) as other_harness:
-            late_server = other_harness.servers[0]
-            delayed_dials.hold(late_server.address)
-            async with overtaken(
+            delayed_server = other_harness.servers[0]
+            delayed_connects.hold(delayed_server.address)
+            async with delayed_first_attempt(
                 clock,
-                late_server.address,
-                "runs on",
-                group=group,
-                first_is_late=until_dial_is_delayed(delayed_dials),
-            ) as seen:
-                await announce_endpoints(seen.harness, server_entry(0, late_server.address, **locality))
-                delayed_dials.release(late_server.address)
-                await wait_until(lambda: seen.harness.sidecar._upstream._dials_in_flight == 0)
-                await assert_has_ended(seen, group, "runs on")
-                await assert_received_nothing(seen, late_server)
+                delayed_server.address,
+                "running",
+                scope=scope,
+                wait_until_delayed=wait_until_dial_is_delayed(delayed_connects),
+            ) as scenario:
+                await announce_endpoints(
+                    scenario.harness, server_entry(0, delayed_server.address, **locality)
+                )
+                delayed_connects.release(delayed_server.address)
+                await wait_until(lambda: scenario.harness.sidecar._upstream._dials_in_flight == 0)
+                await assert_final_response(scenario, scope, "running")
+                await assert_server_received_nothing(scenario, delayed_server)
 
     run_async(work)
 
 
-@pytest.mark.parametrize(("group", "locality"), OTHER_GROUPS, ids=["cell", "zone"])
-def test_attempt_group_is_that_of_server_when_last_byte_is_written(
-    group: str, locality: dict[str, Any], monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize(("scope", "locality"), OTHER_LOCALITIES, ids=["cell", "zone"])
+def test_attempt_scope_is_that_of_server_when_last_byte_is_written(
+    scope: str, locality: dict[str, Any], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # The server moves after the attempt was started and before its last byte is written.  One other server is
     # in its old zone or cell, one in the new.
-    delayed_dials = DelayedConnects(monkeypatch)
+    delayed_connects = DelayedConnects(monkeypatch)
     ManualClock(monkeypatch)
 
     async def work() -> None:
@@ -58,31 +60,31 @@
             reset_connection(incoming)
 
         async with sidecar_harness(
-            first, OK_RESPONSE, OK_RESPONSE, servers_listed=False, lanes=service_classes(group)
+            first, OK_RESPONSE, OK_RESPONSE, servers_listed=False, lanes=service_classes(scope)
         ) as harness:
-            address, before, now = (each.address for each in harness.servers)
-            delayed_dials.hold(address)
+            address, server_in_old_scope, server_in_new_scope = (each.address for each in harness.servers)
+            delayed_connects.hold(address)
             await announce_endpoints(harness, server_entry(0, address))
             client = await harness.connect()
             client.send(http_request("amend", timeout="4.0"))
-            await wait_until(lambda: delayed_dials.pending_count == 1)
+            await wait_until(lambda: delayed_connects.pending_count == 1)
             await announce_endpoints(
                 harness,
                 server_entry(0, address, **locality),
-                server_entry(1, before),
-                server_entry(2, now, **locality),
+                server_entry(1, server_in_old_scope),
+                server_entry(2, server_in_new_scope, **locality),
             )
-            delayed_dials.release(address)
+            delayed_connects.release(address)
             assert (await client.read_response()).status == 200
             assert [len(each.received_requests) for each in harness.servers] == [1, 0, 1]
 
     run_async(work)
 
 
-@pytest.mark.parametrize("why", ["moves", "restarts in another group", "removed"])
-@pytest.mark.parametrize(("group", "locality"), OTHER_GROUPS, ids=["cell", "zone"])
-def test_attempt_group_is_unchanged_when_server_moves(
-    group: str, locality: dict[str, Any], why: str, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("change", ["moves", "restarts in another scope", "removed"])
+@pytest.mark.parametrize(("scope", "locality"), OTHER_LOCALITIES, ids=["cell", "zone"])
+def test_attempt_scope_is_unchanged_when_server_moves(
+    scope: str, locality: dict[str, Any], change: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     ManualClock(monkeypatch)
 
@@ -94,7 +96,7 @@
             reset_connection(incoming)
 
         async with sidecar_harness(
-            first, OK_RESPONSE, servers_listed=False, lanes=service_classes(group)
+            first, OK_RESPONSE, servers_listed=False, lanes=service_classes(scope)
         ) as harness:
             address, other = (each.address for each in harness.servers)
             await announce_endpoints(harness, server_entry(0, address))
@@ -102,9 +104,9 @@
             client.send(http_request("amend", timeout="4.0"))
             await wait_until(lambda: len(harness.received_requests) == 1)
             changes = dict(locality)
-            if why == "restarts in another group":
+            if change == "restarts in another scope":
                 changes["started_ms"] = 1_600_000_000_000
-            elif why == "removed":
+            elif change == "removed":
                 changes = {"state": "left"}
             await announce_endpoints(
                 harness, server_entry(0, address, **changes), server_entry(1, other, **locality)
--- a/tests/sidecar/upstream/test_duplicate_responses.py
+++ b/tests/sidecar/upstream/test_duplicate_responses.py
@@ -14,6 +14,7 @@
 
 import pytest
 from barriers import ManualClock, announce_endpoints, server_entry
+from delayed_attempt import MS, OTHER_LOCALITIES, WINDOW_US, service_classes
 from loopback import (
     OK_RESPONSE,
     REJECTION_RESPONSE,
@@ -25,7 +26,6 @@
     sidecar_harness,
     wait_until,
 )
-from overtaken import MS, OTHER_GROUPS, WINDOW_US, service_classes
 
 
 @dataclass
@@ -39,34 +39,34 @@
 
 @asynccontextmanager
 async def _duplicate_response(
-    request_class: str, clock: ManualClock | None = None, after_us: int = 0, group: str = "cell", **other: Any
+    request_class: str, clock: ManualClock | None = None, after_us: int = 0, scope: str = "cell", **other: Any
 ) -> AsyncIterator[DuplicateResponse]:
     """Sends a request to a server that rejected an earlier one; the server repeats that rejection.
 
     Before that, another server is listed with the changes `other`: a retry could be sent to it.
     """
-    read = asyncio.Event()
+    is_read = asyncio.Event()
     send_duplicate = asyncio.Event()
 
-    async def twice(incoming: ReceivedRequest) -> bytes:
+    async def respond_twice(incoming: ReceivedRequest) -> bytes:
         if len(harness.servers[0].received_requests) == 1:
             return REJECTION_RESPONSE
-        read.set()
+        is_read.set()
         await send_duplicate.wait()
-        before = harness.servers[0].received_requests[0]
-        if incoming.connection_number == before.connection_number:
+        first_request = harness.servers[0].received_requests[0]
+        if incoming.connection_number == first_request.connection_number:
             return REJECTION_RESPONSE  # a duplicate of the previous response
-        before.writer.write(REJECTION_RESPONSE)
+        first_request.writer.write(REJECTION_RESPONSE)
         return OK_RESPONSE
 
     async with sidecar_harness(
-        twice, OK_RESPONSE, servers_listed=False, lanes=service_classes(group)
+        respond_twice, OK_RESPONSE, servers_listed=False, lanes=service_classes(scope)
     ) as harness:
         await announce_endpoints(harness, server_entry(0, harness.servers[0].address))
         assert (await harness.send_request(request_class)).status == 503
         client = await harness.connect()
         client.send(http_request(request_class, timeout="4.0"))
-        await wait_until(read.is_set)
+        await wait_until(is_read.is_set)
         await announce_endpoints(harness, server_entry(1, harness.servers[1].address, **other))
         if clock is not None:
             clock.advance(after_us)
@@ -78,13 +78,13 @@
 def test_duplicate_response_does_not_retry_non_idempotent_request() -> None:
     async def work() -> None:
         loop = asyncio.get_running_loop()
-        async with _duplicate_response("lodge") as seen:
+        async with _duplicate_response("lodge") as scenario:
             started_at = loop.time()
-            response = await seen.client.read_response()
-            assert response.status == (502 if seen.is_shared else 200)
+            response = await scenario.client.read_response()
+            assert response.status == (502 if scenario.is_shared else 200)
             assert loop.time() - started_at < 1.0  # immediately, not at the deadline
-            assert seen.harness.servers[1].received_requests == []
-            await wait_until(lambda: seen.harness.sidecar.open_requests == 0)
+            assert scenario.harness.servers[1].received_requests == []
+            await wait_until(lambda: scenario.harness.sidecar.open_requests == 0)
 
     run_async(work)
 
@@ -93,12 +93,12 @@
     async def work() -> None:
         release = asyncio.Event()
 
-        async def full(incoming: ReceivedRequest) -> bytes:
+        async def reject(incoming: ReceivedRequest) -> bytes:
             await release.wait()
             return REJECTION_RESPONSE
 
         async with sidecar_harness(
-            full, OK_RESPONSE, servers_listed=False, lanes=service_classes()
+            reject, OK_RESPONSE, servers_listed=False, lanes=service_classes()
         ) as harness:
             await announce_endpoints(harness, server_entry(0, harness.servers[0].address))
             client = await harness.connect()
@@ -120,44 +120,44 @@
     run_async(work)
 
 
-@pytest.mark.parametrize(("group", "other"), OTHER_GROUPS, ids=["cell", "zone"])
-def test_duplicate_response_does_not_retry_keyed_request_in_another_group(
-    group: str, other: dict[str, Any]
+@pytest.mark.parametrize(("scope", "other"), OTHER_LOCALITIES, ids=["cell", "zone"])
+def test_duplicate_response_does_not_retry_keyed_request_in_another_scope(
+    scope: str, other: dict[str, Any]
 ) -> None:
     async def work() -> None:
-        async with _duplicate_response("amend", group=group, **other) as seen:
-            response = await seen.client.read_response()
-            assert response.status == (502 if seen.is_shared else 200)
-            assert seen.harness.servers[1].received_requests == []
+        async with _duplicate_response("amend", scope=scope, **other) as scenario:
+            response = await scenario.client.read_response()
+            assert response.status == (502 if scenario.is_shared else 200)
+            assert scenario.harness.servers[1].received_requests == []
 
     run_async(work)
 
 
-@pytest.mark.parametrize("group", ["cell", "zone", "all"])
+@pytest.mark.parametrize("scope", ["cell", "zone", "all"])
 def test_duplicate_response_does_not_retry_keyed_request_after_window(
-    group: str, monkeypatch: pytest.MonkeyPatch
+    scope: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     clock = ManualClock(monkeypatch)
 
     async def work() -> None:
-        async with _duplicate_response("amend", clock, WINDOW_US, group) as seen:
-            response = await seen.client.read_response()
-            refused = (503,) if group == "all" else ()
-            assert response.status in ((502, *refused) if seen.is_shared else (200,))
-            assert seen.harness.servers[1].received_requests == []
+        async with _duplicate_response("amend", clock, WINDOW_US, scope) as scenario:
+            response = await scenario.client.read_response()
+            rejections = (503,) if scope == "all" else ()
+            assert response.status in ((502, *rejections) if scenario.is_shared else (200,))
+            assert scenario.harness.servers[1].received_requests == []
 
     run_async(work)
 
 
-@pytest.mark.parametrize("group", ["cell", "zone", "all"])
-def test_duplicate_response_permits_retry_of_keyed_request_within_group_and_window(
-    group: str, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("scope", ["cell", "zone", "all"])
+def test_duplicate_response_permits_retry_of_keyed_request_within_scope_and_window(
+    scope: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     clock = ManualClock(monkeypatch)
 
     async def work() -> None:
-        async with _duplicate_response("amend", clock, WINDOW_US - 50 * MS, group) as seen:
-            assert (await seen.client.read_response()).status == 200
-            assert len(seen.harness.servers[1].received_requests) == (1 if seen.is_shared else 0)
+        async with _duplicate_response("amend", clock, WINDOW_US - 50 * MS, scope) as scenario:
+            assert (await scenario.client.read_response()).status == 200
+            assert len(scenario.harness.servers[1].received_requests) == (1 if scenario.is_shared else 0)
 
     run_async(work)
