--- a/tests/sidecar/upstream/test_connection_accounting.py
+++ b/tests/sidecar/upstream/test_connection_accounting.py
@@ -30,20 +30,24 @@
 _LARGE = b"x" * (2 * MAX_BUFFERED_BODY_BYTES)
 
 
-def _return_after_end(patch: pytest.MonkeyPatch, ports: set[int]) -> None:
+def _delay_connect_until_closed(monkeypatch: pytest.MonkeyPatch, ports: set[int]) -> None:
     """Delays the end of connecting to one of these ports until the server has closed the connection."""
-    create = uvloop.Loop.create_connection
+    original_create_connection = uvloop.Loop.create_connection
 
     async def create_connection(
-        loop: uvloop.Loop, factory: Callable[[], asyncio.BaseProtocol], host: str, port: int, **how: Any
+        loop: uvloop.Loop,
+        protocol_factory: Callable[[], asyncio.BaseProtocol],
+        host: str,
+        port: int,
+        **options: Any,
     ) -> Any:
         transport: asyncio.Transport
-        transport, protocol = await create(loop, factory, host, port, **how)  # type: ignore[assignment]
+        transport, protocol = await original_create_connection(loop, protocol_factory, host, port, **options)  # type: ignore[assignment]
         if port in ports:
             await wait_until(transport.is_closing)
         return transport, protocol
 
-    patch.setattr(uvloop.Loop, "create_connection", create_connection)
+    monkeypatch.setattr(uvloop.Loop, "create_connection", create_connection)
 
 
 class _ClosingServer(ScriptedServer):
@@ -59,13 +63,13 @@
         await super()._serve(reader, writer)
 
 
-def test_pool_does_not_count_connection_that_ends_when_established(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_pool_does_not_count_connection_closed_when_established(monkeypatch: pytest.MonkeyPatch) -> None:
     # After more such connections than `max_connections`, the sidecar must still be able to connect.
     async def work() -> None:
         server = _ClosingServer(OK_RESPONSE)
         async with sidecar_harness(server, config_overrides={"limits": {"sockets": 64}}) as harness:
             ports = {int(server.address.rpartition(":")[2])}
-            _return_after_end(monkeypatch, ports)
+            _delay_connect_until_closed(monkeypatch, ports)
             upstream = harness.sidecar._upstream
             client = await harness.connect()
             for _ in range(4 * upstream.max_connections):
@@ -84,14 +88,14 @@
         self._connection = connection
         self.received_bytes = 0
 
-    def write_body(self, piece: bytes) -> None:
-        self.received_bytes += len(piece)
+    def write_body(self, data: bytes) -> None:
+        self.received_bytes += len(data)
         self._connection.pause()
         if self.received_bytes < len(_LARGE):
             asyncio.get_running_loop().call_soon(self._connection.resume)
 
 
-class _StreamedExchange(BufferedExchangeObserver):
+class _StreamingExchangeObserver(BufferedExchangeObserver):
     """Observes an exchange whose response may be streamed."""
 
     streams_responses = True
@@ -104,14 +108,14 @@
         return _PausingConsumer(self._connection)
 
 
-class _Owner:
+class _RecordingOwner:
     """Records the connections that became idle."""
 
     def __init__(self) -> None:
-        self.idle: list[UpstreamConnection] = []
+        self.idle_connections: list[UpstreamConnection] = []
 
     def connection_idle(self, connection: UpstreamConnection) -> None:
-        self.idle.append(connection)
+        self.idle_connections.append(connection)
 
     def connection_closed(self, connection: UpstreamConnection) -> None:
         """Does nothing."""
@@ -123,26 +127,26 @@
             return http_response(_LARGE) if incoming.target == "/large" else OK_RESPONSE
 
         server = await ScriptedServer(script).start()
-        owner = _Owner()
+        owner = _RecordingOwner()
         host, _, port = server.address.rpartition(":")
         _, connection = await asyncio.get_running_loop().create_connection(
             lambda: UpstreamConnection(ResponseReader(MAX_BUFFERED_BODY_BYTES, MAX_BODY_BYTES), owner, 5.0),
             host,
             int(port),
         )
-        assert (await _exchanged(connection, "/large")).status == 200
-        assert owner.idle == [connection]
-        assert (await _exchanged(connection, "/small")).status == 200
+        assert (await _exchange(connection, "/large")).status == 200
+        assert owner.idle_connections == [connection]
+        assert (await _exchange(connection, "/small")).status == 200
         connection.close()
         server.stop()
 
     run_async(work)
 
 
-async def _exchanged(connection: UpstreamConnection, target: str) -> Response:
-    exchange = _StreamedExchange(connection)
-    connection.start_exchange(Request(b"GET", target.encode(), [(b"host", HOST.encode())]), exchange)
-    response = await within_timeout(exchange.result)
+async def _exchange(connection: UpstreamConnection, target: str) -> Response:
+    observer = _StreamingExchangeObserver(connection)
+    connection.start_exchange(Request(b"GET", target.encode(), [(b"host", HOST.encode())]), observer)
+    response = await within_timeout(observer.result)
     assert isinstance(response, Response)
     return response
 
--- a/tests/sidecar/upstream/test_connection_reuse.py
+++ b/tests/sidecar/upstream/test_connection_reuse.py
@@ -23,24 +23,24 @@
     return harness.sidecar.open_requests
 
 
-HEAD = b"HTTP/1.1 200 OK\r\n"
+_STATUS_LINE = b"HTTP/1.1 200 OK\r\n"
 
 
-@pytest.mark.parametrize("late", [False, True])
-def test_connection_is_not_reused_after_excess_data(late: bool) -> None:
+@pytest.mark.parametrize("is_late", [False, True])
+def test_connection_is_not_reused_after_excess_data(is_late: bool) -> None:
     # A duplicate of this response must not be returned for the next request.
     async def work() -> None:
-        async def twice(incoming: ReceivedRequest) -> bytes:
+        async def respond_twice(incoming: ReceivedRequest) -> bytes:
             body = incoming.target.rpartition("/")[2].encode()
-            response = HEAD + b"Content-Length: %d\r\n\r\n%s" % (len(body), body)
-            if late:
+            response = _STATUS_LINE + b"Content-Length: %d\r\n\r\n%s" % (len(body), body)
+            if is_late:
                 incoming.writer.write(response)
                 await incoming.writer.drain()
                 await asyncio.sleep(0.02)
                 return response
             return response + response
 
-        async with sidecar_harness(twice) as harness:
+        async with sidecar_harness(respond_twice) as harness:
             client = await harness.connect()
             for number in range(10, 15):
                 assert (await client.send_request("lodge", target=f"/api/{number}")).body == b"%d" % number
@@ -61,14 +61,14 @@
             if len(harness.received_requests) > 1:
                 await send_duplicate.wait()
             body = incoming.target.rpartition("/")[2].encode()
-            return HEAD + b"Content-Length: %d\r\n\r\n%s" % (len(body), body)
+            return _STATUS_LINE + b"Content-Length: %d\r\n\r\n%s" % (len(body), body)
 
         async with sidecar_harness(echo) as harness:
             client = await harness.connect()
             assert (await client.send_request("lodge", target="/api/10")).body == b"10"
             client.send(http_request("lodge", timeout="15", target="/api/11"))
             await wait_until(lambda: open_requests(harness) == 1)
-            harness.received_requests[0].writer.write(HEAD + b"Content-Length: 2\r\n\r\n10")
+            harness.received_requests[0].writer.write(_STATUS_LINE + b"Content-Length: 2\r\n\r\n10")
             await harness.received_requests[0].writer.drain()
             send_duplicate.set()
             assert (await client.read_response()).body == b"11"
@@ -104,7 +104,7 @@
     run_async(work)
 
 
-def test_pool_reuses_open_connection_but_not_ended_one(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_pool_reuses_open_connection_but_not_closed_one(monkeypatch: pytest.MonkeyPatch) -> None:
     # A request that is written to a connection whose end is still unread would count as possibly executed.
     monkeypatch.setattr(pool_module, "_REUSE_DELAY_US", 0)
 
@@ -133,8 +133,8 @@
     run_async(work)
 
 
-@pytest.mark.parametrize("change", ["addr", "started_ms"])
-def test_pool_closes_connections_when_server_restarts_or_moves(change: str) -> None:
+@pytest.mark.parametrize("changed_field", ["addr", "started_ms"])
+def test_pool_closes_connections_when_server_restarts_or_moves(changed_field: str) -> None:
     async def work() -> None:
         async with sidecar_harness(OK_RESPONSE, OK_RESPONSE, servers_listed=False) as harness:
             first, second = (each.address for each in harness.servers)
@@ -142,13 +142,13 @@
             harness.discovery.announce(endpoint_entry("s", first))
             await wait_until(lambda: len(harness.discovery.received_requests) >= 3)
             assert (await harness.send_request()).status == 200
-            if change == "addr":
+            if changed_field == "addr":
                 harness.discovery.announce(endpoint_entry("s", second))
             else:
                 harness.discovery.announce(endpoint_entry("s", first, started_ms=1))
             await wait_until(lambda: harness.servers[0].closed_connections == [0])
             assert (await harness.send_request()).status == 200
-            assert len(harness.servers[1].received_requests) == (1 if change == "addr" else 0)
+            assert len(harness.servers[1].received_requests) == (1 if changed_field == "addr" else 0)
 
     run_async(work)
 
--- a/tests/sidecar/upstream/test_passed_deadline.py
+++ b/tests/sidecar/upstream/test_passed_deadline.py
@@ -8,12 +8,12 @@
 
 _BODY = b"x" * 60_000 + b"the end"
 _TIMEOUT_S = 3.0
-_SLACK_S = 0.15  # how much more than the remaining time a head may announce
+_ANNOUNCED_SLACK_S = 0.15  # how much more than the remaining time a head may announce
 
 
-@pytest.mark.parametrize("late_s", [0.05, 0.5])
-def test_passed_deadline_is_at_most_what_remains_when_a_server_reads_late(
-    late_s: float, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("delay_s", [0.05, 0.5])
+def test_announced_timeout_is_at_most_remaining_time_when_server_reads_late(
+    delay_s: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # The head announced the time that was left when it was written; the rest is written once the kernel has
     # buffer space.
@@ -21,25 +21,28 @@
 
     async def work() -> None:
         clock = ManualClock(monkeypatch)
-        slow = SlowReadingServer()
+        slow_server = SlowReadingServer()
         async with sidecar_harness(OK_RESPONSE, servers_listed=False) as harness:
-            await announce_endpoints(harness, server_entry(0, slow.address))
+            await announce_endpoints(harness, server_entry(0, slow_server.address))
             client = await harness.connect()
             client.send(http_request("lodge", timeout=f"{_TIMEOUT_S}", body=_BODY))
-            await slow.accept()
+            await slow_server.accept()
             await wait_until(lambda: len(harness.sidecar._registry) == 1)
-            (held,) = harness.sidecar._registry
-            await wait_until(lambda: held.upstream_requests[0].connection is not None)
-            assert held.upstream_requests[0].is_unwritten
+            (open_request,) = harness.sidecar._registry
+            await wait_until(lambda: open_request.upstream_requests[0].connection is not None)
+            assert open_request.upstream_requests[0].is_unwritten
             await announce_endpoints(harness, server_entry(1, harness.servers[0].address))
-            clock.advance(int(late_s * 1e6))
-            got = await slow.read_until(_BODY)
-            assert got.endswith(_BODY) == (late_s <= _SLACK_S)
-            if late_s <= _SLACK_S:
-                await slow.send(OK_RESPONSE)
+            clock.advance(int(delay_s * 1e6))
+            received = await slow_server.read_until(_BODY)
+            assert received.endswith(_BODY) == (delay_s <= _ANNOUNCED_SLACK_S)
+            if delay_s <= _ANNOUNCED_SLACK_S:
+                await slow_server.send(OK_RESPONSE)
             assert (await client.read_response()).status == 200
-            for heard in harness.received_requests:
-                assert float(heard.headers["request-timeout"]) <= _TIMEOUT_S - late_s + _SLACK_S
-        slow.close()
+            for received_request in harness.received_requests:
+                assert (
+                    float(received_request.headers["request-timeout"])
+                    <= _TIMEOUT_S - delay_s + _ANNOUNCED_SLACK_S
+                )
+        slow_server.close()
 
     run_async(work)
--- a/tests/sidecar/upstream/test_pool.py
+++ b/tests/sidecar/upstream/test_pool.py
@@ -70,21 +70,21 @@
     run_async(work)
 
 
-HEAD = b"HTTP/1.1 200 OK\r\n"
+_STATUS_LINE = b"HTTP/1.1 200 OK\r\n"
 
 
 @pytest.mark.parametrize(
     "malformed",
     [
-        HEAD + b"\r\nserved",  # delimited only by the end of the connection, so it may be truncated
-        HEAD + b"Content-Length: 3000000000\r\n\r\n" + b"x" * 1_000,
-        HEAD + b"Content-Length: 6\r\nTransfer-Encoding: chunked\r\n\r\nserved",
-        HEAD + b"Content-Length: 6\r\nContent-Length: 6\r\n\r\nserved",
-        HEAD + b"Content-Length: 6, 6\r\n\r\nserved",
-        HEAD + b"Content-Length: -6\r\n\r\nserved",
-        HEAD + b"Content-Length: 9\r\n\r\nserved",
-        HEAD + b"X-Pad: never ends\r\n",
-        HEAD + b"Transfer-Encoding: chunked\r\n\r\n6\r\nserved\r\n",
+        _STATUS_LINE + b"\r\nserved",  # delimited only by the end of the connection, so it may be truncated
+        _STATUS_LINE + b"Content-Length: 3000000000\r\n\r\n" + b"x" * 1_000,
+        _STATUS_LINE + b"Content-Length: 6\r\nTransfer-Encoding: chunked\r\n\r\nserved",
+        _STATUS_LINE + b"Content-Length: 6\r\nContent-Length: 6\r\n\r\nserved",
+        _STATUS_LINE + b"Content-Length: 6, 6\r\n\r\nserved",
+        _STATUS_LINE + b"Content-Length: -6\r\n\r\nserved",
+        _STATUS_LINE + b"Content-Length: 9\r\n\r\nserved",
+        _STATUS_LINE + b"X-Pad: never ends\r\n",
+        _STATUS_LINE + b"Transfer-Encoding: chunked\r\n\r\n6\r\nserved\r\n",
         b"HTTP/1.1 103 Early\r\n\r\n" * 50,
         b"HTTP/1.1 OK 200\r\nContent-Length: 6\r\n\r\nserved",
         b"HTT",
@@ -94,10 +94,10 @@
     # The retry must not wait for the deadline while the connection stays open, and the malformed response
     # must not be interpreted.
     async def work() -> None:
-        async def once(incoming: ReceivedRequest) -> bytes:
+        async def respond_malformed_once(incoming: ReceivedRequest) -> bytes:
             return malformed if len(harness.received_requests) == 1 else OK_RESPONSE
 
-        async with sidecar_harness(once, once) as harness:
+        async with sidecar_harness(respond_malformed_once, respond_malformed_once) as harness:
             response = await harness.send_request("check", timeout="3.0")
             assert (response.status, response.body) == (200, b"served")
             first, second = harness.received_requests
@@ -118,15 +118,17 @@
     monkeypatch.setattr(timeouts, "_MIN_STALL_TIMEOUT_S", 2.0)
 
     async def work() -> None:
-        async def once(incoming: ReceivedRequest) -> bytes:
+        async def respond_incompletely_once(incoming: ReceivedRequest) -> bytes:
             return (
-                HEAD + b"Content-Length: 9\r\n\r\nhalf"
+                _STATUS_LINE + b"Content-Length: 9\r\n\r\nhalf"
                 if len(harness.received_requests) == 1
                 else OK_RESPONSE
             )
 
         service_class = {**SERVICE_CLASSES[0], "promiseUs": 200_000, "giveUpUs": 2_000_000}
-        async with sidecar_harness(once, once, lanes=[service_class]) as harness:
+        async with sidecar_harness(
+            respond_incompletely_once, respond_incompletely_once, lanes=[service_class]
+        ) as harness:
             assert (await harness.send_request("check", timeout="2.0")).status == 200
             assert len(harness.received_requests) == 2
 
@@ -135,13 +137,13 @@
 
 def test_pool_counts_request_as_unexecuted_only_when_reset_before_its_last_byte() -> None:
     async def work() -> None:
-        async def reset(incoming: ReceivedRequest) -> None:
+        async def abort_connection(incoming: ReceivedRequest) -> None:
             incoming.writer.transport.abort()
 
-        async with sidecar_harness(reset, reset) as harness:
+        async with sidecar_harness(abort_connection, abort_connection) as harness:
             client = await harness.connect()
-            raw = http_request("lodge", timeout="15", body=b"x" * 200_000)
-            client.send(raw[:150_000])
+            request_data = http_request("lodge", timeout="15", body=b"x" * 200_000)
+            client.send(request_data[:150_000])
             await wait_until(lambda: sum(each.connection_count for each in harness.servers) == 1)
             for server in harness.servers:
                 server.close_connections()
@@ -177,16 +179,18 @@
 
 @pytest.mark.parametrize("may_cancel", [True, False])
 @pytest.mark.parametrize("cause", ["drains", "removed", "client disconnected"])
-def test_pool_writes_nothing_when_connection_is_established_too_late(cause: str, may_cancel: bool) -> None:
+def test_pool_writes_nothing_when_request_ends_before_connection_is_established(
+    cause: str, may_cancel: bool
+) -> None:
     # The server drains or is removed, or the attempt is cancelled, while its connection is being established.
     async def work() -> None:
-        slow = FullAcceptQueueServer()
-        await slow.fill_accept_queue()
+        slow_server = FullAcceptQueueServer()
+        await slow_server.fill_accept_queue()
         async with sidecar_harness(
             limit_overrides={"dialTimeoutUs": 15_000_000, "mayCancel": may_cancel}
         ) as harness:
             await wait_until(lambda: len(harness.discovery.received_requests) >= 2)
-            harness.discovery.announce(endpoint_entry("s", slow.address))
+            harness.discovery.announce(endpoint_entry("s", slow_server.address))
             await wait_until(lambda: len(harness.discovery.received_requests) >= 3)
             client = await harness.connect()
             client.send(http_request("lodge", timeout="15"))
@@ -196,17 +200,17 @@
                 await wait_until(lambda: open_requests(harness) == 0)
             else:
                 harness.discovery.announce(
-                    endpoint_entry("s", slow.address, state="leaving" if cause == "drains" else "left")
+                    endpoint_entry("s", slow_server.address, state="leaving" if cause == "drains" else "left")
                 )
                 await wait_until(lambda: len(harness.discovery.received_requests) >= 4)
-            accepted = await slow.accept_sidecar_connection()
+            accepted = await slow_server.accept_sidecar_connection()
             if cause == "client disconnected":
                 harness.sidecar.close()  # the connection is usable, so it was kept for later requests
             else:
                 assert (await client.read_response()).status == 503
             assert await asyncio.get_running_loop().sock_recv(accepted, 1_000) == b""
             accepted.close()
-        slow.close()
+        slow_server.close()
 
     run_async(work)
 
@@ -217,8 +221,10 @@
     monkeypatch.setattr(concurrency_limit, "INITIAL_LIMIT_PER_ENDPOINT", 1e9)
 
     async def work() -> None:
-        release, hold = blocking_script()
-        async with sidecar_harness(hold, config_overrides={"limits": {"sockets": 80}}) as harness:
+        release, respond_when_released = blocking_script()
+        async with sidecar_harness(
+            respond_when_released, config_overrides={"limits": {"sockets": 80}}
+        ) as harness:
             harness.sidecar.downstream.max_connections = 32
             clients = []
             for number in range(20):
--- a/tests/sidecar/upstream/test_rejection_proofs.py
+++ b/tests/sidecar/upstream/test_rejection_proofs.py
@@ -23,23 +23,23 @@
 from tulipnotch.sidecar.downstream.client_limits import ClientLimits
 from tulipnotch.sidecar.http1.body import MAX_BUFFERED_BODY_BYTES
 
-_REJECTED = (429, 503)
+_REJECTION_STATUSES = (429, 503)
 
 
 # Responses
 
 
 @asynccontextmanager
-async def _two_servers(first: Any) -> Any:
-    """Provides a stage whose first server has read a non-idempotent request; then the second is listed."""
+async def _harness_with_second_server(respond_first: Any) -> Any:
+    """Provides a harness whose first server has read a non-idempotent request; then the second is listed."""
     release = asyncio.Event()
 
-    async def script(incoming: ReceivedRequest) -> bytes | None:
+    async def respond_when_released(incoming: ReceivedRequest) -> bytes | None:
         await release.wait()
-        response: bytes | None = await first(incoming)
+        response: bytes | None = await respond_first(incoming)
         return response
 
-    async with sidecar_harness(script, OK_RESPONSE, servers_listed=False) as harness:
+    async with sidecar_harness(respond_when_released, OK_RESPONSE, servers_listed=False) as harness:
         await announce_endpoints(harness, server_entry(0, harness.servers[0].address))
         client = await harness.connect()
         client.send(http_request("lodge", timeout="4.0"))
@@ -50,27 +50,29 @@
 
 
 _WITH_BODY = b"HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 10\r\n\r\nqueue full"
-_CUTS = [1, 12, 20, 30, 35, len(REJECTION_RESPONSE) - 2, len(REJECTION_RESPONSE) - 1]
+_CUT_LENGTHS = [1, 12, 20, 30, 35, len(REJECTION_RESPONSE) - 2, len(REJECTION_RESPONSE) - 1]
 
 
-@pytest.mark.parametrize("end", ["fin", "reset", "silence"])
+@pytest.mark.parametrize("end", ["close", "reset", "no end"])
 @pytest.mark.parametrize(
-    "cut", [REJECTION_RESPONSE[:at] for at in _CUTS] + [_WITH_BODY[:-10], _WITH_BODY[:-1]], ids=repr
+    "truncated",
+    [REJECTION_RESPONSE[:length] for length in _CUT_LENGTHS] + [_WITH_BODY[:-10], _WITH_BODY[:-1]],
+    ids=repr,
 )
-def test_rejection_proves_nothing_when_truncated(cut: bytes, end: str) -> None:
+def test_rejection_proves_nothing_when_truncated(truncated: bytes, end: str) -> None:
     async def work() -> None:
-        async def first(incoming: ReceivedRequest) -> bytes | None:
-            if end == "silence":
-                return cut
-            incoming.writer.write(cut)
+        async def respond_first(incoming: ReceivedRequest) -> bytes | None:
+            if end == "no end":
+                return truncated
+            incoming.writer.write(truncated)
             await incoming.writer.drain()
-            if end == "fin":
+            if end == "close":
                 incoming.writer.close()
             else:
                 reset_connection(incoming)
             return None
 
-        async with _two_servers(first) as (harness, client):
+        async with _harness_with_second_server(respond_first) as (harness, client):
             assert (await client.read_response()).status == 502
             assert harness.servers[1].received_requests == []
 
@@ -95,26 +97,28 @@
     ],
     ids=repr,
 )
-def test_response_proves_nothing_when_it_is_no_rejection_by_protocol(response: bytes) -> None:
+def test_response_proves_nothing_when_it_is_not_a_valid_rejection(response: bytes) -> None:
     async def work() -> None:
-        async def first(incoming: ReceivedRequest) -> bytes:
+        async def respond_first(incoming: ReceivedRequest) -> bytes:
             return response
 
-        async with _two_servers(first) as (harness, client):
-            assert (await client.read_response()).status not in (200, *_REJECTED)
+        async with _harness_with_second_server(respond_first) as (harness, client):
+            assert (await client.read_response()).status not in (200, *_REJECTION_STATUSES)
             assert harness.servers[1].received_requests == []
 
     run_async(work)
 
 
 @pytest.mark.parametrize("status", [b"503 Full", b"504 Over"])
-@pytest.mark.parametrize("name", [b"Not-Started", b"not-started", b"NOT-STARTED"])
-def test_rejection_is_proof_once_when_received_twice_on_new_connection(name: bytes, status: bytes) -> None:
+@pytest.mark.parametrize("header_name", [b"Not-Started", b"not-started", b"NOT-STARTED"])
+def test_rejection_causes_one_retry_when_received_twice_on_new_connection(
+    header_name: bytes, status: bytes
+) -> None:
     async def work() -> None:
-        async def first(incoming: ReceivedRequest) -> bytes:
-            return 2 * (b"HTTP/1.1 %s\r\n%s: 1\r\nContent-Length: 0\r\n\r\n" % (status, name))
+        async def respond_first(incoming: ReceivedRequest) -> bytes:
+            return 2 * (b"HTTP/1.1 %s\r\n%s: 1\r\nContent-Length: 0\r\n\r\n" % (status, header_name))
 
-        async with _two_servers(first) as (harness, client):
+        async with _harness_with_second_server(respond_first) as (harness, client):
             assert (await client.read_response()).status == 200
             assert [len(each.received_requests) for each in harness.servers] == [1, 1]
             await wait_until(lambda: harness.servers[0].closed_connections == [0])  # it is not reused
@@ -129,16 +133,18 @@
     # The first request is rejected twice.  The second rejection is attributed to the second request, whose
     # own response arrives when the third request is written: it must not be returned for the third request.
     async def work() -> None:
-        async def script(incoming: ReceivedRequest) -> bytes:
-            before = harness.received_requests[:-1]
-            if len(before) < 2:
+        async def respond_in_turn(incoming: ReceivedRequest) -> bytes:
+            earlier_requests = harness.received_requests[:-1]
+            if len(earlier_requests) < 2:
                 return REJECTION_RESPONSE
             is_shared = (
-                before[0].connection_number == before[1].connection_number == incoming.connection_number
+                earlier_requests[0].connection_number
+                == earlier_requests[1].connection_number
+                == incoming.connection_number
             )
             return http_response(b"second" if is_shared else b"third")
 
-        async with sidecar_harness(script) as harness:
+        async with sidecar_harness(respond_in_turn) as harness:
             client = await harness.connect()
             assert (await client.send_request(request_class)).status == 503
             assert (await client.send_request(request_class)).status != 200
@@ -165,31 +171,35 @@
 
 
 @pytest.mark.parametrize(
-    "behind", [b"", b"nonsense\r\n\r\n", http_request("lodge")], ids=["", "malformed", "next"]
+    "following_data", [b"", b"nonsense\r\n\r\n", http_request("lodge")], ids=["", "malformed", "next"]
 )
 @pytest.mark.parametrize("limit", ["memory", ""])
-def test_request_is_not_rejected_when_its_last_byte_was_just_streamed(limit: str, behind: bytes) -> None:
+def test_request_is_not_rejected_when_its_last_byte_was_just_streamed(
+    limit: str, following_data: bytes
+) -> None:
     # The read that returns its last byte also returns bytes that exceed the memory limit or are malformed.
     async def work() -> None:
         release = asyncio.Event()
 
-        async def holds(incoming: ReceivedRequest) -> bytes:
+        async def respond_when_released(incoming: ReceivedRequest) -> bytes:
             await release.wait()
             return OK_RESPONSE
 
         limits = ClientLimits(most_bytes=MAX_BUFFERED_BODY_BYTES + 12_000) if limit else None
-        async with sidecar_harness(holds, client_limits=limits) as harness:
+        async with sidecar_harness(respond_when_released, client_limits=limits) as harness:
             client = await harness.connect()
-            raw = http_request("lodge", timeout="4.0", body=b"x" * (MAX_BUFFERED_BODY_BYTES + 20_000))
-            client.send(raw[:-16_000])
+            request_data = http_request(
+                "lodge", timeout="4.0", body=b"x" * (MAX_BUFFERED_BODY_BYTES + 20_000)
+            )
+            client.send(request_data[:-16_000])
             await wait_until(lambda: harness.servers[0].connection_count == 1)
             (open_request,) = harness.sidecar._registry
             await wait_until(lambda: open_request.incoming.body.size == MAX_BUFFERED_BODY_BYTES + 4_000)
             await wait_until(lambda: open_request.upstream_requests[0].connection is not None)
-            client.send(raw[-16_000:] + behind)
+            client.send(request_data[-16_000:] + following_data)
             await wait_until(lambda: not open_request.upstream_requests[0].is_unwritten)
             release.set()
             response = await client.read_response()
-            assert response.status not in _REJECTED
+            assert response.status not in _REJECTION_STATUSES
 
     run_async(work)
--- a/tests/sidecar/upstream/test_repeated_requests.py
+++ b/tests/sidecar/upstream/test_repeated_requests.py
@@ -17,12 +17,12 @@
     wait_until,
 )
 
-_REJECTED = (429, 503)
+_REJECTION_STATUSES = (429, 503)
 
 
-async def _send(harness: SidecarHarness, raw: bytes) -> Client:
+async def _send_from_new_client(harness: SidecarHarness, request_data: bytes) -> Client:
     client = await harness.connect()
-    client.send(raw)
+    client.send(request_data)
     return client
 
 
@@ -30,74 +30,76 @@
     async def work() -> None:
         release = asyncio.Event()
 
-        async def holds(incoming: ReceivedRequest) -> bytes:
+        async def respond_when_released(incoming: ReceivedRequest) -> bytes:
             await release.wait()
             return OK_RESPONSE
 
-        async with sidecar_harness(holds, holds) as harness:
-            raw = http_request("lodge", timeout="4.0")
-            first = await _send(harness, raw)
+        async with sidecar_harness(respond_when_released, respond_when_released) as harness:
+            request_data = http_request("lodge", timeout="4.0")
+            first_client = await _send_from_new_client(harness, request_data)
             await wait_until(lambda: len(harness.received_requests) == 1)
-            second = await _send(harness, raw)
-            response = await second.read_response()
+            second_client = await _send_from_new_client(harness, request_data)
+            response = await second_client.read_response()
             assert response.status == 409
             release.set()
-            assert (await first.read_response()).status == 200
+            assert (await first_client.read_response()).status == 200
             assert len(harness.received_requests) == 1
 
     run_async(work)
 
 
 @pytest.mark.parametrize("may_cancel", [True, False], ids=["may cancel", ""])
-@pytest.mark.parametrize("when", ["in flight", "ended", "reset"])
+@pytest.mark.parametrize("first_attempt_state", ["in flight", "ended", "reset"])
 def test_non_idempotent_request_is_not_sent_again_when_its_client_disconnected(
-    when: str, may_cancel: bool
+    first_attempt_state: str, may_cancel: bool
 ) -> None:
     # The client's connection was closed, and the client assumes that its request was not read.
     async def work() -> None:
         release = asyncio.Event()
 
-        async def holds(incoming: ReceivedRequest) -> bytes | None:
+        async def respond_when_released(incoming: ReceivedRequest) -> bytes | None:
             await release.wait()
-            if when == "reset":
+            if first_attempt_state == "reset":
                 reset_connection(incoming)
                 return None
             return OK_RESPONSE
 
-        async with sidecar_harness(holds, holds, limit_overrides={"mayCancel": may_cancel}) as harness:
-            raw = http_request("lodge", timeout="4.0")
-            first = await _send(harness, raw)
+        async with sidecar_harness(
+            respond_when_released, respond_when_released, limit_overrides={"mayCancel": may_cancel}
+        ) as harness:
+            request_data = http_request("lodge", timeout="4.0")
+            first_client = await _send_from_new_client(harness, request_data)
             await wait_until(lambda: len(harness.received_requests) == 1)
-            first.close()
+            first_client.close()
             await wait_until(lambda: harness.sidecar.downstream.open_connections == 0)
-            if when != "in flight":
+            if first_attempt_state != "in flight":
                 release.set()
                 await wait_until(lambda: harness.sidecar.open_requests == 0)
-            second = await _send(harness, raw)
+            second_client = await _send_from_new_client(harness, request_data)
             release.set()
-            response = await second.read_response()
-            assert response.status not in (200, *_REJECTED)
+            response = await second_client.read_response()
+            assert response.status not in (200, *_REJECTION_STATUSES)
             assert len(harness.received_requests) == 1
 
     run_async(work)
 
 
-def test_non_idempotent_request_is_served_again_when_no_server_had_its_last_byte(
+def test_non_idempotent_request_is_sent_again_when_no_server_received_its_last_byte(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    delayed_dials = DelayedConnects(monkeypatch)
+    delayed_connects = DelayedConnects(monkeypatch)
 
     async def work() -> None:
         async with sidecar_harness(OK_RESPONSE, limit_overrides={"mayCancel": False}) as harness:
-            delayed_dials.hold(harness.servers[0].address)
-            raw = http_request("lodge", timeout="4.0")
-            first = await _send(harness, raw)
-            await wait_until(lambda: delayed_dials.pending_count == 1)
-            first.close()
+            delayed_connects.hold(harness.servers[0].address)
+            request_data = http_request("lodge", timeout="4.0")
+            first_client = await _send_from_new_client(harness, request_data)
+            await wait_until(lambda: delayed_connects.pending_count == 1)
+            first_client.close()
             await wait_until(lambda: harness.sidecar.open_requests == 0)
-            delayed_dials.release(harness.servers[0].address)
-            second = await _send(harness, raw)
-            assert (await second.read_response()).status == 200
+            delayed_connects.release(harness.servers[0].address)
+            second_client = await _send_from_new_client(harness, request_data)
+            assert (await second_client.read_response()).status == 200
             assert len(harness.received_requests) == 1
 
     run_async(work)
--- a/tests/sidecar/upstream/test_unexecuted_requests.py
+++ b/tests/sidecar/upstream/test_unexecuted_requests.py
@@ -39,26 +39,26 @@
 
 # Writes
 
-_ENDS = ["reset", "fin", "rejection"]
+_SERVER_ACTIONS = ["reset", "close", "rejection"]
 
 
-async def _end(server: SlowReadingServer, how: str) -> None:
+async def _apply_server_action(server: SlowReadingServer, action: str) -> None:
     """Closes the server's side of the connection, or rejects the request before it is complete."""
     assert server.accepted is not None
-    if how == "rejection":
+    if action == "rejection":
         await server.send(REJECTION_RESPONSE)
         return
-    if how == "reset":
+    if action == "reset":
         server.accepted.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         server.accepted.close()
     else:
         server.accepted.shutdown(socket.SHUT_WR)
 
 
-@pytest.mark.parametrize("how", _ENDS)
-@pytest.mark.parametrize("used", [False, True], ids=["new connection", "used connection"])
-def test_request_is_unexecuted_when_kernel_accepted_a_part(
-    used: bool, how: str, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("action", _SERVER_ACTIONS)
+@pytest.mark.parametrize("is_reused", [False, True], ids=["new connection", "reused connection"])
+def test_request_counts_as_unexecuted_when_kernel_accepted_a_part(
+    is_reused: bool, action: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # The request is retried, and its first server never gets the last byte.
     shrink_send_buffers(monkeypatch)
@@ -69,33 +69,33 @@
         async with sidecar_harness(OK_RESPONSE, servers_listed=False) as harness:
             await announce_endpoints(harness, server_entry(0, server.address))
             client = await harness.connect()
-            if used:
+            if is_reused:
                 client.send(http_request("lodge"))
                 await server.accept()
                 await server.read_until(b"\r\n\r\n")
                 await server.send(OK_RESPONSE)
                 assert (await client.read_response()).status == 200
             client.send(http_request("lodge", timeout="4.0", body=_BODY))
-            if not used:
+            if not is_reused:
                 await server.accept()
             await wait_until(lambda: len(harness.sidecar._registry) == 1)
             (open_request,) = harness.sidecar._registry
             await wait_until(lambda: open_request.upstream_requests[0].connection is not None)
             assert open_request.upstream_requests[0].is_unwritten
             await announce_endpoints(harness, server_entry(1, harness.servers[0].address))
-            await _end(server, how)
+            await _apply_server_action(server, action)
             assert (await client.read_response()).status == 200
             assert [each.body for each in harness.received_requests] == [_BODY]
-            if how != "reset":
+            if action != "reset":
                 assert not (await server.read_until(_BODY)).endswith(_BODY)
         server.close()
 
     run_async(work)
 
 
-@pytest.mark.parametrize("how", ["reset", "fin"])
-def test_request_may_have_executed_when_server_ends_as_it_reads_last_byte(
-    how: str, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("action", ["reset", "close"])
+def test_request_may_have_executed_when_server_closes_after_reading_last_byte(
+    action: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # Most of the request was buffered in the sidecar; the server closes its side when it reads the last byte.
     shrink_send_buffers(monkeypatch)
@@ -109,7 +109,7 @@
             await server.accept()
             await announce_endpoints(harness, server_entry(1, harness.servers[0].address))
             assert (await server.read_until(_BODY)).endswith(_BODY)
-            await _end(server, how)
+            await _apply_server_action(server, action)
             assert (await client.read_response()).status == 502
             assert harness.received_requests == []
         server.close()
@@ -117,86 +117,97 @@
     run_async(work)
 
 
-async def _send_to_first(harness: SidecarHarness, patch: pytest.MonkeyPatch) -> Client:
+async def _send_to_first_server(harness: SidecarHarness, patch: pytest.MonkeyPatch) -> Client:
     """Sends a non-idempotent request whose first attempt goes to the first server; then lists the second."""
-    first, second = harness.servers
-    await announce_endpoints(harness, server_entry(0, first.address))
-    delayed_dials = DelayedConnects(patch)
-    delayed_dials.hold(first.address)
+    first_server, second_server = harness.servers
+    await announce_endpoints(harness, server_entry(0, first_server.address))
+    delayed_connects = DelayedConnects(patch)
+    delayed_connects.hold(first_server.address)
     client = await harness.connect()
     client.send(http_request("lodge", timeout="4.0", body=b"body"))
-    await wait_until(lambda: delayed_dials.pending_count == 1)
-    await announce_endpoints(harness, server_entry(1, second.address))
-    delayed_dials.release(first.address)
+    await wait_until(lambda: delayed_connects.pending_count == 1)
+    await announce_endpoints(harness, server_entry(1, second_server.address))
+    delayed_connects.release(first_server.address)
     return client
 
 
-def _all_but_last_byte(descriptor: int, piece: bytes) -> int:
-    return os.write(descriptor, piece[:-1])
+def _write_all_but_last_byte(descriptor: int, data: bytes) -> int:
+    return os.write(descriptor, data[:-1])
 
 
-def _half(descriptor: int, piece: bytes) -> int:
-    return os.write(descriptor, piece[: len(piece) // 2])
+def _write_half(descriptor: int, data: bytes) -> int:
+    return os.write(descriptor, data[: len(data) // 2])
 
 
-def _no_buffer_space(descriptor: int, piece: bytes) -> int:
+def _fail_without_buffer_space(descriptor: int, data: bytes) -> int:
     raise BlockingIOError
 
 
-def _fails(fault: type[OSError]) -> WriteOutcome:
-    def fate(descriptor: int, piece: bytes) -> int:
-        raise fault
+def _fail_with(error: type[OSError]) -> WriteOutcome:
+    def write(descriptor: int, data: bytes) -> int:
+        raise error
 
-    return fate
+    return write
 
 
-def _no_memory(descriptor: int, piece: bytes) -> int:
+def _fail_without_memory(descriptor: int, data: bytes) -> int:
     raise OSError(12, "no memory")
 
 
 @pytest.mark.parametrize(
-    "fates",
+    "write_outcomes",
     [
-        pytest.param((_fails(BrokenPipeError),), id="at once"),
-        pytest.param((_fails(ConnectionResetError),), id="at once, reset"),
-        pytest.param((_no_memory,), id="for want of memory"),
-        pytest.param((_all_but_last_byte, _fails(BrokenPipeError)), id="at the last byte"),
-        pytest.param((_no_buffer_space, _fails(ConnectionResetError)), id="after a wait for room"),
+        pytest.param((_fail_with(BrokenPipeError),), id="broken pipe"),
+        pytest.param((_fail_with(ConnectionResetError),), id="reset"),
+        pytest.param((_fail_without_memory,), id="no memory"),
+        pytest.param(
+            (_write_all_but_last_byte, _fail_with(BrokenPipeError)), id="broken pipe at the last byte"
+        ),
+        pytest.param(
+            (_fail_without_buffer_space, _fail_with(ConnectionResetError)),
+            id="reset after waiting for buffer space",
+        ),
     ],
 )
 def test_non_idempotent_request_is_retried_when_write_failed(
-    fates: tuple[WriteOutcome, ...], monkeypatch: pytest.MonkeyPatch
+    write_outcomes: tuple[WriteOutcome, ...], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def work() -> None:
         async with sidecar_harness(OK_RESPONSE, OK_RESPONSE, servers_listed=False) as harness:
-            kernel = ScriptedWrites(monkeypatch, harness.servers[0].address, fates)
-            client = await _send_to_first(harness, monkeypatch)
+            scripted_writes = ScriptedWrites(monkeypatch, harness.servers[0].address, write_outcomes)
+            client = await _send_to_first_server(harness, monkeypatch)
             assert (await client.read_response()).status == 200
             await wait_until(lambda: harness.servers[0].closed_connections == [0])
             assert [len(each.received_requests) for each in harness.servers] == [0, 1]
-            assert not kernel.remaining_outcomes
+            assert not scripted_writes.remaining_outcomes
 
     run_async(work)
 
 
 @pytest.mark.parametrize(
-    "fates",
-    [(), (_half,), (_all_but_last_byte,), (_no_buffer_space,), (_half, _no_buffer_space, _no_buffer_space)],
+    "write_outcomes",
+    [
+        (),
+        (_write_half,),
+        (_write_all_but_last_byte,),
+        (_fail_without_buffer_space,),
+        (_write_half, _fail_without_buffer_space, _fail_without_buffer_space),
+    ],
 )
 def test_request_may_have_executed_when_written_in_parts(
-    fates: tuple[WriteOutcome, ...], monkeypatch: pytest.MonkeyPatch
+    write_outcomes: tuple[WriteOutcome, ...], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def work() -> None:
-        async def first(incoming: ReceivedRequest) -> None:
+        async def reset_first(incoming: ReceivedRequest) -> None:
             reset_connection(incoming)
 
-        async with sidecar_harness(first, OK_RESPONSE, servers_listed=False) as harness:
-            kernel = ScriptedWrites(monkeypatch, harness.servers[0].address, fates)
-            client = await _send_to_first(harness, monkeypatch)
+        async with sidecar_harness(reset_first, OK_RESPONSE, servers_listed=False) as harness:
+            scripted_writes = ScriptedWrites(monkeypatch, harness.servers[0].address, write_outcomes)
+            client = await _send_to_first_server(harness, monkeypatch)
             assert (await client.read_response()).status == 502
             assert [len(each.received_requests) for each in harness.servers] == [1, 0]
             assert harness.received_requests[0].body == b"body"
-            assert not kernel.remaining_outcomes
+            assert not scripted_writes.remaining_outcomes
 
     run_async(work)
 
@@ -205,12 +216,12 @@
 
 
 @pytest.mark.parametrize(
-    "how", ["refused", "never established", "ends when established", "server writes first"]
+    "action", ["refused", "never established", "closed when established", "server writes first"]
 )
 def test_non_idempotent_request_is_retried_when_connection_was_unusable(
-    how: str, monkeypatch: pytest.MonkeyPatch
+    action: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    delayed_dials = DelayedConnects(monkeypatch)
+    delayed_connects = DelayedConnects(monkeypatch)
 
     async def work() -> None:
         async with sidecar_harness(
@@ -218,35 +229,35 @@
         ) as harness:
             with socket.socket() as listener:
                 listener.bind((HOST, 0))
-                if how != "refused":
+                if action != "refused":
                     listener.listen()
                 address = f"{HOST}:{listener.getsockname()[1]}"
                 await announce_endpoints(harness, server_entry(0, address))
-                delayed_dials.hold(address)
+                delayed_connects.hold(address)
                 client = await harness.connect()
                 client.send(http_request("lodge", timeout="4.0"))
-                await wait_until(lambda: delayed_dials.pending_count == 1)
+                await wait_until(lambda: delayed_connects.pending_count == 1)
                 await announce_endpoints(harness, server_entry(1, harness.servers[0].address))
-                if how == "ends when established" or how == "server writes first":
-                    made = UpstreamConnection.connection_made
+                if action == "closed when established" or action == "server writes first":
+                    original_connection_made = UpstreamConnection.connection_made
                     accepted: list[socket.socket] = []
 
                     def connection_made(self: UpstreamConnection, transport: asyncio.BaseTransport) -> None:
                         # The server acts before the sidecar is notified that the connection is established.
                         if transport.get_extra_info("peername") == listener.getsockname():
                             accepted.append(listener.accept()[0])
-                            if how == "server writes first":
+                            if action == "server writes first":
                                 accepted[0].send(REJECTION_RESPONSE)
                             else:
                                 accepted[0].close()
-                        made(self, transport)
+                        original_connection_made(self, transport)
 
                     monkeypatch.setattr(UpstreamConnection, "connection_made", connection_made)
-                if how != "never established":
-                    delayed_dials.release(address)
+                if action != "never established":
+                    delayed_connects.release(address)
                 assert (await client.read_response()).status == 200
                 assert len(harness.received_requests) == 1
-                if how == "server writes first":
+                if action == "server writes first":
                     accepted[0].settimeout(10.0)
                     assert accepted[0].recv(1_000) == b""
                     accepted[0].close()
--- a/tests/sidecar/upstream/test_upstream_timeouts.py
+++ b/tests/sidecar/upstream/test_upstream_timeouts.py
@@ -17,7 +17,7 @@
         ((20, 500), (100, 60_000), 0.05),  # less than the minimum: time is left before the shortest deadline
     ],
 )
-def test_stall_timeout_follows_from_objectives_and_deadlines(
+def test_stall_timeout_is_derived_from_objectives_and_deadlines(
     objectives_ms: tuple[int, int], deadlines_ms: tuple[int, int], timeout_s: float
 ) -> None:
     classes = [
