--- a/tests/sidecar/requests/test_client_disconnects.py
+++ b/tests/sidecar/requests/test_client_disconnects.py
@@ -40,16 +40,16 @@
 from tulipnotch.sidecar.upstream import pool as upstream
 from tulipnotch.sidecar.upstream.connection import UpstreamConnection
 
-_NEVER_SWEPT = ClientLimits(sweep_s=600.0)
+_WITHOUT_SWEEPS = ClientLimits(sweep_s=600.0)
 
 
-async def _leave(client: Client) -> None:
+async def _disconnect(client: Client) -> None:
     """Closes the connection; on return, the end of the stream has reached the sidecar's socket."""
     client.close()
     await client.writer.wait_closed()
 
 
-async def _sent_ahead(harness: SidecarHarness) -> Client:
+async def _connect_with_pipelined_request(harness: SidecarHarness) -> Client:
     """Returns a client with an open request and a pipelined one, so that the sidecar has paused reading."""
     client = await harness.connect()
     client.send(http_request("lodge", timeout="15") + http_request("lodge", timeout="15"))
@@ -57,35 +57,35 @@
     return client
 
 
-async def _nothing_comes(accepted: socket.socket) -> bool:
+async def _receives_nothing(accepted: socket.socket) -> bool:
     return await asyncio.get_running_loop().sock_recv(accepted, 1_000) == b""
 
 
 @pytest.mark.parametrize("may_cancel", [True, False])
-@pytest.mark.parametrize("seen_by", ["the sweep", "a look before the write"])
+@pytest.mark.parametrize("noticed_by", ["sweep", "check before the write"])
 def test_attempt_is_not_written_when_the_client_disconnects_during_a_dial_with_reading_paused(
-    *, seen_by: str, may_cancel: bool
+    *, noticed_by: str, may_cancel: bool
 ) -> None:
     # The pipelined request pauses reading, so the event loop does not notice the end of the connection.
     async def work() -> None:
-        slow = FullAcceptQueueServer()
-        await slow.fill_accept_queue()
+        slow_server = FullAcceptQueueServer()
+        await slow_server.fill_accept_queue()
         bounds = {"dialTimeoutUs": 15_000_000, "mayCancel": may_cancel}
-        limits = None if seen_by == "the sweep" else _NEVER_SWEPT
+        limits = None if noticed_by == "sweep" else _WITHOUT_SWEEPS
         async with sidecar_harness(limit_overrides=bounds, client_limits=limits) as harness:
             await wait_until(lambda: len(harness.discovery.received_requests) >= 2)
-            harness.discovery.announce(endpoint_entry("s", slow.address))
+            harness.discovery.announce(endpoint_entry("s", slow_server.address))
             await wait_until(lambda: len(harness.discovery.received_requests) >= 3)
-            client = await _sent_ahead(harness)
-            await _leave(client)
-            if seen_by == "the sweep":
+            client = await _connect_with_pipelined_request(harness)
+            await _disconnect(client)
+            if noticed_by == "sweep":
                 await wait_until(lambda: harness.sidecar.open_requests == 0)
-            accepted = await slow.accept_sidecar_connection()
+            accepted = await slow_server.accept_sidecar_connection()
             await wait_until(lambda: harness.sidecar.open_requests == 0)
             harness.sidecar.close()  # the connection may be kept for later requests
-            assert await _nothing_comes(accepted)
+            assert await _receives_nothing(accepted)
             accepted.close()
-        slow.close()
+        slow_server.close()
 
     run_async(work)
 
@@ -94,16 +94,16 @@
     async def work() -> None:
         release = asyncio.Event()
 
-        async def full(_heard: ReceivedRequest) -> bytes:
+        async def reject(_request: ReceivedRequest) -> bytes:
             await release.wait()
             return REJECTION_RESPONSE
 
         async with sidecar_harness(
-            full, full, client_limits=_NEVER_SWEPT, limit_overrides={"mayCancel": False}
+            reject, reject, client_limits=_WITHOUT_SWEEPS, limit_overrides={"mayCancel": False}
         ) as harness:
-            client = await _sent_ahead(harness)
+            client = await _connect_with_pipelined_request(harness)
             await wait_until(lambda: len(harness.received_requests) == 1)
-            await _leave(client)
+            await _disconnect(client)
             release.set()
             await wait_until(lambda: harness.sidecar.open_requests == 0)
             assert len(harness.received_requests) == 1
@@ -117,13 +117,13 @@
     monkeypatch.setattr(upstream, "_REUSE_DELAY_US", 0)  # an accepted request would be written immediately
 
     async def work() -> None:
-        release, hold = blocking_script()
+        release, respond_when_released = blocking_script()
         async with sidecar_harness(
-            hold, client_limits=_NEVER_SWEPT, limit_overrides={"mayCancel": False}
+            respond_when_released, client_limits=_WITHOUT_SWEEPS, limit_overrides={"mayCancel": False}
         ) as harness:
-            client = await _sent_ahead(harness)
+            client = await _connect_with_pipelined_request(harness)
             await wait_until(lambda: len(harness.received_requests) == 1)
-            await _leave(client)
+            await _disconnect(client)
             release.set()
             await wait_until(lambda: harness.sidecar.downstream.open_connections == 0)
             assert harness.sidecar.open_requests == 0
@@ -137,10 +137,10 @@
     async def work() -> None:
         async with sidecar_harness(OK_RESPONSE, limit_overrides={"mayCancel": False}) as harness:
             client = await harness.connect()
-            whole = http_request("lodge", timeout="15", body=b"x" * 200_000)
-            client.send(whole[:150_000])
+            request_data = http_request("lodge", timeout="15", body=b"x" * 200_000)
+            client.send(request_data[:150_000])
             await wait_until(lambda: harness.servers[0].connection_count == 1)
-            await _leave(client)
+            await _disconnect(client)
             await wait_until(lambda: harness.servers[0].closed_connections == [0])
             await wait_until(lambda: harness.sidecar.open_requests == 0)
             assert harness.received_requests == []
@@ -148,36 +148,36 @@
     run_async(work)
 
 
-def test_hedged_attempt_that_dials_is_not_written_when_the_first_is_responded() -> None:
+def test_hedged_attempt_is_not_written_when_the_first_is_responded_before_it_connects() -> None:
     # No attempt may be written after the final response, and cancelling an unwritten one needs no permission.
     async def work() -> None:
-        slow = FullAcceptQueueServer()
-        await slow.fill_accept_queue()
-        release, hold = blocking_script()
+        slow_server = FullAcceptQueueServer()
+        await slow_server.fill_accept_queue()
+        release, respond_when_released = blocking_script()
         bounds = {"dialTimeoutUs": 15_000_000, "mayCancel": False, "secondCopies": True}
-        async with sidecar_harness(hold, limit_overrides=bounds) as harness:
+        async with sidecar_harness(respond_when_released, limit_overrides=bounds) as harness:
             await wait_until(lambda: len(harness.discovery.received_requests) >= 2)
             client = await harness.connect()
             client.send(http_request("check", timeout="15"))
             await wait_until(lambda: len(harness.received_requests) == 1)
-            (held,) = harness.sidecar._registry
-            harness.discovery.announce(endpoint_entry("s-slow", slow.address))
+            (open_request,) = harness.sidecar._registry
+            harness.discovery.announce(endpoint_entry("s-slow", slow_server.address))
             await wait_until(lambda: len(harness.discovery.received_requests) >= 3)
             # The balancer would hedge only after other responses; here the hedged attempt is started
             # directly.
             balancer = harness.sidecar._balancer
             assert balancer._start_attempt(
-                balancer._requests[held.number], balancer._context.endpoints["s-slow"]
+                balancer._requests[open_request.number], balancer._context.endpoints["s-slow"]
             )
             harness.sidecar._executor.execute(balancer._context.actions[-1])
             release.set()
             assert (await client.read_response()).status == 200
-            accepted = await slow.accept_sidecar_connection()
+            accepted = await slow_server.accept_sidecar_connection()
             await wait_until(lambda: harness.sidecar.open_requests == 0)
             harness.sidecar.close()
-            assert await _nothing_comes(accepted)
+            assert await _receives_nothing(accepted)
             accepted.close()
-        slow.close()
+        slow_server.close()
 
     run_async(work)
 
@@ -186,78 +186,82 @@
 # disconnect reaches the sidecar's socket, and the event that starts an attempt is handled.  Neither the loop
 # nor a sweep can notice the disconnect before that.
 
-_AHEAD = http_request("lodge", timeout="15")
-_LEAVING = ("half-close", "close", "reset")
+_PIPELINED_REQUEST = http_request("lodge", timeout="15")
+_DISCONNECT_KINDS = ("half-close", "close", "reset")
 
 
 @contextmanager
-def _application(harness: SidecarHarness) -> Iterator[socket.socket]:
+def _client_socket(harness: SidecarHarness) -> Iterator[socket.socket]:
     """Provides a blocking client socket, whose calls take effect immediately."""
-    with socket.create_connection((HOST, harness.sidecar.downstream.port)) as own:
-        yield own
+    with socket.create_connection((HOST, harness.sidecar.downstream.port)) as client_socket:
+        yield client_socket
 
 
-def _go(application: socket.socket, how: str, at_sidecar: DownstreamConnection | None) -> None:
-    """Disconnects as `how` says; on return, the disconnect has reached the sidecar's socket."""
-    if how == "stays":
+def _disconnect_socket(
+    client: socket.socket, kind: str, connection_at_sidecar: DownstreamConnection | None
+) -> None:
+    """Disconnects as `kind` says; on return, the disconnect has reached the sidecar's socket."""
+    if kind == "stays connected":
         return
-    if how == "half-close":
-        application.shutdown(socket.SHUT_WR)
+    if kind == "half-close":
+        client.shutdown(socket.SHUT_WR)
     else:
-        if how == "reset":
-            application.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-        application.close()
-    assert at_sidecar is not None
-    assert at_sidecar._transport is not None
-    ended = select.poll()
-    ended.register(at_sidecar._transport.get_extra_info("socket").fileno(), select.POLLRDHUP)
-    assert ended.poll(20_000)
+        if kind == "reset":
+            client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+        client.close()
+    assert connection_at_sidecar is not None
+    assert connection_at_sidecar._transport is not None
+    disconnect_poll = select.poll()
+    disconnect_poll.register(
+        connection_at_sidecar._transport.get_extra_info("socket").fileno(), select.POLLRDHUP
+    )
+    assert disconnect_poll.poll(20_000)
 
 
-def _withheld(harness: SidecarHarness) -> int:
+def _withheld_attempts(harness: SidecarHarness) -> int:
     """Returns the metric that counts attempts withheld because of a disconnect."""
-    (found,) = (
+    (line,) = (
         each
         for each in harness.sidecar.command_handlers()["telemetry"]()
         if each.startswith("app.upstream_requests_withheld=")
     )
-    return int(found.partition("=")[2])
+    return int(line.partition("=")[2])
 
 
-def _only(harness: SidecarHarness) -> DownstreamConnection:
-    (found,) = harness.sidecar.downstream.connections()
-    return found
+def _only_connection(harness: SidecarHarness) -> DownstreamConnection:
+    (connection,) = harness.sidecar.downstream.connections()
+    return connection
 
 
-async def _is_over(harness: SidecarHarness) -> None:
+async def _wait_until_idle(harness: SidecarHarness) -> None:
     await wait_until(lambda: harness.sidecar.open_requests == 0)
     await wait_until(lambda: not harness.sidecar._upstream._dials_in_flight)
 
 
-async def _paused(harness: SidecarHarness, ahead: bytes) -> None:
+async def _wait_until_reading_paused(harness: SidecarHarness, pipelined: bytes) -> None:
     """Waits until the pipelined request, if there is one, is received and reading is paused."""
-    if ahead:
+    if pipelined:
         await wait_until(
             lambda: all(each.is_reading_paused for each in harness.sidecar.downstream.connections())
         )
 
 
-class _Scripted:
+class _ScriptedBalancer:
     """Replaces the balancer: starts attempts at the given servers when a timer fires, and never otherwise."""
 
     def __init__(self, *servers: str) -> None:
         self._servers = servers
         self._request = 0
-        self.ended: list[Outcome] = []
+        self.outcomes: list[Outcome] = []
 
-    def __call__(self, _settings: Settings, _seed: int) -> _Scripted:
+    def __call__(self, _settings: Settings, _seed: int) -> _ScriptedBalancer:
         return self
 
     def handle(self, _now: int, event: Event) -> list[Action]:
         if isinstance(event, RequestArrived):
             self._request = event.request
         if isinstance(event, AttemptEnded):
-            self.ended.append(event.outcome)
+            self.outcomes.append(event.outcome)
         if isinstance(event, TimerFired):
             return [StartAttempt(self._request, each, NEVER) for each in self._servers]
         return []
@@ -272,26 +276,26 @@
         return EndpointCounts(len(self._servers), 0)
 
 
-@pytest.mark.parametrize("ahead", [b"", _AHEAD], ids=["", "pipelined"])
-@pytest.mark.parametrize("how", _LEAVING)
+@pytest.mark.parametrize("pipelined", [b"", _PIPELINED_REQUEST], ids=["", "pipelined"])
+@pytest.mark.parametrize("kind", _DISCONNECT_KINDS)
 def test_attempts_are_not_started_when_a_timer_fires_as_the_client_disconnects(
-    how: str, ahead: bytes, monkeypatch: pytest.MonkeyPatch
+    kind: str, pipelined: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # Two attempts are due at the same time, as after a delay of the event loop.
-    decisions = _Scripted("s-0", "s-1")
-    monkeypatch.setattr("tulipnotch.sidecar.sidecar.Balancer", decisions)
+    balancer = _ScriptedBalancer("s-0", "s-1")
+    monkeypatch.setattr("tulipnotch.sidecar.sidecar.Balancer", balancer)
 
     async def work() -> None:
-        async with sidecar_harness(OK_RESPONSE, OK_RESPONSE, client_limits=_NEVER_SWEPT) as harness:
-            with _application(harness) as application:
-                application.send(http_request("check") + ahead)
+        async with sidecar_harness(OK_RESPONSE, OK_RESPONSE, client_limits=_WITHOUT_SWEEPS) as harness:
+            with _client_socket(harness) as client:
+                client.send(http_request("check") + pipelined)
                 await wait_until(lambda: harness.sidecar.open_requests == 1)
-                await _paused(harness, ahead)
-                _go(application, how, _only(harness))
+                await _wait_until_reading_paused(harness, pipelined)
+                _disconnect_socket(client, kind, _only_connection(harness))
                 harness.sidecar._events.post(TimerFired("due"))
-                await _is_over(harness)
-                assert decisions.ended == [Outcome.NOT_SENT] * 2
-                assert _withheld(harness) == 2
+                await _wait_until_idle(harness)
+                assert balancer.outcomes == [Outcome.NOT_SENT] * 2
+                assert _withheld_attempts(harness) == 2
                 assert harness.received_requests == []
                 assert [each.connection_count for each in harness.servers] == [0, 0]
 
@@ -299,138 +303,147 @@
 
 
 @pytest.mark.parametrize("end", [REJECTION_RESPONSE, ERROR_RESPONSE, None], ids=["full", "failed", "dropped"])
-@pytest.mark.parametrize("ahead", [b"", _AHEAD], ids=["", "pipelined"])
-@pytest.mark.parametrize("how", [*_LEAVING, "stays"])
+@pytest.mark.parametrize("pipelined", [b"", _PIPELINED_REQUEST], ids=["", "pipelined"])
+@pytest.mark.parametrize("kind", [*_DISCONNECT_KINDS, "stays connected"])
 def test_attempt_is_not_retried_when_it_ends_as_the_client_disconnects(
-    how: str, ahead: bytes, end: bytes | None
+    kind: str, pipelined: bytes, end: bytes | None
 ) -> None:
     async def work() -> None:
-        _, hold = blocking_script()
+        _, respond_when_released = blocking_script()
         async with sidecar_harness(
-            hold, hold, client_limits=_NEVER_SWEPT, limit_overrides={"mayCancel": False}
+            respond_when_released,
+            respond_when_released,
+            client_limits=_WITHOUT_SWEEPS,
+            limit_overrides={"mayCancel": False},
         ) as harness:
             harness.sidecar._balancer._components.retries.budget = 9.0  # enough to retry failed attempts
-            with _application(harness) as application:
-                application.send(http_request("check") + ahead)
+            with _client_socket(harness) as client:
+                client.send(http_request("check") + pipelined)
                 await wait_until(lambda: len(harness.received_requests) == 1)
-                await _paused(harness, ahead)
-                _go(application, how, None if how == "stays" else _only(harness))
-                (held,) = harness.sidecar._registry
-                connection = held.upstream_requests[0].connection
+                await _wait_until_reading_paused(harness, pipelined)
+                _disconnect_socket(
+                    client, kind, None if kind == "stays connected" else _only_connection(harness)
+                )
+                (open_request,) = harness.sidecar._registry
+                connection = open_request.upstream_requests[0].connection
                 assert connection is not None
                 if end is not None:
                     connection._process_data(end)
                 else:
                     connection.connection_lost(None)
-                if how == "stays":
+                if kind == "stays connected":
                     await wait_until(lambda: len(harness.received_requests) == 2)
-                    assert _withheld(harness) == 0
+                    assert _withheld_attempts(harness) == 0
                     return
-                await _is_over(harness)
+                await _wait_until_idle(harness)
                 assert len(harness.received_requests) == 1
                 assert sum(each.connection_count for each in harness.servers) == 1
-                assert _withheld(harness) == 1
+                assert _withheld_attempts(harness) == 1
 
     run_async(work)
 
 
 @pytest.mark.parametrize("is_trial", [False, True], ids=["", "trial"])
-@pytest.mark.parametrize("ahead", [b"", _AHEAD], ids=["", "pipelined"])
-@pytest.mark.parametrize("how", [*_LEAVING, "stays"])
+@pytest.mark.parametrize("pipelined", [b"", _PIPELINED_REQUEST], ids=["", "pipelined"])
+@pytest.mark.parametrize("kind", [*_DISCONNECT_KINDS, "stays connected"])
 def test_attempt_is_not_written_when_its_connection_is_reusable_as_the_client_disconnects(
-    *, how: str, ahead: bytes, is_trial: bool, monkeypatch: pytest.MonkeyPatch
+    *, kind: str, pipelined: bytes, is_trial: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(upstream, "_REUSE_DELAY_US", 600_000_000)  # the test ends the delay
 
     async def work() -> None:
         async with sidecar_harness(
-            OK_RESPONSE, client_limits=_NEVER_SWEPT, limit_overrides={"mayCancel": False}
+            OK_RESPONSE, client_limits=_WITHOUT_SWEEPS, limit_overrides={"mayCancel": False}
         ) as harness:
             assert (await harness.send_request("check")).status == 200
             harness.clients[0].close()
             await wait_until(lambda: harness.sidecar.downstream.open_connections == 0)
-            decisions = harness.sidecar._balancer
-            listed = decisions._context.endpoints["s-0"]
+            balancer = harness.sidecar._balancer
+            endpoint = balancer._context.endpoints["s-0"]
             if is_trial:
-                decisions._components.outlier_detection._ejected.append(listed)
-                listed.ejection = Ejection()  # ejected, and due for a trial request
-            with _application(harness) as application:
-                application.send(http_request("check", timeout="15") + ahead)
-                rests = harness.sidecar._upstream._reuse_timers
-                await wait_until(lambda: len(rests) == 1)
-                await _paused(harness, ahead)
-                assert (listed.health.probation_attempt is not None) == is_trial
-                _go(application, how, None if how == "stays" else _only(harness))
-                ((connection, timer),) = rests.items()
+                balancer._components.outlier_detection._ejected.append(endpoint)
+                endpoint.ejection = Ejection()  # ejected, and due for a trial request
+            with _client_socket(harness) as client:
+                client.send(http_request("check", timeout="15") + pipelined)
+                reuse_timers = harness.sidecar._upstream._reuse_timers
+                await wait_until(lambda: len(reuse_timers) == 1)
+                await _wait_until_reading_paused(harness, pipelined)
+                assert (endpoint.health.probation_attempt is not None) == is_trial
+                _disconnect_socket(
+                    client, kind, None if kind == "stays connected" else _only_connection(harness)
+                )
+                ((connection, timer),) = reuse_timers.items()
                 timer.cancel()
-                (held,) = harness.sidecar._registry
+                (open_request,) = harness.sidecar._registry
                 server = harness.sidecar._upstream._endpoints["s-0"]
-                harness.sidecar._upstream._reuse_delay_ended(held.upstream_requests[0], server, connection)
-                if how == "stays":
+                harness.sidecar._upstream._reuse_delay_ended(
+                    open_request.upstream_requests[0], server, connection
+                )
+                if kind == "stays connected":
                     await wait_until(lambda: len(harness.received_requests) == 2)
                     return
-                await _is_over(harness)
+                await _wait_until_idle(harness)
                 assert len(harness.received_requests) == 1
                 assert harness.servers[0].connection_count == 1
-                assert _withheld(harness) == 1
-                assert listed.health.probation_attempt is None
+                assert _withheld_attempts(harness) == 1
+                assert endpoint.health.probation_attempt is None
 
     run_async(work)
 
 
-@pytest.mark.parametrize("ahead", [b"", _AHEAD], ids=["", "pipelined"])
-@pytest.mark.parametrize("size", [0, 40_000, 200_000], ids=["no body", "kept", "passing through"])
-@pytest.mark.parametrize("how", [*_LEAVING, "stays"])
-def test_attempt_is_not_written_when_the_last_bytes_come_as_the_client_disconnects(
-    how: str, size: int, ahead: bytes
+@pytest.mark.parametrize("pipelined", [b"", _PIPELINED_REQUEST], ids=["", "pipelined"])
+@pytest.mark.parametrize("size", [0, 40_000, 200_000], ids=["no body", "buffered", "streamed"])
+@pytest.mark.parametrize("kind", [*_DISCONNECT_KINDS, "stays connected"])
+def test_attempt_is_not_written_when_the_last_bytes_arrive_as_the_client_disconnects(
+    kind: str, size: int, pipelined: bytes
 ) -> None:
     # An attempt can be executed from its last byte on; a part of a streamed body is already at its server.
     async def work() -> None:
         async with sidecar_harness(
-            OK_RESPONSE, client_limits=_NEVER_SWEPT, limit_overrides={"mayCancel": False}
+            OK_RESPONSE, client_limits=_WITHOUT_SWEEPS, limit_overrides={"mayCancel": False}
         ) as harness:
-            with _application(harness) as application:
-                whole = http_request("lodge", timeout="15", body=b"x" * size)
-                cut = 20 if size == 0 else len(whole) - 20_000
-                application.sendall(whole[:cut])
+            with _client_socket(harness) as client:
+                request_data = http_request("lodge", timeout="15", body=b"x" * size)
+                cut = 20 if size == 0 else len(request_data) - 20_000
+                client.sendall(request_data[:cut])
                 state = ConnectionState.STREAMING_BODY if size > 100_000 else ConnectionState.READING
                 await wait_until(
                     lambda: [each.state for each in harness.sidecar.downstream.connections()] == [state]
                 )
                 if state is ConnectionState.STREAMING_BODY:
                     await wait_until(lambda: harness.servers[0].connection_count == 1)
-                    (held,) = harness.sidecar._registry
-                    await wait_until(lambda: held.incoming.body.size == size - 20_000)
-                at_sidecar = _only(harness)
-                application.sendall(whole[cut:] + ahead)
-                _go(application, how, None if how == "stays" else at_sidecar)
-                if how == "stays":
-                    await wait_until(lambda: len(harness.received_requests) == 1 + bool(ahead))
+                    (open_request,) = harness.sidecar._registry
+                    await wait_until(lambda: open_request.incoming.body.size == size - 20_000)
+                connection_at_sidecar = _only_connection(harness)
+                client.sendall(request_data[cut:] + pipelined)
+                _disconnect_socket(client, kind, None if kind == "stays connected" else connection_at_sidecar)
+                if kind == "stays connected":
+                    await wait_until(lambda: len(harness.received_requests) == 1 + bool(pipelined))
                     return
                 await wait_until(lambda: harness.sidecar.downstream.open_connections == 0)
-                await _is_over(harness)
+                await _wait_until_idle(harness)
                 assert harness.received_requests == []
                 if state is ConnectionState.STREAMING_BODY:
                     await wait_until(lambda: harness.servers[0].closed_connections == [0])
                 assert harness.received_requests == []
                 is_streamed = state is ConnectionState.STREAMING_BODY
-                assert harness.servers[0].connection_count == _withheld(harness) == is_streamed
+                assert harness.servers[0].connection_count == _withheld_attempts(harness) == is_streamed
 
     run_async(work)
 
 
-@pytest.mark.parametrize("how", [*_LEAVING, "stays"])
-def test_end_of_a_body_is_written_after_what_its_server_has_not_read(
-    how: str, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("kind", [*_DISCONNECT_KINDS, "stays connected"])
+def test_last_byte_is_written_only_while_client_is_connected_when_server_reads_slowly(
+    kind: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # The network accepts little data at a time; the rest, with the last byte, is buffered in the sidecar.
-    made = UpstreamConnection.connection_made
+    original_connection_made = UpstreamConnection.connection_made
 
-    def narrow(self: UpstreamConnection, transport: asyncio.BaseTransport) -> None:
+    def connection_made_with_small_buffer(self: UpstreamConnection, transport: asyncio.BaseTransport) -> None:
         transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)
-        made(self, transport)
+        original_connection_made(self, transport)
 
-    monkeypatch.setattr(UpstreamConnection, "connection_made", narrow)
+    monkeypatch.setattr(UpstreamConnection, "connection_made", connection_made_with_small_buffer)
 
     async def work() -> None:
         loop = asyncio.get_running_loop()
@@ -441,73 +454,76 @@
         server.setblocking(False)
         address = f"{HOST}:{server.getsockname()[1]}"
         async with sidecar_harness(
-            client_limits=_NEVER_SWEPT, limit_overrides={"mayCancel": False}
+            client_limits=_WITHOUT_SWEEPS, limit_overrides={"mayCancel": False}
         ) as harness:
             await wait_until(lambda: len(harness.discovery.received_requests) >= 2)
             harness.discovery.announce(endpoint_entry("s", address))
             await wait_until(lambda: len(harness.discovery.received_requests) >= 3)
-            with _application(harness) as application:
+            with _client_socket(harness) as client:
                 body = b"x" * (MAX_BUFFERED_BODY_BYTES + 20_000)
-                application.sendall(http_request("lodge", timeout="15", body=body) + _AHEAD)
+                client.sendall(http_request("lodge", timeout="15", body=body) + _PIPELINED_REQUEST)
                 accepted, _ = await loop.sock_accept(server)
-                await _paused(harness, _AHEAD)
-                (held,) = harness.sidecar._registry
-                assert held.incoming.body.is_complete
-                assert held.incoming.body.pending_bytes > 1
-                got = b""
-                while held.incoming.body.pending_bytes > 1:
-                    got += await loop.sock_recv(accepted, 1_000)
-                _go(application, how, None if how == "stays" else _only(harness))
-                while not got.endswith(b"\r\n\r\n" + body):
-                    piece = await loop.sock_recv(accepted, 1_000)
-                    if not piece:
+                await _wait_until_reading_paused(harness, _PIPELINED_REQUEST)
+                (open_request,) = harness.sidecar._registry
+                assert open_request.incoming.body.is_complete
+                assert open_request.incoming.body.pending_bytes > 1
+                received = b""
+                while open_request.incoming.body.pending_bytes > 1:
+                    received += await loop.sock_recv(accepted, 1_000)
+                _disconnect_socket(
+                    client, kind, None if kind == "stays connected" else _only_connection(harness)
+                )
+                while not received.endswith(b"\r\n\r\n" + body):
+                    data = await loop.sock_recv(accepted, 1_000)
+                    if not data:
                         break
-                    got += piece
-                assert got.endswith(body) == (how == "stays")
-                assert _withheld(harness) == (how != "stays")
+                    received += data
+                assert received.endswith(body) == (kind == "stays connected")
+                assert _withheld_attempts(harness) == (kind != "stays connected")
                 accepted.close()
         server.close()
 
     run_async(work)
 
 
-def test_attempt_is_not_written_when_its_dial_succeeds_as_the_client_disconnects() -> None:
+def test_attempt_is_not_written_when_it_connects_as_the_client_disconnects() -> None:
     # Three clients, each with a pipelined request; the kernel retries their connections after a second.
     async def work() -> None:
-        slow = FullAcceptQueueServer()
-        await slow.fill_accept_queue()
+        slow_server = FullAcceptQueueServer()
+        await slow_server.fill_accept_queue()
         bounds = {"dialTimeoutUs": 15_000_000, "mayCancel": False}
-        async with sidecar_harness(limit_overrides=bounds, client_limits=_NEVER_SWEPT) as harness:
+        async with sidecar_harness(limit_overrides=bounds, client_limits=_WITHOUT_SWEEPS) as harness:
             await wait_until(lambda: len(harness.discovery.received_requests) >= 2)
-            harness.discovery.announce(endpoint_entry("s", slow.address))
+            harness.discovery.announce(endpoint_entry("s", slow_server.address))
             await wait_until(lambda: len(harness.discovery.received_requests) >= 3)
-            applications = [
-                socket.create_connection((HOST, harness.sidecar.downstream.port)) for _ in _LEAVING
+            clients = [
+                socket.create_connection((HOST, harness.sidecar.downstream.port)) for _ in _DISCONNECT_KINDS
             ]
-            for each in applications:
-                each.send(http_request("lodge", timeout="15") + _AHEAD)
+            for each in clients:
+                each.send(http_request("lodge", timeout="15") + _PIPELINED_REQUEST)
             await wait_until(lambda: harness.sidecar.open_requests == 3)
             await wait_until(lambda: len(list(harness.sidecar.downstream.connections())) == 3)
-            await _paused(harness, _AHEAD)
+            await _wait_until_reading_paused(harness, _PIPELINED_REQUEST)
             assert harness.sidecar._upstream._dials_in_flight == 3
-            for how, each in zip(_LEAVING, applications, strict=True):
+            for kind, each in zip(_DISCONNECT_KINDS, clients, strict=True):
                 name = each.getsockname()
-                (at_sidecar,) = (
-                    one
-                    for one in harness.sidecar.downstream.connections()
-                    if one._transport is not None and one._transport.get_extra_info("peername") == name
+                (connection_at_sidecar,) = (
+                    connection
+                    for connection in harness.sidecar.downstream.connections()
+                    if connection._transport is not None
+                    and connection._transport.get_extra_info("peername") == name
                 )
-                _go(each, how, at_sidecar)
-            slow.listener.listen(16)  # the backlog now has space for all retried connections
-            accepted = [await slow.accept_sidecar_connection() for _ in applications]
-            await _is_over(harness)
-            assert _withheld(harness) == 3
+                _disconnect_socket(each, kind, connection_at_sidecar)
+            slow_server.listener.listen(16)  # the backlog now has space for all retried connections
+            accepted = [await slow_server.accept_sidecar_connection() for _ in clients]
+            await _wait_until_idle(harness)
+            assert _withheld_attempts(harness) == 3
             harness.sidecar.close()  # the connections may be kept for later requests
-            for came in accepted:
-                assert await _nothing_comes(came)
-                came.close()
-            for each in applications:
+            for accepted_socket in accepted:
+                assert await _receives_nothing(accepted_socket)
+                accepted_socket.close()
+            for each in clients:
                 each.close()
-        slow.close()
+        slow_server.close()
 
     run_async(work)
--- a/tests/sidecar/requests/test_invariants.py
+++ b/tests/sidecar/requests/test_invariants.py
@@ -22,7 +22,7 @@
 )
 
 from tulipnotch.load_balancing.balancer import Balancer
-from tulipnotch.load_balancing.retries import idempotency_rule as repeat_rule
+from tulipnotch.load_balancing.retries import idempotency_rule as idempotency_rule_module
 from tulipnotch.load_balancing.retries.retry_policy import RetryPolicy
 from tulipnotch.load_balancing.settings import DeduplicationScope, Idempotency, ServiceClass
 from tulipnotch.sidecar.downstream.connection import DownstreamConnection
@@ -33,7 +33,7 @@
 from tulipnotch.sidecar.upstream.request import BackgroundRequestObserver, UpstreamRequest
 from tulipnotch.sidecar.upstream.write_gate import WriteGate
 
-_KEYED = ServiceClass(
+_KEYED_BY_CELL = ServiceClass(
     "amend",
     2_000_000,
     500_000,
@@ -41,7 +41,7 @@
     deduplication_scope=DeduplicationScope.CELL,
     deduplication_window_us=1_000_000,
 )
-_ZONED = ServiceClass(
+_KEYED_BY_ZONE = ServiceClass(
     "amend",
     2_000_000,
     500_000,
@@ -49,107 +49,116 @@
     deduplication_scope=DeduplicationScope.ZONE,
     deduplication_window_us=1_000_000,
 )
-_UNSAFE = ServiceClass("lodge", 2_000_000, 500_000, idempotency=Idempotency.NON_IDEMPOTENT)
+_NON_IDEMPOTENT = ServiceClass("lodge", 2_000_000, 500_000, idempotency=Idempotency.NON_IDEMPOTENT)
 _PING = Request(b"GET", b"/ping", [(b"host", b"s-0")])
-_SAFE = ServiceClass("check", 2_000_000, 500_000, idempotency=Idempotency.IDEMPOTENT)
+_IDEMPOTENT = ServiceClass("check", 2_000_000, 500_000, idempotency=Idempotency.IDEMPOTENT)
 
 
-def _written(zone: str = "a", cell: int = 1, at: int = 0, **other: bool) -> WrittenAttempt:
-    return WrittenAttempt(zone, cell, at, **{"is_in_flight": False, **other})
+def _written_attempt(zone: str = "a", cell: int = 1, written_at: int = 0, **other: bool) -> WrittenAttempt:
+    return WrittenAttempt(zone, cell, written_at, **{"is_in_flight": False, **other})
 
 
 @pytest.mark.parametrize(
-    ("kind", "before", "new", "holds"),
+    ("service_class", "earlier", "retry", "holds"),
     [
-        (_SAFE, _written(), _written(at=9_000_000, cell=2), True),
-        (_UNSAFE, _written(), _written(at=1), False),
-        (_UNSAFE, _written(may_have_executed=False), _written(at=1), True),
-        (_KEYED, _written(), _written(at=999_999), True),
-        (_KEYED, _written(), _written(at=1_000_000), False),
-        (_KEYED, _written(), _written(at=1, cell=2), False),
-        (_KEYED, _written(may_have_executed=False), _written(at=1, cell=2), True),
-        (_ZONED, _written(), _written(at=1, cell=2), True),
-        (_ZONED, _written(), _written(at=1, zone="b"), False),
+        (_IDEMPOTENT, _written_attempt(), _written_attempt(written_at=9_000_000, cell=2), True),
+        (_NON_IDEMPOTENT, _written_attempt(), _written_attempt(written_at=1), False),
+        (_NON_IDEMPOTENT, _written_attempt(may_have_executed=False), _written_attempt(written_at=1), True),
+        (_KEYED_BY_CELL, _written_attempt(), _written_attempt(written_at=999_999), True),
+        (_KEYED_BY_CELL, _written_attempt(), _written_attempt(written_at=1_000_000), False),
+        (_KEYED_BY_CELL, _written_attempt(), _written_attempt(written_at=1, cell=2), False),
+        (
+            _KEYED_BY_CELL,
+            _written_attempt(may_have_executed=False),
+            _written_attempt(written_at=1, cell=2),
+            True,
+        ),
+        (_KEYED_BY_ZONE, _written_attempt(), _written_attempt(written_at=1, cell=2), True),
+        (_KEYED_BY_ZONE, _written_attempt(), _written_attempt(written_at=1, zone="b"), False),
     ],
 )
 def test_check_retry_follows_the_deduplication_of_the_class(
-    *, kind: ServiceClass, before: WrittenAttempt, new: WrittenAttempt, holds: bool
+    *, service_class: ServiceClass, earlier: WrittenAttempt, retry: WrittenAttempt, holds: bool
 ) -> None:
-    guard = InvariantChecker()
-    guard.check_retry(b"r-1", kind, new, [before], allows_hedging=True)
-    assert guard.violation_counts[Invariant.RETRY_WITHIN_DEDUPLICATION] == (not holds)
-    assert guard.violation_count == (not holds)
+    checker = InvariantChecker()
+    checker.check_retry(b"r-1", service_class, retry, [earlier], allows_hedging=True)
+    assert checker.violation_counts[Invariant.RETRY_WITHIN_DEDUPLICATION] == (not holds)
+    assert checker.violation_count == (not holds)
 
 
 def test_check_retry_follows_the_settings_on_hedging() -> None:
-    for second_copies in (True, False):
-        guard = InvariantChecker()
-        guard.check_retry(
-            b"r-1", _SAFE, _written(), [_written(is_in_flight=True)], allows_hedging=second_copies
+    for allows_hedging in (True, False):
+        checker = InvariantChecker()
+        checker.check_retry(
+            b"r-1",
+            _IDEMPOTENT,
+            _written_attempt(),
+            [_written_attempt(is_in_flight=True)],
+            allows_hedging=allows_hedging,
         )
-        assert guard.violation_counts[Invariant.RETRY_WITHOUT_HEDGING] == (not second_copies)
+        assert checker.violation_counts[Invariant.RETRY_WITHOUT_HEDGING] == (not allows_hedging)
 
 
-async def _two_servers(harness: SidecarHarness) -> None:
+async def _break_connection_of_first_server(harness: SidecarHarness) -> None:
     """Sends a non-idempotent request; the first server breaks the connection, the second one is healthy."""
-    first, second = harness.servers
-    await announce_endpoints(harness, server_entry(0, first.address))
+    first_server, second_server = harness.servers
+    await announce_endpoints(harness, server_entry(0, first_server.address))
     client = await harness.connect()
     client.send(http_request("lodge"))
-    await wait_until(lambda: len(first.received_requests) == 1)
-    await announce_endpoints(harness, server_entry(1, second.address))
-    first.close_connections()
+    await wait_until(lambda: len(first_server.received_requests) == 1)
+    await announce_endpoints(harness, server_entry(1, second_server.address))
+    first_server.close_connections()
     await client.read_response()
 
 
-def _repeats_anything(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(repeat_rule, "write_deadline", lambda *_given: 2**62)
-    patch.setattr(repeat_rule, "is_in_deduplication_scope", lambda *_given: True)
+def _allow_any_retry(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(idempotency_rule_module, "write_deadline", lambda *_given: 2**62)
+    monkeypatch.setattr(idempotency_rule_module, "is_in_deduplication_scope", lambda *_given: True)
 
 
-def _refuses_anything(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(RetryPolicy, "is_rejection_harmless", lambda *_given: True)
+def _allow_any_rejection(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(RetryPolicy, "is_rejection_harmless", lambda *_given: True)
 
 
 @pytest.mark.parametrize(
-    ("defect", "invariant"),
+    ("disable_check", "invariant"),
     [
         (None, None),
-        (_repeats_anything, Invariant.RETRY_WITHIN_DEDUPLICATION),
-        (_refuses_anything, Invariant.REJECTION_WITHOUT_EFFECT),
+        (_allow_any_retry, Invariant.RETRY_WITHIN_DEDUPLICATION),
+        (_allow_any_rejection, Invariant.REJECTION_WITHOUT_EFFECT),
     ],
-    ids=["none", "repeats anything", "refuses anything"],
+    ids=["none", "any retry", "any rejection"],
 )
-def test_invariants_are_broken_when_a_rule_is_left_out(
-    defect: Callable[[pytest.MonkeyPatch], None] | None,
+def test_invariant_is_violated_when_its_check_is_disabled(
+    disable_check: Callable[[pytest.MonkeyPatch], None] | None,
     invariant: Invariant | None,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    if defect is not None:
-        defect(monkeypatch)
+    if disable_check is not None:
+        disable_check(monkeypatch)
 
     async def work() -> None:
-        async def silent(_heard: ReceivedRequest) -> None:
+        async def respond_nothing(_request: ReceivedRequest) -> None:
             return None
 
-        async with sidecar_harness(silent, OK_RESPONSE, servers_listed=False) as harness:
-            await _two_servers(harness)
-            broken = [
+        async with sidecar_harness(respond_nothing, OK_RESPONSE, servers_listed=False) as harness:
+            await _break_connection_of_first_server(harness)
+            violated = [
                 each for each, count in harness.sidecar._context.invariants.violation_counts.items() if count
             ]
-            assert broken == ([] if invariant is None else [invariant])
+            assert violated == ([] if invariant is None else [invariant])
             assert any("invariant broken" in each for each in harness.log) == (invariant is not None)
-            (figure,) = [
+            (metric,) = [
                 each
                 for each in harness.sidecar.command_handlers()["telemetry"]()
                 if "invariant_violations" in each
             ]
-            assert figure == f"app.invariant_violations={len(broken)}"
+            assert metric == f"app.invariant_violations={len(violated)}"
 
     run_async(work)
 
 
-def test_invariants_are_broken_when_an_attempt_is_written_without_a_client(
+def test_invariant_is_violated_when_an_attempt_is_written_without_a_client(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # The check before each write is disabled, and so is the cancellation of unwritten attempts.
@@ -160,18 +169,18 @@
         async with sidecar_harness(OK_RESPONSE) as harness:
             client = await harness.connect()
             monkeypatch.setattr(Balancer, "write_deadline", lambda *_given: 2**62)
-            held: list[Any] = []
-            exchange = harness.sidecar._upstream._write_request
+            calls: list[Any] = []
+            write_request = harness.sidecar._upstream._write_request
 
-            def late(call: Any, connection: Any) -> None:
-                held.append((call, connection))
+            def delay_call(request: Any, connection: Any) -> None:
+                calls.append((request, connection))
 
-            monkeypatch.setattr(harness.sidecar._upstream, "_write_request", late)
+            monkeypatch.setattr(harness.sidecar._upstream, "_write_request", delay_call)
             client.send(http_request("check"))
-            await wait_until(lambda: bool(held))
+            await wait_until(lambda: bool(calls))
             client.close()
             await wait_until(lambda: not any(each.is_waiting for each in harness.sidecar._registry))
-            exchange(*held[0])
+            write_request(*calls[0])
             assert (
                 harness.sidecar._context.invariants.violation_counts[Invariant.CLIENT_WAITS_FOR_ATTEMPT] == 1
             )
@@ -186,20 +195,20 @@
 
     async def work() -> None:
         async with sidecar_harness(OK_RESPONSE, OK_RESPONSE) as harness:
-            held: list[Any] = []
-            put_to_use = harness.sidecar._upstream._use_connection
+            calls: list[Any] = []
+            use_connection = harness.sidecar._upstream._use_connection
 
-            def late(call: Any, server: Any, connection: Any) -> bool:
-                held.append((call, server, connection))
+            def delay_call(request: Any, endpoint: Any, connection: Any) -> bool:
+                calls.append((request, endpoint, connection))
                 return True
 
-            monkeypatch.setattr(harness.sidecar._upstream, "_use_connection", late)
+            monkeypatch.setattr(harness.sidecar._upstream, "_use_connection", delay_call)
             client = await harness.connect()
             client.send(http_request("check", timeout="1.0"))
-            await wait_until(lambda: bool(held))
+            await wait_until(lambda: bool(calls))
             clock.advance(1_000_000)
             monkeypatch.undo()
-            put_to_use(*held[0])
+            use_connection(*calls[0])
             assert (await client.read_response()).status in (503, 504)
             assert harness.received_requests == []
             assert harness.sidecar._context.invariants.violation_count == 0
@@ -207,16 +216,16 @@
     run_async(work)
 
 
-def test_invariants_are_broken_when_a_connection_with_a_pending_response_is_closed() -> None:
+def test_invariant_is_violated_when_a_connection_with_a_pending_response_is_closed() -> None:
     async def work() -> None:
-        release, hold = blocking_script()
-        async with sidecar_harness(hold) as harness:
+        release, respond_when_released = blocking_script()
+        async with sidecar_harness(respond_when_released) as harness:
             client = await harness.connect()
             client.send(http_request("check"))
             await wait_until(lambda: len(harness.received_requests) == 1)
-            (side,) = harness.sidecar.downstream.connections()
-            assert isinstance(side, DownstreamConnection)
-            side.close(CloseReason.IDLE)
+            (connection_at_sidecar,) = harness.sidecar.downstream.connections()
+            assert isinstance(connection_at_sidecar, DownstreamConnection)
+            connection_at_sidecar.close(CloseReason.IDLE)
             assert (
                 harness.sidecar._context.invariants.violation_counts[Invariant.CLOSE_WITHOUT_PENDING_RESPONSE]
                 == 1
@@ -227,23 +236,23 @@
 
 
 def test_telemetry_counts_reasons_of_closes_retries_and_rejections() -> None:
-    answers = iter([REJECTION_RESPONSE, ERROR_RESPONSE, OK_RESPONSE])
+    responses = iter([REJECTION_RESPONSE, ERROR_RESPONSE, OK_RESPONSE])
 
     async def work() -> None:
-        async def script(_heard: ReceivedRequest) -> bytes:
-            return next(answers)
+        async def script(_request: ReceivedRequest) -> bytes:
+            return next(responses)
 
         async with sidecar_harness(script, script, script) as harness:
             client = await harness.connect()
             assert (await client.send_request("check")).status == 200
             client.close()
             await wait_until(lambda: not harness.sidecar.downstream.open_connections)
-            figures = dict(
+            metrics = dict(
                 each.partition("=")[::2] for each in harness.sidecar.command_handlers()["telemetry"]()
             )
-            assert figures["app.retries.full"] == figures["app.retries.error"] == "1"
-            assert figures["app.client_closes.client_left"] == "1"
-            assert figures["app.invariant_violations"] == "0"
+            assert metrics["app.retries.full"] == metrics["app.retries.error"] == "1"
+            assert metrics["app.client_closes.client_left"] == "1"
+            assert metrics["app.invariant_violations"] == "0"
 
     run_async(work)
 
@@ -254,38 +263,38 @@
     async def work() -> None:
         async with sidecar_harness(ERROR_RESPONSE, OK_RESPONSE) as harness:
             harness.sidecar._context.trace = Trace(harness.sidecar._context.log)
-            first, second = harness.servers
-            await announce_endpoints(harness, server_entry(0, first.address))
+            first_server, second_server = harness.servers
+            await announce_endpoints(harness, server_entry(0, first_server.address))
             await harness.send_request("check", Request_Id="r-7")
             await asyncio.sleep(0)
-            own = [each for each in harness.log if each.startswith("request r-7: ")]
-            assert own[0] == "request r-7: received, check, 2000 ms left"
-            assert any("attempt 0 to s-" in each for each in own)
-            assert "request r-7: attempt 0 written" in own
-            assert any(each.startswith("request r-7: ended with status ") for each in own)
-            assert second is not first
+            request_lines = [each for each in harness.log if each.startswith("request r-7: ")]
+            assert request_lines[0] == "request r-7: received, check, 2000 ms left"
+            assert any("attempt 0 to s-" in each for each in request_lines)
+            assert "request r-7: attempt 0 written" in request_lines
+            assert any(each.startswith("request r-7: ended with status ") for each in request_lines)
+            assert second_server is not first_server
 
     run_async(work)
 
 
 def test_check_attempt_reports_a_write_after_the_deadline() -> None:
-    guard = InvariantChecker()
-    guard.check_attempt(b"r-1", is_client_waiting=True, now=5, deadline=5)
-    assert [each for each, count in guard.violation_counts.items() if count] == [
+    checker = InvariantChecker()
+    checker.check_attempt(b"r-1", is_client_waiting=True, now=5, deadline=5)
+    assert [each for each, count in checker.violation_counts.items() if count] == [
         Invariant.ATTEMPT_BEFORE_DEADLINE
     ]
 
 
-def test_invariants_are_broken_when_an_attempt_goes_to_a_draining_server() -> None:
+def test_invariant_is_violated_when_an_attempt_is_written_to_a_draining_server() -> None:
     async def work() -> None:
         async with sidecar_harness(OK_RESPONSE) as harness:
             assert (await harness.send_request("check")).status == 200
             upstream = harness.sidecar._upstream
-            (server,) = upstream._endpoints.values()
-            connection = server.idle.pop().connection
-            server.is_draining = True
-            call = UpstreamRequest("s-0", 2**61, lambda _left_us: _PING, BackgroundRequestObserver())
-            upstream._write_request(call, connection)
+            (endpoint,) = upstream._endpoints.values()
+            connection = endpoint.idle.pop().connection
+            endpoint.is_draining = True
+            request = UpstreamRequest("s-0", 2**61, lambda _remaining_us: _PING, BackgroundRequestObserver())
+            upstream._write_request(request, connection)
             assert (
                 harness.sidecar._context.invariants.violation_counts[Invariant.ATTEMPT_TO_READY_ENDPOINT] == 1
             )
@@ -293,31 +302,31 @@
     run_async(work)
 
 
-def test_invariants_are_broken_when_a_start_does_not_call_discovery(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def goes_on(*_given: object) -> None:
+def test_invariant_is_violated_when_a_start_does_not_call_discovery(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def skip_wait(*_given: object) -> None:
         return None
 
-    monkeypatch.setattr(Startup, "_wait", goes_on)
+    monkeypatch.setattr(Startup, "_wait", skip_wait)
 
     async def work() -> None:
-        for discovery, broken in (("pushed", 1), ("on_request", 0)):
+        for discovery, violated in (("pushed", 1), ("on_request", 0)):
             async with sidecar_harness(
                 OK_RESPONSE, discovery=discovery, unresponsive_discovery=True
             ) as harness:
                 assert (
                     harness.sidecar._context.invariants.violation_counts[Invariant.READY_AFTER_DISCOVERY]
-                    == broken
+                    == violated
                 )
 
     run_async(work)
 
 
-def test_invariants_are_broken_when_a_shutdown_leaves_pending_responses(
+def test_invariant_is_violated_when_a_shutdown_drops_pending_responses(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def work() -> None:
-        _, hold = blocking_script()
-        async with sidecar_harness(hold) as harness:
+        _, respond_when_released = blocking_script()
+        async with sidecar_harness(respond_when_released) as harness:
             client = await harness.connect()
             client.send(http_request("check", timeout="0.2"))
             await wait_until(lambda: len(harness.received_requests) == 1)
--- a/tests/sidecar/requests/test_streamed_bodies.py
+++ b/tests/sidecar/requests/test_streamed_bodies.py
@@ -29,20 +29,20 @@
 from tulipnotch.sidecar.http1.body import MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES, Body
 from tulipnotch.sidecar.sidecar import Sidecar
 
-HEAD = b"HTTP/1.1 200 OK\r\n"
+_STATUS_LINE = b"HTTP/1.1 200 OK\r\n"
 
 
-@pytest.mark.parametrize("form", ["length", "chunked"])
+@pytest.mark.parametrize("framing", ["length", "chunked"])
 @pytest.mark.parametrize(
     "size", [MAX_BUFFERED_BODY_BYTES - 1, MAX_BUFFERED_BODY_BYTES, MAX_BUFFERED_BODY_BYTES + 1, 3_000_000]
 )
-def test_large_request_body_reaches_its_server_unchanged(form: str, size: int) -> None:
+def test_large_request_body_reaches_its_server_unchanged(framing: str, size: int) -> None:
     async def work() -> None:
         server = BodyDigestServer()
         async with sidecar_harness(server) as harness:
             body = pseudorandom_bytes(size)
             client = await harness.connect()
-            if form == "length":
+            if framing == "length":
                 client.send(http_request("lodge", body=body))
             else:
                 head = http_request("lodge", Content_Length="", Transfer_Encoding="chunked")
@@ -52,17 +52,19 @@
             assert (
                 await client.send_request("lodge", body=b"next")
             ).status == 200  # the connection is reused
-            assert figure(harness.sidecar, "app.upstream_requests") == 2
+            assert _read_metric(harness.sidecar, "app.upstream_requests") == 2
 
     run_async(work)
 
 
-def figure(sidecar: Sidecar, name: str) -> int:
-    (found,) = [each for each in sidecar.command_handlers()["telemetry"]() if each.startswith(f"{name}=")]
-    return int(found.partition("=")[2])
+def _read_metric(sidecar: Sidecar, name: str) -> int:
+    (metric_line,) = [
+        each for each in sidecar.command_handlers()["telemetry"]() if each.startswith(f"{name}=")
+    ]
+    return int(metric_line.partition("=")[2])
 
 
-def test_client_is_held_back_and_memory_bounded_when_a_server_reads_nothing() -> None:
+def test_client_is_paused_and_memory_limited_when_a_server_reads_nothing() -> None:
     async def work() -> None:
         server = BodyDigestServer()
         async with sidecar_harness(server) as harness:
@@ -70,25 +72,25 @@
             size = MAX_BODY_BYTES
             client = await harness.connect()
             before = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
-            piece = bytes(1 << 20)
+            data = bytes(1 << 20)
             client.send(http_request("lodge", Content_Length=str(size)))
             sent = 0
 
-            async def send() -> None:
+            async def send_body() -> None:
                 nonlocal sent
                 while sent < size:
-                    client.send(piece)
-                    sent += len(piece)
+                    client.send(data)
+                    sent += len(data)
                     await client.writer.drain()
 
-            sending = asyncio.ensure_future(send())
+            sending = asyncio.ensure_future(send_body())
             await wait_until(lambda: server.received_bytes > 0)
             await asyncio.sleep(0.3)
             assert not sending.done()
-            (held,) = harness.sidecar._registry
-            assert held.incoming.body.pending_bytes <= 200_000
-            assert figure(harness.sidecar, "app.upstream_requests") == 0  # the last byte is not written
-            assert figure(harness.sidecar, "app.pending") == 0  # the request is not complete
+            (open_request,) = harness.sidecar._registry
+            assert open_request.incoming.body.pending_bytes <= 200_000
+            assert _read_metric(harness.sidecar, "app.upstream_requests") == 0  # the last byte is not written
+            assert _read_metric(harness.sidecar, "app.pending") == 0  # the request is not complete
             server.reading_allowed.set()
             assert (await client.read_response()).status == 200
             await sending
@@ -98,37 +100,41 @@
     run_async(work)
 
 
-@pytest.mark.parametrize("form", ["length", "chunked", "close"])
+@pytest.mark.parametrize("framing", ["length", "chunked", "close"])
 @pytest.mark.parametrize("size", [100, MAX_BUFFERED_BODY_BYTES + 1, 3_000_000])
-def test_large_response_reaches_its_client_unchanged(form: str, size: int) -> None:
+def test_large_response_reaches_its_client_unchanged(framing: str, size: int) -> None:
     async def work() -> None:
         body = pseudorandom_bytes(size)
 
-        async def script(heard: ReceivedRequest) -> bytes | None:
-            if form == "length":
-                return HEAD + b"Content-Length: %d\r\n\r\n" % size + body
-            if form == "chunked":
+        async def script(received_request: ReceivedRequest) -> bytes | None:
+            if framing == "length":
+                return _STATUS_LINE + b"Content-Length: %d\r\n\r\n" % size + body
+            if framing == "chunked":
                 trailer = b"X-Trailer: 1\r\n"
-                return HEAD + b"Transfer-Encoding: chunked\r\n\r\n" + chunk_encoded(body, 70_001, trailer)
-            heard.writer.write(HEAD + b"Connection: close\r\n\r\n" + body)
-            heard.writer.close()
+                return (
+                    _STATUS_LINE
+                    + b"Transfer-Encoding: chunked\r\n\r\n"
+                    + chunk_encoded(body, 70_001, trailer)
+                )
+            received_request.writer.write(_STATUS_LINE + b"Connection: close\r\n\r\n" + body)
+            received_request.writer.close()
             return None
 
         async with sidecar_harness(script) as harness:
             client = await harness.connect()
             for _ in range(2):  # the client's connection is reused
                 client.send(http_request())
-                assert await whole(client) == (200, body)
-            assert figure(harness.sidecar, "app.downstream_requests.check.completed") == 2
-            assert figure(harness.sidecar, "app.pending") == 0
+                assert await _read_full_response(client) == (200, body)
+            assert _read_metric(harness.sidecar, "app.downstream_requests.check.completed") == 2
+            assert _read_metric(harness.sidecar, "app.pending") == 0
 
     run_async(work)
 
 
-async def whole(client: Client) -> tuple[int, bytes]:
+async def _read_full_response(client: Client) -> tuple[int, bytes]:
     """Reads a response with either framing, and returns its status and body."""
-    first, headers = await within_timeout(read_head(client.reader))
-    status = int(first.split(" ")[1])
+    status_line, headers = await within_timeout(read_head(client.reader))
+    status = int(status_line.split(" ")[1])
     if headers.get("transfer-encoding") != "chunked":
         return status, await within_timeout(client.reader.readexactly(int(headers["content-length"])))
     body = b""
@@ -139,16 +145,16 @@
     return status, body
 
 
-def test_server_is_held_back_and_the_client_served_when_it_reads_slowly() -> None:
+def test_server_is_paused_and_response_completed_when_the_client_reads_slowly() -> None:
     async def work() -> None:
         written = 0
 
-        async def script(heard: ReceivedRequest) -> None:
+        async def script(received_request: ReceivedRequest) -> None:
             nonlocal written
-            heard.writer.write(HEAD + b"Content-Length: %d\r\n\r\n" % MAX_BODY_BYTES)
+            received_request.writer.write(_STATUS_LINE + b"Content-Length: %d\r\n\r\n" % MAX_BODY_BYTES)
             for _ in range(MAX_BODY_BYTES >> 20):
-                heard.writer.write(bytes(1 << 20))
-                await heard.writer.drain()
+                received_request.writer.write(bytes(1 << 20))
+                await received_request.writer.drain()
                 written += 1 << 20
 
         async with sidecar_harness(script) as harness:
@@ -158,49 +164,55 @@
             await wait_until(lambda: written > 0)
             await asyncio.sleep(1.0)  # the deadline passes, which does not abort a response that has started
             assert written < MAX_BODY_BYTES
-            got = await within_timeout(client.reader.readuntil(b"\r\n\r\n"))
-            left = MAX_BODY_BYTES
-            while left:
-                got = await within_timeout(client.reader.read(1 << 20))
-                assert got
-                left -= len(got)
+            received = await within_timeout(client.reader.readuntil(b"\r\n\r\n"))
+            remaining_bytes = MAX_BODY_BYTES
+            while remaining_bytes:
+                received = await within_timeout(client.reader.read(1 << 20))
+                assert received
+                remaining_bytes -= len(received)
             assert resource.getrusage(resource.RUSAGE_SELF).ru_maxrss - before < 20_000  # KiB
 
     run_async(work)
 
 
-@pytest.mark.parametrize("form", ["length", "chunked"])
-def test_streamed_response_is_aborted_visibly_when_it_breaks_off(
-    form: str,
+@pytest.mark.parametrize("framing", ["length", "chunked"])
+def test_streamed_response_is_aborted_when_the_server_breaks_it_off(
+    framing: str,
 ) -> None:
     async def work() -> None:
-        async def script(heard: ReceivedRequest) -> None:
-            framing = b"Content-Length: 900000" if form == "length" else b"Transfer-Encoding: chunked"
+        async def script(received_request: ReceivedRequest) -> None:
+            framing_header = (
+                b"Content-Length: 900000" if framing == "length" else b"Transfer-Encoding: chunked"
+            )
             body = bytes(300_000)
-            heard.writer.write(HEAD + framing + b"\r\n\r\n")
-            heard.writer.write(body if form == "length" else b"%x\r\n%s\r\nnonsense\r\n" % (len(body), body))
-            await heard.writer.drain()
-            if form == "length":
-                heard.writer.close()
+            received_request.writer.write(_STATUS_LINE + framing_header + b"\r\n\r\n")
+            received_request.writer.write(
+                body if framing == "length" else b"%x\r\n%s\r\nnonsense\r\n" % (len(body), body)
+            )
+            await received_request.writer.drain()
+            if framing == "length":
+                received_request.writer.close()
 
         async with sidecar_harness(script, script) as harness:
             client = await harness.connect()
             client.send(http_request())
             with pytest.raises((asyncio.IncompleteReadError, ConnectionError, ValueError)):
-                await whole(client)
+                await _read_full_response(client)
             assert (
                 len(harness.received_requests) == 1
             )  # a request is not retried once its response is being streamed
-            await wait_until(lambda: figure(harness.sidecar, "app.downstream_requests.check.failed") == 1)
+            await wait_until(
+                lambda: _read_metric(harness.sidecar, "app.downstream_requests.check.failed") == 1
+            )
             assert harness.sidecar.open_requests == 0
 
     run_async(work)
 
 
-def test_server_is_freed_when_the_client_disconnects_during_a_streamed_response() -> None:
+def test_server_connection_is_closed_when_the_client_disconnects_during_a_streamed_response() -> None:
     async def work() -> None:
-        async def script(heard: ReceivedRequest) -> None:
-            heard.writer.write(HEAD + b"Content-Length: 30000000\r\n\r\n" + bytes(200_000))
+        async def script(received_request: ReceivedRequest) -> None:
+            received_request.writer.write(_STATUS_LINE + b"Content-Length: 30000000\r\n\r\n" + bytes(200_000))
 
         async with sidecar_harness(script) as harness:
             client = await harness.connect()
@@ -215,29 +227,29 @@
 
 
 @pytest.mark.parametrize(("size", "status"), [(MAX_BUFFERED_BODY_BYTES, 200), (20_000_000, 503)])
-def test_request_is_retried_only_while_its_whole_body_is_retained(size: int, status: int) -> None:
+def test_request_is_retried_only_while_its_complete_body_is_buffered(size: int, status: int) -> None:
     async def work() -> None:
         servers = [BodyDigestServer(), BodyDigestServer()]
-        servers[0].pending_aborts = servers[1].pending_aborts = ["whichever is met first"]
+        servers[0].pending_aborts = servers[1].pending_aborts = ["first server to receive it"]
         async with sidecar_harness(*servers) as harness:
             assert (await harness.send_request("amend", body=bytes(size))).status == status
             assert servers[0].pending_aborts == []
             # The large request was not executed, but its body is not buffered, so it can't be retried.
             assert sum(len(each.received_headers) for each in servers) == (2 if status == 200 else 1)
-            assert figure(harness.sidecar, "app.upstream_requests") == (2 if status == 200 else 0)
+            assert _read_metric(harness.sidecar, "app.upstream_requests") == (2 if status == 200 else 0)
 
     run_async(work)
 
 
-@pytest.mark.parametrize("form", ["length", "chunked"])
-def test_request_is_rejected_with_413_when_its_body_exceeds_32_mib(form: str) -> None:
+@pytest.mark.parametrize("framing", ["length", "chunked"])
+def test_request_is_rejected_with_413_when_its_body_exceeds_32_mib(framing: str) -> None:
     # Guards against a reset that discards the response while the client is still sending.
     async def work() -> None:
         server = BodyDigestServer()
         async with sidecar_harness(server) as harness:
             client = await harness.connect()
             body = bytes(MAX_BODY_BYTES + 1)
-            if form == "length":
+            if framing == "length":
                 client.send(http_request("lodge", body=body))
             else:
                 client.send(http_request("lodge", Content_Length="", Transfer_Encoding="chunked"))
@@ -249,32 +261,32 @@
     run_async(work)
 
 
-SHORT = ClientLimits(stall_s=0.3, trickle_s=0.5, least_in_trickle=1_000, sweep_s=0.01)
+_SHORT_TIMEOUTS = ClientLimits(stall_s=0.3, trickle_s=0.5, least_in_trickle=1_000, sweep_s=0.01)
 
 
-@pytest.mark.parametrize("how", ["stalls", "trickles", "leaves", "nonsense"])
-def test_request_is_never_executed_when_its_body_stops_half_way(how: str) -> None:
+@pytest.mark.parametrize("failure", ["stalls", "is slow", "disconnects", "invalid chunk"])
+def test_request_is_not_executed_when_its_body_is_incomplete(failure: str) -> None:
     async def work() -> None:
         server = BodyDigestServer()
-        async with sidecar_harness(server, client_limits=SHORT) as harness:
+        async with sidecar_harness(server, client_limits=_SHORT_TIMEOUTS) as harness:
             client = await harness.connect()
-            if how == "nonsense":
+            if failure == "invalid chunk":
                 head = http_request("lodge", Content_Length="", Transfer_Encoding="chunked")
                 client.send(head + b"%x\r\n%s\r\n" % (200_000, bytes(200_000)))
             else:
                 client.send(http_request("lodge", Content_Length="1000000") + bytes(200_000))
             await wait_until(lambda: server.received_bytes > 100_000)
-            if how == "leaves":
+            if failure == "disconnects":
                 client.writer.transport.abort()
-            elif how == "nonsense":
+            elif failure == "invalid chunk":
                 client.send(b"no chunk\r\n")
                 assert (await client.read_response()).status == 400
             else:
-                if how == "trickles":
-                    trickle = asyncio.ensure_future(trickled(client))
+                if failure == "is slow":
+                    slow_sending = asyncio.ensure_future(_send_slowly(client))
                 assert (await client.read_response()).status == 408
-                if how == "trickles":
-                    trickle.cancel()
+                if failure == "is slow":
+                    slow_sending.cancel()
             await wait_until(lambda: harness.sidecar.open_requests == 0)
             assert server.digests == []
             await wait_until(lambda: harness.sidecar.downstream.open_connections == 0)
@@ -283,13 +295,13 @@
     run_async(work)
 
 
-async def trickled(client: Client) -> None:
+async def _send_slowly(client: Client) -> None:
     while True:
         client.send(b"x")
         await asyncio.sleep(0.02)
 
 
-def test_slow_body_may_take_longer_than_the_time_of_its_request() -> None:
+def test_slow_body_may_take_longer_than_the_timeout_of_its_request() -> None:
     # The timeout begins with the last byte of the body; before that, the body only has to make progress.
     async def work() -> None:
         server = BodyDigestServer()
@@ -336,16 +348,16 @@
 @pytest.mark.parametrize("length", [6, 5_000_000])
 def test_head_response_has_the_length_and_no_body(length: int) -> None:
     async def work() -> None:
-        async def script(heard: ReceivedRequest) -> bytes:
-            assert heard.method == "HEAD"
-            return HEAD + b"Content-Length: %d\r\n\r\n" % length
+        async def script(received_request: ReceivedRequest) -> bytes:
+            assert received_request.method == "HEAD"
+            return _STATUS_LINE + b"Content-Length: %d\r\n\r\n" % length
 
         async with sidecar_harness(script) as harness:
             client = await harness.connect()
             for _ in range(2):
                 client.send(http_request().replace(b"GET", b"HEAD", 1))
-                first, headers = await within_timeout(read_head(client.reader))
-                assert (first, headers["content-length"]) == ("HTTP/1.1 200 OK", str(length))
+                status_line, headers = await within_timeout(read_head(client.reader))
+                assert (status_line, headers["content-length"]) == ("HTTP/1.1 200 OK", str(length))
 
     run_async(work)
 
@@ -354,8 +366,8 @@
     async def work() -> None:
         body = pseudorandom_bytes(200_000)
 
-        async def script(_heard: ReceivedRequest) -> bytes:
-            return HEAD + b"Transfer-Encoding: chunked\r\n\r\n" + chunk_encoded(body, 10_000)
+        async def script(_request: ReceivedRequest) -> bytes:
+            return _STATUS_LINE + b"Transfer-Encoding: chunked\r\n\r\n" + chunk_encoded(body, 10_000)
 
         async with sidecar_harness(script) as harness:
             client = await harness.connect()
@@ -368,7 +380,7 @@
     run_async(work)
 
 
-def test_header_values_are_read_without_the_white_space_around_them() -> None:
+def test_header_values_are_read_without_surrounding_white_space() -> None:
     async def work() -> None:
         async with sidecar_harness(OK_RESPONSE) as harness:
             raw = http_request("lodge", body=b"x").replace(b"\r\nRequest-", b" \t\r\nRequest-")
@@ -380,13 +392,13 @@
     run_async(work)
 
 
-def test_request_is_read_the_same_when_split_at_any_point() -> None:
+def test_request_is_read_correctly_when_received_in_single_bytes() -> None:
     async def work() -> None:
         async with sidecar_harness(OK_RESPONSE) as harness:
             client = await harness.connect()
             for raw in (http_request(), http_request("lodge", body=b"abc")):
-                for at in range(len(raw)):
-                    client.send(raw[at : at + 1])
+                for index in range(len(raw)):
+                    client.send(raw[index : index + 1])
                     await asyncio.sleep(0)
                 assert (await client.read_response()).status == 200
 
@@ -396,7 +408,7 @@
 # The balancer
 
 
-def test_time_of_a_streamed_request_begins_with_its_last_byte() -> None:
+def test_timeout_of_a_streamed_request_starts_with_its_last_byte() -> None:
     driver = BalancerDriver()
     driver.update_endpoints(endpoint_names(3))
     driver.handle(RequestArrived(1, "pay", None, None, 500 * MS, body_incomplete=True))
@@ -411,20 +423,22 @@
     assert [each.request for each in driver.actions_of_type(FailRequest)] == [1]
 
 
-def test_request_fails_at_once_when_it_cannot_be_written_again() -> None:
+def test_request_is_rejected_immediately_when_it_is_not_retryable() -> None:
     driver = BalancerDriver()
     driver.update_endpoints(endpoint_names(3))
     driver.handle(RequestArrived(1, "look", None, None, 500 * MS, body_incomplete=True))
-    (_, send) = driver.started_attempts(1)[0]
+    (_, attempt) = driver.started_attempts(1)[0]
     driver.handle(
-        AttemptEnded(1, 0, send.endpoint, Outcome.CONNECT_FAILED, 0, is_responded=False, is_retryable=False)
+        AttemptEnded(
+            1, 0, attempt.endpoint, Outcome.CONNECT_FAILED, 0, is_responded=False, is_retryable=False
+        )
     )
     assert len(driver.started_attempts(1)) == 1
     assert [each.request for each in driver.actions_of_type(RejectRequest)] == [1]
     assert driver.balancer._components.load.current() == 0
 
 
-def test_body_retains_its_first_part_and_gives_the_rest_once() -> None:
+def test_body_keeps_its_first_part_and_returns_pending_bytes_once() -> None:
     body = Body(is_complete=False)
     body.feed(bytes(MAX_BUFFERED_BODY_BYTES - 10))
     body.feed(b"x" * 20)
