--- a/tests/sidecar/test_race_conditions.py
+++ b/tests/sidecar/test_race_conditions.py
@@ -509,12 +509,12 @@
             await wait_until(lambda: len(harness.received_requests) == 1)
             if when == "given up":
                 ((call,),) = [each.upstream_requests for each in harness.sidecar._registry]
-                harness.sidecar._upstream.cancel(call)
+                harness.sidecar._upstream.cancel_request(call)
             else:
                 release.set()
                 assert (await client.read_response()).status == 200
                 if when == "idle closed":
-                    harness.sidecar._upstream.close_all_idle()
+                    harness.sidecar._upstream.close_all_idle_connections()
                 else:
                     harness.sidecar._upstream.close()
             _send_now(
