--- a/tests/lab/broken_sidecar.py
+++ b/tests/lab/broken_sidecar.py
@@ -13,7 +13,7 @@
 from tulipnotch.sidecar.event_queue import EventQueue
 from tulipnotch.sidecar.requests.responses import ResponseSender
 from tulipnotch.sidecar.upstream.pool import UpstreamPool
-from tulipnotch.sidecar.upstream.request import IndependentRequestObserver, UpstreamRequest
+from tulipnotch.sidecar.upstream.request import BackgroundRequestObserver, UpstreamRequest
 
 
 def forgets() -> None:
@@ -41,18 +41,18 @@
 
 def doubles() -> None:
     """Every attempt goes out twice."""
-    start = UpstreamPool.start
+    start = UpstreamPool.start_request
 
     def broken(self: UpstreamPool, request: UpstreamRequest) -> None:
         start(self, request)
         start(
             self,
             UpstreamRequest(
-                request.endpoint, request.deadline, request.build_message, IndependentRequestObserver()
+                request.endpoint, request.deadline, request.build_message, BackgroundRequestObserver()
             ),
         )
 
-    UpstreamPool.start = broken  # type: ignore[method-assign]
+    UpstreamPool.start_request = broken  # type: ignore[method-assign]
 
 
 def deaf() -> None:
@@ -62,14 +62,14 @@
 
 def rushes() -> None:
     """All goes to whoever started last."""
-    choose = Selection.choose
+    choose = Selection.choose_endpoint
 
     def broken(self: Selection, request: Any) -> Any:
         started = [each for each in self._context.ready_endpoints if each.started_at]
         newest = max(started, key=lambda each: each.started_at or 0, default=None)
         return newest if newest is not None else choose(self, request)
 
-    Selection.choose = broken  # type: ignore[method-assign]
+    Selection.choose_endpoint = broken  # type: ignore[method-assign]
     SlowStart.has_budget = lambda *_: True  # type: ignore[method-assign]
 
 
--- a/tests/running.py
+++ b/tests/running.py
@@ -1,4 +1,4 @@
-"""The program as a started process, with one server behind it."""
+"""The sidecar as a separate process, with one scripted server behind it."""
 
 from __future__ import annotations
 
@@ -14,10 +14,19 @@
 from pathlib import Path
 from typing import Any
 
-from loopback import CLASSES, HOST, Client, Heard, ScriptedDiscovery, ScriptedServer, line, soon
+from loopback import (
+    HOST,
+    SERVICE_CLASSES,
+    Client,
+    ReceivedRequest,
+    ScriptedDiscovery,
+    ScriptedServer,
+    endpoint_entry,
+    within_timeout,
+)
 
 ROOT = Path(__file__).parent.parent
-GOOD: dict[str, Any] = {
+VALID_CONFIG: dict[str, Any] = {
     "name": "n0",
     "listen": f"{HOST}:0",
     "control": f"{HOST}:0",
@@ -25,12 +34,12 @@
     "seed": "8c1f30d27a5be964",
     "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
     "known": {"version": 1, "full": True, "servers": []},
-    "settings": {"lanes": CLASSES, "zone": "a", "discovery": "on_request"},
+    "settings": {"lanes": SERVICE_CLASSES, "zone": "a", "discovery": "on_request"},
 }
 
 
-class Program:
-    """The running program, with one server behind it."""
+class SidecarProcess:
+    """A running sidecar process, its ports, its configuration file and the server behind it."""
 
     def __init__(
         self,
@@ -38,89 +47,94 @@
         port: int,
         control_port: int,
         server: ScriptedServer,
-        config: Path,
+        config_path: Path,
     ) -> None:
         self.process, self.port, self.control_port = process, port, control_port
-        self.server, self.config = server, config
+        self.server, self.config_path = server, config_path
 
-    async def call(self, name: str) -> list[str]:
-        """What the operators' door answers."""
+    async def send_command(self, command: str) -> list[str]:
+        """Sends a command to the control endpoint; returns the lines of its response."""
         reader, writer = await asyncio.open_connection(HOST, self.control_port)
-        writer.write(f"{name}\n".encode())
-        answer = await soon(reader.read())
+        writer.write(f"{command}\n".encode())
+        response = await within_timeout(reader.read())
         writer.close()
-        return answer.decode().splitlines()
+        return response.decode().splitlines()
 
-    async def says(self) -> str:
-        """The next line of its log."""
+    async def read_log_line(self) -> str:
+        """Reads the next line of the log."""
         assert self.process.stderr is not None
-        return (await soon(self.process.stderr.readline())).decode()
+        return (await within_timeout(self.process.stderr.readline())).decode()
 
-    async def client(self) -> Client:
+    async def connect(self) -> Client:
         return Client(*await asyncio.open_connection(HOST, self.port))
 
 
-async def started(
-    config: Path, pass_fds: tuple[int, ...] = (), stderr: int = asyncio.subprocess.PIPE, /, **environ: str
+async def start_process(
+    config: Path, pass_fds: tuple[int, ...] = (), stderr: int = asyncio.subprocess.PIPE, /, **environment: str
 ) -> asyncio.subprocess.Process:
+    """Starts a sidecar process; `environment` is added to the variables of this process."""
     return await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
         "tulipnotch.sidecar",
         cwd=ROOT,
-        env={**os.environ, "BALANCER_CONFIG": str(config), **environ},
+        env={**os.environ, "BALANCER_CONFIG": str(config), **environment},
         pass_fds=pass_fds,
         stderr=stderr,
     )
 
 
-def started_in_vain(folder: Path, config: str, operator: str | None = None) -> str:
-    """What the program says in its one line where it must not start, with these files."""
+def run_expecting_failure(folder: Path, config: str, operator: str | None = None) -> str:
+    """Runs the sidecar with files that must keep it from starting; returns the one line that it writes."""
     path = folder / "config.json"
     path.write_text(config)
-    environ = {**os.environ, "BALANCER_CONFIG": str(path)}
+    environment = {**os.environ, "BALANCER_CONFIG": str(path)}
     if operator is not None:
         (folder / "operator.toml").write_text(operator)
-        environ["BALANCER_OPERATOR"] = str(folder / "operator.toml")
-    done = subprocess.run(
+        environment["BALANCER_OPERATOR"] = str(folder / "operator.toml")
+    completed = subprocess.run(
         [sys.executable, "-m", "tulipnotch.sidecar"],
         cwd=ROOT,
-        env=environ,
+        env=environment,
         capture_output=True,
         text=True,
         timeout=60,
         check=False,
     )
-    assert done.returncode == 2
-    assert done.stdout == ""
-    assert done.stderr.count("\n") == 1
-    return done.stderr
+    assert completed.returncode == 2
+    assert completed.stdout == ""
+    assert completed.stderr.count("\n") == 1
+    return completed.stderr
 
 
 @asynccontextmanager
-async def running_on(
-    config: Path, server: ScriptedServer, listener: socket.socket | None = None, meanwhile: str | None = None
-) -> AsyncIterator[Program]:
-    """The program, from the moment in which it serves, with the listening socket that it inherits, if any.
-
-    `meanwhile` matches the further lines that its log may hold until then; without it there are none.
+async def running_sidecar(
+    config: Path,
+    server: ScriptedServer,
+    listener: socket.socket | None = None,
+    allowed_log_pattern: str | None = None,
+) -> AsyncIterator[SidecarProcess]:
+    """Runs a sidecar process, and yields it once it serves.  It inherits `listener`, if there is one.
+
+    `allowed_log_pattern` matches the other lines that the log may hold until then.  Without it, the log must
+    hold no other lines.
     """
     if listener is None:
-        process = await started(config)
+        process = await start_process(config)
     else:
         descriptor = listener.fileno()
-        process = await started(config, (descriptor,), BALANCER_INHERITED_FD=str(descriptor))
+        process = await start_process(config, (descriptor,), BALANCER_INHERITED_FD=str(descriptor))
     try:
         assert process.stderr is not None
         ports = []
-        for what in ("control endpoint listens on", "serves on"):
-            said = (await soon(process.stderr.readline())).decode()
-            while meanwhile is not None and re.match(meanwhile, said):
-                said = (await soon(process.stderr.readline())).decode()
-            told = re.search(what + r" .*:(\d+)", said)
-            assert told is not None, said
-            ports.append(int(told[1]))
-        yield Program(process, ports[1], ports[0], server, config)
+        for expected in ("control endpoint listens on", "serves on"):
+            line = (await within_timeout(process.stderr.readline())).decode()
+            while allowed_log_pattern is not None and re.match(allowed_log_pattern, line):
+                line = (await within_timeout(process.stderr.readline())).decode()
+            match = re.search(expected + r" .*:(\d+)", line)
+            assert match is not None, line
+            ports.append(int(match[1]))
+        yield SidecarProcess(process, ports[1], ports[0], server, config)
     finally:
         if process.returncode is None:
             process.kill()
@@ -128,17 +142,17 @@
 
 
 @asynccontextmanager
-async def world(
-    script: Callable[[Heard], Any] | bytes, folder: Path
+async def server_with_config(
+    script: Callable[[ReceivedRequest], Any] | bytes, folder: Path
 ) -> AsyncIterator[tuple[Path, ScriptedServer]]:
-    """One server, a discovery that lists it, and a configuration that names both."""
+    """Runs a server and a discovery that lists it; yields the path of a configuration file and the server."""
     server = await ScriptedServer(script).start()
     discovery = ScriptedDiscovery()
-    discovery.servers = [line("s-1", server.address)]
+    discovery.servers = [endpoint_entry("s-1", server.address)]
     await discovery.start()
     known = {"version": 1, "full": True, "servers": discovery.servers}
     path = folder / "config.json"
-    path.write_text(json.dumps({**GOOD, "discovery": discovery.address, "known": known}))
+    path.write_text(json.dumps({**VALID_CONFIG, "discovery": discovery.address, "known": known}))
     try:
         yield path, server
     finally:
@@ -147,20 +161,26 @@
 
 
 @asynccontextmanager
-async def program(script: Callable[[Heard], Any] | bytes, folder: Path) -> AsyncIterator[Program]:
-    async with world(script, folder) as (config, server), running_on(config, server) as running:
+async def sidecar_with_server(
+    script: Callable[[ReceivedRequest], Any] | bytes, folder: Path
+) -> AsyncIterator[SidecarProcess]:
+    """Runs a sidecar process with discovery and one scripted server."""
+    async with (
+        server_with_config(script, folder) as (config, server),
+        running_sidecar(config, server) as running,
+    ):
         yield running
 
 
-async def until_says(running: Program, answer: str) -> None:
-    """Wait for `readyz` to answer so."""
-    while (await running.call("readyz"))[0] != answer:
+async def wait_for_readyz(running: SidecarProcess, response: str) -> None:
+    """Waits until the control endpoint gives this response to `readyz`."""
+    while (await running.send_command("readyz"))[0] != response:
         await asyncio.sleep(0.01)
 
 
-def resident_bytes(running: Program) -> int:
-    """The memory that the process holds now."""
+def resident_bytes(running: SidecarProcess) -> int:
+    """Returns the resident memory of the process."""
     status = Path(f"/proc/{running.process.pid}/status").read_text()
-    found = re.search(r"^VmRSS:\s+(\d+) kB$", status, re.MULTILINE)
-    assert found is not None
-    return int(found[1]) * 1_024
+    match = re.search(r"^VmRSS:\s+(\d+) kB$", status, re.MULTILINE)
+    assert match is not None
+    return int(match[1]) * 1_024
--- a/tests/sidecar/upstream/test_deduplication_groups.py
+++ b/tests/sidecar/upstream/test_deduplication_groups.py
@@ -1,4 +1,4 @@
-"""The deduplication group of an attempt, where the endpoint list changes its server's zone or cell."""
+"""The deduplication scope of an attempt whose server moves to another zone or cell."""
 
 from __future__ import annotations
 
@@ -6,104 +6,113 @@
 from typing import Any
 
 import pytest
-from barriers import HeldDials, ManualClock, reset, server_line, tell
-from loopback import OK, Heard, play, request, stage, until
-from overtaken import (
-    OTHER_GROUPS,
-    assert_has_ended,
-    assert_received_nothing,
-    overtaken,
+from barriers import DelayedConnects, ManualClock, announce_endpoints, reset_connection, server_entry
+from delayed_attempt import (
+    OTHER_LOCALITIES,
+    assert_final_response,
+    assert_server_received_nothing,
+    delayed_first_attempt,
     service_classes,
-    until_dial_is_delayed,
+    wait_until_dial_is_delayed,
 )
+from loopback import OK_RESPONSE, ReceivedRequest, http_request, run_async, sidecar_harness, wait_until
 
 
-@pytest.mark.parametrize(("group", "locality"), OTHER_GROUPS, ids=["cell", "zone"])
-def test_attempt_is_not_written_when_server_left_deduplication_group(
-    group: str, locality: dict[str, Any], monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize(("scope", "locality"), OTHER_LOCALITIES, ids=["cell", "zone"])
+def test_attempt_is_not_written_when_server_left_deduplication_scope(
+    scope: str, locality: dict[str, Any], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    clock, delayed_dials = ManualClock(monkeypatch), HeldDials(monkeypatch)
+    clock, delayed_connects = ManualClock(monkeypatch), DelayedConnects(monkeypatch)
 
     async def work() -> None:
-        async with stage(OK, listed=False) as other_stage:
-            late_server = other_stage.servers[0]
-            delayed_dials.hold(late_server.address)
-            async with overtaken(
+        async with sidecar_harness(OK_RESPONSE, servers_listed=False) as other_harness:
+            delayed_server = other_harness.servers[0]
+            delayed_connects.hold(delayed_server.address)
+            async with delayed_first_attempt(
                 clock,
-                late_server.address,
-                "runs on",
-                group=group,
-                first_is_late=until_dial_is_delayed(delayed_dials),
-            ) as seen:
-                await tell(seen.scene, server_line(0, late_server.address, **locality))
-                delayed_dials.release(late_server.address)
-                await until(lambda: seen.scene.sidecar._upstream._dials_in_flight == 0)
-                await assert_has_ended(seen, group, "runs on")
-                await assert_received_nothing(seen, late_server)
-
-    play(work)
-
-
-@pytest.mark.parametrize(("group", "locality"), OTHER_GROUPS, ids=["cell", "zone"])
-def test_attempt_group_is_that_of_server_when_last_byte_is_written(
-    group: str, locality: dict[str, Any], monkeypatch: pytest.MonkeyPatch
+                delayed_server.address,
+                "running",
+                scope=scope,
+                wait_until_delayed=wait_until_dial_is_delayed(delayed_connects),
+            ) as scenario:
+                await announce_endpoints(
+                    scenario.harness, server_entry(0, delayed_server.address, **locality)
+                )
+                delayed_connects.release(delayed_server.address)
+                await wait_until(lambda: scenario.harness.sidecar._upstream._dials_in_flight == 0)
+                await assert_final_response(scenario, scope, "running")
+                await assert_server_received_nothing(scenario, delayed_server)
+
+    run_async(work)
+
+
+@pytest.mark.parametrize(("scope", "locality"), OTHER_LOCALITIES, ids=["cell", "zone"])
+def test_attempt_scope_is_that_of_server_when_last_byte_is_written(
+    scope: str, locality: dict[str, Any], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Its server moves between the decision and the last byte; one server is in the old group, one in the new.
-    delayed_dials = HeldDials(monkeypatch)
+    # The server moves after the attempt was started and before its last byte is written.  One other server is
+    # in its old zone or cell, one in the new.
+    delayed_connects = DelayedConnects(monkeypatch)
     ManualClock(monkeypatch)
 
     async def work() -> None:
-        async def first(incoming: Heard) -> None:
-            reset(incoming)
-
-        async with stage(first, OK, OK, listed=False, lanes=service_classes(group)) as scene:
-            address, before, now = (each.address for each in scene.servers)
-            delayed_dials.hold(address)
-            await tell(scene, server_line(0, address))
-            client = await scene.client()
-            client.send(request("amend", timeout="4.0"))
-            await until(lambda: delayed_dials.waiting == 1)
-            await tell(
-                scene,
-                server_line(0, address, **locality),
-                server_line(1, before),
-                server_line(2, now, **locality),
+        async def first(incoming: ReceivedRequest) -> None:
+            reset_connection(incoming)
+
+        async with sidecar_harness(
+            first, OK_RESPONSE, OK_RESPONSE, servers_listed=False, lanes=service_classes(scope)
+        ) as harness:
+            address, server_in_old_scope, server_in_new_scope = (each.address for each in harness.servers)
+            delayed_connects.hold(address)
+            await announce_endpoints(harness, server_entry(0, address))
+            client = await harness.connect()
+            client.send(http_request("amend", timeout="4.0"))
+            await wait_until(lambda: delayed_connects.pending_count == 1)
+            await announce_endpoints(
+                harness,
+                server_entry(0, address, **locality),
+                server_entry(1, server_in_old_scope),
+                server_entry(2, server_in_new_scope, **locality),
             )
-            delayed_dials.release(address)
-            assert (await client.answer()).status == 200
-            assert [len(each.heard) for each in scene.servers] == [1, 0, 1]
+            delayed_connects.release(address)
+            assert (await client.read_response()).status == 200
+            assert [len(each.received_requests) for each in harness.servers] == [1, 0, 1]
 
-    play(work)
+    run_async(work)
 
 
-@pytest.mark.parametrize("why", ["moves", "restarts in another group", "removed"])
-@pytest.mark.parametrize(("group", "locality"), OTHER_GROUPS, ids=["cell", "zone"])
-def test_attempt_group_is_unchanged_when_server_moves(
-    group: str, locality: dict[str, Any], why: str, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("change", ["moves", "restarts in another scope", "removed"])
+@pytest.mark.parametrize(("scope", "locality"), OTHER_LOCALITIES, ids=["cell", "zone"])
+def test_attempt_scope_is_unchanged_when_server_moves(
+    scope: str, locality: dict[str, Any], change: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     ManualClock(monkeypatch)
 
     async def work() -> None:
         release = asyncio.Event()
 
-        async def first(incoming: Heard) -> None:
+        async def first(incoming: ReceivedRequest) -> None:
             await release.wait()
-            reset(incoming)
-
-        async with stage(first, OK, listed=False, lanes=service_classes(group)) as scene:
-            address, other = (each.address for each in scene.servers)
-            await tell(scene, server_line(0, address))
-            client = await scene.client()
-            client.send(request("amend", timeout="4.0"))
-            await until(lambda: len(scene.heard) == 1)
+            reset_connection(incoming)
+
+        async with sidecar_harness(
+            first, OK_RESPONSE, servers_listed=False, lanes=service_classes(scope)
+        ) as harness:
+            address, other = (each.address for each in harness.servers)
+            await announce_endpoints(harness, server_entry(0, address))
+            client = await harness.connect()
+            client.send(http_request("amend", timeout="4.0"))
+            await wait_until(lambda: len(harness.received_requests) == 1)
             changes = dict(locality)
-            if why == "restarts in another group":
+            if change == "restarts in another scope":
                 changes["started_ms"] = 1_600_000_000_000
-            elif why == "removed":
+            elif change == "removed":
                 changes = {"state": "left"}
-            await tell(scene, server_line(0, address, **changes), server_line(1, other, **locality))
+            await announce_endpoints(
+                harness, server_entry(0, address, **changes), server_entry(1, other, **locality)
+            )
             release.set()
-            assert (await client.answer()).status == 502
-            assert scene.servers[1].heard == []
+            assert (await client.read_response()).status == 502
+            assert harness.servers[1].received_requests == []
 
-    play(work)
+    run_async(work)
--- a/tulipnotch/sidecar/downstream/connection.py
+++ b/tulipnotch/sidecar/downstream/connection.py
@@ -215,7 +215,7 @@
         """
         if self._request_number is not None and is_peer_closed(self._input_poll):
             self._notify_client_disconnected()
-            self.abort(CloseReason.CLIENT_LEFT)
+            self.abort(CloseReason.CLIENT_DISCONNECTED)
 
     def send_response(self, status: int, headers: Headers, body: bytes, length: int | None = None) -> None:
         """Writes the complete response to the current request.
@@ -298,7 +298,7 @@
         """Proceeds to the next request, or closes the connection, after a response was written."""
         self._request = None
         if closing:
-            self.close(CloseReason.ANSWERED)
+            self.close(CloseReason.RESPONDED)
             return
         self._set_state(ConnectionState.IDLE)
         if self._has_pending_input:  # read together with the previous request, so no read event follows
@@ -446,7 +446,7 @@
         """Notifies the handler and releases everything that the connection holds."""
         self._notify_client_disconnected()
         self._reader.release()
-        self._owner.handler.connection_closed(self._close_reason or CloseReason.CLIENT_LEFT)
+        self._owner.handler.connection_closed(self._close_reason or CloseReason.CLIENT_DISCONNECTED)
         self._owner.connection_table.remove(self)
         self.state = ConnectionState.CLOSING
 
@@ -478,7 +478,9 @@
             self.send_response(200 if lifecycle.is_ready else 503, [], f"{lifecycle.phase.value}\n".encode())
             return
         if is_peer_closed(self._input_poll):
-            self.abort(CloseReason.CLIENT_LEFT)  # the client disconnected without waiting for the response
+            self.abort(
+                CloseReason.CLIENT_DISCONNECTED
+            )  # the client disconnected without waiting for the response
             return
         try:
             incoming = self._owner.validate_request(request, self._classes)
