--- a/tests/sidecar/control/test_control_endpoint.py
+++ b/tests/sidecar/control/test_control_endpoint.py
@@ -1,4 +1,4 @@
-"""The control endpoint over loopback sockets: valid and invalid commands, and clients that stall."""
+"""Control endpoint over loopback sockets: valid and invalid commands, and clients that stall."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
     NotListeningError,
 )
 
-SHORT = ControlLimits(line_timeout_s=0.2, linger_s=0.1, max_connections=4)
+SHORT_LIMITS = ControlLimits(line_timeout_s=0.2, linger_s=0.1, max_connections=4)
 
 
-def _reject() -> list[str]:
+def _reject_command() -> list[str]:
     raise CommandRejectedError("starting")
 
 
 @asynccontextmanager
 async def control_endpoint(limits: ControlLimits | None = None) -> AsyncIterator[ControlEndpoint]:
-    """A control endpoint that listens, with three commands."""
-    commands = {"readyz": lambda: ["ready"], "figures": lambda: ["", "a=1", "."], "refused": _reject}
+    """Runs a control endpoint with three commands: a successful, a multi-line and a rejected one."""
+    commands = {"readyz": lambda: ["ready"], "figures": lambda: ["", "a=1", "."], "refused": _reject_command}
     endpoint = ControlEndpoint(commands, limits)
     endpoint.listen((HOST, 0))
     try:
@@ -35,11 +35,11 @@
         endpoint.close()
 
 
-async def exchange(port: int, *pieces: bytes, half_close: bool = False) -> bytes:
-    """Sends the pieces one by one on a new connection and returns the complete response."""
+async def exchange(port: int, *parts: bytes, half_close: bool = False) -> bytes:
+    """Sends the parts one after the other on a new connection; returns the complete response."""
     reader, writer = await asyncio.open_connection(HOST, port)
-    for piece in pieces:
-        writer.write(piece)
+    for part in parts:
+        writer.write(part)
         await writer.drain()
         await asyncio.sleep(0.01)
     if half_close:
@@ -50,27 +50,30 @@
 
 
 @pytest.mark.parametrize(
-    ("pieces", "response"),
+    ("parts", "response"),
     [
         ((b"readyz\n",), b"+OK ready\n"),
         ((b"readyz\r\n",), b"+OK ready\n"),
         ((b"re", b"ady", b"z", b"\n"), b"+OK ready\n"),
         ((b"figures\n",), b"+OK\na=1\n.\n"),
         ((b"refused\n",), b"-ERR starting\n"),
-        ((b"readyz\nreadyz\nreadyz\n",), b"+OK ready\n"),  # one command a connection
+        # Only the first command of a connection is executed.
+        ((b"readyz\nreadyz\nreadyz\n",), b"+OK ready\n"),
     ],
 )
-def test_endpoint_responds_and_closes_for_a_complete_line(pieces: tuple[bytes, ...], response: bytes) -> None:
+def test_endpoint_responds_and_closes_when_a_line_is_complete(
+    parts: tuple[bytes, ...], response: bytes
+) -> None:
     async def work() -> None:
         async with control_endpoint() as endpoint:
-            assert await exchange(endpoint.port, *pieces) == response
+            assert await exchange(endpoint.port, *parts) == response
             await wait_until(lambda: endpoint.open_connections == 0)
 
     run_async(work)
 
 
 @pytest.mark.parametrize(
-    "pieces",
+    "parts",
     [
         (b"\n",),
         (b"  \r\n",),
@@ -84,10 +87,10 @@
         (b"x" * 100_000,),
     ],
 )
-def test_endpoint_gives_a_reason_on_one_line_for_invalid_input(pieces: tuple[bytes, ...]) -> None:
+def test_endpoint_responds_with_a_reason_on_one_line_when_input_is_invalid(parts: tuple[bytes, ...]) -> None:
     async def work() -> None:
         async with control_endpoint() as endpoint:
-            response = await exchange(endpoint.port, *pieces)
+            response = await exchange(endpoint.port, *parts)
             assert response.startswith(b"-ERR ")
             assert response.count(b"\n") == 1
             assert len(response) > 8
@@ -97,7 +100,7 @@
 
 
 @pytest.mark.parametrize(
-    ("pieces", "response"),
+    ("parts", "response"),
     [
         ((b"\n",), b"-ERR empty call\n"),
         ((b"evict\n",), b"-ERR unknown call; known are readyz, figures, refused\n"),
@@ -106,21 +109,21 @@
         ((b"readyz",), b"-ERR the line did not end in time\n"),
     ],
 )
-def test_endpoint_keeps_the_texts_that_clients_know_for_each_error(
-    pieces: tuple[bytes, ...], response: bytes
+def test_endpoint_keeps_the_error_texts_that_clients_rely_on(
+    parts: tuple[bytes, ...], response: bytes
 ) -> None:
     async def work() -> None:
-        async with control_endpoint(SHORT) as endpoint:
-            assert await exchange(endpoint.port, *pieces) == response
+        async with control_endpoint(SHORT_LIMITS) as endpoint:
+            assert await exchange(endpoint.port, *parts) == response
 
     run_async(work)
 
 
 @pytest.mark.parametrize("prefix", [b"", b"ready", b"readyz"])
-def test_endpoint_runs_no_command_without_its_line_end(prefix: bytes) -> None:
-    # A truncated line may be a valid command by accident, as `evacuate` may be the start of another name.
+def test_endpoint_executes_no_command_without_its_line_end(prefix: bytes) -> None:
+    # A truncated line may happen to be a valid command: `evacuate` may be the beginning of a longer name.
     async def work() -> None:
-        async with control_endpoint(SHORT) as endpoint:
+        async with control_endpoint(SHORT_LIMITS) as endpoint:
             assert (await exchange(endpoint.port, prefix, half_close=True)).startswith(b"-ERR ")
             assert (await exchange(endpoint.port, prefix)).startswith(b"-ERR ")  # after the timeout
 
@@ -140,7 +143,7 @@
             for reader, _ in opened[:8]:
                 with suppress(ConnectionResetError):
                     assert await within_timeout(reader.read()) == b""
-            opened[-1][1].write(b"yz\n")  # the newest is still open
+            opened[-1][1].write(b"yz\n")  # the newest connection is still open
             assert await within_timeout(opened[-1][0].read()) == b"+OK ready\n"
             for _, writer in opened:
                 writer.close()
@@ -150,7 +153,7 @@
 
 def test_endpoint_aborts_a_connection_whose_client_never_reads() -> None:
     async def work() -> None:
-        async with control_endpoint(SHORT) as endpoint:
+        async with control_endpoint(SHORT_LIMITS) as endpoint:
             _, writer = await asyncio.open_connection(HOST, endpoint.port)
             writer.write(b"readyz\n")
             await wait_until(lambda: endpoint.open_connections == 1)
--- a/tests/sidecar/control/test_lifecycle.py
+++ b/tests/sidecar/control/test_lifecycle.py
@@ -1,4 +1,4 @@
-"""The lifecycle of a process, and what evacuation means for its clients."""
+"""The lifecycle phases of a process, and the effects of an evacuation on clients."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 from tulipnotch.sidecar.http1.messages import Request
 
 
-async def health(client: Client) -> tuple[int, str | None]:
-    """Status and `Connection` header of the response to a health check."""
+async def send_health_check(client: Client) -> tuple[int, str | None]:
+    """Returns the status and the `Connection` header of the response to a health check."""
     client.send(Request(b"GET", b"/_health", [(b"host", b"x")]).encode_head_and_buffered_body())
     response = await client.read_response()
     return response.status, response.headers.get("connection")
@@ -68,12 +68,12 @@
     assert phases == [Phase.SERVING, Phase.EVACUATING, Phase.SERVING]
 
 
-def test_evacuation_empties_the_sidecar_until_it_is_activated() -> None:
+def test_evacuation_disconnects_all_clients_until_the_sidecar_is_activated() -> None:
     async def work() -> None:
         release = asyncio.Event()
 
-        async def hold(heard: ReceivedRequest) -> bytes:
-            if heard.target.endswith("hold"):
+        async def hold(received: ReceivedRequest) -> bytes:
+            if received.target.endswith("hold"):
                 await release.wait()
             return OK_RESPONSE
 
@@ -87,11 +87,12 @@
                 assert commands["evacuate"]() == ["evacuating"]
             with pytest.raises(CommandRejectedError):
                 commands["readyz"]()
-            assert await health(await harness.connect()) == (503, "close")  # the listener stays open
+            # The listener stays open.
+            assert await send_health_check(await harness.connect()) == (503, "close")
             for client in (idle, silent):
                 assert await within_timeout(client.reader.read()) == b""
-            late = await harness.send_request()
-            assert (late.status, late.headers["connection"]) == (200, "close")
+            late_response = await harness.send_request()
+            assert (late_response.status, late_response.headers["connection"]) == (200, "close")
             release.set()
             response = await working.read_response()
             assert (response.status, response.headers["connection"]) == (200, "close")
@@ -100,14 +101,14 @@
                 assert commands["activate"]() == ["serving"]
             assert commands["readyz"]() == ["ready"]
             client = await harness.connect()
-            assert await health(client) == (200, None)
+            assert await send_health_check(client) == (200, None)
             assert "connection" not in (await client.send_request()).headers
 
     run_async(work)
 
 
 def test_evacuation_responds_to_the_next_request_of_an_active_connection_and_closes_it() -> None:
-    # A connection that is closed while a request is on its way would lose that request.
+    # Closing a connection while a request is in transit would lose that request.
     async def work() -> None:
         async with sidecar_harness(OK_RESPONSE) as harness:
             client = await harness.connect()
--- a/tests/sidecar/control/test_telemetry.py
+++ b/tests/sidecar/control/test_telemetry.py
@@ -1,4 +1,4 @@
-"""Metrics: their names, which are fixed, and what each counts."""
+"""Metrics of the control endpoint: their fixed names, and what each of them counts."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 )
 from tulipnotch.sidecar.requests.invariants import CloseReason
 
-# As operators' dashboards know them.
+# The names under which dashboards read the metrics.
 COUNTERS_BY_REASON = {
     "client_closes": [
         "client_left",
@@ -45,13 +45,13 @@
 }
 
 
-def metrics_of(lines: list[str]) -> dict[str, int]:
-    """The metrics of a `telemetry` response by name."""
+def parse_telemetry(lines: list[str]) -> dict[str, int]:
+    """Returns the metrics of a `telemetry` response, keyed by name."""
     assert (lines[0], lines[-1]) == ("", ".")
     return {name: int(value) for name, _, value in (each.partition("=") for each in lines[1:-1])}
 
 
-def test_telemetry_shows_every_class_from_the_start_and_keeps_removed_ones() -> None:
+def test_telemetry_has_counters_of_every_class_from_the_start_and_keeps_those_of_removed_classes() -> None:
     telemetry = Telemetry(["look", "odd name=\n"])
     assert "app.downstream_requests.look.rejected=0" in telemetry.render_metrics({})
     assert "app.downstream_requests.odd_name__.failed=0" in telemetry.render_metrics({})
@@ -65,13 +65,13 @@
     assert len(lines) == 3 * 3 + 5 + 29
 
 
-def test_telemetry_names_every_member_of_the_enums_that_it_counts() -> None:
+def test_telemetry_has_a_metric_name_for_every_member_of_the_counted_enums() -> None:
     assert OUTCOME_NAMES.keys() == set(Outcome)
     assert TERMINATION_REASON_NAMES.keys() == set(TerminationReason)
     assert CLOSE_REASON_NAMES.keys() == set(CloseReason)
 
 
-def test_telemetry_keeps_the_names_that_dashboards_know_in_their_order() -> None:
+def test_telemetry_keeps_the_metric_names_that_dashboards_use_in_their_order() -> None:
     lines = Telemetry([]).render_metrics({})
     assert lines[:4] == [
         "app.upstream_requests=0",
@@ -111,40 +111,42 @@
     }
 
 
-def test_telemetry_shows_what_became_of_each_request() -> None:
-    # Early rejections count too, and an attempt counts once its last byte is written, not before.
+def test_telemetry_counts_the_results_of_requests_and_attempts() -> None:
+    # Rejections by the limit on open requests count too.  An attempt counts once its last byte was written.
     async def work() -> None:
         release = asyncio.Event()
 
-        async def script(heard: ReceivedRequest) -> bytes:
-            if heard.target.endswith("hold"):
+        async def respond(received: ReceivedRequest) -> bytes:
+            if received.target.endswith("hold"):
                 await release.wait()
             return (
-                OK_RESPONSE if heard.method == "GET" else b"HTTP/1.1 500 Broken\r\nContent-Length: 0\r\n\r\n"
+                OK_RESPONSE
+                if received.method == "GET"
+                else b"HTTP/1.1 500 Broken\r\nContent-Length: 0\r\n\r\n"
             )
 
-        async with sidecar_harness(script, limit_overrides={"maxOpen": 2}) as harness:
+        async with sidecar_harness(respond, limit_overrides={"maxOpen": 2}) as harness:
 
             def metrics() -> dict[str, int]:
-                return metrics_of(list(harness.sidecar.command_handlers()["telemetry"]()))
+                return parse_telemetry(list(harness.sidecar.command_handlers()["telemetry"]()))
 
             assert metrics()["app.downstream_requests.amend.completed"] == 0
             assert (await harness.send_request("check")).status == 200
             assert (await harness.send_request("lodge")).status == 502
-            held_clients = [await harness.connect(), await harness.connect()]
-            for client in held_clients:
+            waiting_clients = [await harness.connect(), await harness.connect()]
+            for client in waiting_clients:
                 client.send(http_request("check", target="/hold"))
             await wait_until(lambda: len(harness.received_requests) == 4)
             assert (await harness.send_request("check")).status == 503
-            now = metrics()
-            assert now["app.downstream_requests.check.completed"] == 1
-            assert now["app.downstream_requests.check.rejected"] == 1
-            assert now["app.downstream_requests.lodge.failed"] == 1
-            assert now["app.pending"] == 2
-            assert now["app.upstream_requests"] == 4
-            assert (now["app.members"], now["app.members_unavailable"]) == (1, 0)
+            current_metrics = metrics()
+            assert current_metrics["app.downstream_requests.check.completed"] == 1
+            assert current_metrics["app.downstream_requests.check.rejected"] == 1
+            assert current_metrics["app.downstream_requests.lodge.failed"] == 1
+            assert current_metrics["app.pending"] == 2
+            assert current_metrics["app.upstream_requests"] == 4
+            assert (current_metrics["app.members"], current_metrics["app.members_unavailable"]) == (1, 0)
             release.set()
-            for client in held_clients:
+            for client in waiting_clients:
                 assert (await client.read_response()).status == 200
             assert metrics()["app.pending"] == 0
 
--- a/tests/sidecar/downstream/test_acceptor.py
+++ b/tests/sidecar/downstream/test_acceptor.py
@@ -1,4 +1,4 @@
-"""Accepting connections while accept(2) fails in the ways that it documents."""
+"""Acceptor: connections are accepted although calls of accept(2) fail with its documented errors."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 from tulipnotch.sidecar.downstream.listener import Acceptor, bind_and_listen
 
 _CLIENTS = 3
-_QUEUED_S = 0.5
-# Of one connection that has failed, and of a machine that is out of resources.
-_FAULTS = [
+_QUEUE_DELAY_S = 0.5
+# Errors of a single connection that has failed, followed by errors of exhausted resources.
+_ACCEPT_ERRORS = [
     errno.ECONNABORTED,
     errno.EPROTO,
     errno.ENETUNREACH,
@@ -27,72 +27,74 @@
 ]
 
 
-class _FaultyListener(socket.socket):
-    """A listening socket whose first calls of accept fail."""
+class _FailingListener(socket.socket):
+    """A listening socket whose first calls of accept fail, one with each of the errors."""
 
-    faults: list[int]
+    remaining_errors: list[int]
 
     def accept(self) -> tuple[socket.socket, object]:
-        if self.faults:
-            number = self.faults.pop(0)
+        if self.remaining_errors:
+            number = self.remaining_errors.pop(0)
             raise OSError(number, os.strerror(number))
         return super().accept()
 
 
-def _listener(*faults: int) -> _FaultyListener:
-    plain = bind_and_listen((HOST, 0))
-    listener = _FaultyListener(fileno=plain.detach())
+def _failing_listener(*errors: int) -> _FailingListener:
+    plain_listener = bind_and_listen((HOST, 0))
+    listener = _FailingListener(fileno=plain_listener.detach())
     listener.settimeout(0.0)
-    listener.faults = list(faults)
+    listener.remaining_errors = list(errors)
     return listener
 
 
-class _Served(asyncio.Protocol):
-    def __init__(self, served: list[asyncio.BaseTransport]) -> None:
-        self._served = served
+class _TransportCollector(asyncio.Protocol):
+    """Adds the transport of an accepted connection to a list."""
+
+    def __init__(self, transports: list[asyncio.BaseTransport]) -> None:
+        self._transports = transports
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self._served.append(transport)
+        self._transports.append(transport)
 
 
-@pytest.mark.parametrize("fault", _FAULTS, ids=errno.errorcode.__getitem__)
-def test_accept_pending_accepts_every_connection_when_calls_fail(fault: int) -> None:
-    # Closing the listener would reset the connections in its queue, with the requests written to them.
+@pytest.mark.parametrize("accept_error", _ACCEPT_ERRORS, ids=errno.errorcode.__getitem__)
+def test_accept_pending_accepts_every_connection_when_calls_fail(accept_error: int) -> None:
+    # Closing the listener would reset the connections left in its queue and lose the requests sent on them.
     async def work() -> None:
-        listener = _listener(fault, fault)
-        served: list[asyncio.BaseTransport] = []
-        acceptor = Acceptor(listener, lambda _: _Served(served))
+        listener = _failing_listener(accept_error, accept_error)
+        transports: list[asyncio.BaseTransport] = []
+        acceptor = Acceptor(listener, lambda _: _TransportCollector(transports))
         clients = [socket.create_connection(listener.getsockname()) for _ in range(_CLIENTS)]
         async with asyncio.timeout(5.0):
             while not acceptor.accept_pending():
                 await asyncio.sleep(0)
         acceptor.close()
-        await wait_until(lambda: len(served) == _CLIENTS)
+        await wait_until(lambda: len(transports) == _CLIENTS)
         for client in clients:
             client.close()
-        for transport in served:
+        for transport in transports:
             transport.close()
 
     run_async(work)
 
 
-@pytest.mark.parametrize("fault", [errno.EMFILE, errno.ENFILE], ids=errno.errorcode.__getitem__)
-def test_accept_is_retried_after_a_delay_when_resources_are_short(
-    fault: int,
+@pytest.mark.parametrize("accept_error", [errno.EMFILE, errno.ENFILE], ids=errno.errorcode.__getitem__)
+def test_acceptor_retries_after_a_delay_when_resources_are_exhausted(
+    accept_error: int,
 ) -> None:
-    # The queue keeps the listener readable, so calls in each round would take the whole core.
+    # The listener stays readable: a retry in every iteration of the event loop would use a whole core.
     async def work() -> None:
-        rounds = 1_000
-        listener = _listener(*[fault] * rounds)
-        served: list[asyncio.BaseTransport] = []
-        acceptor = Acceptor(listener, lambda _: _Served(served))
+        iterations = 1_000
+        listener = _failing_listener(*[accept_error] * iterations)
+        transports: list[asyncio.BaseTransport] = []
+        acceptor = Acceptor(listener, lambda _: _TransportCollector(transports))
         with socket.create_connection(listener.getsockname()):
-            for _ in range(rounds):
-                await asyncio.sleep(0)  # a round of the event loop
-            assert len(listener.faults) > rounds // 2
-            listener.faults = []
-            await wait_until(lambda: len(served) == 1)
-            served[0].close()
+            for _ in range(iterations):
+                await asyncio.sleep(0)  # one iteration of the event loop
+            assert len(listener.remaining_errors) > iterations // 2
+            listener.remaining_errors = []
+            await wait_until(lambda: len(transports) == 1)
+            transports[0].close()
         acceptor.close()
 
     run_async(work)
@@ -100,37 +102,37 @@
 
 def test_acceptor_accepts_the_next_connection_when_one_has_failed() -> None:
     async def work() -> None:
-        served: list[asyncio.BaseTransport] = []
-        listener = _listener(errno.ECONNABORTED)
-        acceptor = Acceptor(listener, lambda _: _Served(served))
+        transports: list[asyncio.BaseTransport] = []
+        listener = _failing_listener(errno.ECONNABORTED)
+        acceptor = Acceptor(listener, lambda _: _TransportCollector(transports))
         _, writer = await within_timeout(asyncio.open_connection(*listener.getsockname()))
-        await wait_until(lambda: len(served) == 1)
+        await wait_until(lambda: len(transports) == 1)
         writer.close()
-        served[0].close()
+        transports[0].close()
         acceptor.close()
 
     run_async(work)
 
 
 def test_request_timeout_is_reduced_by_the_time_in_the_accept_queue() -> None:
-    # The client's time runs from when it sent the request, and so does the timeout for its server.
+    # The client's timeout runs from when it sent the request, so the server's has to do so too.
     async def work() -> None:
         async with sidecar_harness(OK_RESPONSE) as harness:
             acceptor = harness.sidecar.downstream._acceptor
             assert acceptor is not None
-            plain = acceptor._listener
-            failing = _FaultyListener(fileno=os.dup(plain.fileno()))
-            failing.settimeout(0.0)
-            failing.faults = [errno.ENFILE]
-            acceptor._listener = failing
+            plain_listener = acceptor._listener
+            failing_listener = _FailingListener(fileno=os.dup(plain_listener.fileno()))
+            failing_listener.settimeout(0.0)
+            failing_listener.remaining_errors = [errno.ENFILE]
+            acceptor._listener = failing_listener
             acceptor._accept_batch()
             assert acceptor._failing_since is not None
-            acceptor._failing_since -= _QUEUED_S
-            client = socket.create_connection(plain.getsockname())
+            acceptor._failing_since -= _QUEUE_DELAY_S
+            client = socket.create_connection(plain_listener.getsockname())
             client.sendall(http_request("check", timeout="2.0"))
             await wait_until(lambda: len(harness.received_requests) == 1)
-            assert float(harness.received_requests[0].headers["request-timeout"]) <= 2.0 - _QUEUED_S
+            assert float(harness.received_requests[0].headers["request-timeout"]) <= 2.0 - _QUEUE_DELAY_S
             client.close()
-            plain.close()
+            plain_listener.close()
 
     run_async(work)
--- a/tests/sidecar/downstream/test_downstream_server.py
+++ b/tests/sidecar/downstream/test_downstream_server.py
@@ -1,4 +1,4 @@
-"""The server for clients, over loopback sockets."""
+"""The downstream server, which serves clients, over loopback sockets."""
 
 from __future__ import annotations
 
@@ -31,17 +31,17 @@
 def test_request_is_forwarded_unchanged_and_its_response_returned(class_name: str, body: bytes) -> None:
     async def work() -> None:
         async with sidecar_harness(OK_RESPONSE) as harness:
-            answer = await harness.send_request(
+            response = await harness.send_request(
                 class_name, body=body, timeout="1.5", Request_Id="9b1f03aa5c7e2d41"
             )
-            assert (answer.status, answer.body) == (200, b"served")
-            (heard,) = harness.received_requests
-            assert heard.method == ("GET" if class_name == "check" else "POST")
-            assert heard.target == "/api/7f3a?x=1"
-            assert heard.body == body
-            assert heard.headers["request-id"] == "9b1f03aa5c7e2d41"
-            assert heard.headers.get("idempotency-key") == ("5c0f" if class_name == "amend" else None)
-            assert 0.0 < float(heard.headers["request-timeout"]) <= 1.5
+            assert (response.status, response.body) == (200, b"served")
+            (received,) = harness.received_requests
+            assert received.method == ("GET" if class_name == "check" else "POST")
+            assert received.target == "/api/7f3a?x=1"
+            assert received.body == body
+            assert received.headers["request-id"] == "9b1f03aa5c7e2d41"
+            assert received.headers.get("idempotency-key") == ("5c0f" if class_name == "amend" else None)
+            assert 0.0 < float(received.headers["request-timeout"]) <= 1.5
 
     run_async(work)
 
@@ -80,15 +80,15 @@
             client.send(raw)
             assert (await client.read_response()).status == 400
             assert harness.received_requests == []
-            assert (await harness.send_request()).status == 200  # the sidecar serves on
+            assert (await harness.send_request()).status == 200  # the sidecar still serves others
 
     run_async(work)
 
 
-def test_responses_come_in_order_when_requests_are_pipelined() -> None:
+def test_responses_are_sent_in_order_when_requests_are_pipelined() -> None:
     async def work() -> None:
-        async def echo(heard: ReceivedRequest) -> bytes:
-            return b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n" + heard.target[-2:].encode()
+        async def echo(received: ReceivedRequest) -> bytes:
+            return b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n" + received.target[-2:].encode()
 
         async with sidecar_harness(echo) as harness:
             client = await harness.connect()
@@ -100,7 +100,7 @@
     run_async(work)
 
 
-def test_attempt_ends_and_request_closes_when_the_client_disconnects() -> None:
+def test_attempt_and_request_end_when_the_client_disconnects() -> None:
     async def work() -> None:
         async with sidecar_harness(None) as harness:
             client = await harness.connect()
@@ -113,7 +113,7 @@
     run_async(work)
 
 
-def test_request_is_rejected_at_once_above_max_open_requests() -> None:
+def test_request_is_rejected_at_once_when_max_open_requests_are_open() -> None:
     async def work() -> None:
         release, hold = blocking_script()
         async with sidecar_harness(hold, limit_overrides={"maxOpen": 2}) as harness:
@@ -130,7 +130,7 @@
 
 
 def test_longest_idle_connection_is_evicted_for_a_new_one() -> None:
-    # With 64 descriptors there is room for a handful of clients.
+    # With 64 descriptors the sidecar has few connections for clients: 8 at most.
     async def work() -> None:
         async with sidecar_harness(OK_RESPONSE, config_overrides={"limits": {"sockets": 64}}) as harness:
             clients = []
@@ -146,13 +146,14 @@
 
 
 def test_connection_header_does_not_remove_host_and_ids() -> None:
-    # A request without them can't be written to a server, and its client would wait for the deadline.
+    # Without these headers the request could not be sent to a server, and its client would wait in vain
+    # until the deadline.
     async def work() -> None:
         async with sidecar_harness(OK_RESPONSE) as harness:
-            answer = await harness.send_request(
+            response = await harness.send_request(
                 "amend", Connection="host, request-id, idempotency-key, tenant"
             )
-            assert answer.status == 200
+            assert response.status == 200
             headers = harness.received_requests[0].headers
             assert headers["host"] == "origin.svc"
             assert headers["idempotency-key"] == "5c0f"
@@ -163,7 +164,7 @@
 
 
 def test_incomplete_request_is_evicted_for_a_new_connection() -> None:
-    # Clients that never complete a body must not hold their descriptors.
+    # Clients that never complete a body must not occupy descriptors that other clients need.
     async def work() -> None:
         async with sidecar_harness(OK_RESPONSE, config_overrides={"limits": {"sockets": 64}}) as harness:
             for _ in range(12):
@@ -175,8 +176,8 @@
     run_async(work)
 
 
-def test_close_idle_spares_a_connection_with_an_unread_request() -> None:
-    # At the end of a drain nobody listens for a retry of a request that a reset loses.
+def test_close_idle_keeps_a_connection_with_an_unread_request() -> None:
+    # At the end of a drain, no process listens any more for the retry of a request that is lost by a reset.
     async def work() -> None:
         async with sidecar_harness(OK_RESPONSE) as harness:
             client = await harness.connect()
@@ -188,7 +189,7 @@
     run_async(work)
 
 
-def test_health_path_is_responded_to_without_a_server() -> None:
+def test_health_check_is_responded_to_without_a_server() -> None:
     async def work() -> None:
         async with sidecar_harness(OK_RESPONSE) as harness:
             client = await harness.connect()
@@ -221,8 +222,8 @@
         b"nonsense\r\n\r\n" + SMUGGLED_REQUEST,
     ],
 )
-def test_ambiguous_request_is_rejected_with_all_that_follows(raw: bytes) -> None:
-    # Request smuggling: no server may get a request that is hidden in the body of another.
+def test_ambiguous_request_is_rejected_with_all_further_input(raw: bytes) -> None:
+    # Prevents request smuggling: no server may receive a request that is hidden in the body of another.
     async def work() -> None:
         async with sidecar_harness(OK_RESPONSE) as harness:
             client = await harness.connect()
@@ -254,7 +255,9 @@
         (http_request("lodge", body=b"x" * 70_000)[:-1], 408),
     ],
 )
-def test_connection_is_closed_when_no_complete_request_comes_in_time(raw: bytes, status: int | None) -> None:
+def test_connection_is_closed_when_no_complete_request_is_received_in_time(
+    raw: bytes, status: int | None
+) -> None:
     async def work() -> None:
         async with sidecar_harness(OK_RESPONSE, client_limits=SHORT_LIMITS) as harness:
             client = await harness.connect()
@@ -262,7 +265,7 @@
             if status is not None:
                 assert (await client.read_response()).status == status
             assert await within_timeout(client.reader.read()) == b""
-            client.writer.write(b"more of it")  # the linger time ends although the client sends on
+            client.writer.write(b"more of it")  # the linger time ends although the client keeps sending
             await wait_until(lambda: harness.sidecar.downstream.open_connections == 0)
             assert harness.received_requests == []
 
@@ -290,8 +293,8 @@
     run_async(work)
 
 
-def test_silent_connections_leave_room_for_clients_with_requests() -> None:
-    # The limit holds while many connect at once, and clients with an open request keep their connections.
+def test_max_connections_holds_when_many_clients_connect_and_send_nothing() -> None:
+    # Clients with an open request keep their connections, and a further client with a request is served.
     async def work() -> None:
         release, hold = blocking_script()
         async with sidecar_harness(hold, config_overrides={"limits": {"sockets": 64}}) as harness:
@@ -313,7 +316,7 @@
 def test_new_connection_is_closed_when_all_others_await_a_response(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Else the balancer rejects some of the requests.
+    # Raises the concurrency limit, with which the balancer would reject some of the requests.
     monkeypatch.setattr(concurrency_limit, "INITIAL_LIMIT_PER_ENDPOINT", 1e9)
 
     async def work() -> None:
@@ -329,8 +332,8 @@
     run_async(work)
 
 
-def test_memory_for_incomplete_requests_is_bounded() -> None:
-    # Many clients that each send most of a body would take all memory.
+def test_oldest_incomplete_request_is_rejected_when_buffered_bytes_exceed_the_limit() -> None:
+    # Without the limit, many clients that each send most of a body would exhaust the memory.
     async def work() -> None:
         async with sidecar_harness(OK_RESPONSE, client_limits=ClientLimits(most_bytes=300_000)) as harness:
             clients = [await harness.connect() for _ in range(6)]
@@ -343,7 +346,7 @@
 
 
 def test_pipelined_requests_stay_in_the_socket_while_one_is_open() -> None:
-    # Only the first is to be served yet, so no more than a read of the others is buffered.
+    # While the first request is open, no more of the others is buffered than came with a single read.
     async def work() -> None:
         async with sidecar_harness(None) as harness:
             client = await harness.connect()
@@ -373,7 +376,7 @@
 
 
 def test_buffers_are_freed_at_once_when_the_client_disconnects() -> None:
-    # Memory must not wait for a collection of cycles while such clients come by hundreds.
+    # With hundreds of such clients, memory must not stay in use until a garbage collection breaks cycles.
     async def work() -> None:
         async with sidecar_harness(OK_RESPONSE) as harness:
             client = await harness.connect()
@@ -395,7 +398,7 @@
     run_async(work)
 
 
-def test_request_timeout_is_bounded_by_the_class() -> None:
+def test_request_timeout_is_bounded_by_the_deadline_of_its_class() -> None:
     async def work() -> None:
         async with sidecar_harness(OK_RESPONSE) as harness:
             assert (await harness.send_request("amend", timeout="99999")).status == 200
@@ -406,14 +409,14 @@
 
 @pytest.mark.parametrize("sockets", [64, 1_024, 65_536])
 def test_accept_queue_is_as_long_as_max_connections(sockets: int) -> None:
-    # A connection that finds the queue full is dropped, and tried again 1 s later.
+    # The SYN of a client that finds the queue full is dropped, and the client retries it after 1 s.
     async def work() -> None:
         async with sidecar_harness(OK_RESPONSE, config_overrides={"limits": {"sockets": sockets}}) as harness:
-            frontend = harness.sidecar.downstream
-            assert frontend._acceptor is not None
-            info = frontend._acceptor._listener.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 104)
-            backlog = struct.unpack_from("=I", info, 28)[0]  # tcpi_sacked: of a listening socket, its backlog
-            system = int(Path("/proc/sys/net/core/somaxconn").read_text())
-            assert backlog == min(max(frontend.max_connections, 1_024), system)
+            server = harness.sidecar.downstream
+            assert server._acceptor is not None
+            info = server._acceptor._listener.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 104)
+            backlog = struct.unpack_from("=I", info, 28)[0]  # tcpi_sacked, the backlog of a listening socket
+            max_backlog = int(Path("/proc/sys/net/core/somaxconn").read_text())
+            assert backlog == min(max(server.max_connections, 1_024), max_backlog)
 
     run_async(work)
--- a/tests/sidecar/http1/test_request_reader.py
+++ b/tests/sidecar/http1/test_request_reader.py
@@ -1,4 +1,4 @@
-"""Reading requests, without sockets."""
+"""RequestReader, which is fed with bytes directly and uses no sockets."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from tulipnotch.sidecar.http1.request_reader import MAX_HEAD_BYTES, RequestReader
 
 
-def _message(*headers: bytes, body: bytes = b"", version: bytes = b"1.1") -> bytes:
+def _encode_request(*headers: bytes, body: bytes = b"", version: bytes = b"1.1") -> bytes:
     lines = b"".join(b"%s\r\n" % header for header in (b"Host: origin", *headers))
     return b"POST /path HTTP/%s\r\n%s\r\n%s" % (version, lines, body)
 
@@ -17,15 +17,22 @@
     ("message", "status"),
     [
         (b"garbage\r\n\r\n", 400),
-        (_message(b"Content-Length: 1", b"Content-Length: 1"), 400),
-        (_message(b"Transfer-Encoding: gzip, chunked"), 501),
-        (_message(b"Content-Length: 101"), 413),
-        (_message(b"Transfer-Encoding: chunked", body=b"65\r\n" + bytes(101)), 413),
+        (_encode_request(b"Content-Length: 1", b"Content-Length: 1"), 400),
+        (_encode_request(b"Transfer-Encoding: gzip, chunked"), 501),
+        (_encode_request(b"Content-Length: 101"), 413),
+        (_encode_request(b"Transfer-Encoding: chunked", body=b"65\r\n" + bytes(101)), 413),
         (b"GET /" + bytes([120]) * MAX_HEAD_BYTES, 431),
     ],
-    ids=["no http", "two lengths", "coding", "length", "chunk", "head"],
+    ids=[
+        "not HTTP",
+        "duplicate content length",
+        "unsupported transfer coding",
+        "content length too large",
+        "chunk too large",
+        "head too large",
+    ],
 )
-def test_request_reader_sets_fault_when_message_is_unacceptable(message: bytes, status: int) -> None:
+def test_request_reader_sets_error_status_when_request_is_not_acceptable(message: bytes, status: int) -> None:
     reader = RequestReader(max_body_bytes=100)
     reader.feed(message)
     assert reader.error_status == status
@@ -34,15 +41,18 @@
 
 def test_request_reader_queues_pipelined_requests() -> None:
     reader = RequestReader()
-    reader.feed(_message(b"Content-Length: 3", body=b"one") + _message(b"Content-Length: 3", body=b"two"))
+    reader.feed(
+        _encode_request(b"Content-Length: 3", body=b"one")
+        + _encode_request(b"Content-Length: 3", body=b"two")
+    )
     assert [bytes(request.body.buffered) for request in reader.requests] == [b"one", b"two"]
     assert not reader.is_mid_message
 
 
-def test_request_reader_queues_request_when_its_body_exceeds_buffer() -> None:
+def test_request_reader_queues_request_when_its_body_exceeds_the_buffer() -> None:
     reader = RequestReader()
     length = MAX_BUFFERED_BODY_BYTES + 2
-    reader.feed(_message(b"Content-Length: %d" % length, body=bytes(MAX_BUFFERED_BODY_BYTES)))
+    reader.feed(_encode_request(b"Content-Length: %d" % length, body=bytes(MAX_BUFFERED_BODY_BYTES)))
     assert reader.requests == []
     reader.feed(b"x")
     (request,) = reader.requests
@@ -52,9 +62,9 @@
     assert len(reader.requests) == 1
 
 
-def test_request_reader_awaits_continue_until_body_is_complete() -> None:
+def test_request_reader_awaits_continue_until_the_body_is_complete() -> None:
     reader = RequestReader()
-    reader.feed(_message(b"Content-Length: 3", b"Expect: 100-continue"))
+    reader.feed(_encode_request(b"Content-Length: 3", b"Expect: 100-continue"))
     assert reader.awaits_continue
     reader.feed(b"one")
     assert not reader.awaits_continue
@@ -63,6 +73,6 @@
 def test_request_reader_reads_nothing_after_release() -> None:
     reader = RequestReader()
     reader.release()
-    reader.feed(_message(b"Content-Length: 3", body=b"one"))
+    reader.feed(_encode_request(b"Content-Length: 3", body=b"one"))
     assert reader.requests == []
     assert reader.error_status == 400
--- a/tests/sidecar/http1/test_response_reader.py
+++ b/tests/sidecar/http1/test_response_reader.py
@@ -1,4 +1,4 @@
-"""Reading responses, without sockets."""
+"""ResponseReader, which is fed with bytes directly and uses no sockets."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
     return ResponseReader(_MAX_BUFFERED_BYTES, _MAX_BODY_BYTES)
 
 
-@pytest.mark.parametrize("part_bytes", [1, 7, 1_000])
-def test_response_reader_completes_response_when_received_in_parts(
-    reader: ResponseReader, part_bytes: int
+@pytest.mark.parametrize("read_bytes", [1, 7, 1_000])
+def test_response_reader_completes_a_response_that_is_received_in_parts(
+    reader: ResponseReader, read_bytes: int
 ) -> None:
     message = _HEAD + b"Content-Length: 6\r\n\r\nserved"
-    for start in range(0, len(message), part_bytes):
+    for start in range(0, len(message), read_bytes):
         assert reader.response is None
-        reader.feed(message[start : start + part_bytes])
+        reader.feed(message[start : start + read_bytes])
     assert reader.response is not None
     assert (reader.response.status, reader.response.body, reader.keep_alive) == (200, b"served", True)
     assert not reader.has_excess_data
@@ -31,7 +31,7 @@
 
 @pytest.mark.parametrize("excess", [b"x", _HEAD, _HEAD + b"Content-Length: 0\r\n\r\n"])
 @pytest.mark.parametrize("in_one_read", [True, False])
-def test_response_reader_keeps_response_when_excess_data_follows(
+def test_response_reader_keeps_the_response_when_excess_data_follows(
     reader: ResponseReader, excess: bytes, in_one_read: bool
 ) -> None:
     message = _HEAD + b"Content-Length: 6\r\n\r\nserved"
@@ -56,9 +56,17 @@
         + bytes(_MAX_BODY_BYTES + 1),
         b"HTTP/1.1 103 Early\r\n\r\n" * 9,
     ],
-    ids=["no http", "two framings", "two lengths", "coding", "length", "chunk", "interim responses"],
+    ids=[
+        "not HTTP",
+        "content length and transfer coding",
+        "list of content lengths",
+        "unsupported transfer coding",
+        "content length too large",
+        "chunk too large",
+        "too many interim responses",
+    ],
 )
-def test_response_reader_reports_malformed_response(reader: ResponseReader, message: bytes) -> None:
+def test_response_reader_reports_a_malformed_response(reader: ResponseReader, message: bytes) -> None:
     reader.feed(message)
     assert reader.is_malformed
     assert reader.response is None
@@ -70,7 +78,7 @@
     assert reader.response.status == 200
 
 
-def test_response_reader_completes_response_without_length_when_connection_ends(
+def test_response_reader_completes_a_response_without_length_at_the_end_of_the_connection(
     reader: ResponseReader,
 ) -> None:
     reader.feed(_HEAD + b"\r\nserved")
@@ -80,7 +88,7 @@
     assert (reader.response.body, reader.keep_alive) == (b"served", False)
 
 
-def test_response_reader_does_not_complete_truncated_response_when_connection_ends(
+def test_response_reader_does_not_complete_a_truncated_response_at_the_end_of_the_connection(
     reader: ResponseReader,
 ) -> None:
     reader.feed(_HEAD + b"Content-Length: 6\r\n\r\nserv")
@@ -88,7 +96,7 @@
     assert reader.response is None
 
 
-def test_response_reader_expects_no_body_after_head_request(reader: ResponseReader) -> None:
+def test_response_reader_expects_no_body_for_a_head_request(reader: ResponseReader) -> None:
     reader.expect_response(to_head_request=True)
     reader.feed(_HEAD + b"Content-Length: 6\r\n\r\n")
     assert reader.response is not None
@@ -96,7 +104,7 @@
 
 
 @pytest.mark.parametrize(
-    ("framing", "body", "is_due"),
+    ("framing", "body", "is_streamed"),
     [
         (b"Content-Length: 100", b"x", False),
         (b"Content-Length: 101", b"", False),
@@ -105,20 +113,20 @@
         (b"Transfer-Encoding: chunked", b"%x\r\n%s\r\n" % (16_385, bytes(16_385)), True),
     ],
 )
-def test_response_reader_starts_streaming_when_body_exceeds_buffer(
-    reader: ResponseReader, framing: bytes, body: bytes, is_due: bool
+def test_response_reader_streams_a_body_that_exceeds_the_buffer(
+    reader: ResponseReader, framing: bytes, body: bytes, is_streamed: bool
 ) -> None:
     reader.feed(_HEAD + framing + b"\r\n\r\n" + body)
-    assert (reader.head_to_stream is not None) == is_due
+    assert (reader.head_to_stream is not None) == is_streamed
 
 
-def test_response_reader_completes_long_error_without_its_body(reader: ResponseReader) -> None:
+def test_response_reader_completes_a_long_error_without_its_body(reader: ResponseReader) -> None:
     reader.feed(b"HTTP/1.1 500 Broken\r\nContent-Length: 1000\r\n\r\n" + bytes(_MAX_BUFFERED_BYTES + 1))
     assert reader.response is not None
     assert (reader.response.status, reader.response.body, reader.keep_alive) == (500, b"", False)
 
 
-def test_response_reader_reads_next_response_after_expect_response(reader: ResponseReader) -> None:
+def test_response_reader_reads_the_next_response_after_expect_response(reader: ResponseReader) -> None:
     message = _HEAD + b"Content-Length: 6\r\n\r\n"
     reader.feed(message + b"before")
     reader.expect_response()
