--- a/tests/sidecar/control/test_lifecycle.py
+++ b/tests/sidecar/control/test_lifecycle.py
@@ -79,9 +79,9 @@
 
         async with sidecar_harness(hold) as harness:
             commands = harness.sidecar.command_handlers()
-            idle, silent, working = [await harness.connect() for _ in range(3)]
+            idle, without_request, waiting = [await harness.connect() for _ in range(3)]
             assert (await idle.send_request()).status == 200
-            working.send(http_request("lodge", target="/hold"))
+            waiting.send(http_request("lodge", target="/hold"))
             await wait_until(lambda: len(harness.received_requests) == 2)
             for _ in range(2):
                 assert commands["evacuate"]() == ["evacuating"]
@@ -89,12 +89,12 @@
                 commands["readyz"]()
             # The listener stays open.
             assert await send_health_check(await harness.connect()) == (503, "close")
-            for client in (idle, silent):
+            for client in (idle, without_request):
                 assert await within_timeout(client.reader.read()) == b""
             late_response = await harness.send_request()
             assert (late_response.status, late_response.headers["connection"]) == (200, "close")
             release.set()
-            response = await working.read_response()
+            response = await waiting.read_response()
             assert (response.status, response.headers["connection"]) == (200, "close")
             await wait_until(lambda: harness.sidecar.downstream.open_connections == 0)
             for _ in range(2):
--- a/tests/sidecar/downstream/test_descriptor_limits.py
+++ b/tests/sidecar/downstream/test_descriptor_limits.py
@@ -41,7 +41,7 @@
 IDLE_CLIENTS = 300  # several clients for each descriptor
 MIN_CLIENT_CONNECTIONS = 20  # most of the 24 connections that clients may have with these descriptors
 RECONNECT_DELAY_S = 0.5
-MAX_LIST_DELAY_S = 1.0  # from discovery's return to service to the first endpoint list
+MAX_ENDPOINT_LIST_DELAY_S = 1.0  # from discovery's return to service to the first endpoint list
 MAX_BYTES_PER_CONNECTION = 4_096  # for an idle connection; buffers of requests are counted separately
 MAX_POLL_INTERVAL_S = 40.0  # long enough that the first delay after a failed call is at least 1 s
 
@@ -176,7 +176,7 @@
                     await _wait_until_endpoint_is_listed(running)
                     list_delay_s = time.monotonic() - returned_at
                     print(f"{mode} {fault}: listed after {list_delay_s:.2f} s")
-                    assert list_delay_s < MAX_LIST_DELAY_S
+                    assert list_delay_s < MAX_ENDPOINT_LIST_DELAY_S
                     statuses = [await _request_status(running, http_request()) for _ in range(10)]
                     assert statuses == [200] * 10
                     assert server.connection_count >= 1
--- a/tulipnotch/sidecar/downstream/connection.py
+++ b/tulipnotch/sidecar/downstream/connection.py
@@ -478,9 +478,8 @@
             self.send_response(200 if lifecycle.is_ready else 503, [], f"{lifecycle.phase.value}\n".encode())
             return
         if is_peer_closed(self._input_poll):
-            self.abort(
-                CloseReason.CLIENT_DISCONNECTED
-            )  # the client disconnected without waiting for the response
+            # The client has disconnected without waiting for the response.
+            self.abort(CloseReason.CLIENT_DISCONNECTED)
             return
         try:
             incoming = self._owner.validate_request(request, self._classes)
