--- a/tulipnotch/lab/real/overhead.py
+++ b/tulipnotch/lab/real/overhead.py
@@ -1,9 +1,7 @@
-"""What the sidecar costs beside the least that anybody could do: a bare byte forwarder on the same event
-loop.
+"""Measures the overhead of the sidecar against that of a bare byte forwarder on the same event loop.
 
-Both stand in front of the same stand-in server, one after the other in turns, under the same arrivals.
-Measured for each request: CPU of the process between (its user and system time), and the latency that
-clients saw.
+Both stand in front of the same test server and receive the same arrivals; they run in turns.  Measured for
+each request are the CPU time of the process in between (user and system) and the latency at the clients.
 """
 
 from __future__ import annotations
@@ -17,21 +15,23 @@
 import msgspec
 
 from tulipnotch.lab.real import generator
-from tulipnotch.lab.real.play import COMMAND, LabFault, Platform, platform
-from tulipnotch.lab.recorder import histogram
-from tulipnotch.lab.scenario import Clients, Fleet, Kind, Load, Scenario, ServiceClass
+from tulipnotch.lab.real.play import SIDECAR_COMMAND, Platform, PlatformError, running_platform
+from tulipnotch.lab.recorder import new_latency_histogram
+from tulipnotch.lab.scenario import Clients, Fleet, Load, MachineType, Scenario, ServiceClass
 
-FORWARDER = (sys.executable, "-m", "tulipnotch.lab.real.forwarder")
+FORWARDER_COMMAND = (sys.executable, "-m", "tulipnotch.lab.real.forwarder")
 _TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 
 
-def light(rate: float, seconds: float) -> Scenario:
-    """One quick server and one sidecar: nearly all that is left is what stands between."""
+def light_scenario(rate_per_s: float, seconds: float) -> Scenario:
+    """Returns a scenario with one fast server and one sidecar, whose overhead is then most of the latency."""
     return Scenario(
         name="overhead",
         seconds=seconds,
-        fleet=Fleet(servers=1, sidecars=1, kinds=(Kind(name="quick", cores=64),), queue_per_core=1_000),
-        load=Load(rate=rate, skew=0.0),
+        fleet=Fleet(
+            servers=1, sidecars=1, kinds=(MachineType(name="quick", cores=64),), queue_per_core=1_000
+        ),
+        load=Load(rate=rate_per_s, skew=0.0),
         classes=(ServiceClass(name="look", work_ms=1.0, dist="constant", aim_ms=500.0, deadline_ms=2_000.0),),
         clients=Clients(retries=0, try_share=1.0),
     )
@@ -39,7 +39,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Cost:
-    """Of one run: CPU a request (us), latency percentiles (ms), requests answered."""
+    """The cost of one run.
+
+    The names of the fields are keys of the command line's output.
+
+    Attributes:
+        cpu_us: CPU time for each request.
+        p50_ms: Median latency.
+        p99_ms: 99th percentile of the latency.
+        requests: The number of requests that were served.
+    """
 
     cpu_us: float
     p50_ms: float
@@ -47,27 +56,36 @@
     requests: int
 
 
-def measure(given: Scenario, seed: int, command: Sequence[str]) -> Cost:
-    """Play it once; raise LabFault where it does not serve all."""
-    with platform(given, seed, command) as world:
-        clients = world.spawn(generator.main, given, seed, world.capacity, [world.sidecars[0].listen], True)
-        world.receive(clients, "the generator")
-        before = _cpu_s(world)
-        world.start(clients)
-        left = world.receive(clients, "the generator", given.seconds + 60.0)[1]
-        cpu_s = _cpu_s(world) - before
-    latency = histogram()
-    served = [each for each in left["ended"] if each.how.value == "served"]
+def measure_cost(scenario: Scenario, seed: int, command: Sequence[str]) -> Cost:
+    """Runs the scenario once with this command in place of the sidecar.
+
+    Raises:
+        PlatformError: The platform failed, or less than 99% of the requests were served.
+    """
+    with running_platform(scenario, seed, command) as platform:
+        load_generator = platform.spawn(
+            generator.main, scenario, seed, platform.capacity, [platform.sidecars[0].listen], True
+        )
+        platform.receive(load_generator, "the load generator")
+        cpu_s_before = _cpu_s(platform)
+        platform.start(load_generator)
+        load_results = platform.receive(load_generator, "the load generator", scenario.seconds + 60.0)[1]
+        cpu_s = _cpu_s(platform) - cpu_s_before
+    latency = new_latency_histogram()
+    served = [each for each in load_results["ended"] if each.outcome.value == "served"]
     for each in served:
-        latency.record_value(max(each.at - each.ask.at, 1))
-    if len(served) < 0.99 * len(left["ended"]):
-        raise LabFault(f"{command[-1]} served {len(served)} of {len(left['ended'])}")
-    p50, p99 = (latency.get_value_at_percentile(part) / 1e3 for part in (50.0, 99.0))
+        latency.record_value(max(each.ended_at - each.client_request.intended_at, 1))
+    if len(served) < 0.99 * len(load_results["ended"]):
+        raise PlatformError(
+            f"{command[-1]} served only {len(served)} of {len(load_results['ended'])} requests"
+        )
+    p50, p99 = (latency.get_value_at_percentile(percentile) / 1e3 for percentile in (50.0, 99.0))
     return Cost(cpu_s * 1e6 / len(served), p50, p99, len(served))
 
 
-def _cpu_s(world: Platform) -> float:
-    process = world.sidecars[0].process
+def _cpu_s(platform: Platform) -> float:
+    """Returns the CPU time that the sidecar's process has used."""
+    process = platform.sidecars[0].process
     assert process is not None
     with open(f"/proc/{process.pid}/stat") as file:
         fields = file.read().rpartition(")")[2].split()
@@ -76,7 +94,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Overhead:
-    """Medians over the turns, sidecar and forwarder."""
+    """The median costs of the sidecar and of the forwarder, over the turns."""
 
     sidecar: Cost
     forwarder: Cost
@@ -87,16 +105,19 @@
         return self.sidecar.cpu_us / self.forwarder.cpu_us
 
 
-def compare(rate: float, seconds: float, turns: int) -> Overhead:
-    given = light(rate, seconds)
-    seen: dict[Sequence[str], list[Cost]] = {COMMAND: [], FORWARDER: []}
+def measure_overhead(rate_per_s: float, seconds: float, turns: int) -> Overhead:
+    """Measures the sidecar and the forwarder once in each turn, in alternating order."""
+    scenario = light_scenario(rate_per_s, seconds)
+    costs: dict[Sequence[str], list[Cost]] = {SIDECAR_COMMAND: [], FORWARDER_COMMAND: []}
     for turn in range(turns):
-        for command in seen if turn % 2 == 0 else reversed(seen):
-            seen[command].append(measure(msgspec.structs.replace(given, seed=turn), turn + 1, command))
-    return Overhead(_median(seen[COMMAND]), _median(seen[FORWARDER]), turns)
+        for command in costs if turn % 2 == 0 else reversed(costs):
+            costs[command].append(
+                measure_cost(msgspec.structs.replace(scenario, seed=turn), turn + 1, command)
+            )
+    return Overhead(_median_cost(costs[SIDECAR_COMMAND]), _median_cost(costs[FORWARDER_COMMAND]), turns)
 
 
-def _median(costs: list[Cost]) -> Cost:
+def _median_cost(costs: list[Cost]) -> Cost:
     return Cost(
         statistics.median(each.cpu_us for each in costs),
         statistics.median(each.p50_ms for each in costs),
--- a/tulipnotch/lab/real/up.py
+++ b/tulipnotch/lab/real/up.py
@@ -1,4 +1,4 @@
-"""The whole platform up, for as long as somebody wants it, and what can be read of it meanwhile."""
+"""Runs the whole platform for an unlimited time, and reads its state meanwhile."""
 
 from __future__ import annotations
 
@@ -9,16 +9,19 @@
 import msgspec
 
 from tulipnotch.lab.real import generator
-from tulipnotch.lab.real.play import Platform, SidecarProcess, platform
+from tulipnotch.lab.real.play import Platform, SidecarProcess, running_platform
 from tulipnotch.lab.scenario import Scenario
 from tulipnotch.sidecar.control.client import parse_metrics, send_command
 
-_FOR_GOOD_S = 36_000.0  # the longest that a scenario may last
+_UNLIMITED_S = 36_000.0  # the maximum length of a scenario
 
 
 @dataclass(frozen=True, slots=True)
 class ServerRow:
-    """One order server, as it truly is."""
+    """The state of one order server, as the server itself knows it.
+
+    The names of the fields are keys of the command line's output.
+    """
 
     name: str
     zone: str
@@ -29,22 +32,24 @@
     done: int
 
 
-class Up:
-    """A platform that is up."""
+class PlatformView:
+    """Reads the state of a running platform."""
 
-    def __init__(self, world: Platform) -> None:
-        self.world = world
+    def __init__(self, platform: Platform) -> None:
+        self.platform = platform
 
     @property
     def sidecars(self) -> list[SidecarProcess]:
-        return self.world.sidecars
+        return self.platform.sidecars
 
     def servers(self) -> list[ServerRow]:
-        self.world.pipe.send(("look",))
-        return [ServerRow(*row) for row in self.world.receive(self.world.pipe, "the stand-ins")]
+        self.platform.backend_pipe.send(("look",))
+        return [
+            ServerRow(*row) for row in self.platform.receive(self.platform.backend_pipe, "the test servers")
+        ]
 
-    def figures(self, sidecar: SidecarProcess) -> dict[str, int]:
-        """What its operators' door tells; nothing where it does not answer."""
+    def sidecar_metrics(self, sidecar: SidecarProcess) -> dict[str, int]:
+        """Returns the metrics of its control endpoint; none if it does not respond."""
         try:
             lines = send_command(sidecar.control, "telemetry", 0.5)
         except OSError:
@@ -53,21 +58,23 @@
 
 
 @contextmanager
-def up(given: Scenario, seed: int, load: bool) -> Iterator[Up]:
-    """Bring it up, with the scenario's faults and, where wanted, its load; end it in good order."""
-    if load:
-        given = msgspec.structs.replace(given, seconds=_FOR_GOOD_S)
-    with platform(given, seed, keeps=False) as world:
-        clients = None
-        if load:
-            listens = [each.listen for each in world.sidecars]
-            clients = world.spawn(generator.main, given, seed, world.capacity, listens, False)
-            world.receive(clients, "the generator")
-        world.start(clients)
+def run_platform(scenario: Scenario, seed: int, has_load: bool) -> Iterator[PlatformView]:
+    """Starts the platform with the scenario's faults, and its load if wanted; stops it at the end."""
+    if has_load:
+        scenario = msgspec.structs.replace(scenario, seconds=_UNLIMITED_S)
+    with running_platform(scenario, seed, keeps_records=False) as platform:
+        load_generator = None
+        if has_load:
+            sidecar_addresses = [each.listen for each in platform.sidecars]
+            load_generator = platform.spawn(
+                generator.main, scenario, seed, platform.capacity, sidecar_addresses, False
+            )
+            platform.receive(load_generator, "the load generator")
+        platform.start(load_generator)
         try:
-            yield Up(world)
+            yield PlatformView(platform)
         finally:
-            for pipe in (clients, world.pipe):
+            for pipe in (load_generator, platform.backend_pipe):
                 if pipe is not None:
                     try:
                         pipe.send(("stop",))
--- a/tulipnotch/lab/report.py
+++ b/tulipnotch/lab/report.py
@@ -13,24 +13,24 @@
 
 from tulipnotch.lab.results import Result, Run
 
-_COLOURS = ("#2b6cb0", "#c05621", "#2f855a", "#6b46c1", "#b83280", "#4a5568")
-# By the key of the rows of result files.
-_ENDING_COLOURS = {"served": "#2f855a", "refused": "#d69e2e", "failed": "#c53030", "gone": "#a0aec0"}
+_COLORS = ("#2b6cb0", "#c05621", "#2f855a", "#6b46c1", "#b83280", "#4a5568")
+# Keyed by the columns of the rows in result files.
+_OUTCOME_COLORS = {"served": "#2f855a", "refused": "#d69e2e", "failed": "#c53030", "gone": "#a0aec0"}
 
 _MAX_LEGEND_SERVERS = 16
 
 
 @unique
 class _ServerColumn(IntEnum):
-    """The columns of the rows a second of a server."""
+    """The columns of the rows of a server; there is one row a second."""
 
     RESPONSES = 0
     MAX_WAITING = 1
 
 
 def write(result: Result, path: Path) -> None:
-    """Write the page to `path`.  The plots show the first seed, the tables show all."""
-    matplotlib.rcParams["svg.hashsalt"] = "tulipnotch"  # makes the page a function of the result
+    """Writes the page to `path`; the plots show the first seed, the tables all seeds."""
+    matplotlib.rcParams["svg.hashsalt"] = "tulipnotch"  # makes the page depend on the result alone
     matplotlib.rcParams["svg.fonttype"] = "none"
     run = result.runs[0]
     environment = jinja2.Environment(
@@ -40,10 +40,10 @@
         result=result,
         run=run,
         plots=[
-            ("Latency of what was served, by class", _plot_latency(result, run)),
-            ("How requests ended", _plot_endings(result, run)),
-            ("Answers a second by server", _plot_servers(result, run, _ServerColumn.RESPONSES)),
-            ("Most requests waiting at a server", _plot_servers(result, run, _ServerColumn.MAX_WAITING)),
+            ("Latency of served requests, by class", _plot_latency(result, run)),
+            ("Outcomes of requests", _plot_outcomes(result, run)),
+            ("Responses a second, by server", _plot_servers(result, run, _ServerColumn.RESPONSES)),
+            ("Maximum queue length, by server", _plot_servers(result, run, _ServerColumn.MAX_WAITING)),
         ],
         metrics=[(name, result.mean(name), min(result.values(name)), max(result.values(name)))
                  for name in sorted(run.metrics)],
@@ -52,7 +52,7 @@
 
 
 def _new_figure(result: Result, label: str) -> tuple[Figure, Any]:
-    """Return an empty figure over the time of the run, and its axes."""
+    """Returns an empty figure over the time of the run, and its axes."""
     figure = Figure(figsize=(9.2, 2.7), layout="constrained")
     axes = figure.add_subplot()
     axes.set_xlim(0.0, result.seconds)
@@ -64,7 +64,7 @@
 
 
 def _to_svg(result: Result, run: Run, figure: Figure, axes: Any) -> str:
-    """Mark the incidents and the warm-up, and return the figure as SVG."""
+    """Marks the fault events and the warm-up, and returns the figure as SVG."""
     for at_s, _ in run.series["timeline"]:
         if at_s <= result.seconds:
             axes.axvline(at_s, color="#c53030", alpha=0.35, linewidth=0.8, linestyle=":")
@@ -76,27 +76,27 @@
 
 
 def _plot_latency(result: Result, run: Run) -> str:
-    """Plot latency percentiles by class."""
+    """Plots latency percentiles by class."""
     figure, axes = _new_figure(result, "ms")
-    for colour, (name, lines) in zip(_COLOURS * 9, run.series["latency_ms"].items(), strict=False):
+    for color, (name, lines) in zip(_COLORS * 9, run.series["latency_ms"].items(), strict=False):
         for label, style in (("p50", "-"), ("p99", "--")):
             values = [float("nan") if value is None else value for value in lines[label]]
-            axes.plot(range(len(values)), values, style, color=colour, linewidth=1.2, label=f"{name} {label}")
+            axes.plot(range(len(values)), values, style, color=color, linewidth=1.2, label=f"{name} {label}")
     axes.set_yscale("log")
     axes.legend(fontsize=8, ncols=4, frameon=False)
     return _to_svg(result, run, figure, axes)
 
 
-def _plot_endings(result: Result, run: Run) -> str:
-    """Plot requests a second by how they ended."""
+def _plot_outcomes(result: Result, run: Run) -> str:
+    """Plots requests a second, by outcome."""
     figure, axes = _new_figure(result, "requests a second")
     rows = run.series["rows"]
-    series = [[row[name] for row in rows] for name in _ENDING_COLOURS]
+    series = [[row[name] for row in rows] for name in _OUTCOME_COLORS]
     axes.stackplot(
         range(len(rows)),
         series,
-        labels=list(_ENDING_COLOURS),
-        colors=list(_ENDING_COLOURS.values()),
+        labels=list(_OUTCOME_COLORS),
+        colors=list(_OUTCOME_COLORS.values()),
         linewidth=0,
     )
     axes.legend(fontsize=8, ncols=4, frameon=False, loc="lower right")
@@ -104,11 +104,11 @@
 
 
 def _plot_servers(result: Result, run: Run, column: _ServerColumn) -> str:
-    """Plot one column of the rows a second, by server."""
+    """Plots one column of the rows of the servers, a line for each server."""
     figure, axes = _new_figure(result, "answers" if column is _ServerColumn.RESPONSES else "waiting")
-    for colour, (name, rows) in zip(_COLOURS * 400, run.series["servers"].items(), strict=False):
+    for color, (name, rows) in zip(_COLORS * 400, run.series["servers"].items(), strict=False):
         axes.plot(
-            range(1, len(rows) + 1), [row[column] for row in rows], color=colour, alpha=0.8,
+            range(1, len(rows) + 1), [row[column] for row in rows], color=color, alpha=0.8,
             linewidth=0.9, label=name,
         )  # fmt: skip
     if len(run.series["servers"]) <= _MAX_LEGEND_SERVERS:
--- a/tulipnotch/lab/results.py
+++ b/tulipnotch/lab/results.py
@@ -18,15 +18,15 @@
 
 
 class Run(msgspec.Struct, kw_only=True):
-    """The figures of one seed.
+    """The results of one seed.
 
     Attributes:
         seed: The seed.
         metrics: Values by metric name.
         violations: The texts of the first violations, by rule.
-        series: Rows a second, for plots.
-        invalid: Why the figures must not be used (the load generator was late); empty if they may.
-        lateness_ms: Percentiles of the load generator's lateness, in real time only.
+        series: The time series for plots, one row a second.
+        invalid: Why the results must not be used (the load generator was late); empty if they are valid.
+        lateness_ms: Percentiles of the lateness of the load generator; only in real time.
     """
 
     seed: int
@@ -38,7 +38,13 @@
 
 
 class ExpectationResult(msgspec.Struct, kw_only=True):
-    """One expectation: it holds if it holds for every seed."""
+    """One expectation, which holds if it holds for every seed.
+
+    Attributes:
+        text: The expectation.
+        holds: Whether it holds.
+        worst: The metric's worst value of all seeds.
+    """
 
     text: str
     holds: bool
@@ -46,7 +52,7 @@
 
 
 class Result(msgspec.Struct, kw_only=True):
-    """All seeds of a scenario under one policy in one kind of time."""
+    """All seeds of a scenario with one policy, in virtual or in real time."""
 
     scenario: str
     about: str
@@ -59,50 +65,50 @@
 
     @property
     def holds(self) -> bool:
-        """Whether every expectation holds and the figures are valid."""
+        """Whether every expectation holds and every run is valid."""
         return all(each.holds for each in self.expectations) and not self.invalid
 
     @property
     def invalid(self) -> str:
-        """Why the figures of the first invalid run must not be used; empty if all are valid."""
+        """Why the first invalid run must not be used; empty if all runs are valid."""
         return next((run.invalid for run in self.runs if run.invalid), "")
 
     def values(self, metric: str) -> list[float]:
-        """Return the metric's value of each run."""
+        """Returns the metric's value of each run."""
         return [run.metrics[metric] for run in self.runs]
 
     def mean(self, metric: str) -> float:
-        """Return the metric's mean over the runs."""
+        """Returns the metric's mean over the runs."""
         values = self.values(metric)
         return math.fsum(values) / len(values)
 
 
 def check_expectations(scenario: Scenario, runs: Sequence[Run]) -> list[ExpectationResult]:
-    """Check each expectation of the scenario against each seed."""
-    found = []
+    """Checks each expectation of the scenario against each seed."""
+    expectation_results = []
     for expectation in scenario.expectations:
         values = [run.metrics[expectation.metric] for run in runs]
         worst = max(values) if expectation.comparison in ("<=", "<", "=") else min(values)
         holds = all(expectation.holds(run.metrics) for run in runs)
-        found.append(ExpectationResult(text=str(expectation), holds=holds, worst=worst))
-    return found
+        expectation_results.append(ExpectationResult(text=str(expectation), holds=holds, worst=worst))
+    return expectation_results
 
 
 def write(result: Result, path: Path) -> None:
-    """Write the result as JSON with sorted keys."""
+    """Writes the result as JSON with sorted keys."""
     path.write_bytes(msgspec.json.format(msgspec.json.encode(result, order="sorted"), indent=1) + b"\n")
 
 
 def read(path: Path) -> Result:
-    """Read a result, given its file or its folder.
+    """Reads a result, given its file or its folder.
 
     Raises:
-        InvalidFileError: The file can't be read, or is no result.
+        InvalidFileError: The file cannot be read or is not a result.
     """
     file = path / "result.json" if path.is_dir() else path
     try:
         return msgspec.json.decode(file.read_bytes(), type=Result)
     except OSError as error:
-        raise InvalidFileError(str(file), [Fault(0, "", f"can't be read: {error.strerror}")]) from None
+        raise InvalidFileError(str(file), [Fault(0, "", f"cannot be read: {error.strerror}")]) from None
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        raise InvalidFileError(str(file), [Fault(0, "", f"is no result: {error}")]) from None
+        raise InvalidFileError(str(file), [Fault(0, "", f"is not a result: {error}")]) from None
--- a/tulipnotch/lab/scenario.py
+++ b/tulipnotch/lab/scenario.py
@@ -1,7 +1,7 @@
-"""A scenario: one description of a world, its load, its faults and what is expected, as a TOML file.
+"""Scenario files: a fleet, its load, its faults and the expected metrics, in TOML.
 
-It is checked like the operator file.  Times are in the unit that a key's name ends with; shares and parts are
-of 1.  `docs/lab.md` explains every table.
+They are validated like the operator file.  Times are in the unit that a key's name ends with; shares and
+parts are fractions of 1.  `docs/lab.md` explains every table.
 """
 
 from __future__ import annotations
@@ -29,39 +29,41 @@
 from tulipnotch.settings.check import Checked, Fault, InvalidFileError, nearest, read_toml
 from tulipnotch.simulator_wire.names import settings_to_wire
 
-Part = Annotated[float, Meta(ge=0.0, le=1.0)]
-Positive = Annotated[float, Meta(gt=0.0, le=1e6)]
-NotNegative = Annotated[float, Meta(ge=0.0, le=1e6)]
+Fraction = Annotated[float, Meta(ge=0.0, le=1.0)]
+PositiveFloat = Annotated[float, Meta(gt=0.0, le=1e6)]
+NonNegativeFloat = Annotated[float, Meta(ge=0.0, le=1e6)]
 Name = Annotated[str, Meta(min_length=1, max_length=64, pattern=r"^[A-Za-z0-9._\-]+$")]
 
 
-class Kind(msgspec.Struct, frozen=True, kw_only=True):
-    """A kind of machine."""
+class MachineType(msgspec.Struct, frozen=True, kw_only=True):
+    """A type of machine."""
 
     name: Name
-    share: Positive = 1.0
+    share: PositiveFloat = 1.0
     cores: Annotated[int, Meta(ge=1, le=256)] = 4
-    speed: Positive = 1.0  # of a core, against the standard one
-    speed_cv: NotNegative = 0.0
+    speed: PositiveFloat = 1.0  # the speed of a core, relative to a standard core
+    speed_cv: NonNegativeFloat = 0.0  # the coefficient of variation of the speed between machines of the type
 
 
-class Choke(msgspec.Struct, frozen=True, kw_only=True):
-    """When a crowded server turns slow, and when it gets well."""
+class OverloadSlowdown(msgspec.Struct, frozen=True, kw_only=True):
+    """When a long queue makes a server overloaded and therefore slow, and when it recovers."""
 
-    at: Positive = 6.0  # requests waiting for each core
-    over_s: Positive = 2.0  # for so long
-    slower: Annotated[float, Meta(ge=1.0, le=100.0)] = 2.8
-    rest_s: Positive = 3.0  # well again after so long
-    below: Part = 0.3  # with less than this part of its slots busy
-    most_s: Positive = 28.0  # or after so long in any case
+    at: PositiveFloat = 6.0  # waiting requests for each core; more of them for `over_s` are an overload
+    over_s: PositiveFloat = 2.0  # how long the queue must stay longer than `at`
+    slower: Annotated[float, Meta(ge=1.0, le=100.0)] = (
+        2.8  # the factor by which an overloaded server is slower
+    )
+    rest_s: PositiveFloat = 3.0  # a server recovers when its cores have been lightly used for so long
+    below: Fraction = 0.3  # the fraction of busy cores below which they are lightly used
+    most_s: PositiveFloat = 28.0  # a server recovers after so long in any case
 
 
-class Affinity(msgspec.Struct, frozen=True, kw_only=True):
-    """What a server that met a key lately saves on it."""
+class KeyAffinity(msgspec.Struct, frozen=True, kw_only=True):
+    """How much less work a request is at a server that recently served its key."""
 
-    gain: Part = 0.5
-    span_s: Positive = 5.0
-    keys_per_core: Annotated[int, Meta(ge=1, le=10_000)] = 25
+    gain: Fraction = 0.5  # the fraction of the work that is saved
+    span_s: PositiveFloat = 5.0  # how recently the key must have been served
+    keys_per_core: Annotated[int, Meta(ge=1, le=10_000)] = 25  # how many keys a server remembers
 
 
 class Fleet(msgspec.Struct, frozen=True, kw_only=True):
@@ -71,149 +73,155 @@
     sidecars: Annotated[int, Meta(ge=1, le=5_000)] = 4
     zones: Annotated[tuple[Name, ...], Meta(min_length=1, max_length=16)] = ("a", "b", "c")
     cell_size: Annotated[int, Meta(ge=1)] = 5
-    kinds: Annotated[tuple[Kind, ...], Meta(min_length=1)] = (Kind(name="std-4c"),)
-    queue_per_core: Annotated[int, Meta(ge=0, le=1_000_000)] = (
-        30  # the waiting room; beyond it all is turned away
+    kinds: Annotated[tuple[MachineType, ...], Meta(min_length=1)] = (MachineType(name="std-4c"),)
+    queue_per_core: Annotated[int, Meta(ge=0, le=1_000_000)] = 30  # a server rejects requests beyond it
+    cold_from: Annotated[float, Meta(gt=0.0, le=1.0)] = 0.15  # minimum part of its capacity at its start
+    cold_s: PositiveFloat = 22.0  # maximum time until it has its full capacity, which rises linearly
+    cold_spread: NonNegativeFloat = (
+        0.7  # up to this fraction more capacity at the start, and a faster warm-up
     )
-    cold_from: Annotated[float, Meta(gt=0.0, le=1.0)] = 0.15  # of its capacity at its start, at the least
-    cold_s: Positive = 22.0  # to the full, evenly, at the most
-    cold_spread: NotNegative = 0.7  # each server starts with up to this much more, and warms as much sooner
-    fall_multiple: Positive = 2.5  # sent more than this multiple of what a cold server can do
-    fall_s: Positive = 1.0  # within this span, it falls over and stays down
-    error_rate: Part = 0.0
-    stops_cancelled: bool = True  # whether work stops when its connection closes
-    choke: Choke | None = None
-    affinity: Affinity | None = None
-    report_period_s: Positive = 0.8  # how often the `queue` that probes read is refreshed
-    probe_work_ms: NotNegative = 0.13
+    # A server that is warming up fails and stays down if it is sent more than this multiple of its capacity
+    # within the window of `fall_s`.
+    fall_multiple: PositiveFloat = 2.5
+    fall_s: PositiveFloat = 1.0
+    error_rate: Fraction = 0.0
+    stops_cancelled: bool = True  # whether a server stops work whose connection closes
+    choke: OverloadSlowdown | None = None
+    affinity: KeyAffinity | None = None
+    report_period_s: PositiveFloat = 0.8  # how often the `queue` that health checks read is refreshed
+    probe_work_ms: NonNegativeFloat = 0.13
 
 
 class Network(msgspec.Struct, frozen=True, kw_only=True):
-    """Delays one way, and what a new connection costs."""
+    """One-way delays, and the cost of a new connection."""
 
-    same_ms: NotNegative = 0.2
-    cross_ms: NotNegative = 0.6
-    client_ms: NotNegative = 0.05
-    jitter: NotNegative = 0.2  # of each delay, exponential
+    same_ms: NonNegativeFloat = 0.2
+    cross_ms: NonNegativeFloat = 0.6
+    client_ms: NonNegativeFloat = 0.05
+    jitter: NonNegativeFloat = 0.2  # mean of an exponential addition, as a fraction of each delay
     handshake_rtts: Annotated[int, Meta(ge=0, le=10)] = 2
-    handshake_work_ms: NotNegative = 2.0
-    idle_s: Positive = 10.0  # servers close what has been idle for so long
-    dial_timeout_ms: Positive = 250.0
+    handshake_work_ms: NonNegativeFloat = 2.0
+    idle_s: PositiveFloat = 10.0  # servers close a connection that has been idle for this long
+    dial_timeout_ms: PositiveFloat = 250.0
 
 
 class Discovery(msgspec.Struct, frozen=True, kw_only=True):
-    """The directory of servers: late, of fixed capacity, at times down."""
+    """Discovery: the delays until it publishes changes, and its capacity."""
 
-    drain_notice_s: NotNegative = 0.2
-    crash_notice_s: NotNegative = 3.0
-    add_notice_s: NotNegative = 1.0
-    calls_per_s: Positive = 200.0
-    timeout_s: Positive = 2.0
+    drain_notice_s: NonNegativeFloat = 0.2
+    crash_notice_s: NonNegativeFloat = 3.0
+    add_notice_s: NonNegativeFloat = 1.0
+    calls_per_s: PositiveFloat = 200.0
+    timeout_s: PositiveFloat = 2.0
 
 
 class Load(msgspec.Struct, frozen=True, kw_only=True):
-    """What clients ask for."""
+    """The requests of the clients."""
 
-    utilisation: Positive | None = None  # of what the warm fleet can do; or
-    rate: Positive | None = None  # first tries a second
+    utilisation: PositiveFloat | None = None  # fraction of the warm fleet's capacity; excludes `rate`
+    rate: PositiveFloat | None = None  # first tries a second
     shape: Literal["steady", "wave"] = "steady"
-    swing: Part = 0.1  # of a wave
-    period_s: Positive = 20.0
-    factors: tuple[tuple[float, float], ...] = ()  # from each of these seconds on, the rate times this
-    skew: NotNegative = 0.3  # of the rate from sidecar to sidecar (coefficient of variation)
+    swing: Fraction = 0.1  # amplitude of a wave, as a fraction of the rate
+    period_s: PositiveFloat = 20.0
+    factors: tuple[tuple[float, float], ...] = ()  # second and factor: multiplies the rate from then on
+    skew: NonNegativeFloat = 0.3  # coefficient of variation of the rate between sidecars
     keys: Annotated[int, Meta(ge=1, le=10_000_000)] = 1_000
-    key_zipf: NotNegative = 0.8
-    hints: bool = False  # whether requests tell their work; cold servers' budgets then count that
+    key_zipf: NonNegativeFloat = 0.8
+    hints: bool = False  # whether requests announce their work; warm-up overload is then judged by that
 
     def __post_init__(self) -> None:
         if (self.utilisation is None) == (self.rate is None):
-            raise ValueError("utilisation: one of utilisation and rate is needed, and only one")
+            raise ValueError("utilisation: exactly one of utilisation and rate is required")
         if any(at < 0 or factor < 0 for at, factor in self.factors):
-            raise ValueError("factors: pairs of a second and a factor are needed, neither below 0")
+            raise ValueError("factors: must be pairs of a second and a factor, neither below 0")
         if list(self.factors) != sorted(self.factors):
-            raise ValueError("factors: the seconds must rise")
+            raise ValueError("factors: the seconds must increase")
 
 
 class ServiceClass(msgspec.Struct, frozen=True, kw_only=True):
-    """One class of requests."""
+    """One service class."""
 
     name: Name
-    share: Positive = 1.0
-    work_ms: Positive = 60.0  # on a standard core, mean
-    work_cv: NotNegative = 1.0
+    share: PositiveFloat = 1.0
+    work_ms: PositiveFloat = 60.0  # mean work on a standard core
+    work_cv: NonNegativeFloat = 1.0
     dist: Literal["lognormal", "exponential", "pareto", "constant"] = "lognormal"
-    aim_ms: Positive = 600.0
-    deadline_ms: Positive = 1_500.0
-    worth: Positive = 1.0
+    aim_ms: PositiveFloat = 600.0
+    deadline_ms: PositiveFloat = 1_500.0
+    worth: PositiveFloat = 1.0
     repeat: Literal["safe", "keyed", "unsafe"] = "safe"
-    group: Literal["all", "zone", "cell"] = "zone"  # of a keyed class: who drops repeats
-    window_ms: NotNegative = 4_000.0  # and for how long
+    group: Literal["all", "zone", "cell"] = "zone"  # scope in which duplicates are dropped (keyed)
+    window_ms: NonNegativeFloat = 4_000.0  # deduplication window
 
     def __post_init__(self) -> None:
         if self.aim_ms > self.deadline_ms:
-            raise ValueError("aim_ms: must not be over deadline_ms")
+            raise ValueError("aim_ms: must not be greater than deadline_ms")
         if self.dist == "pareto" and self.work_cv <= 0.0:
-            raise ValueError("work_cv: must be above 0 with dist = pareto")
+            raise ValueError("work_cv: must be greater than 0 with dist = pareto")
 
 
 class Tenant(msgspec.Struct, frozen=True, kw_only=True):
-    """A district: its share, and what it sends in proportion to that."""
+    """A tenant: its share of the quota, and the load that it sends in proportion to its share."""
 
     name: Name
-    share: Positive = 1.0
-    usage: NotNegative = 1.0
+    share: PositiveFloat = 1.0
+    usage: NonNegativeFloat = 1.0
 
 
 class Clients(msgspec.Struct, frozen=True, kw_only=True):
-    """What clients do with no for an answer."""
+    """How clients retry and when they disconnect."""
 
     retries: Annotated[int, Meta(ge=0, le=20)] = 2
-    try_share: Annotated[float, Meta(gt=0.0, le=1.0)] = 0.6  # of the deadline, for one try
-    backoff_ms: NotNegative = 100.0  # doubles at each retry, with jitter
-    honour: Part = 0.6  # the part of clients that wait as `Retry-After` says
-    impatient: Part = 0.0  # the part of requests whose client leaves within a quarter of its time
+    try_share: Annotated[float, Meta(gt=0.0, le=1.0)] = (
+        0.6  # timeout of one try, as a fraction of the deadline
+    )
+    backoff_ms: NonNegativeFloat = 100.0  # delay before the first retry; doubles at each retry, with jitter
+    honour: Fraction = 0.6  # fraction of clients that wait as long as `Retry-After` says
+    impatient: Fraction = (
+        0.0  # fraction of requests whose client disconnects within a quarter of the deadline
+    )
 
 
 class Rules(msgspec.Struct, frozen=True, kw_only=True):
-    """The figures of the rules."""
+    """The tolerances of the four rules, and the limits of the sidecars."""
 
-    drain_grace_ms: NotNegative = 250.0
-    ask_within_s: Positive = 10.0
-    slack_ms: NotNegative = 50.0
+    drain_grace_ms: NonNegativeFloat = 250.0
+    ask_within_s: PositiveFloat = 10.0
+    slack_ms: NonNegativeFloat = 50.0
     max_attempts: Annotated[int, Meta(ge=1, le=100)] = 3
     second_copies: bool = True
-    over_share_worth: Part = 0.05
-    quota_of_capacity: Positive = 0.8
+    over_share_worth: Fraction = 0.05
+    quota_of_capacity: PositiveFloat = 0.8
 
 
 FAULTS: Mapping[str, str] = {
-    "crash": "the process dies, and is back cold after for_s",
-    "hang": "takes requests and answers none",
-    "fast_errors": "fails the part `size` of its requests quickly",
-    "slow": "works `size` times slower",
-    "garble": "spoils the part `size` of its answers",
-    "drain": "leaves in good order, one after another over for_s, and is back cold after back_s",
+    "crash": "server processes end, and new ones start to warm up after for_s",
+    "hang": "servers accept requests and respond to none",
+    "fast_errors": "servers fail the fraction `size` of their requests quickly",
+    "slow": "servers are slower by the factor `size`",
+    "garble": "the fraction `size` of the servers' responses is malformed",
+    "drain": "servers drain one after another over for_s; new processes start to warm up after back_s",
     "release": "as drain, all of them at once",
-    "heavy_tail": "the part `extra` of requests costs `size` times the work",
-    "discovery_down": "calls to the directory fail and watches end",
-    "cut": "nothing passes between sidecars and servers of `zone` and all others",
-    "restart": "sidecars are killed and start anew, one after another over for_s",
+    "heavy_tail": "the fraction `extra` of requests is `size` times the work",
+    "discovery_down": "calls to discovery fail and watches end",
+    "cut": "nothing passes between `zone` and all other zones",
+    "restart": "sidecars are killed and restarted, one after another over for_s",
 }
 
 
-class FaultLine(msgspec.Struct, frozen=True, kw_only=True):
-    """One fault on the time line."""
+class FaultSpec(msgspec.Struct, frozen=True, kw_only=True):
+    """One fault of the scenario."""
 
     kind: Literal[
         "crash", "hang", "fast_errors", "slow", "garble", "drain", "release", "heavy_tail", "discovery_down",
         "cut", "restart",
     ]  # fmt: skip
-    at_s: NotNegative
-    for_s: Positive = 10.0
-    part: Part = 0.2  # of the servers (of the sidecars for `restart`), at least one
-    size: NotNegative = 1.0
-    extra: Part = 0.01
-    back_s: NotNegative = 3.0
+    at_s: NonNegativeFloat
+    for_s: PositiveFloat = 10.0
+    part: Fraction = 0.2  # fraction of the servers (of the sidecars for `restart`), at least one
+    size: NonNegativeFloat = 1.0
+    extra: Fraction = 0.01
+    back_s: NonNegativeFloat = 3.0
     zone: str = ""
 
 
@@ -223,7 +231,7 @@
     name: Name
     about: str = ""
     seconds: Annotated[float, Meta(gt=0.0, le=36_000.0)]
-    warmup_s: NotNegative = 1.0  # what comes before is played and not counted
+    warmup_s: NonNegativeFloat = 1.0  # requests before it are simulated and not counted
     seed: Annotated[int, Meta(ge=0)] = 1
     fleet: Fleet = Fleet()
     network: Network = Network()
@@ -233,12 +241,12 @@
     tenants: tuple[Tenant, ...] = ()
     clients: Clients = Clients()
     rules: Rules = Rules()
-    faults: tuple[FaultLine, ...] = ()
+    faults: tuple[FaultSpec, ...] = ()
     expect: tuple[str, ...] = ()
 
     @property
     def mean_work_s(self) -> float:
-        """Of a request, on a standard core."""
+        """The mean work of a request, in seconds on a standard core."""
         total = sum(each.share for each in self.classes)
         return sum(each.share * each.work_ms for each in self.classes) / total / 1e3
 
@@ -255,7 +263,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Expectation:
-    """`metric comparison number`, as in `class.commander.served >= 0.98`."""
+    """The expectation `metric comparison number`, such as `class.commander.served >= 0.98`."""
 
     metric: str
     comparison: str
@@ -263,11 +271,11 @@
 
     @staticmethod
     def parse(text: str) -> Expectation:
-        """Raise ValueError where the text is none."""
-        found = _EXPECTATION.match(text)
-        if found is None:
-            raise ValueError(f"{text!r:.60} is no expectation; write it as in `rules.broken = 0`")
-        return Expectation(found[1], found[2], float(found[3]))
+        """Parses the text; raises ValueError if it is not an expectation."""
+        match = _EXPECTATION.match(text)
+        if match is None:
+            raise ValueError(f"{text!r:.60} is not an expectation; an example is `rules.broken = 0`")
+        return Expectation(match[1], match[2], float(match[3]))
 
     def holds(self, metrics: Mapping[str, float]) -> bool:
         return _COMPARISONS[self.comparison](metrics[self.metric], self.bound)
@@ -277,85 +285,93 @@
 
 
 def load(path: Path) -> Scenario:
-    """Read and check a scenario; raise `BadFile` with all of its faults.
+    """Reads and validates a scenario.
 
-    `extends = "NAME"` takes over what the file leaves out from a shipped scenario, but not what is expected:
-    tables are merged key by key, lists are replaced whole.
+    With `extends = "NAME"`, keys that are missing in the file are taken from a shipped scenario, except
+    `expect`, `faults` and `about`.  Tables are merged key by key; lists are replaced as a whole.
+
+    Raises:
+        InvalidFileError: The file is invalid; it has all faults.
     """
-    checked = read_toml(path, Scenario, _extended)
-    faults = list(_across(checked))
+    checked = read_toml(path, Scenario, _resolve_extends)
+    faults = list(_consistency_faults(checked))
     if faults:
         raise InvalidFileError(str(path), faults)
     return checked.value
 
 
-def _extended(given: dict[str, Any]) -> dict[str, Any]:
-    if "extends" not in given:
-        return given
-    base, known = given.pop("extends"), shipped()
-    if not isinstance(base, str) or base not in known:
-        raise ValueError(f"extends: {base!r:.40} is no shipped scenario{nearest(str(base), known)}")
-    below = _extended(tomllib.loads(known[base].read_text(encoding="utf-8")))
+def _resolve_extends(document: dict[str, Any]) -> dict[str, Any]:
+    if "extends" not in document:
+        return document
+    base_name, known = document.pop("extends"), shipped()
+    if not isinstance(base_name, str) or base_name not in known:
+        raise ValueError(
+            f"extends: {base_name!r:.40} is not a shipped scenario{nearest(str(base_name), known)}"
+        )
+    base = _resolve_extends(tomllib.loads(known[base_name].read_text(encoding="utf-8")))
     for key in ("expect", "faults", "about"):
-        below.pop(key, None)
-    return _merged(below, given)
+        base.pop(key, None)
+    return _merge(base, document)
 
 
-def _merged(below: dict[str, Any], above: Mapping[str, Any]) -> dict[str, Any]:
-    found = dict(below)
-    for key, value in above.items():
-        known = found.get(key)
-        found[key] = _merged(known, value) if isinstance(known, dict) and isinstance(value, dict) else value
+def _merge(base: dict[str, Any], override: Mapping[str, Any]) -> dict[str, Any]:
+    merged = dict(base)
+    for key, value in override.items():
+        base_value = merged.get(key)
+        merged[key] = (
+            _merge(base_value, value) if isinstance(base_value, dict) and isinstance(value, dict) else value
+        )
     for one, other in (("rate", "utilisation"), ("utilisation", "rate")):
-        if one in above and other not in above:
-            found.pop(other, None)  # one of the two, and the file's own counts
-    return found
+        if one in override and other not in override:
+            merged.pop(other, None)  # only one of the two is allowed, so the file's own replaces the other
+    return merged
 
 
-def _across(checked: Checked[Scenario]) -> Iterator[Fault]:
-    """What no single table can tell."""
-    given = checked.value
+def _consistency_faults(checked: Checked[Scenario]) -> Iterator[Fault]:
+    """Yields the faults that show only when several tables are compared."""
+    scenario = checked.value
     for label, names in (
-        ("classes", [each.name for each in given.classes]),
-        ("tenants", [each.name for each in given.tenants]),
-        ("fleet.kinds", [each.name for each in given.fleet.kinds]),
-        ("fleet.zones", list(given.fleet.zones)),
+        ("classes", [each.name for each in scenario.classes]),
+        ("tenants", [each.name for each in scenario.tenants]),
+        ("fleet.kinds", [each.name for each in scenario.fleet.kinds]),
+        ("fleet.zones", list(scenario.fleet.zones)),
     ):
         for index, name in enumerate(names):
             if name in names[:index]:
-                yield checked.fault(f"{label}[{index}]", f"the name {name} stands twice")
-    if given.warmup_s >= given.seconds:
-        yield checked.fault("warmup_s", "must be under seconds")
-    known = metric_names(given)
-    for index, text in enumerate(given.expect):
+                yield checked.fault(f"{label}[{index}]", f"the name {name} is used twice")
+    if scenario.warmup_s >= scenario.seconds:
+        yield checked.fault("warmup_s", "must be less than seconds")
+    known = metric_names(scenario)
+    for index, text in enumerate(scenario.expect):
         try:
-            wanted = Expectation.parse(text)
-        except ValueError as fault:
-            yield checked.fault(f"expect[{index}]", str(fault))
+            expectation = Expectation.parse(text)
+        except ValueError as error:
+            yield checked.fault(f"expect[{index}]", str(error))
             continue
-        if wanted.metric not in known:
+        if expectation.metric not in known:
             yield checked.fault(
-                f"expect[{index}]", f"{wanted.metric} is no metric{nearest(wanted.metric, known)}"
+                f"expect[{index}]",
+                f"{expectation.metric} is not a metric{nearest(expectation.metric, known)}",
             )
-    for index, each in enumerate(given.faults):
+    for index, each in enumerate(scenario.faults):
         path = f"faults[{index}]"
-        if each.at_s >= given.seconds:
-            yield checked.fault(f"{path}.at_s", "lies after the end")
-        if each.kind == "cut" and each.zone not in given.fleet.zones:
-            hint = nearest(each.zone, given.fleet.zones)
-            yield checked.fault(f"{path}.zone", f"{each.zone or 'nothing'} is no zone{hint}")
+        if each.at_s >= scenario.seconds:
+            yield checked.fault(f"{path}.at_s", "must be before the end of the run")
+        if each.kind == "cut" and each.zone not in scenario.fleet.zones:
+            hint = nearest(each.zone, scenario.fleet.zones)
+            yield checked.fault(f"{path}.zone", f"{each.zone or 'nothing'} is not a zone{hint}")
         if each.kind in ("fast_errors", "garble") and each.size > 1.0:
-            yield checked.fault(f"{path}.size", f"is a part for {each.kind}, at most 1")
+            yield checked.fault(f"{path}.size", f"is a fraction for {each.kind}, must be at most 1")
         if each.kind in ("slow", "heavy_tail") and each.size < 1.0:
-            yield checked.fault(f"{path}.size", f"must be 1 or more for {each.kind}")
+            yield checked.fault(f"{path}.size", f"must be at least 1 for {each.kind}")
 
 
 RULES = ("answers", "effects", "drains", "cold")
-_OF_CLASS = ("served", "in_time", "refused", "failed", "p50_ms", "p90_ms", "p99_ms", "p999_ms")
+_CLASS_METRICS = ("served", "in_time", "refused", "failed", "p50_ms", "p90_ms", "p99_ms", "p999_ms")
 
 
-def metric_names(given: Scenario) -> set[str]:
-    """Every metric that a run of this scenario yields; expectations may name these and no others."""
+def metric_names(scenario: Scenario) -> set[str]:
+    """Returns the names of all metrics of a run of this scenario; expectations may use only these."""
     names = {"rules.broken", *(f"rules.{rule}" for rule in RULES)}
     names |= {
         "worth",
@@ -367,7 +383,7 @@
         "requests",
         "attempts_per_request",
     }
-    names |= {f"latency.{each}" for each in _OF_CLASS if each.startswith("p")}
+    names |= {f"latency.{each}" for each in _CLASS_METRICS if each.startswith("p")}
     names |= {
         "crossings_per_request",
         "handshakes_per_request",
@@ -375,63 +391,70 @@
         "choked_s",
         "tries_per_request",
     }
-    names |= {f"class.{each.name}.{what}" for each in given.classes for what in _OF_CLASS}
-    return names | {f"tenant.{each.name}.in_time" for each in given.tenants}
+    names |= {f"class.{each.name}.{what}" for each in scenario.classes for what in _CLASS_METRICS}
+    return names | {f"tenant.{each.name}.in_time" for each in scenario.tenants}
 
 
 def shipped() -> dict[str, Path]:
-    """The scenarios that come with the laboratory, by name."""
+    """Returns the paths of the scenarios that are part of the package, by name."""
     folder = Path(str(resources.files("tulipnotch.lab") / "scenarios"))
     return {each.stem: each for each in sorted(folder.glob("*.toml"))}
 
 
 def find(name: str) -> Path:
-    """The path of a scenario given by its name or its path; raise BadFile where there is none."""
+    """Returns the path of a scenario, scenario its name or its path.
+
+    Raises:
+        InvalidFileError: There is no such scenario.
+    """
     path = Path(name)
     known = shipped()
     if path.suffix == ".toml" or path.exists():
         return path
     if name in known:
         return known[name]
-    raise InvalidFileError(name, [Fault(0, "", f"is no scenario{nearest(name, known)}")])
+    raise InvalidFileError(name, [Fault(0, "", f"is not a scenario{nearest(name, known)}")])
 
 
-def _us(ms: float) -> int:
+def _ms_to_us(ms: float) -> int:
     return int(ms * 1_000)
 
 
-def wire_settings(given: Scenario, sidecar: int, capacity: float) -> dict[str, Any]:
-    """The settings of a sidecar, under the names of the simulator's wire.
+def wire_settings(scenario: Scenario, sidecar: int, capacity: float) -> dict[str, Any]:
+    """Returns the settings of a sidecar, under the names of the simulator's wire format.
 
-    `capacity` is what the warm fleet can do, in seconds of work on a standard core a second.
+    Args:
+        scenario: The scenario.
+        sidecar: The index of the sidecar.
+        capacity: The capacity of the warm fleet, in seconds of work on a standard core a second.
     """
-    return settings_to_wire(_plain_settings(given, sidecar, capacity))
+    return settings_to_wire(_settings(scenario, sidecar, capacity))
 
 
-def tenant_quotas_per_s(given: Scenario, capacity: float) -> dict[str, float]:
-    """The requests a second that each tenant may send; `capacity` as for `wire_settings`."""
-    max_rate_per_s = capacity / given.mean_work_s * given.rules.quota_of_capacity
-    total_share = _total_share(given)
-    return {each.name: max_rate_per_s * each.share / total_share for each in given.tenants}
+def tenant_quotas_per_s(scenario: Scenario, capacity: float) -> dict[str, float]:
+    """Returns the quota of each tenant; `capacity` is that of the warm fleet, as for `wire_settings`."""
+    max_rate_per_s = capacity / scenario.mean_work_s * scenario.rules.quota_of_capacity
+    total_share = _total_share(scenario)
+    return {each.name: max_rate_per_s * each.share / total_share for each in scenario.tenants}
 
 
-def _total_share(given: Scenario) -> float:
-    return sum(each.share for each in given.tenants) or 1.0
+def _total_share(scenario: Scenario) -> float:
+    return sum(each.share for each in scenario.tenants) or 1.0
 
 
-def _plain_settings(given: Scenario, sidecar: int, capacity: float) -> dict[str, Any]:
-    rules, fleet, network = given.rules, given.fleet, given.network
-    total_share = _total_share(given)
-    quotas_per_s = tenant_quotas_per_s(given, capacity)
+def _settings(scenario: Scenario, sidecar: int, capacity: float) -> dict[str, Any]:
+    rules, fleet, network = scenario.rules, scenario.fleet, scenario.network
+    total_share = _total_share(scenario)
+    quotas_per_s = tenant_quotas_per_s(scenario, capacity)
     return {
-        "classes": [_plain_class(each) for each in given.classes],
+        "classes": [_class_settings(each) for each in scenario.classes],
         "tenants": [
             {
                 "name": each.name,
                 "weight": each.share / total_share,
                 "quota_per_s": quotas_per_s[each.name],
             }
-            for each in given.tenants
+            for each in scenario.tenants
         ],
         "zone": fleet.zones[sidecar % len(fleet.zones)],
         "instance_index": sidecar,
@@ -450,15 +473,15 @@
             "may_send_peer_messages": False,
             "retry_after": True,
             "max_retry_after_us": 2_000_000,
-            "connect_timeout_us": _us(network.dial_timeout_ms),
+            "connect_timeout_us": _ms_to_us(network.dial_timeout_ms),
             "idle_timeout_us": int(network.idle_s * 1e6),
             "streams_per_connection": 1,
             "max_open_requests": 20_000,
         },
         "rules": {
-            "response_slack_us": _us(rules.slack_ms),
+            "response_slack_us": _ms_to_us(rules.slack_ms),
             "max_poll_interval_us": int(rules.ask_within_s * 1e6),
-            "drain_grace_us": _us(rules.drain_grace_ms),
+            "drain_grace_us": _ms_to_us(rules.drain_grace_ms),
             "initial_capacity": fleet.cold_from,
             "warm_up_us": int(fleet.cold_s * 1e6),
             "overload_multiple": fleet.fall_multiple,
@@ -490,17 +513,17 @@
 }
 
 
-def _plain_class(given: ServiceClass) -> dict[str, Any]:
-    idempotency = _IDEMPOTENCY[given.repeat]
+def _class_settings(service_class: ServiceClass) -> dict[str, Any]:
+    idempotency = _IDEMPOTENCY[service_class.repeat]
     is_idempotent = idempotency is Idempotency.IDEMPOTENT
     return {
-        "name": given.name,
-        "deadline_us": _us(given.deadline_ms),
-        "latency_objective_us": _us(given.aim_ms),
-        "priority_weight": given.worth,
+        "name": service_class.name,
+        "deadline_us": _ms_to_us(service_class.deadline_ms),
+        "latency_objective_us": _ms_to_us(service_class.aim_ms),
+        "priority_weight": service_class.worth,
         "late_priority_weight": 0.0,
         "idempotency": idempotency.value,
-        "deduplication_scope": DeduplicationScope.ALL.value if is_idempotent else given.group,
-        "deduplication_window_us": _us(given.window_ms),
+        "deduplication_scope": DeduplicationScope.ALL.value if is_idempotent else service_class.group,
+        "deduplication_window_us": _ms_to_us(service_class.window_ms),
         "streaming": False,
     }
--- a/tulipnotch/lab/virtual.py
+++ b/tulipnotch/lab/virtual.py
@@ -1,8 +1,8 @@
-"""A scenario in virtual time: the decision module, thousands of instances in one process.
+"""Simulates a scenario in virtual time: the decision module in thousands of sidecars, in one process.
 
-`World` owns the clock and all that is outside the sidecars; `VirtualSidecar` is what `tulipnotch.sidecar`
-is on real sockets: it turns what happens into events and carries out the actions of one instance of the
-decisions.
+`Simulation` owns the clock and everything outside the sidecars.  `VirtualSidecar` has the role that
+`tulipnotch.sidecar` has on real sockets: it passes events to one instance of the decision module and executes
+the actions that it returns.
 """
 
 from __future__ import annotations
@@ -14,12 +14,20 @@
 from tulipnotch.lab import fleet
 from tulipnotch.lab.directory import DirectoryEntry, ListedState
 from tulipnotch.lab.engine import Engine
-from tulipnotch.lab.faults import Deed, Incident, plan, strike
+from tulipnotch.lab.faults import FaultAction, FaultEvent, apply_to_server, plan_fault_events
 from tulipnotch.lab.history_checker import HistoryChecker
-from tulipnotch.lab.load import Ask, Ending, arrivals, comes_again, rates, stream, try_wait_us
+from tulipnotch.lab.load import (
+    ClientRequest,
+    RequestOutcome,
+    arrival_rates_per_s,
+    generate_arrivals,
+    next_retry_at,
+    random_stream,
+    try_timeout_us,
+)
 from tulipnotch.lab.recorder import Recorder
 from tulipnotch.lab.scenario import Scenario, tenant_quotas_per_s, wire_settings
-from tulipnotch.lab.server import Job, OrderServer, Stage, Verdict
+from tulipnotch.lab.server import AdmissionResult, Job, JobState, OrderServer
 from tulipnotch.load_balancing.actions import (
     Action,
     CancelAttempt,
@@ -50,9 +58,9 @@
 from tulipnotch.load_balancing.settings import Settings
 from tulipnotch.simulator_wire.names import settings_from_wire
 
-_BACK_AFTER_US = 300_000  # how long a sidecar that was killed is away
-_ERROR_US = 1_000  # what a quick error takes
-_STATES = {
+_SIDECAR_RESTART_US = 300_000  # from the kill of a sidecar until it listens again
+_ERROR_RESPONSE_US = 1_000  # what a server takes to respond with an error
+_ENDPOINT_STATES = {
     ListedState.ACTIVE: EndpointState.READY,
     ListedState.DRAINING: EndpointState.DRAINING,
     ListedState.REMOVED: EndpointState.REMOVED,
@@ -60,385 +68,459 @@
 
 
 class Policy(Protocol):
-    """What decides: the decision module, or one of `policies`."""
+    """Makes the decisions of one sidecar: the decision module, or one of `policies`."""
 
     def handle(self, now: int, event: Event) -> Sequence[Action]: ...
 
 
-# Given the settings, a seed, and the servers as they truly are: only an all-seeing policy may look at these.
-MakePolicy = Callable[[Settings, int, "World"], Policy]
+# Takes the settings, a seed, and the simulation, whose servers only an omniscient policy may look at.
+PolicyFactory = Callable[[Settings, int, "Simulation"], Policy]
 
 
-class World:
-    """One run from its seed to its figures."""
+class Simulation:
+    """One run of a scenario with one seed."""
 
-    def __init__(self, given: Scenario, seed: int, make: MakePolicy) -> None:
-        self.given, self.seed, self.make = given, seed, make
+    def __init__(self, scenario: Scenario, seed: int, make_policy: PolicyFactory) -> None:
+        self.scenario, self.seed, self.make_policy = scenario, seed, make_policy
         self.engine = Engine()
-        self.history = HistoryChecker(given)
-        self.servers = fleet.build(given, seed, self.history)
-        self.by_name = {each.name: each for each in self.servers}
-        self.capacity = fleet.capacity(self.servers)
-        settings = [wire_settings(given, place, self.capacity) for place in range(given.fleet.sidecars)]
-        self.recorder = Recorder(given, tenant_quotas_per_s(given, self.capacity))
-        self.network = given.network
-        self._net, self._noise = stream(seed, "net"), stream(seed, "noise")
-        self._clients = stream(seed, "clients")
-        self.cut_zones: set[str] = set()
+        self.history = HistoryChecker(scenario)
+        self.servers = fleet.build_servers(scenario, seed, self.history)
+        self.servers_by_name = {each.name: each for each in self.servers}
+        self.capacity = fleet.total_capacity(self.servers)
+        settings = [wire_settings(scenario, index, self.capacity) for index in range(scenario.fleet.sidecars)]
+        self.recorder = Recorder(scenario, tenant_quotas_per_s(scenario, self.capacity))
+        self.network = scenario.network
+        self._network_rng, self._noise_rng = random_stream(seed, "net"), random_stream(seed, "noise")
+        self._client_rng = random_stream(seed, "clients")
+        self.partitioned_zones: set[str] = set()
         self.discovery = _Discovery(self)
-        self._notices = fleet.Notices(given, lambda wait, call: self.engine.call_later(wait, call))
-        self.jobs_out: dict[Job, _Attempt] = {}
-        self._next_request = 0
-        self._done_before = dict.fromkeys(self.by_name, 0)
+        self._publisher = fleet.DelayedPublisher(
+            scenario, lambda delay_us, call: self.engine.call_later(delay_us, call)
+        )
+        self.accepted_jobs: dict[Job, _Attempt] = {}  # those that a server has accepted and not ended
+        self._last_request = 0
+        self._last_completed = dict.fromkeys(self.servers_by_name, 0)  # by server, at the last sample
         for each in self.servers:
-            self._hear_falls(each)
+            self._observe_warm_up_failure(each)
         self.sidecars = [
-            VirtualSidecar(self, place, settings_from_wire(each)) for place, each in enumerate(settings)
+            VirtualSidecar(self, index, settings_from_wire(each)) for index, each in enumerate(settings)
         ]
 
-    def run(self, progress: Callable[[float], None] | None = None) -> None:
-        """Play it whole; `progress` hears the part that is done."""
-        given, engine = self.given, self.engine
+    def run(self, on_progress: Callable[[float], None] | None = None) -> None:
+        """Runs the whole scenario.
+
+        Args:
+            on_progress: Is called each second of virtual time with the fraction that is done.
+        """
+        scenario, engine = self.scenario, self.engine
         for sidecar in self.sidecars:
             sidecar.start()
-        for each in plan(given, self.seed):
-            engine.call_at(each.at, self._do, each)
-        for place, rate in enumerate(rates(given, self.seed, self.capacity)):
-            self._plan_next(arrivals(given, self.seed, place, rate))
-        longest = max(each.deadline_ms for each in given.classes) / 1e3
-        end = int((given.seconds + longest + given.rules.slack_ms / 1e3 + 1.0) * 1e6)
+        for event in plan_fault_events(scenario, self.seed):
+            engine.call_at(event.at, self._apply_fault, event)
+        for index, rate_per_s in enumerate(arrival_rates_per_s(scenario, self.seed, self.capacity)):
+            self._schedule_next_arrival(generate_arrivals(scenario, self.seed, index, rate_per_s))
+        max_deadline_s = max(each.deadline_ms for each in scenario.classes) / 1e3
+        end = int((scenario.seconds + max_deadline_s + scenario.rules.slack_ms / 1e3 + 1.0) * 1e6)
         for second in range(1, int(end / 1e6) + 1):
             engine.run(min(second * 1_000_000, end))
-            self._sample()
-            if progress is not None:
-                progress(min(second / given.seconds, 1.0))
+            self._sample_servers()
+            if on_progress is not None:
+                on_progress(min(second / scenario.seconds, 1.0))
         engine.run(end)
         for server in self.servers:
-            choked = engine.now - server.choked_at if server.choked_at is not None else 0
-            self.recorder.counters.overloaded_us += server.choked_us + choked
-        self.history.close(engine.now)
+            present_overload_us = (
+                engine.now - server.overloaded_since if server.overloaded_since is not None else 0
+            )
+            self.recorder.counters.overloaded_us += server.overloaded_us + present_overload_us
+        self.history.finish(engine.now)
 
-    def delay(self, a: str, b: str) -> int:
-        """Microseconds one way."""
-        base = self.network.same_ms if a == b else self.network.cross_ms
-        return int(base * 1e3 * (1.0 + self.network.jitter * self._net.expovariate(1.0)))
+    def draw_delay_us(self, from_zone: str, to_zone: str) -> int:
+        """Draws the delay of one message between two zones."""
+        base_ms = self.network.same_ms if from_zone == to_zone else self.network.cross_ms
+        return int(base_ms * 1e3 * (1.0 + self.network.jitter * self._network_rng.expovariate(1.0)))
 
-    def is_cut(self, a: str, b: str) -> bool:
-        return a != b and (a in self.cut_zones or b in self.cut_zones)
+    def is_partitioned(self, zone: str, other_zone: str) -> bool:
+        return zone != other_zone and (zone in self.partitioned_zones or other_zone in self.partitioned_zones)
 
-    def noisy(self, work_us: float) -> float:
-        """The work of one attempt: attempts of a request differ a little."""
-        return work_us * (0.9 + 0.2 * self._noise.random())
+    def draw_attempt_work(self, work_us: float) -> float:
+        """Draws the work of one attempt, which differs a little between attempts of the same request."""
+        return work_us * (0.9 + 0.2 * self._noise_rng.random())
 
-    def chance(self) -> float:
-        return self._noise.random()
+    def draw_uniform(self) -> float:
+        return self._noise_rng.random()
 
     # Servers
 
-    def begun(self, server: OrderServer, jobs: list[Job]) -> None:
+    def schedule_completions(self, server: OrderServer, jobs: list[Job]) -> None:
+        """Schedules the end of jobs that have started."""
         for job in jobs:
-            self.engine.call_at(job.until, self._finish, server, job)
+            self.engine.call_at(job.finishes_at, self._finish_job, server, job)
 
-    def _finish(self, server: OrderServer, job: Job) -> None:
-        ran = job.stage is Stage.RUNNING
-        self.begun(server, server.finished(self.engine.now, job))
-        if ran:
-            attempt = self.jobs_out.pop(job)
-            spoilt = server.spoils > 0.0 and self.chance() < server.spoils
-            attempt.comes_back(Outcome.MALFORMED_RESPONSE if spoilt else Outcome.DELIVERED)
+    def _finish_job(self, server: OrderServer, job: Job) -> None:
+        was_running = job.state is JobState.RUNNING
+        self.schedule_completions(server, server.finish_job(self.engine.now, job))
+        if was_running:
+            attempt = self.accepted_jobs.pop(job)
+            is_malformed = server.malformed_fraction > 0.0 and self.draw_uniform() < server.malformed_fraction
+            attempt.return_outcome(Outcome.MALFORMED_RESPONSE if is_malformed else Outcome.DELIVERED)
 
-    def _crash(self, server: OrderServer) -> None:
+    def _crash_server(self, server: OrderServer) -> None:
         for job in server.crash(self.engine.now):
-            attempt = self.jobs_out.pop(job, None)
+            attempt = self.accepted_jobs.pop(job, None)
             if attempt is not None:
-                attempt.comes_back(Outcome.CONNECTION_LOST)
+                attempt.return_outcome(Outcome.CONNECTION_LOST)
         for sidecar in self.sidecars:
-            sidecar.connections.pop(server.name, None)
+            sidecar.idle_connections.pop(server.name, None)
 
-    def _hear_falls(self, server: OrderServer) -> None:
-        judged = server.fell
+    def _observe_warm_up_failure(self, server: OrderServer) -> None:
+        """Crashes the server when it is overloaded while warming up; first calls the previous observer."""
+        previous_observer = server.on_warm_up_failed
 
-        def fell(server: OrderServer, started_at: int, by_sidecar: dict[int, float]) -> None:
-            if judged is not None:
-                judged(server, started_at, by_sidecar)
-            self._note(f"{server.name} was pushed over")
-            self.engine.call_later(0, self._gone, server)
+        def on_warm_up_failed(
+            server: OrderServer, started_at: int, work_by_sidecar: dict[int, float]
+        ) -> None:
+            if previous_observer is not None:
+                previous_observer(server, started_at, work_by_sidecar)
+            self._add_to_timeline(f"{server.name} was overloaded while warming up")
+            self.engine.call_later(0, self._crash_and_remove, server)
 
-        server.fell = fell
+        server.on_warm_up_failed = on_warm_up_failed
 
-    def _gone(self, server: OrderServer) -> None:
-        self._crash(server)
-        self._notice(server, self.given.discovery.crash_notice_s, ListedState.REMOVED)
+    def _crash_and_remove(self, server: OrderServer) -> None:
+        self._crash_server(server)
+        self._publish_later(server, self.scenario.discovery.crash_notice_s, ListedState.REMOVED)
 
-    def _notice(self, server: OrderServer, wait_s: float, state: ListedState) -> None:
+    def _publish_later(self, server: OrderServer, delay_s: float, state: ListedState) -> None:
         started_at = server.started_at if state is ListedState.ACTIVE else None
-        self._notices.notice(
-            server.name, wait_s, lambda: self.discovery.publish(server.name, state, started_at)
+        self._publisher.publish_later(
+            server.name, delay_s, lambda: self.discovery.publish(server.name, state, started_at)
         )
 
-    def _note(self, text: str) -> None:
+    def _add_to_timeline(self, text: str) -> None:
         self.recorder.series.timeline.append((round(self.engine.now / 1e6, 3), text))
 
     # Faults
 
-    def _do(self, incident: Incident) -> None:
-        now, discovery = self.engine.now, self.given.discovery
-        server = self.servers[incident.target] if incident.target < len(self.servers) else self.servers[0]
-        match incident.deed:
-            case Deed.CRASH:
+    def _apply_fault(self, event: FaultEvent) -> None:
+        now, discovery = self.engine.now, self.scenario.discovery
+        server = self.servers[event.target] if event.target < len(self.servers) else self.servers[0]
+        match event.action:
+            case FaultAction.CRASH:
                 if server.is_up:
-                    self._gone(server)
-            case Deed.START:
+                    self._crash_and_remove(server)
+            case FaultAction.START:
                 server.start(now)
-                self._notice(server, discovery.add_notice_s, ListedState.ACTIVE)
-            case Deed.DRAIN:
-                self._notice(server, discovery.drain_notice_s, ListedState.DRAINING)
-                # It turns new work away only once word of it had time to travel.
+                self._publish_later(server, discovery.add_notice_s, ListedState.ACTIVE)
+            case FaultAction.DRAIN:
+                self._publish_later(server, discovery.drain_notice_s, ListedState.DRAINING)
+                # The server rejects new requests only when the sidecars have had time to learn of the drain.
                 self.engine.call_later(
-                    int(discovery.drain_notice_s * 1e6) + 500_000, self._refuse_new, server
+                    int(discovery.drain_notice_s * 1e6) + 500_000, self._reject_new_requests, server
                 )
-            case Deed.DIRECTORY_DOWN:
-                self.discovery.fall()
-            case Deed.DIRECTORY_UP:
+            case FaultAction.DISCOVERY_DOWN:
+                self.discovery.stop()
+            case FaultAction.DISCOVERY_UP:
                 self.discovery.is_up = True
-            case Deed.CUT:
-                self.cut_zones.add(incident.zone)
-            case Deed.JOIN:
-                self.cut_zones.discard(incident.zone)
-            case Deed.RESTART:
-                self.sidecars[incident.target].kill()
+            case FaultAction.PARTITION_ZONE:
+                self.partitioned_zones.add(event.zone)
+            case FaultAction.HEAL_PARTITION:
+                self.partitioned_zones.discard(event.zone)
+            case FaultAction.RESTART_SIDECAR:
+                self.sidecars[event.target].restart()
             case _:
-                self.begun(server, strike(server, incident, now))
-        what = incident.zone or (
-            f"sidecar {incident.target}" if incident.deed is Deed.RESTART else server.name
+                self.schedule_completions(server, apply_to_server(server, event, now))
+        target = event.zone or (
+            f"sidecar {event.target}" if event.action is FaultAction.RESTART_SIDECAR else server.name
         )
-        if incident.deed in (Deed.DIRECTORY_DOWN, Deed.DIRECTORY_UP):
-            what = ""
-        self._note(f"{incident.deed.value} {what}".strip())
+        if event.action in (FaultAction.DISCOVERY_DOWN, FaultAction.DISCOVERY_UP):
+            target = ""
+        self._add_to_timeline(f"{event.action.value} {target}".strip())
 
-    def _refuse_new(self, server: OrderServer) -> None:
+    def _reject_new_requests(self, server: OrderServer) -> None:
         if server.is_up and self.discovery.directory.entry(server.name).state is not ListedState.ACTIVE:
-            server.is_leaving = True
+            server.is_draining = True
 
-    def _sample(self) -> None:
-        """One row for each server and second."""
+    def _sample_servers(self) -> None:
+        """Adds one row for each server to the time series."""
         for server in self.servers:
-            before = self._done_before[server.name]
+            last_completed = self._last_completed[server.name]
             self.recorder.series.servers.setdefault(server.name, []).append(
-                (server.done - before, server.most_waiting)
+                (server.completed - last_completed, server.max_waiting)
             )
-            self._done_before[server.name] = server.done
-            server.most_waiting = server.waiting
+            self._last_completed[server.name] = server.completed
+            server.max_waiting = server.waiting
 
     # Clients
 
-    def _plan_next(self, asks: Any) -> None:
-        ask = next(asks, None)
-        if ask is not None:
-            self.engine.call_at(ask.at, self._arrive, ask, asks)
+    def _schedule_next_arrival(self, arrivals: Any) -> None:
+        client_request = next(arrivals, None)
+        if client_request is not None:
+            self.engine.call_at(client_request.intended_at, self._arrive, client_request, arrivals)
 
-    def _arrive(self, ask: Ask, asks: Any) -> None:
-        self._plan_next(asks)
-        self._try(ask, self.recorder.first_try_sent(ask))
+    def _arrive(self, client_request: ClientRequest, arrivals: Any) -> None:
+        self._schedule_next_arrival(arrivals)
+        self._send_try(client_request, self.recorder.first_try_sent(client_request))
 
-    def _try(self, ask: Ask, worth: float) -> None:
-        """The client sends a try."""
+    def _send_try(self, client_request: ClientRequest, priority_weight: float) -> None:
         engine = self.engine
-        wait = try_wait_us(ask, engine.now, self.given.clients)
-        self._next_request += 1
-        ask.tries += 1
-        one = _ClientTry(self, ask, worth, self._next_request, engine.now + wait)
-        engine.call_later(int(self.network.client_ms * 1e3), self.sidecars[ask.sidecar].arrived, one)
-        engine.call_at(one.until + int(self.given.rules.slack_ms * 1e3), one.give_up)
-        if ask.leaves_after_us and ask.tries == 1:
-            engine.call_later(ask.leaves_after_us, one.leave)
-
-    def over(self, one: _ClientTry, how: Ending, retry_after_us: int) -> None:
-        """A try has its answer, or will have none."""
+        timeout_us = try_timeout_us(client_request, engine.now, self.scenario.clients)
+        self._last_request += 1
+        client_request.try_count += 1
+        client_try = _ClientTry(
+            self, client_request, priority_weight, self._last_request, engine.now + timeout_us
+        )
+        engine.call_later(
+            int(self.network.client_ms * 1e3),
+            self.sidecars[client_request.sidecar].request_received,
+            client_try,
+        )
+        engine.call_at(client_try.deadline + int(self.scenario.rules.slack_ms * 1e3), client_try.time_out)
+        if client_request.disconnects_after_us and client_request.try_count == 1:
+            engine.call_later(client_request.disconnects_after_us, client_try.disconnect)
+
+    def try_ended(self, client_try: _ClientTry, outcome: RequestOutcome, retry_after_us: int) -> None:
+        """Schedules a retry, or records the end of the request."""
         now = self.engine.now
-        again = comes_again(one.ask, how, retry_after_us, now, self.given.clients, self._clients.random)
-        if again is None:
-            self.recorder.request_ended(one.ask, one.worth, how, now)
+        retry_at = next_retry_at(
+            client_try.client_request,
+            outcome,
+            retry_after_us,
+            now,
+            self.scenario.clients,
+            self._client_rng.random,
+        )
+        if retry_at is None:
+            self.recorder.request_ended(client_try.client_request, client_try.priority_weight, outcome, now)
         else:
-            self.engine.call_at(again, self._try, one.ask, one.worth)
+            self.engine.call_at(
+                retry_at, self._send_try, client_try.client_request, client_try.priority_weight
+            )
 
 
 class _ClientTry:
-    """One try of a client, from its send to its end."""
-
-    __slots__ = ("ask", "is_over", "request", "until", "world", "worth")
-
-    def __init__(self, world: World, ask: Ask, worth: float, request: int, until: int) -> None:
-        self.world, self.ask, self.worth, self.request, self.until = world, ask, worth, request, until
-        self.is_over = False
-
-    def answer(self, how: Ending, retry_after_us: int) -> None:
-        """The sidecar's answer reached the client."""
-        world = self.world
-        world.history.response_received(self.request, world.engine.now, is_rejection=how is Ending.REFUSED)
-        if not self.is_over:
-            self.is_over = True
-            late = how is Ending.SERVED and world.engine.now > self.until
-            world.over(self, Ending.FAILED if late else how, retry_after_us)
-
-    def broken(self) -> None:
-        """The sidecar was not there, or died."""
-        if not self.is_over:
-            self.is_over = True
-            self.world.over(self, Ending.REFUSED, 0)
-
-    def give_up(self) -> None:
-        if not self.is_over:
-            self.is_over = True
-            self.world.sidecars[self.ask.sidecar].client_gone(self.request)
-            self.world.over(self, Ending.FAILED, 0)
-
-    def leave(self) -> None:
-        if not self.is_over:
-            self.is_over = True
-            self.world.history.client_disconnected(self.request)
-            self.world.sidecars[self.ask.sidecar].client_gone(self.request)
-            self.world.over(self, Ending.GONE, 0)
-
-
-class _Held:
-    """A request at its sidecar."""
-
-    __slots__ = ("attempts", "client", "is_answered", "out")
-
-    def __init__(self, client: _ClientTry) -> None:
-        self.client = client
+    """One try of a client, from its start to its end."""
+
+    __slots__ = ("client_request", "deadline", "has_ended", "priority_weight", "request", "simulation")
+
+    def __init__(
+        self,
+        simulation: Simulation,
+        client_request: ClientRequest,
+        priority_weight: float,
+        request: int,
+        deadline: int,
+    ) -> None:
+        self.simulation, self.client_request, self.priority_weight, self.request, self.deadline = (
+            simulation,
+            client_request,
+            priority_weight,
+            request,
+            deadline,
+        )
+        self.has_ended = False
+
+    def response_received(self, outcome: RequestOutcome, retry_after_us: int) -> None:
+        """Processes the sidecar's final response."""
+        simulation = self.simulation
+        simulation.history.response_received(
+            self.request, simulation.engine.now, is_rejection=outcome is RequestOutcome.REJECTED
+        )
+        if not self.has_ended:
+            self.has_ended = True
+            is_late = outcome is RequestOutcome.SERVED and simulation.engine.now > self.deadline
+            simulation.try_ended(self, RequestOutcome.FAILED if is_late else outcome, retry_after_us)
+
+    def connection_failed(self) -> None:
+        """Ends the try because the sidecar was not running, or was killed."""
+        if not self.has_ended:
+            self.has_ended = True
+            self.simulation.try_ended(self, RequestOutcome.REJECTED, 0)
+
+    def time_out(self) -> None:
+        if not self.has_ended:
+            self.has_ended = True
+            self.simulation.sidecars[self.client_request.sidecar].client_disconnected(self.request)
+            self.simulation.try_ended(self, RequestOutcome.FAILED, 0)
+
+    def disconnect(self) -> None:
+        if not self.has_ended:
+            self.has_ended = True
+            self.simulation.history.client_disconnected(self.request)
+            self.simulation.sidecars[self.client_request.sidecar].client_disconnected(self.request)
+            self.simulation.try_ended(self, RequestOutcome.DISCONNECTED, 0)
+
+
+class _OpenRequest:
+    """A request at its sidecar, until it is responded to and none of its attempts is in flight."""
+
+    __slots__ = ("attempts", "client_try", "in_flight", "is_responded")
+
+    def __init__(self, client_try: _ClientTry) -> None:
+        self.client_try = client_try
         self.attempts: list[_Attempt] = []
-        self.out = 0
-        self.is_answered = False
+        self.in_flight = 0
+        self.is_responded = False
 
 
 class _Attempt:
-    """One attempt on its way."""
+    """One attempt of a sidecar."""
 
     __slots__ = (
-        "had_connection",
-        "held",
-        "is_over",
+        "has_ended",
+        "is_connection_reused",
         "is_written",
         "job",
         "number",
-        "sent_at",
+        "open_request",
         "server",
         "sidecar",
+        "started_at",
     )
 
-    def __init__(self, sidecar: VirtualSidecar, held: _Held, number: int, server: OrderServer) -> None:
-        self.sidecar, self.held, self.number, self.server = sidecar, held, number, server
-        self.sent_at = sidecar.engine.now
+    def __init__(
+        self, sidecar: VirtualSidecar, open_request: _OpenRequest, number: int, server: OrderServer
+    ) -> None:
+        self.sidecar, self.open_request, self.number, self.server = sidecar, open_request, number, server
+        self.started_at = sidecar.engine.now
         self.job: Job | None = None
         self.is_written = False
-        self.is_over = False
-        self.had_connection = False
+        self.has_ended = False
+        self.is_connection_reused = False
 
-    def comes_back(self, outcome: Outcome, after_us: int = 0) -> None:
-        """The server's word travels back."""
+    def return_outcome(self, outcome: Outcome, response_delay_us: int = 0) -> None:
+        """Sends the outcome from the server back to the sidecar."""
         sidecar = self.sidecar
         sidecar.engine.call_later(
-            after_us + sidecar.world.delay(self.server.zone, sidecar.zone), sidecar.heard, self, outcome
+            response_delay_us + sidecar.simulation.draw_delay_us(self.server.zone, sidecar.zone),
+            sidecar.outcome_received,
+            self,
+            outcome,
         )
 
 
 class VirtualSidecar:
-    """One instance of the decisions, and its connections."""
+    """One sidecar: its policy, its open requests and its connections."""
 
-    def __init__(self, world: World, place: int, settings: Settings) -> None:
-        self.world, self.place, self.settings = world, place, settings
-        self.engine, self.zone = world.engine, settings.zone
-        self.connections: dict[str, list[int]] = {}  # by server: since when each idle one is
-        self.version = 0
+    def __init__(self, simulation: Simulation, index: int, settings: Settings) -> None:
+        self.simulation, self.index, self.settings = simulation, index, settings
+        self.engine, self.zone = simulation.engine, settings.zone
+        self.idle_connections: dict[str, list[int]] = {}  # by server: when each became idle
+        self.list_version = 0
         self.is_up = False
-        self._listed: dict[str, EndpointState] = {}
-        self._held: dict[int, _Held] = {}
+        self._endpoint_states: dict[str, EndpointState] = {}
+        self._open_requests: dict[int, _OpenRequest] = {}
         self._events: deque[Event] = deque()
         self._is_handling = False
-        self._life = 0
-        self._idle_us = int(world.network.idle_s * 0.9e6)
+        self._incarnation = 0  # counts the restarts; callbacks of an earlier incarnation are ignored
+        # The sidecar stops reusing an idle connection before the server closes it.
+        self._max_idle_us = int(simulation.network.idle_s * 0.9e6)
         self._policy: Policy
 
     def start(self) -> None:
-        """Begin with the list as it was last held."""
-        world = self.world
+        """Starts with the complete endpoint list, or after a restart with the one that was last received."""
+        simulation = self.simulation
         self.is_up = True
-        self._policy = world.make(
-            self.settings, stream(world.seed, "sidecar", self.place, self._life).getrandbits(48), world
+        self._policy = simulation.make_policy(
+            self.settings,
+            random_stream(simulation.seed, "sidecar", self.index, self._incarnation).getrandbits(48),
+            simulation,
         )
-        known = world.discovery.directory.current() if self._life == 0 else self._remembered()
-        world.history.sidecar_listening(self.place)
-        world.history.endpoints_polled(self.place, self.engine.now)
-        self.version = world.discovery.directory.version if self._life == 0 else self.version
-        self._listed = {each.name: _STATES[each.state] for each in known}
+        entries = (
+            simulation.discovery.directory.current() if self._incarnation == 0 else self._cached_entries()
+        )
+        simulation.history.sidecar_listening(self.index)
+        simulation.history.endpoints_polled(self.index, self.engine.now)
+        self.list_version = (
+            simulation.discovery.directory.version if self._incarnation == 0 else self.list_version
+        )
+        self._endpoint_states = {each.name: _ENDPOINT_STATES[each.state] for each in entries}
         self._post(
-            EndpointsUpdated(EndpointUpdateKind.CACHED, [_listed(each) for each in known], self.version)
+            EndpointsUpdated(
+                EndpointUpdateKind.CACHED,
+                [_endpoint_description(each) for each in entries],
+                self.list_version,
+            )
         )
 
-    def _remembered(self) -> list[DirectoryEntry]:
-        lines = (self.world.discovery.directory.entry(name) for name in self._listed)
-        return [each for each in lines if each.state is not ListedState.REMOVED]
+    def _cached_entries(self) -> list[DirectoryEntry]:
+        entries = (self.simulation.discovery.directory.entry(name) for name in self._endpoint_states)
+        return [each for each in entries if each.state is not ListedState.REMOVED]
 
-    def kill(self) -> None:
-        """End at once and start anew after a while; what it held is lost."""
+    def restart(self) -> None:
+        """Kills the sidecar, which loses its open requests, and schedules its next start."""
         self.is_up = False
-        self._life += 1
-        self.world.history.sidecar_killed(self.place)
-        self.world.discovery.forget(self)
-        held, self._held = self._held, {}
-        for each in held.values():
+        self._incarnation += 1
+        self.simulation.history.sidecar_killed(self.index)
+        self.simulation.discovery.end_watch(self)
+        open_requests, self._open_requests = self._open_requests, {}
+        for each in open_requests.values():
             for attempt in each.attempts:
-                if not attempt.is_over:
-                    attempt.is_over = True
-                    self._close_at_server(attempt)
-            each.client.broken()
-        self.connections.clear()
+                if not attempt.has_ended:
+                    attempt.has_ended = True
+                    self._close_connection(attempt)
+            each.client_try.connection_failed()
+        self.idle_connections.clear()
         self._events.clear()
-        self.engine.call_later(_BACK_AFTER_US, self.start)
+        self.engine.call_later(_SIDECAR_RESTART_US, self.start)
 
     # Clients
 
-    def arrived(self, client: _ClientTry) -> None:
+    def request_received(self, client_try: _ClientTry) -> None:
         if not self.is_up:
-            client.broken()
+            client_try.connection_failed()
             return
-        if client.is_over:
+        if client_try.has_ended:
             return
-        now, ask = self.engine.now, client.ask
-        self.world.history.request_received(
-            client.request, self.place, ask.kind, now=now, timeout_us=client.until - now
+        now, client_request = self.engine.now, client_try.client_request
+        self.simulation.history.request_received(
+            client_try.request,
+            self.index,
+            client_request.service_class,
+            now=now,
+            timeout_us=client_try.deadline - now,
         )
-        self._held[client.request] = _Held(client)
-        left = max(client.until - now, 1)
-        hint = int(ask.work_us) if self.world.given.load.hints else None
-        self._post(RequestArrived(client.request, ask.kind.name, ask.tenant, ask.key, left, hint))
-
-    def client_gone(self, request: int) -> None:
-        held = self._held.get(request)
-        if held is not None and not held.is_answered:
-            held.is_answered = True
+        self._open_requests[client_try.request] = _OpenRequest(client_try)
+        remaining_us = max(client_try.deadline - now, 1)
+        work_hint_us = int(client_request.work_us) if self.simulation.scenario.load.hints else None
+        self._post(
+            RequestArrived(
+                client_try.request,
+                client_request.service_class.name,
+                client_request.tenant,
+                client_request.key,
+                remaining_us,
+                work_hint_us,
+            )
+        )
+
+    def client_disconnected(self, request: int) -> None:
+        open_request = self._open_requests.get(request)
+        if open_request is not None and not open_request.is_responded:
+            open_request.is_responded = True
             self._post(ClientDisconnected(request))
-            self._forget_if_over(request, held)
+            self._remove_if_finished(request, open_request)
 
-    def _answer(self, request: int, how: Ending, retry_after_us: int = 0) -> None:
-        held = self._held.get(request)
-        if held is None:
+    def _respond(self, request: int, outcome: RequestOutcome, retry_after_us: int = 0) -> None:
+        open_request = self._open_requests.get(request)
+        if open_request is None:
             return
-        held.is_answered = True
+        open_request.is_responded = True
         self.engine.call_later(
-            int(self.world.network.client_ms * 1e3), held.client.answer, how, retry_after_us
+            int(self.simulation.network.client_ms * 1e3),
+            open_request.client_try.response_received,
+            outcome,
+            retry_after_us,
         )
-        self._forget_if_over(request, held)
+        self._remove_if_finished(request, open_request)
 
-    def _forget_if_over(self, request: int, held: _Held) -> None:
-        if held.is_answered and held.out == 0:
-            self._held.pop(request, None)
+    def _remove_if_finished(self, request: int, open_request: _OpenRequest) -> None:
+        if open_request.is_responded and open_request.in_flight == 0:
+            self._open_requests.pop(request, None)
 
     # Events and actions
 
     def _post(self, event: Event) -> None:
+        """Passes an event to the policy, after the events that are being handled."""
         self._events.append(event)
         if self._is_handling:
             return
@@ -446,300 +528,361 @@
         while self._events:
             event = self._events.popleft()
             if isinstance(event, AttemptEnded):
-                held = self._held.get(event.request)
-                event.is_responded = held is None or held.is_answered
+                open_request = self._open_requests.get(event.request)
+                event.is_responded = open_request is None or open_request.is_responded
             for action in self._policy.handle(self.engine.now, event):
-                self._carry_out(action)
-            if isinstance(event, AttemptEnded) and held is not None:
-                self._forget_if_over(event.request, held)
+                self._execute(action)
+            if isinstance(event, AttemptEnded) and open_request is not None:
+                self._remove_if_finished(event.request, open_request)
         self._is_handling = False
 
-    def _carry_out(self, action: Action) -> None:
+    def _execute(self, action: Action) -> None:
         match action:
             case StartAttempt():
-                self._send(action)
+                self._start_attempt(action)
             case SetTimer():
-                self.engine.call_later(action.delay_us, self._fire, action.token, self._life)
+                self.engine.call_later(action.delay_us, self._fire_timer, action.token, self._incarnation)
             case RejectRequest():
-                self._answer(action.request, Ending.REFUSED, action.retry_after_us)
+                self._respond(action.request, RequestOutcome.REJECTED, action.retry_after_us)
             case FailRequest():
-                self._answer(action.request, Ending.FAILED)
+                self._respond(action.request, RequestOutcome.FAILED)
             case CancelAttempt():
-                self._cancel(action)
+                self._cancel_attempt(action)
             case CloseIdleConnections():
-                self.connections.pop(action.endpoint, None)
+                self.idle_connections.pop(action.endpoint, None)
             case Subscribe():
-                self.world.discovery.follow(self, action.is_subscribed)
+                self.simulation.discovery.subscribe(self, action.is_subscribed)
             case FetchEndpoints():
-                self.world.discovery.fetch(self)
+                self.simulation.discovery.fetch(self)
             case StartHealthCheck():
-                self._probe(action.endpoint)
+                self._start_health_check(action.endpoint)
             case LogEvent():
                 pass
 
-    def _fire(self, token: str, life: int) -> None:
-        if life == self._life:
+    def _fire_timer(self, token: str, incarnation: int) -> None:
+        if incarnation == self._incarnation:
             self._post(TimerFired(token))
 
-    def listed(
-        self, kind: EndpointUpdateKind, lines: Sequence[DirectoryEntry], version: int, life: int
+    def endpoints_received(
+        self, kind: EndpointUpdateKind, entries: Sequence[DirectoryEntry], version: int, incarnation: int
     ) -> None:
-        """Discovery's word arrives."""
-        if life != self._life or not self.is_up:
+        """Processes a response of discovery."""
+        if incarnation != self._incarnation or not self.is_up:
             return
         if kind is EndpointUpdateKind.COMPLETE:
-            self._listed.clear()
-        for each in lines:
-            self._listed[each.name] = _STATES[each.state]
+            self._endpoint_states.clear()
+        for each in entries:
+            self._endpoint_states[each.name] = _ENDPOINT_STATES[each.state]
         if kind is not EndpointUpdateKind.FAILED:
-            self.version = version
-        self._post(EndpointsUpdated(kind, [_listed(each) for each in lines], version))
+            self.list_version = version
+        self._post(EndpointsUpdated(kind, [_endpoint_description(each) for each in entries], version))
 
     @property
-    def life(self) -> int:
-        return self._life
+    def incarnation(self) -> int:
+        return self._incarnation
 
     # Attempts
 
-    def _send(self, action: StartAttempt) -> None:
-        held = self._held.get(action.request)
-        now, world = self.engine.now, self.world
-        if held is None:
+    def _start_attempt(self, action: StartAttempt) -> None:
+        open_request = self._open_requests.get(action.request)
+        now, simulation = self.engine.now, self.simulation
+        if open_request is None:
             return
-        attempt = _Attempt(self, held, len(held.attempts), world.by_name[action.endpoint])
-        held.attempts.append(attempt)
-        held.out += 1
-        until = min(action.deadline, held.client.until) if action.deadline < NEVER else held.client.until
+        attempt = _Attempt(
+            self, open_request, len(open_request.attempts), simulation.servers_by_name[action.endpoint]
+        )
+        open_request.attempts.append(attempt)
+        open_request.in_flight += 1
+        deadline = (
+            min(action.deadline, open_request.client_try.deadline)
+            if action.deadline < NEVER
+            else open_request.client_try.deadline
+        )
         if (
-            self._listed.get(action.endpoint) is not EndpointState.READY
-            or until <= now
+            self._endpoint_states.get(action.endpoint) is not EndpointState.READY
+            or deadline <= now
             or attempt.number >= self.settings.limits.max_attempts
         ):
-            self.engine.call_later(0, self._end, attempt, Outcome.NOT_SENT)
+            self.engine.call_later(0, self._end_attempt, attempt, Outcome.NOT_SENT)
             return
-        self.engine.call_at(until, self._expire, attempt)
-        idle = self.connections.get(action.endpoint)
-        while idle:
-            if now - idle.pop() < self._idle_us:
-                attempt.had_connection = True
+        self.engine.call_at(deadline, self._time_out_attempt, attempt)
+        idle_since = self.idle_connections.get(action.endpoint)
+        while idle_since:
+            if now - idle_since.pop() < self._max_idle_us:
+                attempt.is_connection_reused = True
                 self._write(attempt)
                 return
-        self._dial(attempt)
+        self._connect(attempt)
 
-    def _dial(self, attempt: _Attempt) -> None:
-        world, server = self.world, attempt.server
-        world.recorder.counters.handshakes += 1
-        there_and_back = world.delay(self.zone, server.zone) + world.delay(server.zone, self.zone)
-        if world.is_cut(self.zone, server.zone):
+    def _connect(self, attempt: _Attempt) -> None:
+        simulation, server = self.simulation, attempt.server
+        simulation.recorder.counters.handshakes += 1
+        round_trip_us = simulation.draw_delay_us(self.zone, server.zone) + simulation.draw_delay_us(
+            server.zone, self.zone
+        )
+        if simulation.is_partitioned(self.zone, server.zone):
             self.engine.call_later(
-                self.settings.limits.connect_timeout_us, self._end, attempt, Outcome.CONNECT_FAILED
+                self.settings.limits.connect_timeout_us, self._end_attempt, attempt, Outcome.CONNECT_FAILED
             )
-        elif not server.is_up or server.has_fallen:
-            self.engine.call_later(there_and_back, self._end, attempt, Outcome.CONNECT_FAILED)
+        elif not server.is_up or server.has_failed_warm_up:
+            self.engine.call_later(round_trip_us, self._end_attempt, attempt, Outcome.CONNECT_FAILED)
         else:
-            trips = 1 + world.network.handshake_rtts
-            self.engine.call_later(trips * there_and_back, self._connected, attempt)
+            round_trips = 1 + simulation.network.handshake_rtts
+            self.engine.call_later(round_trips * round_trip_us, self._connected, attempt)
 
     def _connected(self, attempt: _Attempt) -> None:
-        if attempt.is_over:
+        if attempt.has_ended:
             return
-        if self._listed.get(attempt.server.name) is not EndpointState.READY:
-            self._end(attempt, Outcome.NOT_SENT)  # word of its drain came while the dial was under way
-        elif not attempt.server.is_up or attempt.server.has_fallen:
-            self._end(attempt, Outcome.CONNECT_FAILED)
+        if self._endpoint_states.get(attempt.server.name) is not EndpointState.READY:
+            # The drain of the server was announced while the connection was being established.
+            self._end_attempt(attempt, Outcome.NOT_SENT)
+        elif not attempt.server.is_up or attempt.server.has_failed_warm_up:
+            self._end_attempt(attempt, Outcome.CONNECT_FAILED)
         else:
             self._write(attempt)
 
     def _write(self, attempt: _Attempt) -> None:
-        world = self.world
+        simulation = self.simulation
         attempt.is_written = True
-        world.recorder.counters.attempts += 1
+        simulation.recorder.counters.attempts += 1
         if attempt.server.zone != self.zone:
-            world.recorder.counters.cross_zone_attempts += 1
-        world.history.attempt_sent(self.place, attempt.server.name, self.engine.now)
-        self.engine.call_later(world.delay(self.zone, attempt.server.zone), self._reach, attempt)
-
-    def _reach(self, attempt: _Attempt) -> None:
-        """The last byte is at the server."""
-        world, server, now = self.world, attempt.server, self.engine.now
-        if attempt.is_over or world.is_cut(self.zone, server.zone):
+            simulation.recorder.counters.cross_zone_attempts += 1
+        simulation.history.attempt_sent(self.index, attempt.server.name, self.engine.now)
+        self.engine.call_later(
+            simulation.draw_delay_us(self.zone, attempt.server.zone), self._deliver, attempt
+        )
+
+    def _deliver(self, attempt: _Attempt) -> None:
+        """Passes the attempt to the server, which has received its last byte."""
+        simulation, server, now = self.simulation, attempt.server, self.engine.now
+        if attempt.has_ended or simulation.is_partitioned(self.zone, server.zone):
             return
-        ask = attempt.held.client.ask
-        work = world.noisy(ask.work_us)
-        if not attempt.had_connection:
-            work += world.network.handshake_work_ms * 1e3
-        known_us = ask.work_us if world.given.load.hints else ask.kind.work_ms * 1e3
-        job = Job(attempt.held.client.request, self.place, work, known_us, ask.key)
+        client_request = attempt.open_request.client_try.client_request
+        work_us = simulation.draw_attempt_work(client_request.work_us)
+        if not attempt.is_connection_reused:
+            work_us += simulation.network.handshake_work_ms * 1e3
+        expected_work_us = (
+            client_request.work_us
+            if simulation.scenario.load.hints
+            else client_request.service_class.work_ms * 1e3
+        )
+        job = Job(
+            attempt.open_request.client_try.request,
+            self.index,
+            work_us,
+            expected_work_us,
+            client_request.key,
+        )
         attempt.job = job
-        verdict, begun = server.offer(now, job, world.chance())
-        if verdict is Verdict.FULL:
-            attempt.comes_back(Outcome.OVERLOADED)
-        elif verdict is Verdict.FAILED:
-            attempt.comes_back(Outcome.SERVER_ERROR, _ERROR_US)
-        elif not server.is_up or server.has_fallen:
-            attempt.comes_back(Outcome.CONNECTION_LOST)
+        result, started = server.receive_job(now, job, simulation.draw_uniform())
+        if result is AdmissionResult.REJECTED:
+            attempt.return_outcome(Outcome.OVERLOADED)
+        elif result is AdmissionResult.FAILED:
+            attempt.return_outcome(Outcome.SERVER_ERROR, _ERROR_RESPONSE_US)
+        elif not server.is_up or server.has_failed_warm_up:
+            attempt.return_outcome(Outcome.CONNECTION_LOST)
         else:
-            world.jobs_out[job] = attempt
-        world.begun(server, begun)
+            simulation.accepted_jobs[job] = attempt
+        simulation.schedule_completions(server, started)
 
-    def heard(self, attempt: _Attempt, outcome: Outcome) -> None:
-        """The server's word is here."""
-        if attempt.is_over or self.world.is_cut(self.zone, attempt.server.zone):
+    def outcome_received(self, attempt: _Attempt, outcome: Outcome) -> None:
+        """Processes the server's response, or the loss of the connection."""
+        if attempt.has_ended or self.simulation.is_partitioned(self.zone, attempt.server.zone):
             return
         if outcome not in (Outcome.CONNECTION_LOST, Outcome.MALFORMED_RESPONSE) and attempt.server.is_up:
-            self.connections.setdefault(attempt.server.name, []).append(self.engine.now)
-        self._end(attempt, outcome)
+            self.idle_connections.setdefault(attempt.server.name, []).append(self.engine.now)
+        self._end_attempt(attempt, outcome)
 
-    def _expire(self, attempt: _Attempt) -> None:
-        if not attempt.is_over:
-            self._close_at_server(attempt)
-            self._end(attempt, Outcome.TIMED_OUT if attempt.is_written else Outcome.CONNECT_FAILED)
+    def _time_out_attempt(self, attempt: _Attempt) -> None:
+        if not attempt.has_ended:
+            self._close_connection(attempt)
+            self._end_attempt(attempt, Outcome.TIMED_OUT if attempt.is_written else Outcome.CONNECT_FAILED)
 
-    def _cancel(self, action: CancelAttempt) -> None:
-        held = self._held.get(action.request)
-        if held is None or action.attempt >= len(held.attempts):
+    def _cancel_attempt(self, action: CancelAttempt) -> None:
+        open_request = self._open_requests.get(action.request)
+        if open_request is None or action.attempt >= len(open_request.attempts):
             return
-        attempt = held.attempts[action.attempt]
-        if not attempt.is_over:
-            attempt.is_over = True
-            self._close_at_server(attempt)
-            self.engine.call_later(0, self._told_end, attempt, Outcome.CANCELLED)
-
-    def _close_at_server(self, attempt: _Attempt) -> None:
-        """Our end of the connection closes, and the server notices."""
+        attempt = open_request.attempts[action.attempt]
+        if not attempt.has_ended:
+            attempt.has_ended = True
+            self._close_connection(attempt)
+            self.engine.call_later(0, self._report_attempt_ended, attempt, Outcome.CANCELLED)
+
+    def _close_connection(self, attempt: _Attempt) -> None:
+        """Closes the attempt's connection, which the server notices after the network's delay."""
         if attempt.is_written:
-            wait = self.world.delay(self.zone, attempt.server.zone)
-            self.engine.call_later(wait, self._closed_at_server, attempt)
+            delay_us = self.simulation.draw_delay_us(self.zone, attempt.server.zone)
+            self.engine.call_later(delay_us, self._connection_closed_at_server, attempt)
 
-    def _closed_at_server(self, attempt: _Attempt) -> None:
+    def _connection_closed_at_server(self, attempt: _Attempt) -> None:
         job = attempt.job
-        if job is not None and not self.world.is_cut(self.zone, attempt.server.zone):
-            begun = attempt.server.cancelled(self.engine.now, job)
-            if job.stage is Stage.OVER:
-                self.world.jobs_out.pop(job, None)
-            self.world.begun(attempt.server, begun)
-
-    def _end(self, attempt: _Attempt, outcome: Outcome) -> None:
-        if not attempt.is_over:
-            attempt.is_over = True
-            self._told_end(attempt, outcome)
-
-    def _told_end(self, attempt: _Attempt, outcome: Outcome) -> None:
-        held, request = attempt.held, attempt.held.client.request
-        if request not in self._held:
-            return  # of a life before
-        held.out -= 1
-        if outcome is Outcome.DELIVERED and not held.is_answered:
-            held.is_answered = True
+        if job is not None and not self.simulation.is_partitioned(self.zone, attempt.server.zone):
+            started = attempt.server.cancel_job(self.engine.now, job)
+            if job.state is JobState.ENDED:
+                self.simulation.accepted_jobs.pop(job, None)
+            self.simulation.schedule_completions(attempt.server, started)
+
+    def _end_attempt(self, attempt: _Attempt, outcome: Outcome) -> None:
+        if not attempt.has_ended:
+            attempt.has_ended = True
+            self._report_attempt_ended(attempt, outcome)
+
+    def _report_attempt_ended(self, attempt: _Attempt, outcome: Outcome) -> None:
+        open_request, request = attempt.open_request, attempt.open_request.client_try.request
+        if request not in self._open_requests:
+            return  # an earlier incarnation received the request
+        open_request.in_flight -= 1
+        if outcome is Outcome.DELIVERED and not open_request.is_responded:
+            open_request.is_responded = True
             self.engine.call_later(
-                int(self.world.network.client_ms * 1e3), held.client.answer, Ending.SERVED, 0
+                int(self.simulation.network.client_ms * 1e3),
+                open_request.client_try.response_received,
+                RequestOutcome.SERVED,
+                0,
             )
-        took = self.engine.now - attempt.sent_at
-        self._post(AttemptEnded(request, attempt.number, attempt.server.name, outcome, took, False))
-
-    def _probe(self, name: str) -> None:
-        world, server = self.world, self.world.by_name[name]
-        world.recorder.counters.health_checks += 1
-        there = world.delay(self.zone, server.zone)
-        self.engine.call_later(there, self._probed, server, self.engine.now, self._life)
-
-    def _probed(self, server: OrderServer, sent_at: int, life: int) -> None:
-        back = self.world.delay(server.zone, self.zone)
-        if not server.is_up or server.has_fallen:
+        elapsed_us = self.engine.now - attempt.started_at
+        self._post(AttemptEnded(request, attempt.number, attempt.server.name, outcome, elapsed_us, False))
+
+    # Health checks
+
+    def _start_health_check(self, server_name: str) -> None:
+        simulation, server = self.simulation, self.simulation.servers_by_name[server_name]
+        simulation.recorder.counters.health_checks += 1
+        delay_us = simulation.draw_delay_us(self.zone, server.zone)
+        self.engine.call_later(
+            delay_us, self._health_check_at_server, server, self.engine.now, self._incarnation
+        )
+
+    def _health_check_at_server(self, server: OrderServer, sent_at: int, incarnation: int) -> None:
+        delay_us = self.simulation.draw_delay_us(server.zone, self.zone)
+        if not server.is_up or server.has_failed_warm_up:
             outcome, report = Outcome.CONNECT_FAILED, None
-        elif server.hangs or self.world.is_cut(self.zone, server.zone):
-            outcome, report, back = Outcome.TIMED_OUT, None, 400_000
+        elif server.is_hanging or self.simulation.is_partitioned(self.zone, server.zone):
+            outcome, report, delay_us = Outcome.TIMED_OUT, None, 400_000
         else:
-            outcome, report = Outcome.DELIVERED, {"queue": float(server.report(self.engine.now))}
-        self.engine.call_later(back, self._probe_heard, server.name, outcome, report, sent_at, life)
+            outcome, report = (
+                Outcome.DELIVERED,
+                {"queue": float(server.reported_queue(self.engine.now))},
+            )
+        self.engine.call_later(
+            delay_us, self._health_check_ended, server.name, outcome, report, sent_at, incarnation
+        )
 
-    def _probe_heard(
-        self, name: str, outcome: Outcome, report: dict[str, float] | None, sent_at: int, life: int
+    def _health_check_ended(
+        self,
+        server_name: str,
+        outcome: Outcome,
+        report: dict[str, float] | None,
+        sent_at: int,
+        incarnation: int,
     ) -> None:
-        if life == self._life:
-            self._post(HealthCheckEnded(name, outcome, self.engine.now - sent_at, report))
+        if incarnation == self._incarnation:
+            self._post(HealthCheckEnded(server_name, outcome, self.engine.now - sent_at, report))
 
 
-def _listed(line: DirectoryEntry) -> EndpointDescription:
+def _endpoint_description(entry: DirectoryEntry) -> EndpointDescription:
     return EndpointDescription(
-        line.name, line.zone, line.kind, line.cell, _STATES[line.state], 1.0, line.started_at or None
+        entry.name,
+        entry.zone,
+        entry.machine_type,
+        entry.cell,
+        _ENDPOINT_STATES[entry.state],
+        1.0,
+        entry.started_at or None,
     )
 
 
 class _Discovery:
-    """The directory as a service: calls wait in turn, watches hear of changes, all fails while it is down."""
+    """Discovery as a service: calls wait in a queue, watches receive changes, and both fail in an outage."""
 
-    def __init__(self, world: World) -> None:
-        self._world = world
-        self.directory = fleet.directory(world.servers)
+    def __init__(self, simulation: Simulation) -> None:
+        self._simulation = simulation
+        self.directory = fleet.build_directory(simulation.servers)
         self.is_up = True
         self._busy_until = 0
-        self._service_us = int(1e6 / world.given.discovery.calls_per_s)
-        self._timeout_us = int(world.given.discovery.timeout_s * 1e6)
-        self._watching: dict[int, VirtualSidecar] = {}
-
-    def publish(self, name: str, state: ListedState, started_at: int | None) -> None:
-        if self.directory.update(name, state, started_at):
-            self._world.history.endpoint_published(
-                name, is_draining=state is not ListedState.ACTIVE, now=self._world.engine.now
+        self._call_duration_us = int(1e6 / simulation.scenario.discovery.calls_per_s)
+        self._timeout_us = int(simulation.scenario.discovery.timeout_s * 1e6)
+        self._watches: dict[int, VirtualSidecar] = {}  # by index of the sidecar
+
+    def publish(self, server_name: str, state: ListedState, started_at: int | None) -> None:
+        """Changes the endpoint list, and notifies all watches if that is a change."""
+        if self.directory.update(server_name, state, started_at):
+            self._simulation.history.endpoint_published(
+                server_name,
+                is_draining=state is not ListedState.ACTIVE,
+                now=self._simulation.engine.now,
             )
-            for sidecar in list(self._watching.values()):
-                self._call(sidecar, sidecar.version, is_watch=True)
+            for sidecar in list(self._watches.values()):
+                self._enqueue_call(sidecar, sidecar.list_version, is_watch=True)
 
-    def fall(self) -> None:
+    def stop(self) -> None:
+        """Takes discovery down, which ends all watches."""
         self.is_up = False
-        watching, self._watching = self._watching, {}
-        for sidecar in watching.values():
-            self._world.history.endpoints_polled(sidecar.place, self._world.engine.now)
-            self._fails(sidecar, 0)
-
-    def forget(self, sidecar: VirtualSidecar) -> None:
-        self._watching.pop(sidecar.place, None)
-
-    def follow(self, sidecar: VirtualSidecar, wanted: bool) -> None:
-        if not wanted:
-            self.forget(sidecar)
-            self._world.history.endpoints_polled(sidecar.place, self._world.engine.now)
+        watches, self._watches = self._watches, {}
+        for sidecar in watches.values():
+            self._simulation.history.endpoints_polled(sidecar.index, self._simulation.engine.now)
+            self._fail_call(sidecar, 0)
+
+    def end_watch(self, sidecar: VirtualSidecar) -> None:
+        self._watches.pop(sidecar.index, None)
+
+    def subscribe(self, sidecar: VirtualSidecar, is_subscribed: bool) -> None:
+        """Begins or ends the watch of a sidecar."""
+        if not is_subscribed:
+            self.end_watch(sidecar)
+            self._simulation.history.endpoints_polled(sidecar.index, self._simulation.engine.now)
             return
-        self._call(sidecar, sidecar.version, is_watch=True)
+        self._enqueue_call(sidecar, sidecar.list_version, is_watch=True)
 
     def fetch(self, sidecar: VirtualSidecar) -> None:
-        self._call(sidecar, None, is_watch=False)
+        """Sends the complete list to a sidecar."""
+        self._enqueue_call(sidecar, None, is_watch=False)
 
-    def _call(self, sidecar: VirtualSidecar, after: int | None, *, is_watch: bool) -> None:
-        engine = self._world.engine
-        begins = max(self._busy_until, engine.now)
+    def _enqueue_call(self, sidecar: VirtualSidecar, after: int | None, *, is_watch: bool) -> None:
+        """Schedules the response to a call for the changes after a version, or (None) the complete list."""
+        engine = self._simulation.engine
+        begins_at = max(self._busy_until, engine.now)
         if not self.is_up:
-            self._fails(sidecar, 1_000)
-        elif begins - engine.now > self._timeout_us:
-            self._fails(sidecar, self._timeout_us)
+            self._fail_call(sidecar, 1_000)
+        elif begins_at - engine.now > self._timeout_us:
+            self._fail_call(sidecar, self._timeout_us)
         else:
-            self._busy_until = begins + self._service_us
-            engine.call_at(self._busy_until, self._answer, sidecar, after, is_watch, sidecar.life)
+            self._busy_until = begins_at + self._call_duration_us
+            engine.call_at(self._busy_until, self._respond, sidecar, after, is_watch, sidecar.incarnation)
 
-    def _fails(self, sidecar: VirtualSidecar, wait_us: int) -> None:
-        self._world.engine.call_later(wait_us, sidecar.listed, EndpointUpdateKind.FAILED, [], 0, sidecar.life)
+    def _fail_call(self, sidecar: VirtualSidecar, delay_us: int) -> None:
+        self._simulation.engine.call_later(
+            delay_us, sidecar.endpoints_received, EndpointUpdateKind.FAILED, [], 0, sidecar.incarnation
+        )
 
-    def _answer(self, sidecar: VirtualSidecar, after: int | None, is_watch: bool, life: int) -> None:
-        world = self._world
-        if life != sidecar.life or not sidecar.is_up:
+    def _respond(self, sidecar: VirtualSidecar, after: int | None, is_watch: bool, incarnation: int) -> None:
+        simulation = self._simulation
+        if incarnation != sidecar.incarnation or not sidecar.is_up:
             return
         if not self.is_up:
-            self._fails(sidecar, 0)
+            self._fail_call(sidecar, 0)
             return
-        lines = self.directory.current() if after is None else self.directory.changed_since(after)
+        entries = self.directory.current() if after is None else self.directory.changed_since(after)
         kind = EndpointUpdateKind.COMPLETE if after is None else EndpointUpdateKind.DELTA
-        now = world.engine.now
-        world.history.endpoints_polled(sidecar.place, None if is_watch else now)
+        now = simulation.engine.now
+        simulation.history.endpoints_polled(sidecar.index, None if is_watch else now)
         if is_watch:
-            self._watching[sidecar.place] = sidecar
-        for each in lines if after is not None else self.directory.changed_since(0):
-            leaves = each.state is not ListedState.ACTIVE
-            world.history.sidecar_notified(
-                sidecar.place, each.name, is_draining=leaves, started_at=each.started_at, now=now
+            self._watches[sidecar.index] = sidecar
+        for each in entries if after is not None else self.directory.changed_since(0):
+            is_draining = each.state is not ListedState.ACTIVE
+            simulation.history.sidecar_notified(
+                sidecar.index, each.name, is_draining=is_draining, started_at=each.started_at, now=now
             )
         copies = [
-            DirectoryEntry(e.name, e.zone, e.kind, e.cell, e.state, e.started_at, e.version) for e in lines
+            DirectoryEntry(e.name, e.zone, e.machine_type, e.cell, e.state, e.started_at, e.version)
+            for e in entries
         ]
         version = self.directory.version
-        world.engine.call_later(world.delay("", ""), sidecar.listed, kind, copies, version, life)
+        simulation.engine.call_later(
+            simulation.draw_delay_us("", ""),
+            sidecar.endpoints_received,
+            kind,
+            copies,
+            version,
+            incarnation,
+        )
