--- a/tests/lab/broken_sidecar.py
+++ b/tests/lab/broken_sidecar.py
@@ -1,4 +1,4 @@
-"""A sidecar with one defect that its first argument names; `none` is sound."""
+"""Runs a sidecar with the defect that its first argument names; `none` runs it without one."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 from tulipnotch.sidecar.upstream.request import IndependentRequestObserver, UpstreamRequest
 
 
-def forgets() -> None:
-    """Some requests are taken and never heard of again."""
+def lose_requests() -> None:
+    """Does not respond to one request in twenty."""
     post = EventQueue.post
 
     def broken(self: EventQueue, event: Any) -> None:
@@ -27,8 +27,8 @@
     EventQueue.post = broken  # type: ignore[method-assign]
 
 
-def invents() -> None:
-    """Some clients are served with what no server made."""
+def invent_responses() -> None:
+    """Responds to one request in twenty with a body that no server generated."""
     respond = ResponseSender.respond
 
     def broken(
@@ -39,8 +39,8 @@
     ResponseSender.respond = broken  # type: ignore[method-assign,assignment]
 
 
-def doubles() -> None:
-    """Every attempt goes out twice."""
+def duplicate_attempts() -> None:
+    """Sends every attempt twice."""
     start = UpstreamPool.start
 
     def broken(self: UpstreamPool, request: UpstreamRequest) -> None:
@@ -55,13 +55,13 @@
     UpstreamPool.start = broken  # type: ignore[method-assign]
 
 
-def deaf() -> None:
-    """Word of a drain is taken for word of health."""
+def ignore_draining() -> None:
+    """Takes draining endpoints for ready ones."""
     endpoint_list_codec._STATES["leaving"] = EndpointState.READY
 
 
-def rushes() -> None:
-    """All goes to whoever started last."""
+def prefer_newest() -> None:
+    """Sends all requests to the endpoint that started last, without a warm-up budget."""
     choose = Selection.choose
 
     def broken(self: Selection, request: Any) -> Any:
--- a/tests/lab/test_cold.py
+++ b/tests/lab/test_cold.py
@@ -1,4 +1,4 @@
-"""Warming-up servers under the sum of all processes: cases of `benchmarks.cold` that once overloaded them."""
+"""All processes together do not overload warming-up servers, in cases of `benchmarks.cold` that once did."""
 
 from __future__ import annotations
 
@@ -20,23 +20,21 @@
         ("heavy", 5, 1),
     ],
 )
-def test_cold_case_overloads_no_server_by_the_sum_of_all_processes(
-    case: str, processes: int, budget: int
-) -> None:
+def test_cold_case_overloads_no_server_with_all_processes(case: str, processes: int, budget: int) -> None:
     measurement = cold.measure(case, processes, budget, range(1, 3))
     assert measurement.overloaded_starts == 0, measurement
     assert measurement.starts > 0, measurement
-    assert measurement.served_weight > 0.05, measurement  # and cold servers are used
+    assert measurement.served_weight > 0.05, measurement  # servers that warm up receive requests
 
 
-def test_cold_case_gives_servers_their_budget_at_the_start() -> None:
+def test_cold_case_has_its_budget_at_the_start_of_servers() -> None:
     for case in cold.CASES:
         cold_scenario = cold.build_scenario(case, 5, 3)
-        server = cold_scenario.fleet.kinds[0]
+        machine_type = cold_scenario.fleet.kinds[0]
         budget_s = (
             cold_scenario.fleet.fall_multiple
             * cold_scenario.fleet.cold_from
-            * server.cores
+            * machine_type.cores
             * cold_scenario.fleet.fall_s
         )
         assert budget_s / cold_scenario.mean_work_s == pytest.approx(3.0)
--- a/tests/lab/test_compare.py
+++ b/tests/lab/test_compare.py
@@ -14,14 +14,14 @@
     )
 
 
-def test_differences_distinguish_from_noise_by_paired_seeds() -> None:
-    seeds = [0.1, 0.5, 0.9, 0.3, 0.7, 0.2]  # far apart, so that only pairing shows a small difference
-    (real,) = compare.metric_differences(_result(seeds), _result([value + 0.01 for value in seeds]))
-    assert real.conclusion == "higher"
-    assert real.low == pytest.approx(0.01)
-    noisy = [value + 0.01 * (-1) ** index for index, value in enumerate(seeds)]
-    (noise,) = compare.metric_differences(_result(seeds), _result(noisy))
+def test_metric_differences_distinguish_small_difference_from_noise_by_paired_seeds() -> None:
+    values = [0.1, 0.5, 0.9, 0.3, 0.7, 0.2]  # vary so much that only pairing shows a small difference
+    (difference,) = compare.metric_differences(_result(values), _result([value + 0.01 for value in values]))
+    assert difference.conclusion == "higher"
+    assert difference.low == pytest.approx(0.01)
+    noisy_values = [value + 0.01 * (-1) ** index for index, value in enumerate(values)]
+    (noise,) = compare.metric_differences(_result(values), _result(noisy_values))
     assert noise.conclusion == "noise"
-    (few,) = compare.metric_differences(_result(seeds[:4]), _result(seeds[:4]))
-    assert few.low is None
-    assert "fewer than" in few.conclusion
+    (few_seeds,) = compare.metric_differences(_result(values[:4]), _result(values[:4]))
+    assert few_seeds.low is None
+    assert "fewer than" in few_seeds.conclusion
--- a/tests/lab/test_history_checker.py
+++ b/tests/lab/test_history_checker.py
@@ -1,4 +1,4 @@
-"""The history checker finds what a broken policy or sidecar violates, and nothing in a correct one."""
+"""The history checker finds the violations of a broken policy or sidecar, and none of a correct one."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from typing import Any
 
 import pytest
-from worlds import KEYED, SAFE, UNSAFE, world
+from small_scenarios import IDEMPOTENT_CLASS, KEYED_CLASS, NON_IDEMPOTENT_CLASS, make_scenario
 
 from tulipnotch.lab.history_checker import HistoryChecker
 from tulipnotch.lab.policies import LeastOfTwo
@@ -21,8 +21,8 @@
 DRAINS = [{"kind": "drain", "at_s": 1.0, "for_s": 3.0, "part": 1.0, "back_s": 0.5}]
 
 
-def run_scenario(make: Any, seed: int = 1, **changes: Any) -> HistoryChecker:
-    simulation = Simulation(world(**changes), seed, make)
+def run_scenario(make_policy: Any, seed: int = 1, **changes: Any) -> HistoryChecker:
+    simulation = Simulation(make_scenario(**changes), seed, make_policy)
     simulation.run()
     return simulation.history
 
@@ -47,7 +47,7 @@
 
 
 class _RespondsTwice(LeastOfTwo):
-    """Rejects twice what it also sends."""
+    """Rejects one request in fifty twice, although it also sends it to an endpoint."""
 
     def handle(self, now: int, event: Event) -> Sequence[Action]:
         actions = list(super().handle(now, event))
@@ -95,23 +95,27 @@
 
 
 @pytest.mark.parametrize(
-    ("broken", "rule", "changes"),
+    ("broken_policy", "rule", "changes"),
     [
         (_LosesRequests, "answers", {}),
         (_RespondsTwice, "answers", {}),
-        (_AlwaysRetries, "effects", {"classes": [UNSAFE], "faults": CRASHES}),
-        (_AlwaysRetries, "effects", {"classes": [KEYED], "faults": CRASHES}),
-        (_RejectsExecuted, "effects", {"classes": [UNSAFE], "faults": CRASHES}),
-        (_PrefersNewest, "cold", {"classes": [SAFE], "faults": CRASHES, "load": {"utilisation": 0.6}}),
+        (_AlwaysRetries, "effects", {"classes": [NON_IDEMPOTENT_CLASS], "faults": CRASHES}),
+        (_AlwaysRetries, "effects", {"classes": [KEYED_CLASS], "faults": CRASHES}),
+        (_RejectsExecuted, "effects", {"classes": [NON_IDEMPOTENT_CLASS], "faults": CRASHES}),
+        (
+            _PrefersNewest,
+            "cold",
+            {"classes": [IDEMPOTENT_CLASS], "faults": CRASHES, "load": {"utilisation": 0.6}},
+        ),
     ],
     ids=lambda each: each.__name__ if isinstance(each, type) else None,
 )
 def test_history_checker_finds_violation_of_broken_policy(
-    broken: Any, rule: str, changes: dict[str, Any]
+    broken_policy: Any, rule: str, changes: dict[str, Any]
 ) -> None:
     correct = run_scenario(LeastOfTwo, **changes)
     assert correct.violation_counts[rule] == 0, correct.violations
-    checker = run_scenario(broken, **changes)
+    checker = run_scenario(broken_policy, **changes)
     assert checker.violation_counts[rule] > 0
     assert all(not count for name, count in checker.violation_counts.items() if name not in (rule, "effects"))
 
@@ -133,31 +137,36 @@
     assert "ms after notice of its drain" in checker.violations["drains"][0]
 
 
-def test_history_checker_counts_sidecar_without_poll_as_notified() -> None:
-    class NeverPolls(LeastOfTwo):
-        def __init__(self, *given: Any) -> None:
-            super().__init__(*given)
+def test_history_checker_counts_sidecar_as_notified_if_it_does_not_poll() -> None:
+    class NeverSubscribes(LeastOfTwo):
+        def __init__(self, *arguments: Any) -> None:
+            super().__init__(*arguments)
             self._has_subscribed = True
 
     drains = [{"kind": "drain", "at_s": 1.0, "for_s": 1.0, "part": 0.4, "back_s": 30.0}]
     rules = {"ask_within_s": 2.0}
-    slow = [{**SAFE, "deadline_ms": 5_000.0}]  # so that a draining server stays up for long
-    assert run_scenario(LeastOfTwo, faults=drains, rules=rules, classes=slow).violation_counts["drains"] == 0
-    checker = run_scenario(NeverPolls, faults=drains, rules=rules, classes=slow)
+    long_deadline = [
+        {**IDEMPOTENT_CLASS, "deadline_ms": 5_000.0}
+    ]  # a draining server stays up for the longest deadline
+    assert (
+        run_scenario(LeastOfTwo, faults=drains, rules=rules, classes=long_deadline).violation_counts["drains"]
+        == 0
+    )
+    checker = run_scenario(NeverSubscribes, faults=drains, rules=rules, classes=long_deadline)
     assert checker.violation_counts["drains"] > 0
     assert "too long after its last poll" in checker.violations["drains"][0]
 
 
-# The checker by itself: the limits of its rules
+# The checker without a simulation: the limits of its rules
 
 
-def _checker(**changes: Any) -> tuple[HistoryChecker, ServiceClass]:
-    given = world(classes=[{**KEYED, "window_ms": 4_000.0}], **changes)
-    return HistoryChecker(given), given.classes[0]
+def _make_checker(**changes: Any) -> tuple[HistoryChecker, ServiceClass]:
+    scenario = make_scenario(classes=[{**KEYED_CLASS, "window_ms": 4_000.0}], **changes)
+    return HistoryChecker(scenario), scenario.classes[0]
 
 
 def test_history_checker_accepts_late_response_within_slack_only() -> None:
-    checker, service_class = _checker()
+    checker, service_class = _make_checker()
     for request, late_us in ((1, 50_000), (2, 50_001)):
         checker.request_received(request, 0, service_class, now=0, timeout_us=1_000_000)
         checker.response_received(request, 1_000_000 + late_us)
@@ -167,7 +176,7 @@
 
 
 def test_history_checker_deduplicates_within_zone_and_window_only() -> None:
-    checker, service_class = _checker()
+    checker, service_class = _make_checker()
     checker.request_received(1, 0, service_class, now=0, timeout_us=9_000_000)
     assert not checker.attempt_started(1, "a", 0, 0)
     assert checker.attempt_started(1, "a", 1, 4_000_000)
@@ -178,7 +187,7 @@
 
 
 def test_history_checker_finds_violations_for_unknown_request() -> None:
-    checker, _ = _checker()
+    checker, _ = _make_checker()
     checker.attempt_started(9, "a", 0, 0)
     checker.response_received(9, 5)
     assert (checker.violation_counts["effects"], checker.violation_counts["answers"]) == (1, 1)
@@ -186,7 +195,7 @@
 
 def test_history_checker_reports_overload_if_two_thirds_came_from_notified() -> None:
     for notified, violations in (((0,), 0), ((0, 1), 1)):
-        checker, _ = _checker()
+        checker, _ = _make_checker()
         for sidecar in notified:
             checker.sidecar_notified(sidecar, "s", is_draining=False, started_at=500, now=600)
         checker.server_overloaded("s", 500, {0: 1.0, 1: 1.0, 2: 1.0})
@@ -194,7 +203,7 @@
 
 
 def test_history_checker_ends_drain_when_server_restarts() -> None:
-    checker, _ = _checker()
+    checker, _ = _make_checker()
     checker.sidecar_notified(0, "s", is_draining=True, started_at=None, now=0)
     checker.attempt_sent(0, "s", 300_000)
     assert checker.violation_counts["drains"] == 0
@@ -206,11 +215,11 @@
 
 
 def test_history_checker_expects_no_response_from_killed_sidecar() -> None:
-    checker, service_class = _checker()
+    checker, service_class = _make_checker()
     checker.request_received(1, 0, service_class, now=0, timeout_us=1_000)
     checker.request_received(2, 1, service_class, now=0, timeout_us=1_000)
     checker.sidecar_killed(0)
-    # Written before the client noticed that the sidecar was killed.
+    # Sent before the client noticed that the sidecar was killed.
     checker.request_received(3, 0, service_class, now=10, timeout_us=1_000)
     checker.sidecar_listening(0)
     checker.request_received(4, 0, service_class, now=20, timeout_us=1_000)
