--- a/benchmarks/cold.py
+++ b/benchmarks/cold.py
@@ -29,7 +29,7 @@
 from tulipnotch.lab.virtual import Simulation
 
 _START_S = 5.0  # when the servers start
-_LISTED_S = 5.3  # when the endpoint list contains the starts
+_PUBLISHED_S = 5.3  # when the endpoint list contains the starts
 _INITIAL_WARM_UP_FACTOR = 0.15
 _OVERLOAD_MULTIPLE = 2.5
 _OVERLOAD_WINDOW_S = 1.0
@@ -56,7 +56,9 @@
     has_two_classes: bool = False  # whether light and heavy requests have classes of their own
     starting_part: float = 0.375  # part of the fleet that starts
     restarts_sidecars: bool = False
-    list_spread_s: float | None = None  # time over which the processes receive the list; None: at once
+    endpoint_list_spread_s: float | None = (
+        None  # time over which the processes receive the list; None: at once
+    )
 
 
 CASES: Mapping[str, Case] = {
@@ -64,7 +66,7 @@
     "heavy": Case(load={"hints": True}, work_variation=2.0),
     "classes": Case(has_two_classes=True),
     "uneven": Case(load={"skew": 2.0}),
-    "late lists": Case(list_spread_s=4.0),
+    "late lists": Case(endpoint_list_spread_s=4.0),
     "choke": Case(
         load={"utilisation": 1.0},
         fleet={"choke": {"at": 1.0, "over_s": 0.3, "slower": 3.0}},
@@ -135,8 +137,10 @@
         "load": {"utilisation": 0.7, **case.load},
         "discovery": {
             "crash_notice_s": 0.1,
-            "add_notice_s": _LISTED_S - _START_S,
-            "calls_per_s": 1e5 if case.list_spread_s is None else 3 * processes / case.list_spread_s,
+            "add_notice_s": _PUBLISHED_S - _START_S,
+            "calls_per_s": 1e5
+            if case.endpoint_list_spread_s is None
+            else 3 * processes / case.endpoint_list_spread_s,
             "timeout_s": 20.0,
         },
     }
--- a/tests/lab/test_cold.py
+++ b/tests/lab/test_cold.py
@@ -29,13 +29,13 @@
 
 def test_cold_case_has_its_budget_at_the_start_of_servers() -> None:
     for case in cold.CASES:
-        cold_scenario = cold.build_scenario(case, 5, 3)
-        machine_type = cold_scenario.fleet.kinds[0]
+        warm_up_scenario = cold.build_scenario(case, 5, 3)
+        machine_type = warm_up_scenario.fleet.kinds[0]
         budget_s = (
-            cold_scenario.fleet.fall_multiple
-            * cold_scenario.fleet.cold_from
+            warm_up_scenario.fleet.fall_multiple
+            * warm_up_scenario.fleet.cold_from
             * machine_type.cores
-            * cold_scenario.fleet.fall_s
+            * warm_up_scenario.fleet.fall_s
         )
-        assert budget_s / cold_scenario.mean_work_s == pytest.approx(3.0)
-        assert scenario.wire_settings(cold_scenario, 4, 1.0)["groupSize"] == 5
+        assert budget_s / warm_up_scenario.mean_work_s == pytest.approx(3.0)
+        assert scenario.wire_settings(warm_up_scenario, 4, 1.0)["groupSize"] == 5
--- a/tulipnotch/lab/real/play.py
+++ b/tulipnotch/lab/real/play.py
@@ -208,9 +208,9 @@
 
 def _free_address(host: str) -> tuple[str, int]:
     """Returns an address with a free port on a host address that only this sidecar uses."""
-    with socket.socket() as probe:
-        probe.bind((host, 0))
-        port: int = probe.getsockname()[1]
+    with socket.socket() as temporary_socket:
+        temporary_socket.bind((host, 0))
+        port: int = temporary_socket.getsockname()[1]
     return host, port
 
 
--- a/tulipnotch/lab/scenario.py
+++ b/tulipnotch/lab/scenario.py
@@ -50,9 +50,7 @@
 
     at: PositiveFloat = 6.0  # waiting requests for each core; more of them for `over_s` are an overload
     over_s: PositiveFloat = 2.0  # how long the queue must stay longer than `at`
-    slower: Annotated[float, Meta(ge=1.0, le=100.0)] = (
-        2.8  # the factor by which an overloaded server is slower
-    )
+    slower: Annotated[float, Meta(ge=1.0, le=100.0)] = 2.8  # slowdown of an overloaded server, a factor
     rest_s: PositiveFloat = 3.0  # a server recovers when its cores have been lightly used for so long
     below: Fraction = 0.3  # the fraction of busy cores below which they are lightly used
     most_s: PositiveFloat = 28.0  # a server recovers after so long in any case
@@ -77,9 +75,8 @@
     queue_per_core: Annotated[int, Meta(ge=0, le=1_000_000)] = 30  # a server rejects requests beyond it
     cold_from: Annotated[float, Meta(gt=0.0, le=1.0)] = 0.15  # minimum part of its capacity at its start
     cold_s: PositiveFloat = 22.0  # maximum time until it has its full capacity, which rises linearly
-    cold_spread: NonNegativeFloat = (
-        0.7  # up to this fraction more capacity at the start, and a faster warm-up
-    )
+    # A server starts with up to this fraction more capacity, and warms up faster by the same random factor.
+    cold_spread: NonNegativeFloat = 0.7
     # A server that is warming up fails and stays down if it is sent more than this multiple of its capacity
     # within the window of `fall_s`.
     fall_multiple: PositiveFloat = 2.5
@@ -146,12 +143,12 @@
     work_ms: PositiveFloat = 60.0  # mean work on a standard core
     work_cv: NonNegativeFloat = 1.0
     dist: Literal["lognormal", "exponential", "pareto", "constant"] = "lognormal"
-    aim_ms: PositiveFloat = 600.0
+    aim_ms: PositiveFloat = 600.0  # latency objective
     deadline_ms: PositiveFloat = 1_500.0
-    worth: PositiveFloat = 1.0
+    worth: PositiveFloat = 1.0  # priority weight
     repeat: Literal["safe", "keyed", "unsafe"] = "safe"
-    group: Literal["all", "zone", "cell"] = "zone"  # scope in which duplicates are dropped (keyed)
-    window_ms: NonNegativeFloat = 4_000.0  # deduplication window
+    group: Literal["all", "zone", "cell"] = "zone"  # deduplication scope of a keyed class
+    window_ms: NonNegativeFloat = 4_000.0  # deduplication window of a keyed class
 
     def __post_init__(self) -> None:
         if self.aim_ms > self.deadline_ms:
@@ -172,13 +169,11 @@
     """How clients retry and when they disconnect."""
 
     retries: Annotated[int, Meta(ge=0, le=20)] = 2
-    try_share: Annotated[float, Meta(gt=0.0, le=1.0)] = (
-        0.6  # timeout of one try, as a fraction of the deadline
-    )
+    try_share: Annotated[float, Meta(gt=0.0, le=1.0)] = 0.6  # timeout of a try, in parts of the deadline
     backoff_ms: NonNegativeFloat = 100.0  # delay before the first retry; doubles at each retry, with jitter
     honour: Fraction = 0.6  # fraction of clients that wait as long as `Retry-After` says
     impatient: Fraction = (
-        0.0  # fraction of requests whose client disconnects within a quarter of the deadline
+        0.0  # fraction of requests whose client disconnects in the first quarter of its time
     )
 
 
@@ -186,12 +181,12 @@
     """The tolerances of the four rules, and the limits of the sidecars."""
 
     drain_grace_ms: NonNegativeFloat = 250.0
-    ask_within_s: PositiveFloat = 10.0
+    ask_within_s: PositiveFloat = 10.0  # maximum poll interval
     slack_ms: NonNegativeFloat = 50.0
     max_attempts: Annotated[int, Meta(ge=1, le=100)] = 3
-    second_copies: bool = True
-    over_share_worth: Fraction = 0.05
-    quota_of_capacity: PositiveFloat = 0.8
+    second_copies: bool = True  # whether hedged requests are allowed
+    over_share_worth: Fraction = 0.05  # factor of the priority weight of requests beyond their tenant's quota
+    quota_of_capacity: PositiveFloat = 0.8  # sum of all quotas, as a fraction of the warm fleet's capacity
 
 
 FAULTS: Mapping[str, str] = {
@@ -202,7 +197,7 @@
     "garble": "the fraction `size` of the servers' responses is malformed",
     "drain": "servers drain one after another over for_s; new processes start to warm up after back_s",
     "release": "as drain, all of them at once",
-    "heavy_tail": "the fraction `extra` of requests is `size` times the work",
+    "heavy_tail": "the fraction `extra` of requests takes `size` times the work",
     "discovery_down": "calls to discovery fail and watches end",
     "cut": "nothing passes between `zone` and all other zones",
     "restart": "sidecars are killed and restarted, one after another over for_s",
@@ -402,7 +397,7 @@
 
 
 def find(name: str) -> Path:
-    """Returns the path of a scenario, scenario its name or its path.
+    """Returns the path of a scenario that is named by its name or its path.
 
     Raises:
         InvalidFileError: There is no such scenario.
--- a/tulipnotch/lab/virtual.py
+++ b/tulipnotch/lab/virtual.py
@@ -405,7 +405,7 @@
         self.simulation, self.index, self.settings = simulation, index, settings
         self.engine, self.zone = simulation.engine, settings.zone
         self.idle_connections: dict[str, list[int]] = {}  # by server: when each became idle
-        self.list_version = 0
+        self.endpoint_list_version = 0
         self.is_up = False
         self._endpoint_states: dict[str, EndpointState] = {}
         self._open_requests: dict[int, _OpenRequest] = {}
@@ -430,15 +430,15 @@
         )
         simulation.history.sidecar_listening(self.index)
         simulation.history.endpoints_polled(self.index, self.engine.now)
-        self.list_version = (
-            simulation.discovery.directory.version if self._incarnation == 0 else self.list_version
+        self.endpoint_list_version = (
+            simulation.discovery.directory.version if self._incarnation == 0 else self.endpoint_list_version
         )
         self._endpoint_states = {each.name: _ENDPOINT_STATES[each.state] for each in entries}
         self._post(
             EndpointsUpdated(
                 EndpointUpdateKind.CACHED,
                 [_endpoint_description(each) for each in entries],
-                self.list_version,
+                self.endpoint_list_version,
             )
         )
 
@@ -574,7 +574,7 @@
         for each in entries:
             self._endpoint_states[each.name] = _ENDPOINT_STATES[each.state]
         if kind is not EndpointUpdateKind.FAILED:
-            self.list_version = version
+            self.endpoint_list_version = version
         self._post(EndpointsUpdated(kind, [_endpoint_description(each) for each in entries], version))
 
     @property
@@ -813,7 +813,7 @@
                 now=self._simulation.engine.now,
             )
             for sidecar in list(self._watches.values()):
-                self._enqueue_call(sidecar, sidecar.list_version, is_watch=True)
+                self._enqueue_call(sidecar, sidecar.endpoint_list_version, is_watch=True)
 
     def stop(self) -> None:
         """Takes discovery down, which ends all watches."""
@@ -832,7 +832,7 @@
             self.end_watch(sidecar)
             self._simulation.history.endpoints_polled(sidecar.index, self._simulation.engine.now)
             return
-        self._enqueue_call(sidecar, sidecar.list_version, is_watch=True)
+        self._enqueue_call(sidecar, sidecar.endpoint_list_version, is_watch=True)
 
     def fetch(self, sidecar: VirtualSidecar) -> None:
         """Sends the complete list to a sidecar."""
