--- a/tulipnotch/lab/real/generator.py
+++ b/tulipnotch/lab/real/generator.py
@@ -80,7 +80,7 @@
         self._draw_uniform = random_stream(seed, "clients").random
         self._pools = [ConnectionPool(self, address) for address in sidecars]
         self._last_request = 0
-        self._due_retries: list[tuple[int, int, ClientRequest]] = []  # heap of time, last request, request
+        self._due_retries: list[tuple[int, int, ClientRequest]] = []  # heap of time, last try and request
         self._in_flight = 0
         self._t0_ns = 0
         self._timer: asyncio.TimerHandle | None = None
