--- a/tests/soak/__init__.py
+++ b/tests/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A randomized soak: real sidecar processes on loopback, faults that overlap, and a checker of the rules."""
+"""Randomized soak test: real sidecar processes on loopback, overlapping faults and a rule checker."""
--- a/tests/soak/discovery.py
+++ b/tests/soak/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery: one endpoint list, served to each sidecar at addresses of its own, and the faults of it."""
+"""Discovery: one endpoint list, served to each sidecar at separate addresses, with injected faults."""
 
 from __future__ import annotations
 
@@ -9,81 +9,83 @@
 from enum import Enum, unique
 
 from soak.records import Records, SidecarEvent, Withdrawal, now
-from soak.servers import HOST, OrderServer, next_port
+from soak.servers import HOST, OrderServer, allocate_port
 
 
 @unique
 class DiscoveryFault(Enum):
-    """What discovery does in place of a normal response."""
+    """Faults that replace or delay a normal response of discovery."""
 
-    UNRESPONSIVE = "unresponsive"  # accepts requests and responds to none, open long polls included
-    OVERLOADED = "overloaded"  # 503
-    RESETS = "resets"
-    SLOW = "slow"
+    UNRESPONSIVE = "unresponsive"  # No request gets a response, not even a long poll that is already open.
+    OVERLOADED = "overloaded"  # Each request gets a 503.
+    RESETS = "resets"  # Open connections and those of new requests are reset.
+    SLOW = "slow"  # Each response is delayed by `_SLOW_RESPONSE_S`.
 
 
 _SLOW_RESPONSE_S = 0.8
-_POLL = re.compile(rb"GET /catalog/members(?:\?after=(\d+)&wait_ms=(\d+))? ")
+_POLL_REQUEST = re.compile(rb"GET /catalog/members(?:\?after=(\d+)&wait_ms=(\d+))? ")
 
 
-class Catalog:
-    """The endpoint list and its versions."""
+class EndpointCatalog:
+    """The endpoint list, its version, and the version at which each entry was last updated."""
 
     def __init__(self, servers: list[OrderServer]) -> None:
         self.version = 1
-        self.lines = {server.name: server.line for server in servers}
-        self._changes: dict[str, tuple[int, dict[str, object]]] = {}
-        self.changed = asyncio.Condition()
+        self.entries = {server.name: server.list_entry for server in servers}
+        self._updated_entries: dict[str, tuple[int, dict[str, object]]] = {}
+        self.version_changed = asyncio.Condition()
 
-    async def update(self, server: OrderServer) -> None:
-        """Publish the entry of a server as it is now."""
+    async def publish(self, server: OrderServer) -> None:
+        """Publishes the current entry of a server as a new version of the list."""
         self.version += 1
-        line = server.line
-        self._changes[server.name] = self.version, line
+        entry = server.list_entry
+        self._updated_entries[server.name] = self.version, entry
         if server.state == "left":
-            self.lines.pop(server.name, None)
+            self.entries.pop(server.name, None)
         else:
-            self.lines[server.name] = line
-        async with self.changed:
-            self.changed.notify_all()
+            self.entries[server.name] = entry
+        async with self.version_changed:
+            self.version_changed.notify_all()
 
-    def full_list(self) -> dict[str, object]:
-        """The complete endpoint list."""
-        return {"version": self.version, "full": True, "servers": list(self.lines.values())}
+    def complete_list(self) -> dict[str, object]:
+        """Returns the complete endpoint list."""
+        return {"version": self.version, "full": True, "servers": list(self.entries.values())}
 
-    def changed_servers(self) -> set[str]:
-        """The names of all servers whose entry was ever updated."""
-        return set(self._changes)
+    def updated_server_names(self) -> set[str]:
+        """Returns the names of all servers whose entry was ever updated."""
+        return set(self._updated_entries)
 
-    def changes_since(self, version: int) -> dict[str, object]:
-        """The entries that changed after a version."""
-        lines = [line for at, line in self._changes.values() if at > version]
-        return {"version": self.version, "full": False, "servers": lines}
+    def delta_since(self, version: int) -> dict[str, object]:
+        """Returns a delta with the entries that were updated after `version`."""
+        entries = [entry for updated_in, entry in self._updated_entries.values() if updated_in > version]
+        return {"version": self.version, "full": False, "servers": entries}
 
 
-class Discovery:
-    """The discovery of one sidecar, at two addresses; owns its listeners and connections."""
+class DiscoveryServer:
+    """Discovery server of one sidecar, listening on two addresses; owns its listeners and connections."""
 
-    def __init__(self, sidecar: int, catalog: Catalog, records: Records, chance: random.Random) -> None:
-        self._sidecar, self._catalog, self._records, self._chance = sidecar, catalog, records, chance
+    def __init__(
+        self, sidecar_number: int, catalog: EndpointCatalog, records: Records, rng: random.Random
+    ) -> None:
+        self._sidecar_number, self._catalog, self._records, self._rng = sidecar_number, catalog, records, rng
         self._fault: DiscoveryFault | None = None
         self._servers: list[asyncio.Server] = []
         self._writers: set[asyncio.StreamWriter] = set()
 
     async def start(self) -> None:
-        """Listen on both addresses."""
+        """Starts to listen on both addresses."""
         for _ in range(2):
-            self._servers.append(await asyncio.start_server(self._serve, HOST, next_port()))
+            self._servers.append(await asyncio.start_server(self._serve, HOST, allocate_port()))
 
     def address(self, index: int) -> str:
-        """Its first or second address."""
+        """Returns the first (index 0) or the second (index 1) address."""
         return f"{HOST}:{self._servers[index].sockets[0].getsockname()[1]}"
 
     def set_fault(self, fault: DiscoveryFault | None) -> None:
-        """Begin a fault, or end it with None; resets break the connections that are open."""
+        """Starts a fault, or ends it with None; RESETS also resets all open connections at once."""
         self._fault = fault
         if fault is DiscoveryFault.RESETS:
-            self._records.discovery_resets.append(SidecarEvent(self._sidecar, now()))
+            self._records.discovery_resets.append(SidecarEvent(self._sidecar_number, now()))
             for writer in list(self._writers):
                 writer.transport.abort()
 
@@ -91,18 +93,18 @@
         self._writers.add(writer)
         try:
             while True:
-                head = await reader.readuntil(b"\r\n\r\n")
-                if not await self._respond(head, writer):
+                request_header = await reader.readuntil(b"\r\n\r\n")
+                if not await self._respond(request_header, writer):
                     return
         except (asyncio.IncompleteReadError, ConnectionError, asyncio.LimitOverrunError, RuntimeError):
-            pass  # RuntimeError: the connection was aborted before the response
+            pass  # RuntimeError means that the connection was aborted before the response was written.
         except asyncio.CancelledError:
-            return  # the run is over
+            return  # The run has ended.
         finally:
             self._writers.discard(writer)
             writer.close()
 
-    async def _respond(self, head: bytes, writer: asyncio.StreamWriter) -> bool:
+    async def _respond(self, request_header: bytes, writer: asyncio.StreamWriter) -> bool:
         if self._fault is DiscoveryFault.RESETS:
             writer.transport.abort()
             return False
@@ -111,49 +113,49 @@
             return True
         if self._fault is DiscoveryFault.SLOW:
             await asyncio.sleep(_SLOW_RESPONSE_S)
-        endpoint_list = await self._list_for(head)
+        endpoint_list = await self._wait_for_list(request_header)
         if self._fault is DiscoveryFault.UNRESPONSIVE:
-            return True  # the response is never written, and the connection stays open
+            return True  # The response is never written, and the connection stays open.
         if writer.transport.is_closing():
-            return False  # it was reset before the response
+            return False  # The connection was reset before the response.
         body = json.dumps(endpoint_list).encode()
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
         self._record_withdrawals(endpoint_list)
         return True
 
-    async def _list_for(self, head: bytes) -> dict[str, object]:
-        poll = _POLL.match(head)
-        if poll is None or poll[1] is None:
-            return self._catalog.full_list()
-        after, wait_s = int(poll[1]), int(poll[2]) / 1_000
+    async def _wait_for_list(self, request_header: bytes) -> dict[str, object]:
+        poll_request = _POLL_REQUEST.match(request_header)
+        if poll_request is None or poll_request[1] is None:
+            return self._catalog.complete_list()
+        after, wait_s = int(poll_request[1]), int(poll_request[2]) / 1_000
         try:
             async with asyncio.timeout(wait_s):
-                async with self._catalog.changed:
-                    await self._catalog.changed.wait_for(lambda: self._catalog.version > after)
+                async with self._catalog.version_changed:
+                    await self._catalog.version_changed.wait_for(lambda: self._catalog.version > after)
         except TimeoutError:
             pass
-        return (
-            self._catalog.full_list() if self._chance.random() < 0.2 else self._catalog.changes_since(after)
-        )
+        return self._catalog.complete_list() if self._rng.random() < 0.2 else self._catalog.delta_since(after)
 
     def _record_withdrawals(self, endpoint_list: dict[str, object]) -> None:
-        """Record which servers the sidecar knows to be withdrawn from now on."""
-        lines = endpoint_list["servers"]
-        assert isinstance(lines, list)
-        at = now()
-        withdrawn = {line["id"] for line in lines if line["state"] != "active"}
+        """Records the servers that this list withdraws, because they are not active or no longer listed."""
+        entries = endpoint_list["servers"]
+        assert isinstance(entries, list)
+        written_at = now()
+        withdrawn = {entry["id"] for entry in entries if entry["state"] != "active"}
         if endpoint_list["full"]:
             known = {
                 withdrawal.server
                 for withdrawal in self._records.withdrawals
-                if withdrawal.sidecar == self._sidecar
+                if withdrawal.sidecar_number == self._sidecar_number
             }
-            listed = {line["id"] for line in lines}
-            withdrawn |= (self._catalog.changed_servers() - listed) - known
-        self._records.withdrawals += [Withdrawal(self._sidecar, name, at) for name in withdrawn]
+            listed = {entry["id"] for entry in entries}
+            withdrawn |= (self._catalog.updated_server_names() - listed) - known
+        self._records.withdrawals += [
+            Withdrawal(self._sidecar_number, name, written_at) for name in withdrawn
+        ]
 
     def stop(self) -> None:
-        """Close the listeners and abort the connections."""
+        """Closes the listeners and aborts the connections."""
         for server in self._servers:
             server.close()
         for writer in list(self._writers):
--- a/tests/soak/fault_proxy.py
+++ b/tests/soak/fault_proxy.py
@@ -1,4 +1,4 @@
-"""The proxy in front of each order server: the faults of the network between a sidecar and a server."""
+"""Proxy in front of each order server, which injects the network faults between a sidecar and the server."""
 
 from __future__ import annotations
 
@@ -12,46 +12,49 @@
 import httptools
 
 from soak.records import Records, ServerAttempt, now
-from soak.servers import HOST, OrderServer, ServerConnection, next_port
+from soak.servers import HOST, OrderServer, ServerConnection, allocate_port
 
-_RESET = struct.pack("ii", 1, 0)  # SO_LINGER: close sends RST
-_MAX_REPETITION_DELAY_S = 0.003  # of a second response
+_LINGER_ZERO = struct.pack("ii", 1, 0)  # With this SO_LINGER value, closing a socket sends RST.
+_MAX_DUPLICATE_DELAY_S = 0.003  # Longest delay of a duplicate response.
 _LISTEN_RETRY_S = 0.05
 
 
 @unique
 class RequestFault(StrEnum):
-    """What happens to one request; the values are fields of ServerFaults, in the order of the draws."""
+    """Fault of one request, in the order of the draws.
 
-    REJECTS = "rejects"
-    RESETS_IN_REQUEST = "resets_in_request"
-    RESETS_AFTER_REQUEST = "resets_after_request"
-    RESETS_IN_RESPONSE = "resets_in_response"
-    STALLS_IN_RESPONSE = "stalls_in_response"
-    RESPONDS_TWICE = "responds_twice"
+    Each value names the field of `ServerFaults` that holds the probability of the fault.
+    """
+
+    REJECTION = "reject_probability"
+    RESET_AFTER_HEADERS = "reset_after_headers_probability"
+    RESET_AFTER_REQUEST = "reset_after_request_probability"
+    RESET_IN_RESPONSE = "reset_in_response_probability"
+    STALL_IN_RESPONSE = "stall_in_response_probability"
+    DUPLICATE_RESPONSE = "duplicate_response_probability"
 
 
 class FaultProxy:
-    """The network in front of one server, and the server itself behind it; owns both listeners."""
+    """Proxy in front of one server, and the server itself; owns the listeners of both."""
 
-    def __init__(self, server: OrderServer, records: Records, chance: random.Random) -> None:
-        self.server, self.records, self.chance = server, records, chance
+    def __init__(self, server: OrderServer, records: Records, rng: random.Random) -> None:
+        self.server, self.records, self.rng = server, records, rng
         self.connections: set[_DownstreamConnection] = set()
-        self.backend_port = next_port()
-        self._port = next_port()
+        self.backend_port = allocate_port()
+        self._port = allocate_port()
         self._listener: asyncio.Server | None = None
         self._backend: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Start the server and its proxy, and set the address to announce."""
+        """Starts the server and its proxy, and sets the address to announce."""
         loop = asyncio.get_running_loop()
         self._backend = await loop.create_server(
-            lambda: ServerConnection(self.server, self.chance), HOST, self.backend_port
+            lambda: ServerConnection(self.server, self.rng), HOST, self.backend_port
         )
         await self.listen()
 
     async def listen(self) -> None:
-        """Accept connections, at the same address as before, as soon as the system makes it available."""
+        """Listens on the same address as before, as soon as the operating system makes it available."""
         loop = asyncio.get_running_loop()
         while self._listener is None:
             try:
@@ -63,53 +66,53 @@
         self.server.address = f"{HOST}:{self._port}"
 
     def crash(self) -> None:
-        """Reset all connections and stop listening."""
+        """Resets all connections and stops listening."""
         if self._listener is not None:
             self._listener.close()
         self._listener = None
         for connection in list(self.connections):
             connection.reset()
 
-    def choose_fault(self) -> RequestFault | None:
-        """Draw what happens to the next request."""
+    def draw_request_fault(self) -> RequestFault | None:
+        """Draws the fault of the next request; None means that it has no fault."""
         faults = self.server.faults
         for fault in RequestFault:
-            if self.chance.random() < getattr(faults, fault.value):
+            if self.rng.random() < getattr(faults, fault.value):
                 return fault
         return None
 
     def stop(self) -> None:
-        """End the proxy and its server."""
+        """Stops the proxy and its server."""
         self.crash()
         if self._backend is not None:
             self._backend.close()
 
 
 class _DownstreamConnection(asyncio.Protocol):
-    """One connection of a sidecar to the proxy."""
+    """Connection of a sidecar to the proxy, and the faults of its requests."""
 
     def __init__(self, proxy: FaultProxy) -> None:
         self._proxy = proxy
-        self._chance = proxy.chance
+        self._rng = proxy.rng
         self._parser = httptools.HttpRequestParser(self)
         self._transport: asyncio.Transport | None = None
         self._upstream: asyncio.Transport | None = None
-        self._unsent = b""  # until the upstream connection is established
+        self._unsent_data = b""  # Received before the upstream connection was established.
         self._attempt: ServerAttempt | None = None
         self._fault: RequestFault | None = None
-        self._is_stalled = False  # whether the rest of a response is dropped
-        self._is_rejected = False  # whether what was just received is not forwarded
+        self._is_stalled = False  # True while the rest of a response is discarded.
+        self._is_rejected = False  # True if the request was rejected here, so its data is not forwarded.
 
-    # The sidecar's side
+    # Connection to the sidecar
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Connect to the server, or end the connection by a fault (asyncio.Protocol)."""
+        """Connects to the server, or ends the connection if a fault was drawn (asyncio.Protocol)."""
         self._transport = cast(asyncio.Transport, transport)
         self._proxy.connections.add(self)
         faults = self._proxy.server.faults
-        if self._chance.random() < faults.resets_at_accept:
+        if self._rng.random() < faults.accept_reset_probability:
             self.reset()
-        elif self._chance.random() < faults.closes_at_accept:
+        elif self._rng.random() < faults.accept_close_probability:
             self._transport.close()
         else:
             asyncio.get_running_loop().create_task(self._connect())
@@ -126,12 +129,12 @@
         self._upstream = upstream.transport
         if self._transport is None or self._transport.is_closing():
             self._abort_upstream()
-        elif self._unsent and self._upstream is not None:
-            self._upstream.write(self._unsent)
-            self._unsent = b""
+        elif self._unsent_data and self._upstream is not None:
+            self._upstream.write(self._unsent_data)
+            self._unsent_data = b""
 
     def data_received(self, data: bytes) -> None:
-        """Forward a part of a request unless a fault prevents it (asyncio.Protocol)."""
+        """Forwards a part of a request unless a fault prevents it (asyncio.Protocol)."""
         self._is_rejected = False
         try:
             self._parser.feed_data(data)
@@ -142,7 +145,7 @@
             return
         self._delay_reading(self._transport)
         if self._upstream is None:
-            self._unsent += data
+            self._unsent_data += data
         elif not self._upstream.is_closing():
             self._upstream.write(data)
 
@@ -157,22 +160,22 @@
             self._transport.resume_reading()
 
     def connection_lost(self, _exc: Exception | None) -> None:
-        """End the upstream connection too (asyncio.Protocol)."""
+        """Records the end of the attempt and aborts the upstream connection (asyncio.Protocol)."""
         self._proxy.connections.discard(self)
-        self._record_end()
+        self._record_attempt_end()
         self._abort_upstream()
 
     # Callbacks of httptools
 
     def on_message_begin(self) -> None:
-        """A request begins: choose its fault."""
+        """Starts the record of a request and draws its fault."""
         server = self._proxy.server
         self._attempt = ServerAttempt("", server.name, server.zone, server.cell, now())
-        self._fault = self._proxy.choose_fault()
+        self._fault = self._proxy.draw_request_fault()
         self._is_stalled = False
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Record the header fields that the rules are about."""
+        """Records the headers that the rules are checked against."""
         assert self._attempt is not None
         if name.lower() == b"request-id":
             self._attempt.request_id = value.decode()
@@ -181,73 +184,73 @@
             self._attempt.announced_timeout_s = float(value)
 
     def on_headers_complete(self) -> None:
-        """The head of the request was received."""
-        if self._fault is RequestFault.RESETS_IN_REQUEST:
+        """Resets the connection if that is the fault of the request."""
+        if self._fault is RequestFault.RESET_AFTER_HEADERS:
             self.reset()
 
     def on_message_complete(self) -> None:
-        """The request is complete: reject it, or let the server execute it."""
+        """Rejects the complete request, or records that the server executes it."""
         attempt = self._attempt
         if attempt is None or self._transport is None or self._transport.is_closing():
             return
         attempt.completed_at = now()
-        if self._fault is RequestFault.REJECTS:
+        if self._fault is RequestFault.REJECTION:
             self._transport.write(b"HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n")
-            self._record_end()
+            self._record_attempt_end()
             self._is_rejected = True
             self._replace_upstream()
             return
         attempt.is_executed = True
-        if self._fault is RequestFault.RESETS_AFTER_REQUEST:
+        if self._fault is RequestFault.RESET_AFTER_REQUEST:
             self.reset()
 
-    # The server's side
+    # Connection to the server
 
     def response_received(self, upstream: asyncio.Transport | None, data: bytes) -> None:
-        """Forward a part of a response unless a fault prevents it."""
+        """Forwards a part of a response unless a fault prevents it."""
         if upstream is not self._upstream:
             return
         if self._transport is None or self._transport.is_closing() or self._is_stalled:
             return
-        if self._fault is RequestFault.RESETS_IN_RESPONSE:
+        if self._fault is RequestFault.RESET_IN_RESPONSE:
             self._transport.write(data[: len(data) // 2])
             self.reset()
-        elif self._fault is RequestFault.STALLS_IN_RESPONSE:
+        elif self._fault is RequestFault.STALL_IN_RESPONSE:
             self._transport.write(data[: max(len(data) // 2, 1)])
             self._is_stalled = True
         else:
             self._transport.write(data)
-            self._record_end()
-            if self._fault is RequestFault.RESPONDS_TWICE:
-                delay_s = self._chance.uniform(0.0, _MAX_REPETITION_DELAY_S)
-                asyncio.get_running_loop().call_later(delay_s, self._repeat, data)
+            self._record_attempt_end()
+            if self._fault is RequestFault.DUPLICATE_RESPONSE:
+                delay_s = self._rng.uniform(0.0, _MAX_DUPLICATE_DELAY_S)
+                asyncio.get_running_loop().call_later(delay_s, self._repeat_response, data)
 
-    def _repeat(self, data: bytes) -> None:
+    def _repeat_response(self, data: bytes) -> None:
         if self._transport is not None and not self._transport.is_closing():
             self._transport.write(data)
 
     def upstream_closed(self, upstream: asyncio.Transport | None) -> None:
-        """Close this connection after the server closed its own."""
+        """Closes the connection to the sidecar after the server closed its connection."""
         if upstream is not self._upstream:
             return
         if self._transport is not None and not self._transport.is_closing():
             self._transport.close()
 
-    def _record_end(self) -> None:
+    def _record_attempt_end(self) -> None:
         if self._attempt is not None and not self._attempt.ended_at:
             self._attempt.ended_at = now()
 
     def reset(self) -> None:
-        """Reset both connections."""
+        """Resets the connection to the sidecar and aborts the upstream connection."""
         if self._transport is not None and not self._transport.is_closing():
-            own = self._transport.get_extra_info("socket")
-            own.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET)
+            sock = self._transport.get_extra_info("socket")
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_ZERO)
             self._transport.abort()
         self._abort_upstream()
 
     def _replace_upstream(self) -> None:
-        """Connect anew, so that the server never receives a request that was rejected here."""
-        self._unsent = b""
+        """Reconnects to the server, so that it never receives a request that was rejected here."""
+        self._unsent_data = b""
         self._abort_upstream()
         self._upstream = None
         asyncio.get_running_loop().create_task(self._connect())
@@ -258,20 +261,20 @@
 
 
 class _UpstreamConnection(asyncio.Protocol):
-    """The proxy's connection to its server, for one connection of a sidecar."""
+    """Connection of the proxy to its server, for one connection of a sidecar."""
 
     def __init__(self, downstream: _DownstreamConnection) -> None:
         self._downstream = downstream
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport (asyncio.Protocol)."""
+        """Stores the transport (asyncio.Protocol)."""
         self.transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
-        """Pass on a part of a response (asyncio.Protocol)."""
+        """Passes a part of a response to the connection of the sidecar (asyncio.Protocol)."""
         self._downstream.response_received(self.transport, data)
 
     def connection_lost(self, _exc: Exception | None) -> None:
-        """Pass on the end of the connection (asyncio.Protocol)."""
+        """Passes the end of the connection to the connection of the sidecar (asyncio.Protocol)."""
         self._downstream.upstream_closed(self.transport)
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -1,4 +1,7 @@
-"""Faults: each begins at some moment, lasts for a while, and ends; several overlap."""
+"""Faults of a soak run.
+
+Each fault is a coroutine that starts the fault, waits, and ends it; several run at the same time.
+"""
 
 from __future__ import annotations
 
@@ -14,199 +17,203 @@
 from soak.shim import Word
 
 if TYPE_CHECKING:
-    from soak.world import World
+    from soak.world import Fleet
 
-Fault = Callable[["World", random.Random], Awaitable[None]]
+Fault = Callable[["Fleet", random.Random], Awaitable[None]]
 
 _HOUR_NS = 3_600 * 10**9
 
 
-def _draw_duration_s(chance: random.Random) -> float:
-    return chance.uniform(0.3, 2.0)
+def _draw_duration_s(rng: random.Random) -> float:
+    return rng.uniform(0.3, 2.0)
 
 
-async def restart(world: World, chance: random.Random) -> None:
-    """Planned restarts, one after another or concurrently."""
-    places = world.some_places(chance, 0.4)
-    if chance.random() < 0.5:
-        await asyncio.gather(*(world.restart(place) for place in places))
+async def restart(fleet: Fleet, rng: random.Random) -> None:
+    """Restarts sidecars by SIGTERM, one after another or concurrently."""
+    sidecars = fleet.choose_sidecars(rng, 0.4)
+    if rng.random() < 0.5:
+        await asyncio.gather(*(fleet.restart_sidecar(sidecar) for sidecar in sidecars))
     else:
-        for place in places:
-            await world.restart(place)
-
-
-async def kill(world: World, chance: random.Random) -> None:
-    """Processes are killed, and restarted without any state."""
-    await asyncio.gather(*(world.kill(place) for place in world.some_places(chance, 0.4)))
-
-
-async def upgrade(world: World, chance: random.Random) -> None:
-    """A new version takes over where the listening socket is inherited."""
-    places = [place for place in world.some_places(chance, 0.8) if place.inherits_listener]
-    await asyncio.gather(*(world.take_over(place) for place in places))
-
-
-async def reload(world: World, chance: random.Random) -> None:
-    """New configurations in a row: discovery moves, attempts shrink, classes come and go, half a file."""
-    for _ in range(chance.randint(1, 3)):
-        for place in world.some_places(chance, 0.7):
-            world.reload(place, chance)
-        await asyncio.sleep(chance.uniform(0.05, 0.8))
-
-
-async def pause_processes(world: World, chance: random.Random) -> None:
-    """Processes are paused for up to 0.15 s, several times."""
-    places = world.some_places(chance, 0.5)
-    for _ in range(chance.randint(2, 8)):
-        await asyncio.gather(*(place.pause(chance.uniform(0.02, 0.15)) for place in places))
-        await asyncio.sleep(chance.uniform(0.05, 0.3))
-
-
-async def step_clocks(world: World, chance: random.Random) -> None:
-    """Wall clocks are stepped, by seconds or by an hour, forward or back."""
-    places = world.some_places(chance, 0.6)
-    for _ in range(chance.randint(1, 5)):
-        for place in places:
-            offset = chance.choice([-_HOUR_NS, -5 * 10**9, 0, 5 * 10**9, _HOUR_NS])
-            place.shim.put(Word.WALL_OFFSET_NS, offset)
-        await asyncio.sleep(chance.uniform(0.1, 0.6))
-
-
-async def fail_calls(world: World, chance: random.Random) -> None:
-    """accept, socket and connect fail for a moment, reads and writes are short, waits are interrupted."""
-    places = world.some_places(chance, 0.6)
-    accept = chance.choice([errno.ECONNABORTED, errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.EPROTO])
-    made = chance.choice([errno.ENFILE, errno.EMFILE, errno.ENOBUFS])
-    dialled = chance.choice([errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.ENOBUFS, errno.EHOSTUNREACH])
-    for place in places:
-        shim = place.shim
-        shim.put(Word.ACCEPT_ERROR, accept)
-        shim.put(Word.SOCKET_ERROR, made)
-        shim.put(Word.CONNECT_ERROR, dialled)
-        shim.put(Word.ACCEPT_CHANCE, chance.choice([0, 300, 1_000]))
-        shim.put(Word.SOCKET_CHANCE, chance.choice([0, 0, 200]))
-        shim.put(Word.CONNECT_CHANCE, chance.choice([0, 200, 500]))
-        shim.put(Word.SHORT_CHANCE, chance.choice([0, 200, 800]))
-        shim.put(Word.INTERRUPT_CHANCE, chance.choice([0, 200]))
-    await asyncio.sleep(chance.uniform(0.2, 1.0))
-    for place in places:
-        place.shim.end_faults()
-
-
-async def lose_log(world: World, chance: random.Random) -> None:
-    """The log's disk is full or broken, or the reader of the log does not read."""
-    places = world.some_places(chance, 0.6)
-    for place in places:
-        if chance.random() < 0.5:
-            place.reads_log.clear()
+        for sidecar in sidecars:
+            await fleet.restart_sidecar(sidecar)
+
+
+async def kill(fleet: Fleet, rng: random.Random) -> None:
+    """Kills sidecar processes and restarts them without any state."""
+    await asyncio.gather(*(fleet.kill_sidecar(sidecar) for sidecar in fleet.choose_sidecars(rng, 0.4)))
+
+
+async def upgrade(fleet: Fleet, rng: random.Random) -> None:
+    """Starts a new process next to the old one in the sidecars that inherit their listening socket."""
+    sidecars = [sidecar for sidecar in fleet.choose_sidecars(rng, 0.8) if sidecar.inherits_listener]
+    await asyncio.gather(*(fleet.upgrade_sidecar(sidecar) for sidecar in sidecars))
+
+
+async def reload(fleet: Fleet, rng: random.Random) -> None:
+    """Reloads configurations several times.
+
+    Reloads change the address of discovery, the maximum number of attempts and the request classes, and some
+    read a truncated file.
+    """
+    for _ in range(rng.randint(1, 3)):
+        for sidecar in fleet.choose_sidecars(rng, 0.7):
+            fleet.reload_sidecar(sidecar, rng)
+        await asyncio.sleep(rng.uniform(0.05, 0.8))
+
+
+async def pause_processes(fleet: Fleet, rng: random.Random) -> None:
+    """Suspends processes for up to 0.15 s, several times."""
+    sidecars = fleet.choose_sidecars(rng, 0.5)
+    for _ in range(rng.randint(2, 8)):
+        await asyncio.gather(*(sidecar.pause(rng.uniform(0.02, 0.15)) for sidecar in sidecars))
+        await asyncio.sleep(rng.uniform(0.05, 0.3))
+
+
+async def step_clocks(fleet: Fleet, rng: random.Random) -> None:
+    """Steps wall clocks forward or back, by seconds or by an hour."""
+    sidecars = fleet.choose_sidecars(rng, 0.6)
+    for _ in range(rng.randint(1, 5)):
+        for sidecar in sidecars:
+            offset = rng.choice([-_HOUR_NS, -5 * 10**9, 0, 5 * 10**9, _HOUR_NS])
+            sidecar.shim.put(Word.WALL_OFFSET_NS, offset)
+        await asyncio.sleep(rng.uniform(0.1, 0.6))
+
+
+async def fail_calls(fleet: Fleet, rng: random.Random) -> None:
+    """Makes accept, socket and connect fail, shortens reads and writes, and interrupts waits."""
+    sidecars = fleet.choose_sidecars(rng, 0.6)
+    accept_error = rng.choice([errno.ECONNABORTED, errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.EPROTO])
+    socket_error = rng.choice([errno.ENFILE, errno.EMFILE, errno.ENOBUFS])
+    connect_error = rng.choice([errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.ENOBUFS, errno.EHOSTUNREACH])
+    for sidecar in sidecars:
+        shim = sidecar.shim
+        shim.put(Word.ACCEPT_ERROR, accept_error)
+        shim.put(Word.SOCKET_ERROR, socket_error)
+        shim.put(Word.CONNECT_ERROR, connect_error)
+        shim.put(Word.ACCEPT_CHANCE, rng.choice([0, 300, 1_000]))
+        shim.put(Word.SOCKET_CHANCE, rng.choice([0, 0, 200]))
+        shim.put(Word.CONNECT_CHANCE, rng.choice([0, 200, 500]))
+        shim.put(Word.SHORT_CHANCE, rng.choice([0, 200, 800]))
+        shim.put(Word.INTERRUPT_CHANCE, rng.choice([0, 200]))
+    await asyncio.sleep(rng.uniform(0.2, 1.0))
+    for sidecar in sidecars:
+        sidecar.shim.end_faults()
+
+
+async def lose_log(fleet: Fleet, rng: random.Random) -> None:
+    """Makes log writes fail with a full or broken disk, or stops reading the log."""
+    sidecars = fleet.choose_sidecars(rng, 0.6)
+    for sidecar in sidecars:
+        if rng.random() < 0.5:
+            sidecar.log_reading_enabled.clear()
         else:
-            place.shim.put(Word.LOG_ERROR, chance.choice([errno.ENOSPC, errno.EIO]))
-            place.shim.put(Word.LOG_CHANCE, 700)
-    await asyncio.sleep(_draw_duration_s(chance))
-    for place in places:
-        place.reads_log.set()
-        place.shim.put(Word.LOG_CHANCE, 0)
+            sidecar.shim.put(Word.LOG_ERROR, rng.choice([errno.ENOSPC, errno.EIO]))
+            sidecar.shim.put(Word.LOG_CHANCE, 700)
+    await asyncio.sleep(_draw_duration_s(rng))
+    for sidecar in sidecars:
+        sidecar.log_reading_enabled.set()
+        sidecar.shim.put(Word.LOG_CHANCE, 0)
 
 
-async def hang_servers(world: World, chance: random.Random) -> None:
-    """Servers accept requests and respond to none."""
-    await _inject_server_faults(world, chance, 0.4, lambda: ServerFaults(hangs=True))
+async def hang_servers(fleet: Fleet, rng: random.Random) -> None:
+    """Makes servers accept requests and respond to none."""
+    await _inject_server_faults(fleet, rng, 0.4, lambda: ServerFaults(hangs=True))
 
 
-async def break_network(world: World, chance: random.Random) -> None:
-    """Connections are reset at any point, responses stall, are repeated or missing."""
+async def break_network(fleet: Fleet, rng: random.Random) -> None:
+    """Rejects requests, ends connections at any point, and fails, stalls or repeats responses."""
 
     def faults() -> ServerFaults:
-        rate = chance.choice([0.05, 0.2])
+        probability = rng.choice([0.05, 0.2])
         return ServerFaults(
-            rejects=rate,
-            errors=rate,
-            closes_at_accept=chance.choice([0.0, 0.5]),
-            resets_at_accept=chance.choice([0.0, 0.3]),
-            resets_in_request=rate,
-            resets_after_request=rate,
-            resets_in_response=rate,
-            stalls_in_response=rate / 2,
-            responds_twice=rate,
-            service_s=chance.choice([0.004, 0.05]),
+            reject_probability=probability,
+            error_probability=probability,
+            accept_close_probability=rng.choice([0.0, 0.5]),
+            accept_reset_probability=rng.choice([0.0, 0.3]),
+            reset_after_headers_probability=probability,
+            reset_after_request_probability=probability,
+            reset_in_response_probability=probability,
+            stall_in_response_probability=probability / 2,
+            duplicate_response_probability=probability,
+            mean_service_time_s=rng.choice([0.004, 0.05]),
         )
 
-    await _inject_server_faults(world, chance, 0.7, faults)
+    await _inject_server_faults(fleet, rng, 0.7, faults)
 
 
-async def read_slowly(world: World, chance: random.Random) -> None:
-    """Servers stop reading an incomplete request for a while."""
-    await _inject_server_faults(
-        world, chance, 0.5, lambda: ServerFaults(read_delay_s=chance.uniform(0.1, 0.6))
-    )
+async def read_slowly(fleet: Fleet, rng: random.Random) -> None:
+    """Makes servers pause reading while a request is incomplete."""
+    await _inject_server_faults(fleet, rng, 0.5, lambda: ServerFaults(read_delay_s=rng.uniform(0.1, 0.6)))
 
 
 async def _inject_server_faults(
-    world: World, chance: random.Random, part: float, faults: Callable[[], ServerFaults]
+    fleet: Fleet, rng: random.Random, probability: float, faults: Callable[[], ServerFaults]
 ) -> None:
-    proxies = world.some_proxies(chance, part)
+    proxies = fleet.choose_proxies(rng, probability)
     for proxy in proxies:
         proxy.server.faults = faults()
-    await asyncio.sleep(_draw_duration_s(chance))
+    await asyncio.sleep(_draw_duration_s(rng))
     for proxy in proxies:
         proxy.server.faults = ServerFaults()
 
 
-async def crash_servers(world: World, chance: random.Random) -> None:
-    """Servers crash, and restart at the same address with a slow start."""
+async def crash_servers(fleet: Fleet, rng: random.Random) -> None:
+    """Crashes servers and restarts them at the same address, where slow start applies to them."""
 
-    async def crash(proxy: FaultProxy) -> None:
+    async def crash_and_restart(proxy: FaultProxy) -> None:
         proxy.crash()
-        await asyncio.sleep(_draw_duration_s(chance))
+        await asyncio.sleep(_draw_duration_s(rng))
         await proxy.listen()
-        await world.announce_start(proxy)
+        await fleet.announce_server_start(proxy)
 
-    await asyncio.gather(*(crash(proxy) for proxy in world.some_proxies(chance, 0.3)))
+    await asyncio.gather(*(crash_and_restart(proxy) for proxy in fleet.choose_proxies(rng, 0.3)))
 
 
-async def drain_servers(world: World, chance: random.Random) -> None:
-    """Servers are drained, replaced, and removed."""
-    drained = world.some_proxies(chance, 0.3)
-    for proxy in drained:
-        await world.drain(proxy)
-    for _ in drained:
-        await world.add_server()
-    await asyncio.sleep(_draw_duration_s(chance))
-    for proxy in drained:
-        await world.remove(proxy)
+async def drain_servers(fleet: Fleet, rng: random.Random) -> None:
+    """Drains servers, adds as many new ones, and removes the drained ones."""
+    draining_proxies = fleet.choose_proxies(rng, 0.3)
+    for proxy in draining_proxies:
+        await fleet.drain_server(proxy)
+    for _ in draining_proxies:
+        await fleet.add_server()
+    await asyncio.sleep(_draw_duration_s(rng))
+    for proxy in draining_proxies:
+        await fleet.remove_server(proxy)
 
 
-async def disrupt_discovery(world: World, chance: random.Random) -> None:
-    """Discovery does not respond, is overloaded, resets connections or is slow."""
-    faults = [chance.choice(list(DiscoveryFault)) for _ in world.discoveries]
-    for discovery, fault in zip(world.discoveries, faults, strict=True):
-        if chance.random() < 0.8:
+async def disrupt_discovery(fleet: Fleet, rng: random.Random) -> None:
+    """Makes discovery unresponsive, overloaded or slow, or makes it reset connections."""
+    faults = [rng.choice(list(DiscoveryFault)) for _ in fleet.discovery_servers]
+    for discovery, fault in zip(fleet.discovery_servers, faults, strict=True):
+        if rng.random() < 0.8:
             discovery.set_fault(fault)
-    await asyncio.sleep(2.0 * _draw_duration_s(chance))
-    for discovery in world.discoveries:
+    await asyncio.sleep(2.0 * _draw_duration_s(rng))
+    for discovery in fleet.discovery_servers:
         discovery.set_fault(None)
 
 
-async def disconnect_early(world: World, chance: random.Random) -> None:
-    """Clients disconnect before their responses, and send slowly or much."""
-    applications = [client for client in world.applications if chance.random() < 0.7]
-    for client in applications:
-        client.behavior.disconnects = chance.uniform(0.1, 0.6)
-        client.behavior.slow_body = chance.uniform(0.0, 0.5)
-        client.behavior.large_body = client.behavior.large_response = chance.uniform(0.0, 0.3)
-    await asyncio.sleep(_draw_duration_s(chance))
-    for client in applications:
-        client.behavior.disconnects = client.behavior.slow_body = 0.0
-        client.behavior.large_body = client.behavior.large_response = 0.02
+async def disconnect_early(fleet: Fleet, rng: random.Random) -> None:
+    """Makes clients disconnect before their responses, send slowly, and exchange large bodies."""
+    generators = [generator for generator in fleet.load_generators if rng.random() < 0.7]
+    for generator in generators:
+        generator.behavior.disconnect_probability = rng.uniform(0.1, 0.6)
+        generator.behavior.slow_body_probability = rng.uniform(0.0, 0.5)
+        generator.behavior.large_body_probability = generator.behavior.large_response_probability = (
+            rng.uniform(0.0, 0.3)
+        )
+    await asyncio.sleep(_draw_duration_s(rng))
+    for generator in generators:
+        generator.behavior.disconnect_probability = generator.behavior.slow_body_probability = 0.0
+        generator.behavior.large_body_probability = generator.behavior.large_response_probability = 0.02
 
 
-async def send_incomplete(world: World, chance: random.Random) -> None:
-    """Clients that send half a request, or nothing, and stay."""
+async def send_incomplete(fleet: Fleet, rng: random.Random) -> None:
+    """Opens client connections that send half a request or nothing and stay open."""
     await asyncio.gather(
         *(
-            client.send_incomplete(chance.randint(1, 40), _draw_duration_s(chance))
-            for client in world.applications
-            if chance.random() < 0.6
+            generator.send_incomplete_requests(rng.randint(1, 40), _draw_duration_s(rng))
+            for generator in fleet.load_generators
+            if rng.random() < 0.6
         )
     )
 
--- a/tests/soak/records.py
+++ b/tests/soak/records.py
@@ -1,4 +1,4 @@
-"""What the clients, servers and processes of a soak run record, on one clock, in seconds."""
+"""Records of the clients, servers and processes of a soak run, with times in seconds of one clock."""
 
 from __future__ import annotations
 
@@ -8,81 +8,81 @@
 
 
 def now() -> float:
-    """The clock of all records: the monotonic clock of the machine, in seconds."""
+    """Returns the time of the machine's monotonic clock, which all records use, in seconds."""
     return time.monotonic()
 
 
 @unique
 class Idempotency(Enum):
-    """Whether a request may be executed twice; the values are those of the settings."""
+    """Whether a request may be executed more than once; the values are those of the settings."""
 
     IDEMPOTENT = "read_like"
-    WITH_KEY = "idempotency_key"
+    IDEMPOTENT_WITH_KEY = "idempotency_key"
     NON_IDEMPOTENT = "non_idempotent"
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """A class of requests, as clients use it; `key_scope` is where servers share idempotency keys."""
+    """A service class; `deduplication_scope` is the set of servers that share idempotency keys."""
 
     name: str
     idempotency: Idempotency
     deadline_s: float
     latency_objective_s: float
-    key_scope: str = "cell"
+    deduplication_scope: str = "cell"
     deduplication_window_s: float = 0.0
 
     @property
-    def settings(self) -> dict[str, object]:
-        """Its entry of `lanes` in the settings."""
+    def settings_entry(self) -> dict[str, object]:
+        """The entry of this class in `lanes` of the settings."""
         return {
             "name": self.name,
             "giveUpUs": int(self.deadline_s * 1e6),
             "promiseUs": int(self.latency_objective_s * 1e6),
             "repeat": self.idempotency.value,
-            "group": self.key_scope,
+            "group": self.deduplication_scope,
             "memorySpanUs": int(self.deduplication_window_s * 1e6),
         }
 
 
 @dataclass(slots=True)
 class ClientAttempt:
-    """A request on one client connection; `sidecar` is the number of the sidecar that it was sent to."""
+    """A request as sent on one client connection to the sidecar `sidecar_number`; times are 0 if unset."""
 
     request_id: str
     request_class: RequestClass
-    sidecar: int
+    sidecar_number: int
     timeout_s: float
     is_first_on_connection: bool
-    sent_at: float = 0.0  # when its last byte was written; 0: never
-    disconnected_at: float = 0.0  # when its client closed the connection; 0: it did not
-    ended_at: float = 0.0  # when its response was complete, or its connection ended
-    status: int = 0  # of its complete response; 0: none
-    is_own_response: bool = True
-    has_partial_response: bool = False  # whether at least a part of a response was received
-    is_retried: bool = False  # whether its client may send it again on another connection
+    sent_at: float = 0.0  # Time at which its last byte was written.
+    disconnected_at: float = 0.0  # Time at which the client closed the connection before a complete response.
+    ended_at: float = 0.0  # Time at which the response was complete or the connection was lost.
+    status: int = 0  # Status of the complete response; 0 if there is none.
+    is_own_response: bool = True  # False if a response with status 200 has the id of another request.
+    has_partial_response: bool = False  # True once the headers of a response were received.
+    is_retried: bool = False  # True if the client decided to send the request again on a new connection.
 
 
 @dataclass(slots=True)
 class ServerAttempt:
-    """An attempt as the proxy in front of a server received it."""
+    """An attempt as received by the proxy in front of a server; times are 0 if unset."""
 
     request_id: str
     server: str
     zone: str
     cell: int
-    first_byte_at: float
-    completed_at: float = 0.0  # when its last byte was received; 0: never
+    first_byte_received_at: float
+    completed_at: float = 0.0  # Time at which its last byte was received.
     announced_timeout_s: float = 0.0
-    is_executed: bool = False  # whether the server behind the proxy began it
-    ended_at: float = 0.0  # when either side ended its connection, or it was responded to; 0: not yet
+    is_executed: bool = False  # True if it was complete and not rejected, so that it counts as executed.
+    ended_at: float = 0.0  # Time of the response, or of the end of the connection.
 
 
 @dataclass(slots=True)
 class ProcessRecord:
-    """One process of a sidecar; times are 0 where the event did not happen."""
+    """One process of a sidecar; times are 0 if the event did not happen."""
 
-    sidecar: int
+    sidecar_number: int
     pid: int
     started_at: float
     ready_at: float = 0.0
@@ -95,38 +95,38 @@
 
 @dataclass(frozen=True, slots=True)
 class Withdrawal:
-    """A change written to a sidecar, by which a server is no longer active."""
+    """An endpoint list update that was written to a sidecar and withdraws a server."""
 
-    sidecar: int
+    sidecar_number: int
     server: str
-    at: float
+    written_at: float
 
 
 @dataclass(frozen=True, slots=True)
 class Pause:
-    """The time in which the process of a sidecar was stopped by SIGSTOP."""
+    """A period during which the process of a sidecar was suspended by SIGSTOP."""
 
-    sidecar: int
+    sidecar_number: int
     started_at: float
     ended_at: float
 
 
 @dataclass(frozen=True, slots=True)
 class SidecarEvent:
-    """Something that happened to a sidecar at one moment."""
+    """An event that affected one sidecar."""
 
-    sidecar: int
-    at: float
+    sidecar_number: int
+    occurred_at: float
 
 
 @dataclass(slots=True)
 class Records:
-    """Everything that was recorded in one run."""
+    """All records of one run."""
 
     client_attempts: list[ClientAttempt] = field(default_factory=list)
     server_attempts: list[ServerAttempt] = field(default_factory=list)
     processes: list[ProcessRecord] = field(default_factory=list)
     withdrawals: list[Withdrawal] = field(default_factory=list)
     pauses: list[Pause] = field(default_factory=list)
-    reloads: list[SidecarEvent] = field(default_factory=list)  # discovery may have moved
-    discovery_resets: list[SidecarEvent] = field(default_factory=list)  # of the sidecar's connections
+    reloads: list[SidecarEvent] = field(default_factory=list)  # The address of discovery may have changed.
+    discovery_resets: list[SidecarEvent] = field(default_factory=list)  # Resets of connections to discovery.
--- a/tests/soak/rule_checker.py
+++ b/tests/soak/rule_checker.py
@@ -1,6 +1,6 @@
-"""Checks the platform's rules against the records of a soak run.
+"""Checks the records of a soak run against the rules of the platform.
 
-Time limits have room for this machine (`MACHINE_DELAY_S`).  Every exemption states its reason.
+Time limits include a tolerance for scheduling (`SCHEDULING_DELAY_S`).  Every exemption states its reason.
 """
 
 from __future__ import annotations
@@ -10,32 +10,32 @@
 from enum import StrEnum, unique
 from itertools import pairwise
 
-from soak.history import MACHINE_DELAY_S, History
+from soak.history import SCHEDULING_DELAY_S, History
 from soak.records import ClientAttempt, Idempotency, ProcessRecord, Records, RequestClass, ServerAttempt
-from soak.sidecars import READY_WITHIN_S
+from soak.sidecars import READY_TIMEOUT_S
 
-_RESPONSE_SLACK_S = 0.5  # a response up to this after the timeout is worthless, but breaks no rule
-_CANCELLATION_S = 0.1  # from the end of a request to the end of its attempts
-_TIMEOUT_SLACK_S = 0.15  # by which an announced timeout may be longer than the time that is left
+_RESPONSE_SLACK_S = 0.5  # A response this late after the timeout is worthless, but violates no rule.
+_CANCELLATION_S = 0.1  # Time allowed between the end of a request and the end of its attempts.
+_TIMEOUT_SLACK_S = 0.15  # An announced timeout may exceed the remaining time by this.
 _INTERNAL_ERROR_TEXTS = ("internal error", "invariant broken", "Traceback")
 
 
 @unique
 class Rule(StrEnum):
-    """What can be violated; the values are written before each violation."""
+    """Rules that can be violated; each violation is printed with the value of its rule."""
 
-    RESPONSE = "response"  # one response, its own and in time
-    EXECUTION = "execution"  # as often, and where, as the request's class allows
-    DISCONNECT = "disconnect"  # no attempt begins for a client that has disconnected
-    DEADLINE = "deadline"  # an attempt announces no more than the time that is left
-    DRAIN = "drain"  # a withdrawn server gets nothing after the grace period
-    PROCESS = "process"  # starts, exit codes, logs
-    AFTERMATH = "aftermath"  # what each sidecar must show once all faults have ended
+    RESPONSE = "response"  # Each request gets one response, which is its own and in time.
+    EXECUTION = "execution"  # The request's class limits how often and where it is executed.
+    DISCONNECT = "disconnect"  # No attempt begins for a client that has disconnected.
+    DEADLINE = "deadline"  # An attempt announces no timeout beyond the remaining time.
+    DRAIN = "drain"  # A withdrawn server gets no attempts after the grace period.
+    PROCESS = "process"  # Processes start in time, exit with 0, and log no internal error.
+    RECOVERY = "aftermath"  # Each sidecar serves and becomes idle after all faults.
 
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """One violation of a rule."""
+    """A violation of a rule, with a description."""
 
     rule: Rule
     detail: str
@@ -45,7 +45,7 @@
 
 
 class RuleChecker:
-    """Finds the violations in the records of one run."""
+    """Finds the violations of the rules in the records of one run."""
 
     def __init__(self, records: Records, drain_grace_s: float, *, allows_hedging: bool) -> None:
         self._history = History(records)
@@ -53,7 +53,7 @@
         self._allows_hedging = allows_hedging
 
     def violations(self) -> list[Violation]:
-        """All violations, rule by rule."""
+        """Returns all violations, ordered by rule."""
         details_by_rule = {
             Rule.RESPONSE: self._response_violations(),
             Rule.EXECUTION: self._execution_violations(),
@@ -67,46 +67,54 @@
     def _response_violations(self) -> Iterator[str]:
         for request_id, attempts in self._history.client_attempts.items():
             for attempt in attempts:
-                fault = self._response_fault(attempt)
-                if fault:
+                detail = self._check_response(attempt)
+                if detail:
                     server_attempts = self._history.server_attempts[request_id]
                     processes = self._history.describe_processes(attempt)
-                    yield f"{fault}: {attempt} {server_attempts} {processes}"
+                    yield f"{detail}: {attempt} {server_attempts} {processes}"
 
-    def _response_fault(self, attempt: ClientAttempt) -> str:
+    def _check_response(self, attempt: ClientAttempt) -> str:
         if not attempt.sent_at or self._history.is_unserved(attempt):
             return ""
-        slack_s = _RESPONSE_SLACK_S + MACHINE_DELAY_S + self._history.paused_s(attempt)
-        due_at = attempt.sent_at + attempt.timeout_s + slack_s
+        slack_s = _RESPONSE_SLACK_S + SCHEDULING_DELAY_S + self._history.paused_s(attempt)
+        latest_response_at = attempt.sent_at + attempt.timeout_s + slack_s
         if attempt.status:
             if not attempt.is_own_response:
-                return "not its own"
-            return "late" if attempt.ended_at > due_at else ""
+                return "response of another request"
+            return "late response" if attempt.ended_at > latest_response_at else ""
         if attempt.has_partial_response:
             return (
-                ""  # its client sees that it is incomplete, and a response that has begun has no time limit
+                ""  # The client sees that the response is incomplete; a started response has no time limit.
             )
         if attempt.disconnected_at:
-            return "none" if attempt.disconnected_at > due_at else ""
+            return (
+                "no response before the client disconnected"
+                if attempt.disconnected_at > latest_response_at
+                else ""
+            )
         if attempt.is_retried:
-            return "closed though it was forwarded" if self._is_forwarded_once(attempt) else ""
-        return "closed without a response"
+            return (
+                "connection closed though the request was forwarded, and no retry"
+                if self._is_forwarded_without_retry(attempt)
+                else ""
+            )
+        return "connection closed without a response"
 
-    def _is_forwarded_once(self, attempt: ClientAttempt) -> bool:
-        """Whether a server received a request whose client was to retry it, and did not."""
+    def _is_forwarded_without_retry(self, attempt: ClientAttempt) -> bool:
+        """Returns whether a server received a request that its client was to retry but did not."""
         server_attempts = self._history.server_attempts[attempt.request_id]
-        is_received = any(server_attempt.first_byte_at > 0 for server_attempt in server_attempts)
+        is_received = any(server_attempt.first_byte_received_at > 0 for server_attempt in server_attempts)
         attempts = self._history.client_attempts[attempt.request_id]
         return is_received and not any(other is not attempt for other in attempts)
 
     def _execution_violations(self) -> Iterator[str]:
         for request_id, attempts in self._history.client_attempts.items():
             server_attempts = self._history.server_attempts[request_id]
-            fault = self._execution_fault(attempts, server_attempts)
-            if fault:
-                yield f"{fault}: {attempts} {server_attempts}"
+            detail = self._check_executions(attempts, server_attempts)
+            if detail:
+                yield f"{detail}: {attempts} {server_attempts}"
 
-    def _execution_fault(
+    def _check_executions(
         self, attempts: Sequence[ClientAttempt], server_attempts: Sequence[ServerAttempt]
     ) -> str:
         request_class = attempts[0].request_class
@@ -114,18 +122,18 @@
             (attempt for attempt in server_attempts if attempt.is_executed),
             key=lambda attempt: attempt.completed_at,
         )
-        fault = _repetition_fault(request_class, executed)
-        if fault:
-            return fault
+        detail = _check_repetition(request_class, executed)
+        if detail:
+            return detail
         is_rejected = any(attempt.status in (429, 503) for attempt in attempts)
         may_be_rejected = (
-            request_class.idempotency is Idempotency.IDEMPOTENT or request_class.key_scope == "all"
+            request_class.idempotency is Idempotency.IDEMPOTENT or request_class.deduplication_scope == "all"
         )
         if is_rejected and executed and not may_be_rejected:
             return "rejected though it was executed"
-        return self._concurrency_fault(request_class, server_attempts)
+        return self._check_concurrency(request_class, server_attempts)
 
-    def _concurrency_fault(
+    def _check_concurrency(
         self, request_class: RequestClass, server_attempts: Sequence[ServerAttempt]
     ) -> str:
         if self._allows_hedging and request_class.idempotency is not Idempotency.NON_IDEMPOTENT:
@@ -136,7 +144,7 @@
         )
         for first, second in pairwise(completed):
             if not first.ended_at or first.ended_at > second.completed_at + _CANCELLATION_S:
-                return "two attempts at a time"
+                return "concurrent attempts though hedging is not allowed"
         return ""
 
     def _disconnect_violations(self) -> Iterator[str]:
@@ -145,76 +153,92 @@
             if not disconnected_at or any(attempt.status for attempt in attempts):
                 continue
             paused_s = max(self._history.paused_s(attempt) for attempt in attempts)
-            allowed_until = disconnected_at + _CANCELLATION_S + MACHINE_DELAY_S + paused_s
+            latest_attempt_at = disconnected_at + _CANCELLATION_S + SCHEDULING_DELAY_S + paused_s
             for server_attempt in self._history.server_attempts[request_id]:
-                if server_attempt.first_byte_at > allowed_until:
-                    delay_s = server_attempt.first_byte_at - disconnected_at
-                    yield f"attempt begun {delay_s:.3f} s after it: {attempts} {server_attempt}"
+                if server_attempt.first_byte_received_at > latest_attempt_at:
+                    delay_s = server_attempt.first_byte_received_at - disconnected_at
+                    yield f"attempt {delay_s:.3f} s after the disconnect: {attempts} {server_attempt}"
 
     def _deadline_violations(self) -> Iterator[str]:
         for request_id, attempts in self._history.client_attempts.items():
             for server_attempt in self._history.server_attempts[request_id]:
-                # Measured at its first byte: delays in the network and the server's system are not visible.
-                latest = server_attempt.first_byte_at + MACHINE_DELAY_S
-                sent = [attempt for attempt in attempts if attempt.sent_at and attempt.sent_at <= latest]
-                if not sent or self._history.is_unserved(sent[-1]):
+                # The remaining time is measured when the proxy receives the first byte of the attempt; delays
+                # in the network and in the operating system of the server before that are not visible.
+                latest_sent_at = server_attempt.first_byte_received_at + SCHEDULING_DELAY_S
+                sent_attempts = [
+                    attempt for attempt in attempts if attempt.sent_at and attempt.sent_at <= latest_sent_at
+                ]
+                if not sent_attempts or self._history.is_unserved(sent_attempts[-1]):
                     continue
-                last = sent[-1]
-                left_s = last.sent_at + last.timeout_s - server_attempt.first_byte_at
-                slack_s = _TIMEOUT_SLACK_S + MACHINE_DELAY_S + self._history.paused_s(last)
+                last_attempt = sent_attempts[-1]
+                remaining_s = (
+                    last_attempt.sent_at + last_attempt.timeout_s - server_attempt.first_byte_received_at
+                )
+                slack_s = _TIMEOUT_SLACK_S + SCHEDULING_DELAY_S + self._history.paused_s(last_attempt)
                 announced_s = server_attempt.announced_timeout_s
-                if announced_s > left_s + slack_s:
-                    yield f"announced {announced_s:.3f} s, left {left_s:.3f} s: {last} {server_attempt}"
+                if announced_s > remaining_s + slack_s:
+                    yield (
+                        f"announced timeout {announced_s:.3f} s, remaining time {remaining_s:.3f} s: "
+                        f"{last_attempt} {server_attempt}"
+                    )
 
     def _drain_violations(self) -> Iterator[str]:
         for server_attempt in self._history.records.server_attempts:
             for attempt in self._history.client_attempts.get(server_attempt.request_id, [])[:1]:
                 known_at = self._history.withdrawal_known_at(
-                    attempt.sidecar, server_attempt.server, server_attempt.first_byte_at
+                    attempt.sidecar_number, server_attempt.server, server_attempt.first_byte_received_at
                 )
                 if known_at is None:
                     continue
-                delay_s = server_attempt.first_byte_at - known_at
-                if server_attempt.first_byte_at > known_at + self._drain_grace_s + MACHINE_DELAY_S:
-                    yield f"n{attempt.sidecar}, {delay_s:.3f} s after the withdrawal: {server_attempt}"
+                delay_s = server_attempt.first_byte_received_at - known_at
+                if (
+                    server_attempt.first_byte_received_at
+                    > known_at + self._drain_grace_s + SCHEDULING_DELAY_S
+                ):
+                    yield (
+                        f"n{attempt.sidecar_number}: attempt {delay_s:.3f} s after the withdrawal: "
+                        f"{server_attempt}"
+                    )
 
     def _process_violations(self) -> Iterator[str]:
         for process in self._history.records.processes:
-            name = f"n{process.sidecar} pid {process.pid}"
+            name = f"n{process.sidecar_number} pid {process.pid}"
             for line in process.log:
                 if any(text in line for text in _INTERNAL_ERROR_TEXTS):
                     yield f"{name}: {line}"
-            for fault in (_start_fault(process), _exit_fault(process)):
-                if fault:
-                    yield f"{name} {fault}: {process.log[-3:]}"
+            for detail in (_check_start(process), _check_exit(process)):
+                if detail:
+                    yield f"{name} {detail}: {process.log[-3:]}"
 
 
-def _repetition_fault(request_class: RequestClass, executed: Sequence[ServerAttempt]) -> str:
+def _check_repetition(request_class: RequestClass, executed: Sequence[ServerAttempt]) -> str:
     if request_class.idempotency is Idempotency.NON_IDEMPOTENT and len(executed) > 1:
-        return f"executed {len(executed)} times"
-    if request_class.idempotency is not Idempotency.WITH_KEY or not executed:
+        return f"non-idempotent request executed {len(executed)} times"
+    if request_class.idempotency is not Idempotency.IDEMPOTENT_WITH_KEY or not executed:
         return ""
-    if request_class.key_scope == "cell" and len({attempt.cell for attempt in executed}) > 1:
+    if request_class.deduplication_scope == "cell" and len({attempt.cell for attempt in executed}) > 1:
         return "executed in two cells"
-    if request_class.key_scope == "zone" and len({attempt.zone for attempt in executed}) > 1:
+    if request_class.deduplication_scope == "zone" and len({attempt.zone for attempt in executed}) > 1:
         return "executed in two zones"
-    window_ends_at = executed[0].completed_at + request_class.deduplication_window_s + MACHINE_DELAY_S
-    return "executed again after its window" if executed[-1].completed_at > window_ends_at else ""
+    window_ends_at = executed[0].completed_at + request_class.deduplication_window_s + SCHEDULING_DELAY_S
+    return (
+        "executed again after the deduplication window" if executed[-1].completed_at > window_ends_at else ""
+    )
 
 
-def _start_fault(process: ProcessRecord) -> str:
+def _check_start(process: ProcessRecord) -> str:
     if not process.ready_at and not process.killed_at and not process.sigterm_at:
-        return "was never ready"
-    if process.ready_at > process.started_at + READY_WITHIN_S:
-        return f"took {process.ready_at - process.started_at:.1f} s to be ready"
+        return "never became ready"
+    if process.ready_at > process.started_at + READY_TIMEOUT_S:
+        return f"took {process.ready_at - process.started_at:.1f} s to become ready"
     return ""
 
 
-def _exit_fault(process: ProcessRecord) -> str:
+def _check_exit(process: ProcessRecord) -> str:
     if process.exit_code is None or (process.killed_at and not process.sigterm_at):
         return ""
     if not process.sigterm_at:
-        return f"ended by itself with {process.exit_code}"
+        return f"ended without SIGTERM, exit code {process.exit_code}"
     if process.killed_at:
-        return "had to be killed after SIGTERM"
-    return f"ended with {process.exit_code} after SIGTERM" if process.exit_code else ""
+        return "did not end after SIGTERM and was killed"
+    return f"ended after SIGTERM, exit code {process.exit_code}" if process.exit_code else ""
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -1,4 +1,4 @@
-"""One run of the soak: a fleet, faults that overlap, and the violations that were found.
+"""Fault soak: runs a fleet of sidecars under overlapping faults and reports violations of the rules.
 
 cd tests && ../.venv/bin/python -m soak.run --seed 1 --seeds 20
 """
@@ -17,114 +17,130 @@
 import click
 import uvloop
 
-from soak.aftermath import check_aftermath
+from soak.aftermath import check_recovery
 from soak.faults import FAULTS
 from soak.records import now
 from soak.rule_checker import Rule, RuleChecker, Violation
 from soak.shim import Word
-from soak.world import DRAIN_GRACE_S, Plan, World
+from soak.world import DRAIN_GRACE_S, Fleet, SoakOptions
 
-_QUIET_S = 1.0  # before the first fault
-_CHOICE_INTERVAL_S = 0.2  # at most, between two looks at how many faults are active
+_FAULT_FREE_START_S = 1.0  # Time under load before the first fault.
+_SCHEDULE_INTERVAL_S = 0.2  # Longest interval between two checks of the number of active faults.
 
 
 @dataclass(frozen=True, slots=True)
 class RunResult:
-    """How a run ended."""
+    """Violations and statistics of one run."""
 
-    plan: Plan
+    options: SoakOptions
     violations: Sequence[Violation]
-    responses: Counter[int]  # client attempts by status; 0: none
-    failed_calls: int  # system calls that the shim made fail
+    responses: Counter[int]  # Number of client attempts by status; 0 means no complete response.
+    failed_system_calls: int  # Number of faults that the shim injected into system calls.
     processes: int
-    faults: Sequence[str]  # names, in the order in which they began
+    faults: Sequence[str]  # Names of the faults, in the order of their starts.
     duration_s: float
 
     @property
     def client_attempts(self) -> int:
-        """How many requests clients sent, a retried one once for each connection."""
+        """The number of requests that clients sent; a retry counts as another one."""
         return self.responses.total()
 
     def __str__(self) -> str:
         counts = " ".join(f"{status}:{count}" for status, count in sorted(self.responses.items()))
         return (
-            f"seed {self.plan.seed}: {len(self.violations)} violations, "
+            f"seed {self.options.seed}: {len(self.violations)} violations, "
             f"{self.client_attempts} requests ({counts}), {self.processes} processes, "
-            f"{self.failed_calls} calls failed, {self.duration_s:.1f} s; {', '.join(self.faults)}"
+            f"{self.failed_system_calls} failed system calls, {self.duration_s:.1f} s; "
+            f"{', '.join(self.faults)}"
         )
 
 
 class _FaultSchedule:
-    """Keeps two or three faults active at any time; owns their tasks until all have ended."""
+    """Keeps two or three faults active at a time; owns their tasks until all have ended."""
 
-    def __init__(self, world: World, plan: Plan) -> None:
-        self._world, self._plan = world, plan
-        self._random = random.Random(plan.seed + 1)
+    def __init__(self, fleet: Fleet, options: SoakOptions) -> None:
+        self._fleet, self._options = fleet, options
+        self._rng = random.Random(options.seed + 1)
         self.names: list[str] = []
         self.violations: list[Violation] = []
 
     async def run(self) -> None:
-        """Begin faults for the seconds of the plan, and return when all have ended."""
-        ends_at = now() + self._plan.seconds
-        active: set[asyncio.Task[None]] = set()
+        """Starts faults during the fault phase and returns when all have ended."""
+        ends_at = now() + self._options.fault_phase_s
+        active_faults: set[asyncio.Task[None]] = set()
         while now() < ends_at:
-            while len(active) < self._random.choice([2, 3]):
-                name = self._random.choice(self._plan.only or tuple(FAULTS))
+            while len(active_faults) < self._rng.choice([2, 3]):
+                name = self._rng.choice(self._options.fault_names or tuple(FAULTS))
                 self.names.append(name)
-                active.add(asyncio.ensure_future(self._inject(name)))
-            _, active = await asyncio.wait(
-                active, timeout=_CHOICE_INTERVAL_S, return_when=asyncio.FIRST_COMPLETED
+                active_faults.add(asyncio.ensure_future(self._inject(name)))
+            _, active_faults = await asyncio.wait(
+                active_faults, timeout=_SCHEDULE_INTERVAL_S, return_when=asyncio.FIRST_COMPLETED
             )
-        if active:
-            await asyncio.wait(active)
+        if active_faults:
+            await asyncio.wait(active_faults)
 
     async def _inject(self, name: str) -> None:
         try:
-            await FAULTS[name](self._world, random.Random(self._random.getrandbits(32)))
+            await FAULTS[name](self._fleet, random.Random(self._rng.getrandbits(32)))
         except TimeoutError:
-            self.violations.append(Violation(Rule.PROCESS, f"not ready in time, in {name}"))
+            self.violations.append(
+                Violation(Rule.PROCESS, f"a sidecar was not ready in time during the fault {name}")
+            )
 
 
-async def run_soak(plan: Plan) -> RunResult:
-    """Run once; everything that was started has ended when this returns."""
+async def run_soak(options: SoakOptions) -> RunResult:
+    """Runs once; all processes, servers and clients have ended when this returns."""
     started_at = now()
     with tempfile.TemporaryDirectory(prefix="soak-") as folder:
-        world = World(plan, Path(folder))
-        schedule = _FaultSchedule(world, plan)
+        fleet = Fleet(options, Path(folder))
+        schedule = _FaultSchedule(fleet, options)
         try:
-            await world.start()
-            aftermath = await _play(world, plan, schedule)
+            await fleet.start()
+            recovery_violations = await _run_phases(fleet, options, schedule)
         finally:
-            await world.close()
-    checker = RuleChecker(world.records, DRAIN_GRACE_S, allows_hedging=world.allows_hedging)
+            await fleet.close()
+    checker = RuleChecker(fleet.records, DRAIN_GRACE_S, allows_hedging=fleet.allows_hedging)
     return RunResult(
-        plan,
-        violations=[*checker.violations(), *schedule.violations, *aftermath],
-        responses=Counter(attempt.status for attempt in world.records.client_attempts),
-        failed_calls=sum(place.shim.get(Word.INJECTED) for place in world.places),
-        processes=len(world.records.processes),
+        options,
+        violations=[*checker.violations(), *schedule.violations, *recovery_violations],
+        responses=Counter(attempt.status for attempt in fleet.records.client_attempts),
+        failed_system_calls=sum(sidecar.shim.get(Word.INJECTED) for sidecar in fleet.sidecars),
+        processes=len(fleet.records.processes),
         faults=schedule.names,
         duration_s=now() - started_at,
     )
 
 
-async def _play(world: World, plan: Plan, schedule: _FaultSchedule) -> list[Violation]:
-    loads = [asyncio.ensure_future(client.run(plan.requests_per_s)) for client in world.applications]
-    await asyncio.sleep(_QUIET_S)
+async def _run_phases(fleet: Fleet, options: SoakOptions, schedule: _FaultSchedule) -> list[Violation]:
+    load_tasks = [
+        asyncio.ensure_future(generator.run(options.requests_per_s)) for generator in fleet.load_generators
+    ]
+    await asyncio.sleep(_FAULT_FREE_START_S)
     await schedule.run()
-    for load in loads:
-        load.cancel()
-    await asyncio.gather(*(client.settle() for client in world.applications))
-    return await check_aftermath(world)
+    for load_task in load_tasks:
+        load_task.cancel()
+    await asyncio.gather(*(generator.wait_for_requests() for generator in fleet.load_generators))
+    return await check_recovery(fleet)
 
 
 @click.command(help=(__doc__ or "").partition("\n")[0])
-@click.option("--seed", "first_seed", type=int, default=1, show_default=True, help="The first seed.")
-@click.option("--seeds", type=int, default=1, show_default=True, help="How many.")
-@click.option("--sidecars", type=int, default=10, show_default=True, help="Processes in the fleet.")
-@click.option("--seconds", type=float, default=8.0, show_default=True, help="During which faults begin.")
-@click.option("--only", default="", help="Faults to choose from, with commas between them.")
-@click.option("--json", "json_file", type=click.Path(path_type=Path), help="Add one line for each run to it.")
+@click.option("--seed", "first_seed", type=int, default=1, show_default=True, help="First seed.")
+@click.option("--seeds", type=int, default=1, show_default=True, help="Number of seeds.")
+@click.option("--sidecars", type=int, default=10, show_default=True, help="Number of sidecars in the fleet.")
+@click.option(
+    "--seconds",
+    type=float,
+    default=8.0,
+    show_default=True,
+    help="Duration of the phase in which faults begin, in seconds.",
+)
+@click.option("--only", default="", help="Comma-separated names of the faults to choose from; default: all.")
+@click.option(
+    "--json",
+    "json_file",
+    type=click.Path(path_type=Path),
+    help="File to which one JSON line is appended for each run.",
+)
 @click.pass_context
 def main(
     context: click.Context,
@@ -136,13 +152,13 @@
     only: str,
     json_file: Path | None,
 ) -> None:
-    """Run the seeds; exit with 1 if a rule was violated."""
+    """Runs all seeds; exits with 1 if a rule was violated."""
     names = tuple(name for name in only.split(",") if name)
     has_violations = False
     for seed in range(first_seed, first_seed + seeds):
-        plan = Plan(seed, sidecars, seconds=seconds, only=names)
+        options = SoakOptions(seed, sidecars, fault_phase_s=seconds, fault_names=names)
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-            result = runner.run(run_soak(plan))
+            result = runner.run(run_soak(options))
         click.echo(result)
         for violation in result.violations:
             click.echo(f"    {violation}")
@@ -154,7 +170,7 @@
 
 def _append_json(path: Path, result: RunResult) -> None:
     line = {
-        "seed": result.plan.seed,
+        "seed": result.options.seed,
         "violations": [str(violation) for violation in result.violations],
         "faults": list(result.faults),
     }
--- a/tests/soak/shim.py
+++ b/tests/soak/shim.py
@@ -1,4 +1,4 @@
-"""The shim that makes system calls of one process fail, and the shared words that control it."""
+"""Preloaded library that makes system calls of a process fail, and the shared memory that controls it."""
 
 from __future__ import annotations
 
@@ -14,7 +14,10 @@
 
 
 class Word(IntEnum):
-    """The words of the shared file, in the order of `fault_shim.c`; chances are in thousandths."""
+    """Index of each 64-bit word of the shared file, in the order of `fault_shim.c`.
+
+    The `_CHANCE` words are probabilities in thousandths.
+    """
 
     WALL_OFFSET_NS = 0
     ACCEPT_ERROR = 1
@@ -31,7 +34,11 @@
 
 
 def compile_shim(folder: Path) -> Path:
-    """Compile the shim into `folder`; CalledProcessError if the compiler fails."""
+    """Compiles the shim into `folder` and returns the path of the library.
+
+    Raises:
+        CalledProcessError: the compiler failed.
+    """
     library = folder / "fault_shim.so"
     command = ["gcc", "-shared", "-fPIC", "-O1", "-Wall", "-o", str(library), str(_SOURCE), "-ldl"]
     subprocess.run(command, check=True, capture_output=True, timeout=60)
@@ -39,7 +46,7 @@
 
 
 class Shim:
-    """The faults of one process: owns the memory that it shares with the shim in that process."""
+    """System call faults of one process; owns the memory that is shared with the library in that process."""
 
     def __init__(self, library: Path, path: Path) -> None:
         self._library, self._path = library, path
@@ -53,16 +60,16 @@
         return {"LD_PRELOAD": str(self._library), "FAULT_SHIM": str(self._path)}
 
     def put(self, word: Word, value: int) -> None:
-        """Set a word; the process sees it at its next system call."""
+        """Sets a word, which takes effect at the next system call of the process."""
         _WORD.pack_into(self._words, word * _WORD.size, value)
 
     def get(self, word: Word) -> int:
-        """The value of a word."""
+        """Returns the value of a word."""
         (value,) = _WORD.unpack_from(self._words, word * _WORD.size)
         return int(value)
 
     def end_faults(self) -> None:
-        """Set all chances to 0; an offset of the wall clock stays."""
+        """Sets all probabilities to 0; an offset of the wall clock stays in effect."""
         for word in Word:
             if word.name.endswith("_CHANCE"):
                 self.put(word, 0)
--- a/tests/soak/test_rule_checker.py
+++ b/tests/soak/test_rule_checker.py
@@ -1,4 +1,4 @@
-"""The rule checker of the soak on made up records: it finds each violation and accepts what is allowed."""
+"""The rule checker with synthetic records: it finds each violation and accepts allowed histories."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from soak.world import CLASSES
 
 _LOOK, _AMEND, _STORE, _PAY = CLASSES
-_GRACE_S = 0.4
-_SENT = 100.0
+_DRAIN_GRACE_S = 0.4
+_SENT_AT = 100.0
 
 
 def _client_attempt(request_id: str = "r", request_class: Any = _LOOK, **fields: Any) -> ClientAttempt:
@@ -22,8 +22,8 @@
         0,
         0.5,
         is_first_on_connection=False,
-        sent_at=_SENT,
-        ended_at=_SENT + 0.1,
+        sent_at=_SENT_AT,
+        ended_at=_SENT_AT + 0.1,
         status=200,
         has_partial_response=True,
     )
@@ -32,9 +32,17 @@
     return record
 
 
-def _server_attempt(at: float = 0.01, request_id: str = "r", **fields: Any) -> ServerAttempt:
+def _server_attempt(delay_s: float = 0.01, request_id: str = "r", **fields: Any) -> ServerAttempt:
     record = ServerAttempt(
-        request_id, "s-1", "a", 1, _SENT + at, _SENT + at, 0.4, is_executed=True, ended_at=_SENT + at + 0.02
+        request_id,
+        "s-1",
+        "a",
+        1,
+        _SENT_AT + delay_s,
+        _SENT_AT + delay_s,
+        0.4,
+        is_executed=True,
+        ended_at=_SENT_AT + delay_s + 0.02,
     )
     for name, value in fields.items():
         setattr(record, name, value)
@@ -51,7 +59,7 @@
 def _violated_rules(records: Records, *, allows_hedging: bool = True) -> list[Rule]:
     if not records.processes:
         records.processes.append(_process())
-    violations = RuleChecker(records, _GRACE_S, allows_hedging=allows_hedging).violations()
+    violations = RuleChecker(records, _DRAIN_GRACE_S, allows_hedging=allows_hedging).violations()
     return [violation.rule for violation in violations]
 
 
@@ -62,36 +70,36 @@
     ),
     Records(
         client_attempts=[_client_attempt(status=503)], server_attempts=[_server_attempt()]
-    ),  # idempotent: rejected though it was executed
+    ),  # An idempotent request may be rejected after it was executed.
     Records(
         client_attempts=[_client_attempt(request_class=_AMEND)],
         server_attempts=[_server_attempt(), _server_attempt(0.3)],
-    ),  # in its window and cell
+    ),  # A request with a key may be executed again within its deduplication window and cell.
     Records(
         client_attempts=[_client_attempt(request_class=_STORE)],
         server_attempts=[_server_attempt(), _server_attempt(0.3, cell=2)],
     ),
     Records(
-        client_attempts=[_client_attempt(status=0, ended_at=0.0, disconnected_at=_SENT + 0.1)],
+        client_attempts=[_client_attempt(status=0, ended_at=0.0, disconnected_at=_SENT_AT + 0.1)],
         server_attempts=[_server_attempt()],
     ),
     Records(
         client_attempts=[_client_attempt(status=0)], server_attempts=[]
-    ),  # its client sees that the response is incomplete
+    ),  # The client sees that the response is incomplete.
     Records(
         client_attempts=[_client_attempt(status=0, has_partial_response=False)],
-        processes=[_process(killed_at=_SENT + 0.05, exit_code=-9)],
+        processes=[_process(killed_at=_SENT_AT + 0.05, exit_code=-9)],
     ),
     Records(
         client_attempts=[_client_attempt()],
-        server_attempts=[_server_attempt(0.01 + _GRACE_S)],
-        withdrawals=[Withdrawal(0, "s-1", _SENT)],
+        server_attempts=[_server_attempt(0.01 + _DRAIN_GRACE_S)],
+        withdrawals=[Withdrawal(0, "s-1", _SENT_AT)],
     ),
 ]
 
 
 @pytest.mark.parametrize("records", _ALLOWED)
-def test_rule_checker_accepts_what_is_allowed(records: Records) -> None:
+def test_rule_checker_accepts_allowed_history(records: Records) -> None:
     assert _violated_rules(records) == []
 
 
@@ -103,13 +111,13 @@
             Records(
                 client_attempts=[
                     _client_attempt(
-                        status=0, has_partial_response=False, ended_at=0.0, disconnected_at=_SENT + 3.0
+                        status=0, has_partial_response=False, ended_at=0.0, disconnected_at=_SENT_AT + 3.0
                     )
                 ]
             ),
             Rule.RESPONSE,
         ),
-        (Records(client_attempts=[_client_attempt(ended_at=_SENT + 1.5)]), Rule.RESPONSE),
+        (Records(client_attempts=[_client_attempt(ended_at=_SENT_AT + 1.5)]), Rule.RESPONSE),
         (Records(client_attempts=[_client_attempt(is_own_response=False)]), Rule.RESPONSE),
         (
             Records(
@@ -157,7 +165,7 @@
             Records(
                 client_attempts=[
                     _client_attempt(
-                        status=0, ended_at=0.0, disconnected_at=_SENT + 0.1, has_partial_response=False
+                        status=0, ended_at=0.0, disconnected_at=_SENT_AT + 0.1, has_partial_response=False
                     )
                 ],
                 server_attempts=[_server_attempt(0.6, announced_timeout_s=0.0)],
@@ -174,8 +182,8 @@
         (
             Records(
                 client_attempts=[_client_attempt()],
-                server_attempts=[_server_attempt(0.3 + _GRACE_S, announced_timeout_s=0.0)],
-                withdrawals=[Withdrawal(0, "s-1", _SENT)],
+                server_attempts=[_server_attempt(0.3 + _DRAIN_GRACE_S, announced_timeout_s=0.0)],
+                withdrawals=[Withdrawal(0, "s-1", _SENT_AT)],
             ),
             Rule.DRAIN,
         ),
@@ -187,14 +195,14 @@
         (Records(processes=[_process(log=["invariant broken: sent_in_time: r"])]), Rule.PROCESS),
     ],
 )
-def test_each_rule_is_found_broken(records: Records, rule: Rule) -> None:
+def test_rule_checker_finds_violation_of_each_rule(records: Records, rule: Rule) -> None:
     assert set(_violated_rules(records)) == {rule}
 
 
-def test_two_copies_at_once_are_found_where_the_settings_forbid_them() -> None:
+def test_rule_checker_finds_concurrent_attempts_where_hedging_is_not_allowed() -> None:
     records = Records(
         client_attempts=[_client_attempt()],
-        server_attempts=[_server_attempt(ended_at=_SENT + 0.5), _server_attempt(0.1)],
+        server_attempts=[_server_attempt(ended_at=_SENT_AT + 0.5), _server_attempt(0.1)],
     )
     assert _violated_rules(records, allows_hedging=True) == []
     assert _violated_rules(records, allows_hedging=False) == [Rule.EXECUTION]
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -1,4 +1,4 @@
-"""The fleet of a soak run: sidecars with their clients and discovery, and servers behind proxies."""
+"""Fleet of a soak run: sidecars with clients and discovery servers, and order servers behind proxies."""
 
 from __future__ import annotations
 
@@ -11,211 +11,228 @@
 from typing import Any, TypeVar
 
 from soak import sidecars
-from soak.clients import Application
-from soak.discovery import Catalog, Discovery
+from soak.clients import LoadGenerator
+from soak.discovery import DiscoveryServer, EndpointCatalog
 from soak.fault_proxy import FaultProxy
 from soak.records import Idempotency, Records, RequestClass, SidecarEvent, now
-from soak.servers import HOST, OrderServer, next_port
+from soak.servers import HOST, OrderServer, allocate_port
 from soak.shim import compile_shim
-from soak.sidecars import Place
+from soak.sidecars import ManagedSidecar
 
 CLASSES = [
     RequestClass("look", Idempotency.IDEMPOTENT, 1.0, 0.3),
-    RequestClass("amend", Idempotency.WITH_KEY, 1.2, 0.4, "cell", 0.6),
-    RequestClass("store", Idempotency.WITH_KEY, 1.2, 0.4, "all", 0.8),
+    RequestClass("amend", Idempotency.IDEMPOTENT_WITH_KEY, 1.2, 0.4, "cell", 0.6),
+    RequestClass("store", Idempotency.IDEMPOTENT_WITH_KEY, 1.2, 0.4, "all", 0.8),
     RequestClass("pay", Idempotency.NON_IDEMPOTENT, 1.5, 0.5),
 ]
-EXTRA = RequestClass("extra", Idempotency.IDEMPOTENT, 0.8, 0.3)  # added by some reloads
+EXTRA_CLASS = RequestClass("extra", Idempotency.IDEMPOTENT, 0.8, 0.3)  # Some reloads add this class.
 DRAIN_GRACE_S = 0.4
 _Item = TypeVar("_Item")
 
 
 @dataclass(frozen=True, slots=True)
-class Plan:
-    """What a run is made of; the seed decides the rest."""
+class SoakOptions:
+    """Options of a run; everything else is drawn from the seed."""
 
     seed: int
-    sidecars: int = 10
-    servers: int = 6
-    seconds: float = 8.0  # during which faults begin
-    requests_per_s: float = 20.0  # at each sidecar
-    only: tuple[str, ...] = ()  # faults to choose from; none: all
+    sidecar_count: int = 10
+    server_count: int = 6
+    fault_phase_s: float = 8.0  # New faults begin during this time; those still active then run to their end.
+    requests_per_s: float = 20.0  # Mean rate at each sidecar.
+    fault_names: tuple[str, ...] = ()  # Keys of `FAULTS` to choose from; empty means all.
 
 
-class World:
-    """Everything that a run consists of, and what faults may do to it; owns what it starts."""
+class Fleet:
+    """All components of a run and the operations that faults perform on them; owns what it starts."""
 
-    def __init__(self, plan: Plan, folder: Path) -> None:
-        self.plan = plan
-        self.chance = random.Random(plan.seed)
+    def __init__(self, options: SoakOptions, folder: Path) -> None:
+        self.options = options
+        self.rng = random.Random(options.seed)
         self.records = Records()
-        self.allows_hedging = self.chance.random() < 0.5
-        self.is_discovery_pushed = self.chance.random() < 0.3
-        library = compile_shim(folder)
-        self.places = [
-            Place(number, folder, library, self.records, inherits_listener=self.chance.random() < 0.4)
-            for number in range(plan.sidecars)
+        self.allows_hedging = self.rng.random() < 0.5
+        self.is_discovery_pushed = self.rng.random() < 0.3
+        shim_library = compile_shim(folder)
+        self.sidecars = [
+            ManagedSidecar(
+                number, folder, shim_library, self.records, inherits_listener=self.rng.random() < 0.4
+            )
+            for number in range(options.sidecar_count)
         ]
-        self._server_number = 0
-        self.proxies = [self._new_proxy() for _ in range(plan.servers)]
-        self.catalog = Catalog([])
-        self.discoveries: list[Discovery] = []
-        self.applications: list[Application] = []
-        self._replaced: set[int] = set()  # numbers of the sidecars that are being replaced
-
-    def _new_proxy(self) -> FaultProxy:
-        self._server_number += 1
-        number = self._server_number
+        self._last_server_number = 0
+        self.proxies = [self._create_proxy() for _ in range(options.server_count)]
+        self.catalog = EndpointCatalog([])
+        self.discovery_servers: list[DiscoveryServer] = []
+        self.load_generators: list[LoadGenerator] = []
+        self._being_replaced: set[int] = set()  # Numbers of the sidecars whose process is being replaced.
+
+    def _create_proxy(self) -> FaultProxy:
+        self._last_server_number += 1
+        number = self._last_server_number
         server = OrderServer(f"s-{number}", "a" if number % 2 else "b", number % 3)
-        return FaultProxy(server, self.records, random.Random(self.plan.seed * 1_000 + number))
+        return FaultProxy(server, self.records, random.Random(self.options.seed * 1_000 + number))
 
     async def start(self) -> None:
-        """Start all, and return when each process serves; TimeoutError if one does not in time."""
+        """Starts everything and returns when all sidecars are ready.
+
+        Raises:
+            TimeoutError: a sidecar was not ready within `READY_TIMEOUT_S`.
+        """
         for proxy in self.proxies:
             await proxy.start()
-        self.catalog = Catalog([proxy.server for proxy in self.proxies])
-        for place in self.places:
-            discovery = Discovery(place.number, self.catalog, self.records, self.chance)
-            await discovery.start()
-            self.discoveries.append(discovery)
-            place.configure(
-                name=f"n{place.number}",
-                listen=_format_address(place.address),
-                control=_format_address(place.control),
-                discovery=discovery.address(0),
-                seed=f"{self.chance.getrandbits(32):x}",
+        self.catalog = EndpointCatalog([proxy.server for proxy in self.proxies])
+        for sidecar in self.sidecars:
+            discovery_server = DiscoveryServer(sidecar.number, self.catalog, self.records, self.rng)
+            await discovery_server.start()
+            self.discovery_servers.append(discovery_server)
+            sidecar.update_configuration(
+                name=f"n{sidecar.number}",
+                listen=_format_address(sidecar.address),
+                control=_format_address(sidecar.control_address),
+                discovery=discovery_server.address(0),
+                seed=f"{self.rng.getrandbits(32):x}",
                 limits={"cores": 1.0, "memory_mb": 96, "sockets": 256},
-                known=self.catalog.full_list(),
-                settings=self.settings(place),
+                known=self.catalog.complete_list(),
+                settings=self.make_settings(sidecar),
+            )
+            load_generator = LoadGenerator(
+                sidecar.number, sidecar.address, list(CLASSES), self.records, self.rng
             )
-            application = Application(place.number, place.address, list(CLASSES), self.records, self.chance)
-            self.applications.append(application)
-        await asyncio.gather(*(place.start() for place in self.places))
+            self.load_generators.append(load_generator)
+        await asyncio.gather(*(sidecar.start() for sidecar in self.sidecars))
 
-    def settings(self, place: Place, **bounds: Any) -> dict[str, Any]:
-        """The settings of a sidecar, with these keys of `bounds` changed."""
-        return sidecars.settings(
+    def make_settings(self, sidecar: ManagedSidecar, **limit_overrides: Any) -> dict[str, Any]:
+        """Returns the settings of a sidecar; `limit_overrides` replace keys of `bounds`."""
+        return sidecars.make_settings(
             CLASSES,
-            place.number,
-            len(self.places),
-            discovery="pushed" if self.is_discovery_pushed else "on_request",
+            sidecar.number,
+            len(self.sidecars),
+            discovery_mode="pushed" if self.is_discovery_pushed else "on_request",
             secondCopies=self.allows_hedging,
-            **bounds,
+            **limit_overrides,
         )
 
-    # What faults choose from
+    # Random choice of the sidecars and servers that a fault affects
 
-    def some_places(self, chance: random.Random, part: float) -> list[Place]:
-        """Each sidecar with probability `part`, at least one."""
-        return _some(self.places, chance, part)
+    def choose_sidecars(self, rng: random.Random, probability: float) -> list[ManagedSidecar]:
+        """Chooses each sidecar with the given probability, and at least one."""
+        return _choose_some(self.sidecars, rng, probability)
 
-    def some_proxies(self, chance: random.Random, part: float) -> list[FaultProxy]:
-        """Each active server with probability `part`, at least one; two active ones stay as they are."""
+    def choose_proxies(self, rng: random.Random, probability: float) -> list[FaultProxy]:
+        """Chooses each active server with the given probability, and at least one.
+
+        Of more than two active servers, at least two are left unchosen.
+        """
         active = [proxy for proxy in self.proxies if proxy.server.state == "active"]
-        return _some(active, chance, part)[: max(len(active) - 2, 1)]
+        return _choose_some(active, rng, probability)[: max(len(active) - 2, 1)]
 
-    # What faults do
+    # Operations that faults perform
 
-    async def restart(self, place: Place) -> None:
-        """Stop the process by SIGTERM and start another, unless it is being replaced already."""
-        if place.number in self._replaced:
+    async def restart_sidecar(self, sidecar: ManagedSidecar) -> None:
+        """Stops the process by SIGTERM and starts another, unless it is being replaced already."""
+        if sidecar.number in self._being_replaced:
             return
-        self._replaced.add(place.number)
-        application = self.applications[place.number]
-        stopping = asyncio.ensure_future(place.stop())
+        self._being_replaced.add(sidecar.number)
+        load_generator = self.load_generators[sidecar.number]
+        stop_task = asyncio.ensure_future(sidecar.stop())
         await asyncio.sleep(0.2)
-        application.may_connect = False
-        await stopping
-        await self._start_replacement(place)
+        load_generator.may_connect = False
+        await stop_task
+        await self._start_replacement(sidecar)
 
-    async def kill(self, place: Place) -> None:
-        """Kill the process and start another, unless it is being replaced already."""
-        if place.number in self._replaced:
+    async def kill_sidecar(self, sidecar: ManagedSidecar) -> None:
+        """Kills the process and starts another, unless it is being replaced already."""
+        if sidecar.number in self._being_replaced:
             return
-        self._replaced.add(place.number)
-        self.applications[place.number].may_connect = False
-        place.kill()
-        await place.wait_ended()
-        await self._start_replacement(place)
-
-    async def _start_replacement(self, place: Place) -> None:
-        place.configure(seed=f"{self.chance.getrandbits(32):x}")
+        self._being_replaced.add(sidecar.number)
+        self.load_generators[sidecar.number].may_connect = False
+        sidecar.kill()
+        await sidecar.wait_until_ended()
+        await self._start_replacement(sidecar)
+
+    async def _start_replacement(self, sidecar: ManagedSidecar) -> None:
+        sidecar.update_configuration(seed=f"{self.rng.getrandbits(32):x}")
         try:
-            await place.start()
+            await sidecar.start()
         finally:
-            self._replaced.discard(place.number)
-            self.applications[place.number].may_connect = True
+            self._being_replaced.discard(sidecar.number)
+            self.load_generators[sidecar.number].may_connect = True
+
+    async def upgrade_sidecar(self, sidecar: ManagedSidecar) -> None:
+        """Starts a new process next to the old one, and stops the old one by SIGTERM once the new is ready.
 
-    async def take_over(self, place: Place) -> None:
-        """Start a new process beside the old one, and send SIGTERM to the old one when it is ready."""
-        if place.number in self._replaced or place.running is None:
+        Does nothing if the process is being replaced already.
+        """
+        if sidecar.number in self._being_replaced or sidecar.current_process is None:
             return
-        self._replaced.add(place.number)
-        old = place.running
+        self._being_replaced.add(sidecar.number)
+        old_process = sidecar.current_process
         try:
-            place.control = (HOST, next_port())
-            place.configure(control=_format_address(place.control), seed=f"{self.chance.getrandbits(32):x}")
-            await place.start()
-            new = place.running
-            place.running = old
-            await place.stop()
-            place.running = new
+            sidecar.control_address = (HOST, allocate_port())
+            sidecar.update_configuration(
+                control=_format_address(sidecar.control_address), seed=f"{self.rng.getrandbits(32):x}"
+            )
+            await sidecar.start()
+            new_process = sidecar.current_process
+            sidecar.current_process = old_process
+            await sidecar.stop()
+            sidecar.current_process = new_process
         finally:
-            self._replaced.discard(place.number)
+            self._being_replaced.discard(sidecar.number)
 
-    def reload(self, place: Place, chance: random.Random) -> None:
-        """Write a new configuration, or half of one, and send SIGHUP."""
-        if place.number in self._replaced:
+    def reload_sidecar(self, sidecar: ManagedSidecar, rng: random.Random) -> None:
+        """Writes a new or truncated configuration and sends SIGHUP, unless the process is being replaced."""
+        if sidecar.number in self._being_replaced:
             return
-        if chance.random() < 0.2:
-            place.write_half()
-            place.reload()
+        if rng.random() < 0.2:
+            sidecar.write_truncated_configuration()
+            sidecar.signal_reload()
             return
-        settings = self.settings(place, sendCap=chance.choice([1, 2, 3]))
-        if chance.random() < 0.5:
-            settings["lanes"].append(EXTRA.settings)
-        place.configure(
-            settings=settings, discovery=self.discoveries[place.number].address(chance.randrange(2))
+        settings = self.make_settings(sidecar, sendCap=rng.choice([1, 2, 3]))
+        if rng.random() < 0.5:
+            settings["lanes"].append(EXTRA_CLASS.settings_entry)
+        sidecar.update_configuration(
+            settings=settings,
+            discovery=self.discovery_servers[sidecar.number].address(rng.randrange(2)),
         )
-        self.records.reloads.append(SidecarEvent(place.number, now()))
-        place.reload()
+        self.records.reloads.append(SidecarEvent(sidecar.number, now()))
+        sidecar.signal_reload()
 
-    async def announce_start(self, proxy: FaultProxy) -> None:
-        """Announce that a server has just started."""
+    async def announce_server_start(self, proxy: FaultProxy) -> None:
+        """Announces that a server has just started."""
         proxy.server.started_ms = time.time_ns() // 1_000_000
-        await self.catalog.update(proxy.server)
+        await self.catalog.publish(proxy.server)
 
-    async def drain(self, proxy: FaultProxy) -> None:
-        """Announce that a server is draining."""
+    async def drain_server(self, proxy: FaultProxy) -> None:
+        """Announces that a server is draining."""
         proxy.server.state = "leaving"
-        await self.catalog.update(proxy.server)
+        await self.catalog.publish(proxy.server)
 
     async def add_server(self) -> None:
-        """Start another server and announce it."""
-        proxy = self._new_proxy()
+        """Starts another server and announces it."""
+        proxy = self._create_proxy()
         await proxy.start()
         self.proxies.append(proxy)
-        await self.announce_start(proxy)
+        await self.announce_server_start(proxy)
 
-    async def remove(self, proxy: FaultProxy) -> None:
-        """Announce that a server is removed, and end it after the grace period."""
+    async def remove_server(self, proxy: FaultProxy) -> None:
+        """Announces that a server is removed, and stops it after the drain grace period."""
         proxy.server.state = "left"
-        await self.catalog.update(proxy.server)
+        await self.catalog.publish(proxy.server)
         await asyncio.sleep(DRAIN_GRACE_S)
         proxy.crash()
 
     async def close(self) -> None:
-        """End all processes and servers."""
-        await asyncio.gather(*(place.close() for place in self.places))
+        """Ends all processes and servers."""
+        await asyncio.gather(*(sidecar.close() for sidecar in self.sidecars))
         for proxy in self.proxies:
             proxy.stop()
-        for discovery in self.discoveries:
-            discovery.stop()
+        for discovery_server in self.discovery_servers:
+            discovery_server.stop()
 
 
-def _some(items: Sequence[_Item], chance: random.Random, part: float) -> list[_Item]:
-    chosen = [item for item in items if chance.random() < part]
-    return chosen or [chance.choice(items)]
+def _choose_some(items: Sequence[_Item], rng: random.Random, probability: float) -> list[_Item]:
+    chosen = [item for item in items if rng.random() < probability]
+    return chosen or [rng.choice(items)]
 
 
 def _format_address(address: tuple[str, int]) -> str:
