--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -17,7 +17,7 @@
 from soak.shim import Word
 
 if TYPE_CHECKING:
-    from soak.world import Fleet
+    from soak.fleet import Fleet
 
 Fault = Callable[["Fleet", random.Random], Awaitable[None]]
 
--- a/tests/soak/aftermath.py
+++ b/tests/soak/recovery.py
@@ -4,10 +4,10 @@
 
 import asyncio
 
+from soak.fleet import CLASSES, Fleet
 from soak.records import SidecarEvent, now
 from soak.rule_checker import Rule, Violation
 from soak.sidecars import ManagedSidecar
-from soak.world import CLASSES, Fleet
 
 _RECOVERY_TIMEOUT_S = 8.0  # Each sidecar must serve again within this time.
 _REQUIRED_SUCCESSES = 20  # Consecutive responses with status 200 that count as recovered.
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -17,12 +17,12 @@
 import click
 import uvloop
 
-from soak.aftermath import check_recovery
 from soak.faults import FAULTS
+from soak.fleet import DRAIN_GRACE_S, Fleet, SoakOptions
 from soak.records import now
+from soak.recovery import check_recovery
 from soak.rule_checker import Rule, RuleChecker, Violation
 from soak.shim import Word
-from soak.world import DRAIN_GRACE_S, Fleet, SoakOptions
 
 _FAULT_FREE_START_S = 1.0  # Time under load before the first fault.
 _SCHEDULE_INTERVAL_S = 0.2  # Longest interval between two checks of the number of active faults.
--- a/tests/soak/test_rule_checker.py
+++ b/tests/soak/test_rule_checker.py
@@ -6,9 +6,9 @@
 
 import pytest
 
+from soak.fleet import CLASSES
 from soak.records import ClientAttempt, ProcessRecord, Records, ServerAttempt, Withdrawal
 from soak.rule_checker import Rule, RuleChecker
-from soak.world import CLASSES
 
 _LOOK, _AMEND, _STORE, _PAY = CLASSES
 _DRAIN_GRACE_S = 0.4
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -5,8 +5,8 @@
 import pytest
 from loopback import run_async
 
+from soak.fleet import SoakOptions
 from soak.run import run_soak
-from soak.world import SoakOptions
 
 
 @pytest.mark.alone
