--- a/tests/external_names/outside.py
+++ b/tests/external_names/outside.py
@@ -1,6 +1,7 @@
-"""The only door from these tests to the program: whoever renames inside it adapts this module, and no pin.
+"""Adapter between these tests and the program; the tests themselves import nothing from it.
 
-The tests beside it hold what others rely on as literals, so nothing here hands out a name of the program.
+The tests state the names that others rely on as literals.  A rename inside the program changes only this
+module and none of those literals, so nothing here returns a name of the program.
 """
 
 from __future__ import annotations
@@ -47,10 +48,10 @@
 PACKAGE = "tulipnotch"
 _BALANCER_OF_SIDECAR = "tulipnotch.sidecar.sidecar.Balancer"
 _BALANCER_OF_ADAPTER = "tulipnotch.simulator_wire.adapter.Balancer"
-COMMAND = (sys.executable, "-c", "from tulipnotch.cli import main; main()")
+COMMAND_LINE = (sys.executable, "-c", "from tulipnotch.cli import main; main()")
 
-# The actions by the simulator's names, each built of the values in the simulator's order.
-ACTIONS: dict[str, Callable[..., Any]] = {
+# Actions keyed by the name on the simulator's wire; each takes its values in the order of the wire.
+ACTIONS_BY_WIRE_NAME: dict[str, Callable[..., Any]] = {
     "ASSIGN": StartAttempt,
     "NOT_NOW": RejectRequest,
     "SURRENDER": FailRequest,
@@ -65,188 +66,203 @@
 }
 
 
-def settings_of_wire(given: object) -> object:
-    """Settings as the decisions get them, of the simulator's form; ValueError on nonsense."""
-    return settings_from_wire(given)
+def parse_wire_settings(mapping: object) -> object:
+    """Converts settings from the simulator's format to those of the balancer; ValueError if invalid."""
+    return settings_from_wire(mapping)
 
 
-def settings_of_plain(given: dict[str, Any]) -> object:
-    """Settings as the decisions get them, of the program's own form; ValueError on nonsense."""
-    return settings_from_mapping(given)
+def parse_plain_settings(mapping: dict[str, Any]) -> object:
+    """Converts settings from the program's own format to those of the balancer; ValueError if invalid."""
+    return settings_from_mapping(mapping)
 
 
-def put(given: dict[str, Any], path: str, value: object) -> dict[str, Any]:
-    """A copy of `given` with the value at a path such as `lanes[0].name`; what is missing on it is made."""
-    copy: dict[str, Any] = json.loads(json.dumps(given))
-    place: Any = copy
-    *way, last = [int(each) if each.isdigit() else each for each in re.findall(r"\w+", path)]
-    for each, following in pairwise([*way, last]):
-        empty: Any = [{}] if isinstance(following, int) else {}
-        place = place[each] if isinstance(each, int) else place.setdefault(each, empty)
-    place[last] = value
+def with_value(mapping: dict[str, Any], path: str, value: object) -> dict[str, Any]:
+    """Returns a copy of `mapping` with a value at a path such as `lanes[0].name`; adds missing parents."""
+    copy: dict[str, Any] = json.loads(json.dumps(mapping))
+    node: Any = copy
+    *parents, last = [int(each) if each.isdigit() else each for each in re.findall(r"\w+", path)]
+    for each, following in pairwise([*parents, last]):
+        container: Any = [{}] if isinstance(following, int) else {}
+        node = node[each] if isinstance(each, int) else node.setdefault(each, container)
+    node[last] = value
     return copy
 
 
-def configuration(given: dict[str, Any]) -> list[Any]:
-    """All values of a configuration as the program gets them, by place."""
-    return plain(parse(given))
+def configuration_values(mapping: dict[str, Any]) -> list[Any]:
+    """Parses a configuration and returns all values of the result, in the order of its fields."""
+    return field_values(parse(mapping))
 
 
 # The simulator's adapter
 
 
-def adapter(*batches: Iterable[list[Any]]) -> list[list[Any]]:
-    """Play batches through the adapter, one frame each 5 ms; give the replies, which must have no fault."""
+def run_adapter_batches(*batches: Iterable[list[Any]]) -> list[list[Any]]:
+    """Runs the adapter on batches that are 5 ms apart, asserts that it succeeds, and returns its output."""
     lines: list[list[Any]] = []
     for number, batch in enumerate(batches):
         lines += [["FRAME", 1_000_000 + 5_000 * number], *batch, ["COMMIT"]]
-    code, out, err = adapter_text("".join(json.dumps(each) + "\n" for each in lines))
-    assert (code, err) == (0, "")
-    return [json.loads(each) for each in out.splitlines()]
+    code, output, errors = run_adapter("".join(json.dumps(each) + "\n" for each in lines))
+    assert (code, errors) == (0, "")
+    return [json.loads(each) for each in output.splitlines()]
 
 
-def adapter_text(text: str) -> tuple[int, str, str]:
-    """Exit code, standard output and standard error of the adapter for this input."""
-    out, err = io.StringIO(), io.StringIO()
-    return run(io.StringIO(text), out, err), out.getvalue(), err.getvalue()
+def run_adapter(text: str) -> tuple[int, str, str]:
+    """Runs the adapter on this input; returns its exit code, standard output and standard error."""
+    output, errors = io.StringIO(), io.StringIO()
+    return run(io.StringIO(text), output, errors), output.getvalue(), errors.getvalue()
 
 
-# The decisions, heard or replaced
+# The balancer, recorded or replaced
 
 
-class Decisions:
-    """Stands in for the decisions: keeps what it hears, and answers by a script or as they do."""
+class RecordingBalancer:
+    """Replaces the balancer: records the events and responds by `decide`, or else by the real balancer."""
 
-    def __init__(self, script: Callable[[list[Any]], list[Any]] | None) -> None:
-        self.heard: list[list[Any]] = []  # of each event, its values by place
-        self._script = script
-        self._real: Any = None
+    def __init__(self, decide: Callable[[list[Any]], list[Any]] | None) -> None:
+        self.received_events: list[list[Any]] = []  # Field values of each event, in the order of the fields.
+        self._decide = decide
+        self._balancer: Any = None
 
-    def __call__(self, settings: Any, seed: int) -> Decisions:
-        self._real = Balancer(settings, seed)
+    def __call__(self, settings: Any, seed: int) -> RecordingBalancer:
+        self._balancer = Balancer(settings, seed)
         return self
 
     def handle(self, now: int, event: Any) -> Any:
-        values = plain(event)
-        self.heard.append(values)
-        return self._real.handle(now, event) if self._script is None else self._script(values)
+        values = field_values(event)
+        self.received_events.append(values)
+        return self._balancer.handle(now, event) if self._decide is None else self._decide(values)
 
     def __getattr__(self, name: str) -> Any:
-        return getattr(self._real, name)
+        return getattr(self._balancer, name)
 
-    def hears(self, value: object) -> bool:
-        """Whether any event carried this value, of the same type."""
-        return any(repr(value) == repr(each) for event in self.heard for each in event)
+    def has_received_value(self, value: object) -> bool:
+        """Returns whether any event contained this value, with the same type."""
+        return any(repr(value) == repr(each) for event in self.received_events for each in event)
 
-    def of(self, value: object) -> list[list[Any]]:
-        """The events that carried this value."""
-        return [event for event in self.heard if any(repr(value) == repr(each) for each in event)]
+    def events_with_value(self, value: object) -> list[list[Any]]:
+        """Returns the events that contained this value, with the same type."""
+        return [event for event in self.received_events if any(repr(value) == repr(each) for each in event)]
 
 
-def decisions(
-    monkeypatch: pytest.MonkeyPatch, script: Callable[[list[Any]], list[Any]] | None = None
-) -> Decisions:
-    """Hear what the decisions hear, in sidecars and in the adapter; with a script, decide in their place."""
-    stand_in = Decisions(script)
-    monkeypatch.setattr(_BALANCER_OF_SIDECAR, stand_in)
-    monkeypatch.setattr(_BALANCER_OF_ADAPTER, stand_in)
-    return stand_in
+def install_recording_balancer(
+    monkeypatch: pytest.MonkeyPatch, decide: Callable[[list[Any]], list[Any]] | None = None
+) -> RecordingBalancer:
+    """Installs a recording balancer in sidecars and in the adapter; `decide` replaces its decisions."""
+    balancer = RecordingBalancer(decide)
+    monkeypatch.setattr(_BALANCER_OF_SIDECAR, balancer)
+    monkeypatch.setattr(_BALANCER_OF_ADAPTER, balancer)
+    return balancer
 
 
-def plain(thing: Any) -> list[Any]:
-    """All values in a dataclass by place, without their names."""
-    if dataclasses.is_dataclass(thing):
-        return [value for each in dataclasses.fields(thing) for value in plain(getattr(thing, each.name))]
-    if isinstance(thing, (list, tuple, set, frozenset)):
-        return [value for each in thing for value in plain(each)]
-    return [thing]
+def field_values(value_tree: Any) -> list[Any]:
+    """Returns all values in nested dataclasses and collections as a flat list, without the field names."""
+    if dataclasses.is_dataclass(value_tree):
+        return [
+            value
+            for each in dataclasses.fields(value_tree)
+            for value in field_values(getattr(value_tree, each.name))
+        ]
+    if isinstance(value_tree, (list, tuple, set, frozenset)):
+        return [value for each in value_tree for value in field_values(each)]
+    return [value_tree]
 
 
 # The sidecar
 
 
-def door(harness: SidecarHarness, call: str) -> str:
-    """What an operator would be told by a sidecar in this process: the answer's first line."""
+def run_control_command(harness: SidecarHarness, command: str) -> str:
+    """Runs a control command in a sidecar in this process; returns the first line of the response."""
     try:
-        return f"+OK {harness.sidecar.command_handlers()[call]()[0]}"
+        return f"+OK {harness.sidecar.command_handlers()[command]()[0]}"
     except CommandRejectedError as reason:
         return f"-ERR {reason}"
 
 
-def figures(harness: SidecarHarness) -> list[str]:
-    """The figures of a sidecar in this process, as an operator gets them."""
+def telemetry_lines(harness: SidecarHarness) -> list[str]:
+    """Returns the lines of the telemetry command of a sidecar in this process."""
     return list(harness.sidecar.command_handlers()["telemetry"]())
 
 
-def listen(harness: SidecarHarness) -> None:
-    """Let a sidecar in this process take clients before it is ready."""
+def start_listening(harness: SidecarHarness) -> None:
+    """Makes a sidecar in this process accept connections before it is ready."""
     harness.sidecar.downstream.listen(bind_and_listen((HOST, 0)))
 
 
-def stop(harness: SidecarHarness) -> None:
-    """Let a sidecar in this process be told to end, without waiting for it."""
+def request_stop(harness: SidecarHarness) -> None:
+    """Requests a sidecar in this process to stop, without waiting for it."""
     harness.sidecar.lifecycle.stop()
 
 
-def set_by_operator(path: Path) -> list[Any]:
-    """All values that an operator file sets in the program, by place."""
+def operator_option_values(path: Path) -> list[Any]:
+    """Returns all option values that the program reads from an operator file, in the order of its fields."""
     classes = [{"name": name, "giveUpUs": 2_000_000} for name in ("look", "odd")]
-    place = load_operator_options(str(path), parse(put(CONFIGURATION, "settings.lanes", classes)))
-    log = [vars(place.log)["_limits"], vars(place.log)["_write"].__qualname__]
-    rest = [getattr(place, each.name) for each in dataclasses.fields(place)][1:]
+    options = load_operator_options(str(path), parse(with_value(CONFIGURATION, "settings.lanes", classes)))
+    log = [vars(options.log)["_limits"], vars(options.log)["_write"].__qualname__]
+    other_options = [getattr(options, each.name) for each in dataclasses.fields(options)][1:]
     return [
         value
-        for each in (*log, *rest)
-        for value in plain(list(each.items()) if hasattr(each, "items") else each)
+        for each in (*log, *other_options)
+        for value in field_values(list(each.items()) if hasattr(each, "items") else each)
     ]
 
 
-class Peer:
-    """A sidecar's end of the datagrams between sidecars."""
+class PeerEndpoint:
+    """A sidecar's messenger for datagrams between sidecars, with a queue of the received messages."""
 
-    def __init__(self, addresses: tuple[tuple[str, int], ...], everyone: tuple[str, int] | None) -> None:
-        self.heard: asyncio.Queue[tuple[int, bytes]] = asyncio.Queue()
-        self._own = addresses[0]
-        self._end = PeerMessenger(addresses, everyone, 0, lambda by, what: self.heard.put_nowait((by, what)))
+    def __init__(
+        self, addresses: tuple[tuple[str, int], ...], broadcast_address: tuple[str, int] | None
+    ) -> None:
+        self.received_messages: asyncio.Queue[tuple[int, bytes]] = asyncio.Queue()
+        self._own_address = addresses[0]
+        self._messenger = PeerMessenger(
+            addresses,
+            broadcast_address,
+            0,
+            lambda sender, payload: self.received_messages.put_nowait((sender, payload)),
+        )
 
-    async def __aenter__(self) -> Peer:
-        await self._end.listen(self._own)
+    async def __aenter__(self) -> PeerEndpoint:
+        await self._messenger.listen(self._own_address)
         return self
 
     async def __aexit__(self, *_: object) -> None:
-        self._end.close()
+        self._messenger.close()
 
-    def tell(self, receiver: int | None, payload: bytes) -> bool:
-        return self._end.send(receiver, payload)
+    def send(self, receiver: int | None, payload: bytes) -> bool:
+        return self._messenger.send(receiver, payload)
 
 
 # Processes
 
 
-def command(*arguments: str, **environ: str) -> subprocess.CompletedProcess[str]:
-    """Call the command line in a process of its own."""
-    return _called([*COMMAND, *arguments], environ)
+def run_command_line(*arguments: str, **environ: str) -> subprocess.CompletedProcess[str]:
+    """Runs the command line in a separate process."""
+    return _run_process([*COMMAND_LINE, *arguments], environ)
 
 
-def sidecar_in_vain(**environ: str) -> subprocess.CompletedProcess[str]:
-    """Start `python -m tulipnotch.sidecar` where it must end by itself."""
-    return _called([sys.executable, "-m", "tulipnotch.sidecar"], environ)
+def run_failing_sidecar(**environ: str) -> subprocess.CompletedProcess[str]:
+    """Runs `python -m tulipnotch.sidecar` in an environment in which it must fail to start."""
+    return _run_process([sys.executable, "-m", "tulipnotch.sidecar"], environ)
 
 
-def _called(call: list[str], environ: dict[str, str]) -> subprocess.CompletedProcess[str]:
+def _run_process(command: list[str], environ: dict[str, str]) -> subprocess.CompletedProcess[str]:
     return subprocess.run(
-        call, cwd=ROOT, env=environ, capture_output=True, text=True, timeout=60, check=False
+        command, cwd=ROOT, env=environ, capture_output=True, text=True, timeout=60, check=False
     )
 
 
-def faults(folder: Path, texts: list[str], suffix: str) -> list[dict[str, str]]:
-    """The faults that `tulipnotch check` finds in each of these files, in one call: key to text."""
+def check_files(folder: Path, texts: list[str], suffix: str) -> list[dict[str, str]]:
+    """Writes these files and runs `tulipnotch check` on all of them once.
+
+    Returns:
+        For each file, the text of each reported fault, by its key.
+    """
     paths = [folder / f"{number}{suffix}" for number in range(len(texts))]
     for path, text in zip(paths, texts, strict=True):
         path.write_text(text)
-    told = command("check", "--json", *map(str, paths)).stdout.splitlines()
-    assert len(told) == len(texts)
-    return [{each["key"]: each["text"] for each in json.loads(line)["faults"]} for line in told]
+    report_lines = run_command_line("check", "--json", *map(str, paths)).stdout.splitlines()
+    assert len(report_lines) == len(texts)
+    return [{each["key"]: each["text"] for each in json.loads(line)["faults"]} for line in report_lines]
 
 
 CONFIGURATION: dict[str, Any] = {
--- a/tests/external_names/test_configuration_names.py
+++ b/tests/external_names/test_configuration_names.py
@@ -1,4 +1,4 @@
-"""The configuration's keys, the environment's names, the commands and all exit codes."""
+"""Pins configuration keys, environment variables, commands and all exit codes."""
 
 from __future__ import annotations
 
@@ -16,10 +16,18 @@
 
 import pytest
 from loopback import HOST, OK_RESPONSE, run_async, within_timeout
-from outside import COMMAND, CONFIGURATION, command, configuration, faults, put, sidecar_in_vain
+from outside import (
+    COMMAND_LINE,
+    CONFIGURATION,
+    check_files,
+    configuration_values,
+    run_command_line,
+    run_failing_sidecar,
+    with_value,
+)
 from running import ROOT, running_sidecar, server_with_config
 
-NONSENSE: list[tuple[str, Any, str]] = [
+INVALID_VALUES: list[tuple[str, Any, str]] = [
     ("name", 5, "name"),
     ("listen", "localhost:80", "listen"),
     ("control", "nowhere", "control"),
@@ -34,8 +42,8 @@
     ("peers_all", "nowhere", "peers_all"),
     ("settings", 5, "settings"),
 ]
-# Path of a key, its value, and what the program makes of it.
-VALUES: list[tuple[str, Any, Any]] = [
+# Path of a key, its value, and the value that the program parses from it.
+VALID_VALUES: list[tuple[str, Any, Any]] = [
     ("name", "n77", "n77"),
     ("listen", "127.0.0.9:77", 77),
     ("control", "127.0.0.9:77", 77),
@@ -52,20 +60,20 @@
 
 
 @pytest.fixture(scope="module")
-def found(tmp_path_factory: pytest.TempPathFactory) -> list[set[str]]:
-    texts = [json.dumps(put(CONFIGURATION, path, value)) for path, value, _ in NONSENSE]
-    return [set(each) for each in faults(tmp_path_factory.mktemp("found"), texts, ".json")]
+def reported_keys(tmp_path_factory: pytest.TempPathFactory) -> list[set[str]]:
+    texts = [json.dumps(with_value(CONFIGURATION, path, value)) for path, value, _ in INVALID_VALUES]
+    return [set(each) for each in check_files(tmp_path_factory.mktemp("checked"), texts, ".json")]
 
 
-@pytest.mark.parametrize(("place", "key"), list(enumerate(each[2] for each in NONSENSE)))
-def test_fault_of_the_file_names_its_key(place: int, key: str, found: list[set[str]]) -> None:
-    assert key in found[place]
+@pytest.mark.parametrize(("index", "key"), list(enumerate(each[2] for each in INVALID_VALUES)))
+def test_check_reports_key_of_invalid_value(index: int, key: str, reported_keys: list[set[str]]) -> None:
+    assert key in reported_keys[index]
 
 
-@pytest.mark.parametrize(("path", "value", "made"), VALUES, ids=[each[0] for each in VALUES])
-def test_key_of_the_file_reaches_the_program(path: str, value: Any, made: Any) -> None:
-    assert made not in configuration(CONFIGURATION)
-    assert made in configuration(put(CONFIGURATION, path, value))
+@pytest.mark.parametrize(("path", "value", "parsed"), VALID_VALUES, ids=[each[0] for each in VALID_VALUES])
+def test_configuration_key_reaches_the_program(path: str, value: Any, parsed: Any) -> None:
+    assert parsed not in configuration_values(CONFIGURATION)
+    assert parsed in configuration_values(with_value(CONFIGURATION, path, value))
 
 
 ENVIRONMENT = {
@@ -76,22 +84,22 @@
 }
 
 
-def test_environment_gives_what_the_file_leaves_out(tmp_path: Path) -> None:
+def test_environment_supplies_keys_missing_in_the_file(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps({"seed": "1", "settings": CONFIGURATION["settings"]}))
-    without = command("check", str(path)).stderr.splitlines()
-    assert [each.split(": ")[1] for each in without] == ["name", "listen", "discovery"]
-    told = command("check", str(path), **ENVIRONMENT).stderr.splitlines()
-    assert [each.split(": ")[1] for each in told] == ["control"]
+    errors_without_environment = run_command_line("check", str(path)).stderr.splitlines()
+    assert [each.split(": ")[1] for each in errors_without_environment] == ["name", "listen", "discovery"]
+    errors = run_command_line("check", str(path), **ENVIRONMENT).stderr.splitlines()
+    assert [each.split(": ")[1] for each in errors] == ["control"]
 
 
 @pytest.mark.parametrize(
-    ("text", "environ", "said"),
+    ("text", "environ", "message"),
     [
         (None, {}, "tulipnotch: config: BALANCER_CONFIG: "),
         ("", {}, "tulipnotch: config: BALANCER_CONFIG: "),
         (
-            json.dumps(put(CONFIGURATION, "settings.bounds", {"sendCap": 0})),
+            json.dumps(with_value(CONFIGURATION, "settings.bounds", {"sendCap": 0})),
             {},
             "tulipnotch: config: settings.bounds.sendCap: ",
         ),
@@ -103,23 +111,23 @@
         (json.dumps(CONFIGURATION), {"BALANCER_INHERITED_FD": "x"}, "tulipnotch: BALANCER_INHERITED_FD: "),
     ],
 )
-def test_bad_start_is_exit_code_2_and_one_line(
-    text: str | None, environ: dict[str, str], said: str, tmp_path: Path
+def test_sidecar_exits_with_2_and_one_line_on_invalid_configuration(
+    text: str | None, environ: dict[str, str], message: str, tmp_path: Path
 ) -> None:
     if text is not None:
         (tmp_path / "config.json").write_text(text)
         environ = {**environ, "BALANCER_CONFIG": str(tmp_path / "config.json")}
-    done = sidecar_in_vain(**environ)
-    assert (done.returncode, done.stdout, done.stderr.count("\n")) == (2, "", 1)
-    assert done.stderr.startswith(said)
+    result = run_failing_sidecar(**environ)
+    assert (result.returncode, result.stdout, result.stderr.count("\n")) == (2, "", 1)
+    assert result.stderr.startswith(message)
 
 
 @pytest.fixture(scope="module", autouse=True)
-def shut_out(tmp_path_factory: pytest.TempPathFactory) -> Iterator[subprocess.Popen[str]]:
-    """A start on an address that is taken, begun before the other tests: it tries for a while."""
-    path = tmp_path_factory.mktemp("shut") / "config.json"
-    with socket.create_server((HOST, 0)) as taken:
-        path.write_text(json.dumps({**CONFIGURATION, "listen": f"{HOST}:{taken.getsockname()[1]}"}))
+def sidecar_on_used_address(tmp_path_factory: pytest.TempPathFactory) -> Iterator[subprocess.Popen[str]]:
+    """Starts a sidecar on an address in use, before the other tests, because it retries for a while."""
+    path = tmp_path_factory.mktemp("used_address") / "config.json"
+    with socket.create_server((HOST, 0)) as listener:
+        path.write_text(json.dumps({**CONFIGURATION, "listen": f"{HOST}:{listener.getsockname()[1]}"}))
         process = subprocess.Popen(
             [sys.executable, "-m", "tulipnotch.sidecar"],
             stderr=subprocess.PIPE, text=True, cwd=ROOT, env={"BALANCER_CONFIG": str(path)},
@@ -129,26 +137,26 @@
         process.communicate()
 
 
-@pytest.mark.parametrize("number", [signal.SIGTERM, signal.SIGINT])
-def test_told_to_end_is_exit_code_0(number: signal.Signals, tmp_path: Path) -> None:
-    async def work() -> None:
+@pytest.mark.parametrize("signal_number", [signal.SIGTERM, signal.SIGINT])
+def test_sidecar_exits_with_0_after_signal(signal_number: signal.Signals, tmp_path: Path) -> None:
+    async def scenario() -> None:
         async with (
             server_with_config(OK_RESPONSE, tmp_path) as (config, server),
             running_sidecar(config, server) as running,
         ):
-            running.process.send_signal(number)
+            running.process.send_signal(signal_number)
             assert await within_timeout(running.process.wait()) == 0
 
-    run_async(work)
+    run_async(scenario)
 
 
-def test_run_with_files_becomes_the_sidecar(tmp_path: Path) -> None:
-    async def work() -> None:
-        operator = tmp_path / "operator.toml"
-        operator.write_text('[log]\nformat = "json"\n')
+def test_command_run_with_files_executes_the_sidecar(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        operator_file = tmp_path / "operator.toml"
+        operator_file.write_text('[log]\nformat = "json"\n')
         async with server_with_config(OK_RESPONSE, tmp_path) as (config, _):
             process = await asyncio.create_subprocess_exec(
-                *COMMAND, "run", "--config", str(config), "--operator", str(operator),
+                *COMMAND_LINE, "run", "--config", str(config), "--operator", str(operator_file),
                 stderr=asyncio.subprocess.PIPE, cwd=ROOT, env=dict(os.environ),
             )  # fmt: skip
             assert process.stderr is not None
@@ -164,31 +172,31 @@
                     process.kill()
                     await process.wait()
 
-    run_async(work)
+    run_async(scenario)
 
 
-def test_command_run_with_a_bad_configuration_is_exit_code_2(tmp_path: Path) -> None:
+def test_command_run_exits_with_2_on_invalid_configuration(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_text("{}")
-    assert command("run", BALANCER_CONFIG=str(path)).returncode == 2
+    assert run_command_line("run", BALANCER_CONFIG=str(path)).returncode == 2
 
 
-def test_command_check_tells_good_files_from_bad_ones(tmp_path: Path) -> None:
-    good, bad = tmp_path / "good.json", tmp_path / "bad.toml"
-    good.write_text(json.dumps(CONFIGURATION))
-    bad.write_text("[log]\nnothing = 1\n")
-    done = command("check", str(good))
-    assert (done.returncode, done.stdout) == (0, f"{good}: a good configuration\n")
-    done = command("check", str(bad))
-    assert done.returncode == 2
-    assert done.stderr.startswith(f"{bad}: line 2: log.nothing: ")
-    (told,) = command("check", "--json", str(bad)).stdout.splitlines()
-    assert json.loads(told).keys() == {"file", "kind", "faults"}
-    assert json.loads(told)["faults"][0].keys() == {"line", "key", "text"}
+def test_command_check_accepts_valid_and_reports_invalid_file(tmp_path: Path) -> None:
+    valid_file, invalid_file = tmp_path / "good.json", tmp_path / "bad.toml"
+    valid_file.write_text(json.dumps(CONFIGURATION))
+    invalid_file.write_text("[log]\nnothing = 1\n")
+    result = run_command_line("check", str(valid_file))
+    assert (result.returncode, result.stdout) == (0, f"{valid_file}: a good configuration\n")
+    result = run_command_line("check", str(invalid_file))
+    assert result.returncode == 2
+    assert result.stderr.startswith(f"{invalid_file}: line 2: log.nothing: ")
+    (errors,) = run_command_line("check", "--json", str(invalid_file)).stdout.splitlines()
+    assert json.loads(errors).keys() == {"file", "kind", "faults"}
+    assert json.loads(errors)["faults"][0].keys() == {"line", "key", "text"}
 
 
 @pytest.mark.parametrize(
-    ("call", "answer", "code"),
+    ("command", "response", "code"),
     [
         ("readyz", "+OK ready\n", 0),
         ("telemetry", "+OK\napp.pending=0\n.\n", 0),
@@ -197,32 +205,35 @@
         ("activate", "-ERR stopping\n", 1),
     ],
 )
-def test_command_ctl_writes_the_call_and_ends_by_the_answer(call: str, answer: str, code: int) -> None:
-    heard = []
+def test_command_ctl_sends_command_and_exits_by_response(command: str, response: str, code: int) -> None:
+    received_lines = []
     with socket.create_server((HOST, 0)) as listener:
 
-        def answering() -> None:
+        def respond() -> None:
             connection, _ = listener.accept()
             with connection, connection.makefile("rb") as lines:
-                heard.append(lines.readline())
-                connection.sendall(answer.encode())
+                received_lines.append(lines.readline())
+                connection.sendall(response.encode())
 
-        thread = threading.Thread(target=answering, daemon=True)
+        thread = threading.Thread(target=respond, daemon=True)
         thread.start()
-        done = command("ctl", f"{HOST}:{listener.getsockname()[1]}", call)
-        assert (done.returncode, done.stdout) == (code, answer.replace("\n.\n", "\n"))
+        result = run_command_line("ctl", f"{HOST}:{listener.getsockname()[1]}", command)
+        assert (result.returncode, result.stdout) == (code, response.replace("\n.\n", "\n"))
         thread.join(20)
-    assert heard == [f"{call}\n".encode()]
+    assert received_lines == [f"{command}\n".encode()]
 
 
-def test_command_ctl_without_an_answer_is_exit_code_3_and_a_wrong_call_2() -> None:
-    with socket.socket() as unheard:
-        unheard.bind((HOST, 0))
-        assert command("ctl", f"{HOST}:{unheard.getsockname()[1]}", "readyz").returncode == 3
-    assert command("ctl", f"{HOST}:9", "nonsense").returncode == 2
+def test_command_ctl_exits_with_3_without_response_and_2_on_unknown_command() -> None:
+    with socket.socket() as non_listening_socket:
+        non_listening_socket.bind((HOST, 0))
+        assert (
+            run_command_line("ctl", f"{HOST}:{non_listening_socket.getsockname()[1]}", "readyz").returncode
+            == 3
+        )
+    assert run_command_line("ctl", f"{HOST}:9", "nonsense").returncode == 2
 
 
-def test_address_in_use_is_exit_code_1(shut_out: subprocess.Popen[str]) -> None:
-    _, told = shut_out.communicate(timeout=60)
-    assert shut_out.returncode == 1
-    assert "tulipnotch: can't listen: " in told
+def test_sidecar_exits_with_1_if_address_is_in_use(sidecar_on_used_address: subprocess.Popen[str]) -> None:
+    _, errors = sidecar_on_used_address.communicate(timeout=60)
+    assert sidecar_on_used_address.returncode == 1
+    assert "tulipnotch: can't listen: " in errors
--- a/tests/external_names/test_control_names.py
+++ b/tests/external_names/test_control_names.py
@@ -1,4 +1,4 @@
-"""The operators' door of a running process: each call, each form of answer, each figure."""
+"""Pins the control endpoint: each command, each form of response, and the name of each metric."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 import pytest
 from loopback import HOST, OK_RESPONSE, http_request, run_async, sidecar_harness, within_timeout
-from outside import door, stop
+from outside import request_stop, run_control_command
 from running import SidecarProcess, sidecar_with_server
 
-FIGURES = """
+TELEMETRY_NAMES = """
 app.downstream_requests.check.completed app.downstream_requests.check.rejected
 app.downstream_requests.check.failed
 app.downstream_requests.amend.completed app.downstream_requests.amend.rejected
@@ -31,35 +31,35 @@
 app.failures.at_fault
 app.pending app.members app.members_unavailable app.invariant_violations
 """.split()
-LEVELS = """
+LEVELS_TABLE = """
 [[overload.levels]]
 name = "spare"
 over_share = ["check"]
 """
 
 
-async def figures(running: SidecarProcess) -> dict[str, str]:
+async def read_telemetry(running: SidecarProcess) -> dict[str, str]:
     first, *lines, last = await running.send_command("telemetry")
     assert (first, last) == ("+OK", ".")
     assert all(re.fullmatch(r"app\.[a-z_.]+=[0-9]+", each) for each in lines)
     return dict(each.split("=") for each in lines)
 
 
-def test_calls_and_figures_without_levels(tmp_path: Path) -> None:
-    async def work() -> None:
+def test_control_endpoint_commands_and_metrics_without_levels(tmp_path: Path) -> None:
+    async def scenario() -> None:
         async with sidecar_with_server(OK_RESPONSE, tmp_path) as running:
             assert await running.send_command("readyz") == ["+OK ready"]
-            told = await figures(running)
-            assert list(told) == FIGURES
-            assert {name for name, value in told.items() if value != "0"} == {"app.members"}
+            telemetry = await read_telemetry(running)
+            assert list(telemetry) == TELEMETRY_NAMES
+            assert {name for name, value in telemetry.items() if value != "0"} == {"app.members"}
             client = await running.connect()
             assert (await client.send_request("lodge")).status == 200
             client.send(http_request("lodge", Connection="close", Request_Class="nobody"))
             assert (await client.read_response()).status == 400
             assert await within_timeout(client.reader.read()) == b""
-            told = await figures(running)
-            assert told["app.downstream_requests.lodge.completed"] == "1"
-            assert told["app.upstream_requests"] == told["app.members"] == "1"
+            telemetry = await read_telemetry(running)
+            assert telemetry["app.downstream_requests.lodge.completed"] == "1"
+            assert telemetry["app.upstream_requests"] == telemetry["app.members"] == "1"
             assert await running.send_command("level") == ["-ERR no levels are set"]
             assert await running.send_command("evacuate") == ["+OK evacuating"]
             assert await running.send_command("readyz") == ["-ERR evacuating"]
@@ -72,45 +72,49 @@
             assert await running.send_command("x" * 300) == ["-ERR the line is too long"]
             assert await running.send_command("\u00e9") == ["-ERR a call is one line of ASCII"]
 
-    run_async(work)
+    run_async(scenario)
 
 
-def test_calls_and_figures_with_levels(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    async def work() -> None:
+def test_control_endpoint_commands_and_metrics_with_levels(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    async def scenario() -> None:
         async with sidecar_with_server(OK_RESPONSE, tmp_path) as running:
-            assert list(await figures(running)) == [*FIGURES, "app.level", "app.level_changes"]
-            (told,) = await running.send_command("level")
-            assert re.fullmatch(r"\+OK full for [0-9]+ s; refused 0\.0%, wanted 0% of the window", told)
+            assert list(await read_telemetry(running)) == [*TELEMETRY_NAMES, "app.level", "app.level_changes"]
+            (response,) = await running.send_command("level")
+            assert re.fullmatch(r"\+OK full for [0-9]+ s; refused 0\.0%, wanted 0% of the window", response)
 
-    (tmp_path / "operator.toml").write_text(LEVELS)
+    (tmp_path / "operator.toml").write_text(LEVELS_TABLE)
     monkeypatch.setenv("BALANCER_OPERATOR", str(tmp_path / "operator.toml"))
-    run_async(work)
+    run_async(scenario)
 
 
-def test_phases_are_told() -> None:
-    async def work() -> None:
+def test_control_commands_report_phase() -> None:
+    async def scenario() -> None:
         async with sidecar_harness(OK_RESPONSE, started=False) as harness:
-            assert door(harness, "readyz") == "-ERR starting"
-            assert door(harness, "evacuate") == "+OK evacuating"
-            assert door(harness, "activate") == "+OK starting"
-            stop(harness)
-            assert door(harness, "readyz") == "-ERR stopping"
-            assert door(harness, "evacuate") == "+OK stopping"
-            assert door(harness, "activate") == "-ERR stopping"
+            assert run_control_command(harness, "readyz") == "-ERR starting"
+            assert run_control_command(harness, "evacuate") == "+OK evacuating"
+            assert run_control_command(harness, "activate") == "+OK starting"
+            request_stop(harness)
+            assert run_control_command(harness, "readyz") == "-ERR stopping"
+            assert run_control_command(harness, "evacuate") == "+OK stopping"
+            assert run_control_command(harness, "activate") == "-ERR stopping"
 
-    run_async(work)
+    run_async(scenario)
 
 
 @pytest.mark.parametrize(
-    ("part", "answer"), [(b"readyz", b"-ERR the line has no end\n"), (b"", b"-ERR empty call\n")]
+    ("incomplete_line", "response"), [(b"readyz", b"-ERR the line has no end\n"), (b"", b"-ERR empty call\n")]
 )
-def test_call_without_an_end_is_none(part: bytes, answer: bytes, tmp_path: Path) -> None:
-    async def work() -> None:
+def test_control_endpoint_rejects_line_without_end(
+    incomplete_line: bytes, response: bytes, tmp_path: Path
+) -> None:
+    async def scenario() -> None:
         async with sidecar_with_server(OK_RESPONSE, tmp_path) as running:
             reader, writer = await asyncio.open_connection(HOST, running.control_port)
-            writer.write(part)
+            writer.write(incomplete_line)
             writer.write_eof()
-            assert await within_timeout(reader.read()) == answer
+            assert await within_timeout(reader.read()) == response
             writer.close()
 
-    run_async(work)
+    run_async(scenario)
--- a/tests/external_names/test_discovery_names.py
+++ b/tests/external_names/test_discovery_names.py
@@ -1,4 +1,4 @@
-"""Discovery's list: calls, keys and states, in its answers and in what a sidecar is told before."""
+"""Pins discovery: requests, keys and states, in its responses and in the list of the configuration."""
 
 from __future__ import annotations
 
@@ -9,7 +9,15 @@
 
 import pytest
 from loopback import OK_RESPONSE, endpoint_entry, http_response, run_async, sidecar_harness, wait_until
-from outside import ACTIONS, CONFIGURATION, adapter, decisions, faults, figures, put
+from outside import (
+    ACTIONS_BY_WIRE_NAME,
+    CONFIGURATION,
+    check_files,
+    install_recording_balancer,
+    run_adapter_batches,
+    telemetry_lines,
+    with_value,
+)
 
 ENTRY: dict[str, Any] = {
     "id": "s-5be2a07c",
@@ -21,9 +29,9 @@
     "weight": 1.5,
     "started_ms": 61_000,
 }
-LISTING = {"version": 41, "full": True, "servers": [ENTRY]}
+ENDPOINT_LIST = {"version": 41, "full": True, "servers": [ENTRY]}
 STATES = ["active", "leaving", "left"]
-NONSENSE: list[tuple[str, Any, str]] = [
+INVALID_VALUES: list[tuple[str, Any, str]] = [
     ("version", "x", "version: "),
     ("full", "x", "full: "),
     ("servers", "x", "servers: "),
@@ -39,63 +47,72 @@
 
 
 @pytest.fixture(scope="module")
-def found(tmp_path_factory: pytest.TempPathFactory) -> list[dict[str, str]]:
-    good = [put(LISTING, "servers[0].state", state) for state in STATES]
-    listings = [*good, *(put(LISTING, path, value) for path, value, _ in NONSENSE)]
-    texts = [json.dumps({**CONFIGURATION, "known": each}) for each in listings]
-    return faults(tmp_path_factory.mktemp("found"), texts, ".json")
-
-
-@pytest.mark.parametrize(("place", "text"), list(enumerate(each[2] for each in NONSENSE)))
-def test_fault_of_a_listing_names_its_key(place: int, text: str, found: list[dict[str, str]]) -> None:
-    place += len(STATES)
-    assert found[place].keys() == {"known"}
-    assert found[place]["known"].startswith(text)
-
-
-@pytest.mark.parametrize(("place", "state"), list(enumerate(STATES)))
-def test_state_is_known(place: int, state: str, found: list[dict[str, str]]) -> None:
-    assert found[place] == {}, state
-
-
-def test_entry_and_kinds_of_lists_reach_the_decisions(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def work() -> list[list[Any]]:
-        heard = decisions(monkeypatch)
-        async with sidecar_harness(config_overrides={"known": LISTING}) as harness:
+def reported_faults(tmp_path_factory: pytest.TempPathFactory) -> list[dict[str, str]]:
+    valid_lists = [with_value(ENDPOINT_LIST, "servers[0].state", state) for state in STATES]
+    endpoint_lists = [
+        *valid_lists,
+        *(with_value(ENDPOINT_LIST, path, value) for path, value, _ in INVALID_VALUES),
+    ]
+    texts = [json.dumps({**CONFIGURATION, "known": each}) for each in endpoint_lists]
+    return check_files(tmp_path_factory.mktemp("checked"), texts, ".json")
+
+
+@pytest.mark.parametrize(("index", "text"), list(enumerate(each[2] for each in INVALID_VALUES)))
+def test_check_reports_key_of_invalid_endpoint_list(
+    index: int, text: str, reported_faults: list[dict[str, str]]
+) -> None:
+    index += len(STATES)
+    assert reported_faults[index].keys() == {"known"}
+    assert reported_faults[index]["known"].startswith(text)
+
+
+@pytest.mark.parametrize(("index", "state"), list(enumerate(STATES)))
+def test_check_accepts_endpoint_state(index: int, state: str, reported_faults: list[dict[str, str]]) -> None:
+    assert reported_faults[index] == {}, state
+
+
+def test_entry_and_kind_of_endpoint_list_reach_the_balancer(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def scenario() -> list[list[Any]]:
+        balancer = install_recording_balancer(monkeypatch)
+        async with sidecar_harness(config_overrides={"known": ENDPOINT_LIST}) as harness:
             harness.discovery.servers = [ENTRY]
-            await wait_until(lambda: len([each for each in heard.heard if each[-1] == 1]) > 0)
+            await wait_until(lambda: len([each for each in balancer.received_events if each[-1] == 1]) > 0)
             harness.discovery.announce({**ENTRY, "cell": 4})
-            await wait_until(lambda: len(heard.of(4)) > 0)
-            return heard.heard
+            await wait_until(lambda: len(balancer.events_with_value(4)) > 0)
+            return balancer.received_events
 
-    known, *_, change = [each for each in run_async(work) if "s-5be2a07c" in each]
-    kind, name, zone, machine, cell, state, nominal, started, version = known
-    assert (name, zone, machine, cell, nominal) == ("s-5be2a07c", "east", "m2", 3, 1.5)
-    assert (started, version) == (61_000_000, 41)
+    known, *_, change = [each for each in run_async(scenario) if "s-5be2a07c" in each]
+    update_kind, name, zone, machine_type, cell, state, weight, started_us, version = known
+    assert (name, zone, machine_type, cell, weight) == ("s-5be2a07c", "east", "m2", 3, 1.5)
+    assert (started_us, version) == (61_000_000, 41)
     assert (change[4], change[-1]) == (4, 2)
-    # The words of the simulator for the same: a list from before is `cached`, an active server is `ready`.
+    # The simulator's terms for the same: a list of the configuration is `cached`, an active server `ready`.
     entry = ["s", "east", "m2", 0, "ready", 1]
-    wire = decisions(monkeypatch, lambda values: []).heard
+    wire_events = install_recording_balancer(monkeypatch, lambda values: []).received_events
     settings = {"lanes": [{"name": "look", "giveUpUs": 2_000_000}]}
-    hows = [["TARGETS", "sidecar-1", how, 0, 1] for how in ("cached", "delta")]
-    adapter([["BEGIN", "sidecar-1", 7, settings], ["PAGE", 0, [entry]], *hows])
-    cached, delta = wire
-    assert kind is cached[0]
+    updates = [["TARGETS", "sidecar-1", wire_kind, 0, 1] for wire_kind in ("cached", "delta")]
+    run_adapter_batches([["BEGIN", "sidecar-1", 7, settings], ["PAGE", 0, [entry]], *updates])
+    cached, delta = wire_events
+    assert update_kind is cached[0]
     assert change[0] is delta[0]
     assert state is cached[5]
     assert isinstance(state, Enum)
 
 
 @pytest.mark.parametrize(
-    ("state", "is_used", "members"), [("active", True, 2), ("leaving", False, 2), ("left", False, 1)]
+    ("state", "is_used", "member_count"), [("active", True, 2), ("leaving", False, 2), ("left", False, 1)]
 )
-def test_state_tells_whether_a_server_is_used(state: str, is_used: bool, members: int) -> None:
-    async def work() -> None:
+def test_endpoint_state_decides_whether_server_is_used(state: str, is_used: bool, member_count: int) -> None:
+    async def scenario() -> None:
         async with sidecar_harness(OK_RESPONSE, OK_RESPONSE) as harness:
-            told = endpoint_entry("s-1", harness.servers[1].address, state=state, cell=9)
-            harness.discovery.announce(told)
-            figure = f"app.members={members}"
-            await wait_until(lambda: harness.discovery.watch_responses.empty() and figure in figures(harness))
+            entry = endpoint_entry("s-1", harness.servers[1].address, state=state, cell=9)
+            harness.discovery.announce(entry)
+            member_metric = f"app.members={member_count}"
+            await wait_until(
+                lambda: (
+                    harness.discovery.watch_responses.empty() and member_metric in telemetry_lines(harness)
+                )
+            )
             if state != "active":
                 await wait_until(lambda: len(harness.discovery.received_requests) > 2)
             for _ in range(30):
@@ -103,11 +120,11 @@
             assert (len(harness.servers[1].received_requests) > 0) == is_used
             assert len(harness.servers[0].received_requests) > 0
 
-    run_async(work)
+    run_async(scenario)
 
 
-def test_list_is_asked_for_by_path_and_query() -> None:
-    async def work() -> None:
+def test_endpoint_list_is_polled_by_path_and_query() -> None:
+    async def scenario() -> None:
         known = {"version": 41, "full": True, "servers": []}
         async with sidecar_harness(OK_RESPONSE, config_overrides={"known": known}, started=False) as harness:
             harness.discovery.version = 42
@@ -118,27 +135,29 @@
             assert re.fullmatch(r"/catalog/members\?after=42&wait_ms=[1-9][0-9]*", second.target)
             assert list(first.headers) == ["host"]
 
-    run_async(work)
+    run_async(scenario)
 
 
-def test_whole_list_is_asked_for_by_path_alone(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def work() -> None:
-        decisions(monkeypatch, lambda values: [ACTIONS["REFRESH"]()] if len(values) == 2 else [])
+def test_complete_endpoint_list_is_fetched_by_path_without_query(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def scenario() -> None:
+        install_recording_balancer(
+            monkeypatch, lambda values: [ACTIONS_BY_WIRE_NAME["REFRESH"]()] if len(values) == 2 else []
+        )
         async with sidecar_harness(servers_listed=False) as harness:
             await wait_until(lambda: len(harness.discovery.received_requests) > 0)
             assert harness.discovery.received_requests[0].target == "/catalog/members"
 
-    run_async(work)
+    run_async(scenario)
 
 
-def test_new_servers_of_an_answer_are_used() -> None:
-    async def work() -> None:
+def test_new_servers_of_a_watch_response_are_used() -> None:
+    async def scenario() -> None:
         async with sidecar_harness(OK_RESPONSE, servers_listed=False) as harness:
-            listed = [{"id": "s-9", "addr": harness.servers[0].address, "state": "active"}]
+            servers = [{"id": "s-9", "addr": harness.servers[0].address, "state": "active"}]
             harness.discovery.watch_responses.put_nowait(
-                http_response(json.dumps({"version": 7, "full": True, "servers": listed}).encode())
+                http_response(json.dumps({"version": 7, "full": True, "servers": servers}).encode())
             )
-            await wait_until(lambda: "app.members=1" in figures(harness))
+            await wait_until(lambda: "app.members=1" in telemetry_lines(harness))
             assert (await harness.send_request()).status == 200
 
-    run_async(work)
+    run_async(scenario)
--- a/tests/external_names/test_operator_file_names.py
+++ b/tests/external_names/test_operator_file_names.py
@@ -1,4 +1,4 @@
-"""The operator file: each key and word, that it reaches the program, and what is turned down."""
+"""Pins the operator file: each key and enumerated word, its effect in the program, and what is rejected."""
 
 from __future__ import annotations
 
@@ -7,11 +7,12 @@
 from typing import Any
 
 import pytest
-from outside import faults, set_by_operator
+from outside import check_files, operator_option_values
 from running import ROOT
 
-LEVEL = '[[overload.levels]]\nname = "spare"\nover_share = ["look"]\n'
-# Table, key, a good value in TOML, what the program then has and has not without it, a bad value.
+LEVEL_TABLE = '[[overload.levels]]\nname = "spare"\nover_share = ["look"]\n'
+# Table, key, a valid value in TOML, the value that the program parses from it, and an invalid value.
+# The parsed value does not occur in the program's defaults.
 KEYS: list[tuple[str, str, str, Any, str]] = [
     ("log", "lines_per_s", "17.5", 17.5, "0.0"),
     ("log", "lines_at_once", "17.5", 17.5, "0.5"),
@@ -36,82 +37,86 @@
 IDS = [f"{each[0]}.{each[1]}" for each in KEYS]
 
 
-def text(table: str, key: str, value: str) -> str:
+def file_text(table: str, key: str, value: str) -> str:
     if table == "overload.levels":
-        kept = [line for line in LEVEL.splitlines() if not line.startswith(f"{key} =")]
-        return "\n".join([*kept, f"{key} = {value}", ""])
-    return f"[{table}]\n{key} = {value}\n" + LEVEL
+        level_lines = [line for line in LEVEL_TABLE.splitlines() if not line.startswith(f"{key} =")]
+        return "\n".join([*level_lines, f"{key} = {value}", ""])
+    return f"[{table}]\n{key} = {value}\n" + LEVEL_TABLE
 
 
-def path(table: str, key: str) -> str:
+def fault_key(table: str, key: str) -> str:
     return f"overload.levels[0].{key}" if table == "overload.levels" else f"{table}.{key}"
 
 
 @pytest.fixture(scope="module")
-def found(tmp_path_factory: pytest.TempPathFactory) -> list[dict[str, str]]:
-    """The faults of each good file, of each bad one, and of each table with an unknown key, in one call."""
+def reported_faults(tmp_path_factory: pytest.TempPathFactory) -> list[dict[str, str]]:
+    """Checks at once: files with valid values, with invalid values, and with an unknown key in each table."""
     texts = [
-        *(text(table, key, good) for table, key, good, _, _ in KEYS),
-        *(text(table, key, bad) for table, key, _, _, bad in KEYS),
-        *(text(table, "nothing", "1") for table in TABLES),
+        *(file_text(table, key, valid_value) for table, key, valid_value, _, _ in KEYS),
+        *(file_text(table, key, invalid_value) for table, key, _, _, invalid_value in KEYS),
+        *(file_text(table, "nothing", "1") for table in TABLES),
         "nothing = 1\n",
     ]
-    return faults(tmp_path_factory.mktemp("found"), texts, ".toml")
+    return check_files(tmp_path_factory.mktemp("checked"), texts, ".toml")
 
 
-@pytest.mark.parametrize(("place", "name"), list(enumerate(IDS)), ids=IDS)
-def test_key_is_known_and_its_fault_named(place: int, name: str, found: list[dict[str, str]]) -> None:
-    table, key = KEYS[place][:2]
-    assert found[place] == {}
-    assert {each.partition("[0]")[0] for each in found[len(KEYS) + place]} <= {
-        path(table, key),
+@pytest.mark.parametrize(("index", "name"), list(enumerate(IDS)), ids=IDS)
+def test_check_accepts_key_and_names_it_if_its_value_is_invalid(
+    index: int, name: str, reported_faults: list[dict[str, str]]
+) -> None:
+    table, key = KEYS[index][:2]
+    assert reported_faults[index] == {}
+    assert {each.partition("[0]")[0] for each in reported_faults[len(KEYS) + index]} <= {
+        fault_key(table, key),
         "overload.levels",
     }
-    assert any(each.startswith(path(table, key)) for each in found[len(KEYS) + place])
+    assert any(each.startswith(fault_key(table, key)) for each in reported_faults[len(KEYS) + index])
 
 
-@pytest.mark.parametrize(("place", "table"), list(enumerate(TABLES)))
-def test_unknown_key_is_turned_down(place: int, table: str, found: list[dict[str, str]]) -> None:
-    ((key, told),) = found[2 * len(KEYS) + place].items()
-    assert key == path(table, "nothing")
-    assert told.startswith("unknown key; known are ")
+@pytest.mark.parametrize(("index", "table"), list(enumerate(TABLES)))
+def test_check_rejects_unknown_key(index: int, table: str, reported_faults: list[dict[str, str]]) -> None:
+    ((key, text),) = reported_faults[2 * len(KEYS) + index].items()
+    assert key == fault_key(table, "nothing")
+    assert text.startswith("unknown key; known are ")
 
 
-def test_unknown_table_is_turned_down(found: list[dict[str, str]]) -> None:
-    assert found[-1].keys() == {"nothing"}
+def test_check_rejects_unknown_table(reported_faults: list[dict[str, str]]) -> None:
+    assert reported_faults[-1].keys() == {"nothing"}
 
 
-@pytest.mark.parametrize(("table", "key", "good", "made", "bad"), KEYS, ids=IDS)
-def test_key_reaches_the_program(
-    table: str, key: str, good: str, made: Any, bad: str, tmp_path: Path
+@pytest.mark.parametrize(("table", "key", "valid_value", "parsed", "invalid_value"), KEYS, ids=IDS)
+def test_operator_file_key_reaches_the_program(
+    table: str, key: str, valid_value: str, parsed: Any, invalid_value: str, tmp_path: Path
 ) -> None:
     file = tmp_path / "operator.toml"
-    file.write_text(LEVEL)
-    before = set_by_operator(file)
-    file.write_text(text(table, key, good))
-    after = set_by_operator(file)
-    changed = [one for one, other in zip(after, before, strict=False) if repr(one) != repr(other)]
-    assert repr(made) in map(repr, changed)
-    assert made not in [each for each in before if each is not False]
+    file.write_text(LEVEL_TABLE)
+    before = operator_option_values(file)
+    file.write_text(file_text(table, key, valid_value))
+    after = operator_option_values(file)
+    changed = [
+        value for value, value_before in zip(after, before, strict=False) if repr(value) != repr(value_before)
+    ]
+    assert repr(parsed) in map(repr, changed)
+    assert parsed not in [each for each in before if each is not False]
 
 
-def test_full_is_no_name_of_a_level(tmp_path: Path) -> None:
-    (told,) = faults(tmp_path, [LEVEL.replace("spare", "full")], ".toml")
-    assert told.keys() == {"overload.levels[0].name"}
+def test_check_rejects_full_as_name_of_a_level(tmp_path: Path) -> None:
+    (faults,) = check_files(tmp_path, [LEVEL_TABLE.replace("spare", "full")], ".toml")
+    assert faults.keys() == {"overload.levels[0].name"}
 
 
-def test_formats_of_the_log_are_two(tmp_path: Path) -> None:
+def test_log_format_is_text_or_json(tmp_path: Path) -> None:
     file = tmp_path / "operator.toml"
-    told = []
-    for form in ("text", "json"):
-        file.write_text(f'[log]\nformat = "{form}"\n')
-        told.append(set_by_operator(file))
+    option_values = []
+    for log_format in ("text", "json"):
+        file.write_text(f'[log]\nformat = "{log_format}"\n')
+        option_values.append(operator_option_values(file))
     file.write_text("")
-    assert set_by_operator(file) == told[0] != told[1]
-    assert faults(tmp_path, ['[log]\nformat = "yaml"\n'], ".toml")[0].keys() == {"log.format"}
+    assert operator_option_values(file) == option_values[0] != option_values[1]
+    assert check_files(tmp_path, ['[log]\nformat = "yaml"\n'], ".toml")[0].keys() == {"log.format"}
 
 
-def test_example_holds_these_keys_and_defaults() -> None:
+def test_example_file_has_all_keys_with_their_defaults() -> None:
     assert tomllib.loads((ROOT / "deploy" / "operator.toml").read_text()) == {
         "log": {"format": "text", "lines_per_s": 20.0, "lines_at_once": 200.0, "requests": False},
         "door": {"most_connections": 16, "line_timeout_s": 5.0, "linger_s": 0.5},
--- a/tests/external_names/test_settings_plain_names.py
+++ b/tests/external_names/test_settings_plain_names.py
@@ -1,6 +1,6 @@
-"""The program's own form of the settings, and that each wire key arrives at its own field and at no other.
+"""Pins the program's own settings format, and that each wire key sets its own field and no other.
 
-This form stands on no page: it follows the names of fields, and this table follows it.
+No page documents this format: it follows the names of the fields, and this table follows the format.
 """
 
 from __future__ import annotations
@@ -8,7 +8,7 @@
 from typing import Any
 
 import pytest
-from outside import put, settings_of_plain, settings_of_wire
+from outside import parse_plain_settings, parse_wire_settings, with_value
 
 WIRE: dict[str, Any] = {
     "lanes": [{"name": "look", "giveUpUs": 2_000_000}],
@@ -18,8 +18,8 @@
     "classes": [{"name": "look", "deadline_us": 2_000_000}],
     "tenants": [{"name": "acme"}],
 }
-# Path on the wire, path in the program's form, field, and a value that is not the default.
-NUMBERS: list[tuple[str, str, str, Any]] = [
+# Path on the wire, path in the program's own format, field, and a value that is not the default.
+VALUES: list[tuple[str, str, str, Any]] = [
     ("lanes[0].name", "classes[0].name", "classes.0.name", "pay"),
     ("lanes[0].giveUpUs", "classes[0].deadline_us", "classes.0.deadline_us", 3_000_000),
     ("lanes[0].promiseUs", "classes[0].latency_objective_us", "classes.0.latency_objective_us", 500_000),
@@ -87,7 +87,8 @@
     ("goal.tail", "objective_weights.tail", "objective_weights.tail", 0.1),
     ("goal.tailSlack", "objective_weights.tail_slack", "objective_weights.tail_slack", 0.1),
 ]
-# The same for words, with each word of either form; the field's enumerated value is the program's word.
+# The same for enumerated words: each word on the wire and in the program's own format, which is also the
+# value of the enumeration in the field.
 WORDS: list[tuple[str, str, str, dict[str, str]]] = [
     (
         "lanes[0].repeat",
@@ -122,34 +123,38 @@
 ]
 
 
-def _field(settings: Any, path: str) -> Any:
-    for each in path.split("."):
+def _field(settings: Any, field_path: str) -> Any:
+    for each in field_path.split("."):
         settings = settings[int(each)] if each.isdigit() else getattr(settings, each)
     return list(settings) if isinstance(settings, tuple) else getattr(settings, "value", settings)
 
 
-@pytest.mark.parametrize(("wire", "own", "field", "value"), NUMBERS, ids=[each[1] for each in NUMBERS])
-def test_plain_key_arrives_at_its_field_as_the_wire_key_does(
-    wire: str, own: str, field: str, value: Any
+@pytest.mark.parametrize(
+    ("wire_path", "plain_path", "field_path", "value"), VALUES, ids=[each[1] for each in VALUES]
+)
+def test_plain_key_and_wire_key_set_the_same_field(
+    wire_path: str, plain_path: str, field_path: str, value: Any
 ) -> None:
-    read = settings_of_plain(put(PLAIN, own, value))
-    assert read != settings_of_plain(PLAIN)
-    assert _field(read, field) == value
-    assert read == settings_of_wire(put(WIRE, wire, value))
+    settings = parse_plain_settings(with_value(PLAIN, plain_path, value))
+    assert settings != parse_plain_settings(PLAIN)
+    assert _field(settings, field_path) == value
+    assert settings == parse_wire_settings(with_value(WIRE, wire_path, value))
 
 
-@pytest.mark.parametrize(("wire", "own", "field", "words"), WORDS, ids=[each[1] for each in WORDS])
-def test_plain_word_arrives_at_its_field_as_the_wire_word_does(
-    wire: str, own: str, field: str, words: dict[str, str]
+@pytest.mark.parametrize(
+    ("wire_path", "plain_path", "field_path", "words"), WORDS, ids=[each[1] for each in WORDS]
+)
+def test_plain_word_and_wire_word_set_the_same_field(
+    wire_path: str, plain_path: str, field_path: str, words: dict[str, str]
 ) -> None:
-    for wire_word, own_word in words.items():
-        read = settings_of_plain(put(PLAIN, own, own_word))
-        assert _field(read, field) == own_word
-        assert read == settings_of_wire(put(WIRE, wire, wire_word))
+    for wire_word, plain_word in words.items():
+        settings = parse_plain_settings(with_value(PLAIN, plain_path, plain_word))
+        assert _field(settings, field_path) == plain_word
+        assert settings == parse_wire_settings(with_value(WIRE, wire_path, wire_word))
 
 
-def test_faults_of_the_plain_form_name_its_own_path() -> None:
+def test_error_of_plain_settings_names_the_plain_path() -> None:
     with pytest.raises(ValueError, match=r"^limits\.max_attempts: "):
-        settings_of_plain(put(PLAIN, "limits.max_attempts", -1))
+        parse_plain_settings(with_value(PLAIN, "limits.max_attempts", -1))
     with pytest.raises(ValueError, match=r"^classes\[0\]\.deadline_us: "):
-        settings_of_plain(put(PLAIN, "classes[0].deadline_us", 0))
+        parse_plain_settings(with_value(PLAIN, "classes[0].deadline_us", 0))
