--- a/tests/external_names/test_http_names.py
+++ b/tests/external_names/test_http_names.py
@@ -50,7 +50,7 @@
     b"\r\n"
     b"body"
 )
-KEY_NOT_ALLOWED = b"idempotency-key does not go with the class\n"
+KEY_MISMATCH_TEXT = b"idempotency-key does not go with the class\n"
 HEALTH_REQUEST = b"GET /_health HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
 TENANTS = [{"name": "acme", "portion": 1.0}]
 
@@ -116,7 +116,7 @@
     run_async(scenario)
 
 
-def received_arrival(request: bytes, monkeypatch: pytest.MonkeyPatch) -> list[Any]:
+def arrival_event_values(request: bytes, monkeypatch: pytest.MonkeyPatch) -> list[Any]:
     """Returns the field values of the event that the balancer receives for this request.
 
     The first field, the request number that the sidecar assigns, is left out.
@@ -133,7 +133,7 @@
 
 
 def test_request_headers_reach_the_balancer(monkeypatch: pytest.MonkeyPatch) -> None:
-    name, tenant, key, remaining_us, work_hint_us, is_retry, is_write, _ = received_arrival(
+    name, tenant, key, remaining_us, work_hint_us, is_retry, is_write, _ = arrival_event_values(
         REQUEST, monkeypatch
     )
     assert (name, tenant, work_hint_us, is_retry, is_write) == ("amend", "acme", 12_000, True, True)
@@ -154,14 +154,14 @@
 def test_missing_or_changed_header_has_no_assumed_value(
     old_header: bytes, new_header: bytes, index: int, value: object, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    assert received_arrival(REQUEST.replace(old_header, new_header), monkeypatch)[index] is value
+    assert arrival_event_values(REQUEST.replace(old_header, new_header), monkeypatch)[index] is value
 
 
 def test_affinity_key_is_the_last_segment_of_the_path(monkeypatch: pytest.MonkeyPatch) -> None:
     same = REQUEST.replace(b"/api/7f3a9c21e0b4d655?x=1", b"/other/7f3a9c21e0b4d655")
     other = REQUEST.replace(b"/api/7f3a9c21e0b4d655?x=1", b"/api/7f3a9c21e0b4d656")
-    key = received_arrival(REQUEST, monkeypatch)[2]
-    assert received_arrival(same, monkeypatch)[2] == key != received_arrival(other, monkeypatch)[2]
+    key = arrival_event_values(REQUEST, monkeypatch)[2]
+    assert arrival_event_values(same, monkeypatch)[2] == key != arrival_event_values(other, monkeypatch)[2]
 
 
 @pytest.mark.parametrize(
@@ -173,9 +173,9 @@
         (b"Request-Class: amend\r\n", b"Request-Class: other\r\n", b"request-class is unknown\n"),
         (b"Request-Timeout: 1.980\r\n", b"", b"request-timeout is missing\n"),
         (b"Request-Timeout: 1.980\r\n", b"Request-Timeout: soon\r\n", b"request-timeout is nonsense\n"),
-        (b"Idempotency-Key: 5c0f6e1a2b3d4c59\r\n", b"", KEY_NOT_ALLOWED),
-        (b"Request-Class: amend\r\n", b"Request-Class: lodge\r\n", KEY_NOT_ALLOWED),
-        (b"Idempotency-Key: 5c0f6e1a2b3d4c59\r\n", b"Idempotency-Key:\r\n", KEY_NOT_ALLOWED),
+        (b"Idempotency-Key: 5c0f6e1a2b3d4c59\r\n", b"", KEY_MISMATCH_TEXT),
+        (b"Request-Class: amend\r\n", b"Request-Class: lodge\r\n", KEY_MISMATCH_TEXT),
+        (b"Idempotency-Key: 5c0f6e1a2b3d4c59\r\n", b"Idempotency-Key:\r\n", KEY_MISMATCH_TEXT),
         (b"Request-Id: 9b1f03aa5c7e2d41\r\n", b"Request-Id: a b\r\n", b"request-id is nonsense\n"),
         (b"Work-Hint: 12000\r\n", b"Work-Hint: much\r\n", b"work-hint is nonsense\n"),
         (b"/api/7f3a9c21e0b4d655?x=1", b"http://x/api", b"the target is no path\n"),
--- a/tests/external_names/test_settings_plain_names.py
+++ b/tests/external_names/test_settings_plain_names.py
@@ -123,7 +123,7 @@
 ]
 
 
-def _field(settings: Any, field_path: str) -> Any:
+def _field_value(settings: Any, field_path: str) -> Any:
     for each in field_path.split("."):
         settings = settings[int(each)] if each.isdigit() else getattr(settings, each)
     return list(settings) if isinstance(settings, tuple) else getattr(settings, "value", settings)
@@ -137,7 +137,7 @@
 ) -> None:
     settings = parse_plain_settings(with_value(PLAIN, plain_path, value))
     assert settings != parse_plain_settings(PLAIN)
-    assert _field(settings, field_path) == value
+    assert _field_value(settings, field_path) == value
     assert settings == parse_wire_settings(with_value(WIRE, wire_path, value))
 
 
@@ -149,7 +149,7 @@
 ) -> None:
     for wire_word, plain_word in words.items():
         settings = parse_plain_settings(with_value(PLAIN, plain_path, plain_word))
-        assert _field(settings, field_path) == plain_word
+        assert _field_value(settings, field_path) == plain_word
         assert settings == parse_wire_settings(with_value(WIRE, wire_path, wire_word))
 
 
--- a/tests/external_names/test_settings_wire_names.py
+++ b/tests/external_names/test_settings_wire_names.py
@@ -64,7 +64,7 @@
 ]
 # Sections that are named by the error if the whole section has the wrong type.
 SECTIONS = ["lanes", "realms", "report", "bounds", "guarantees", "prices", "goal", "clientHabits", "domain"]
-# Values of the right type that are rejected.
+# Values that are rejected for another reason than their type, or because they are null.
 REJECTED_VALUES: list[tuple[str, Any]] = [
     ("bounds.sendCap", 0),
     ("lanes[0].giveUpUs", 0),
--- a/tests/external_names/test_simulator_names.py
+++ b/tests/external_names/test_simulator_names.py
@@ -75,7 +75,7 @@
         ("unused", "NOT_NOW"),
     ],
 )
-def test_verdict_decides_whether_request_is_rejected_or_failed(
+def test_verdict_decides_whether_non_idempotent_request_is_rejected_or_failed(
     verdict: str, expected_reply: str | None
 ) -> None:
     start: list[list[list[Any]]] = [[BEGIN, endpoint_list("10.0.0.1:80"), TARGETS], [work_item(5, "pay")]]
@@ -134,7 +134,7 @@
     assert (started_us, version) == (6_100_000, 41)
 
 
-# Each verdict on the wire with the name that metrics use for it, as in `app.retries.full`.
+# Each verdict on the wire with the name of its outcome, which metrics use as in `app.retries.full`.
 VERDICTS = {
     "delivered": "delivered",
     "app_error": "error",
@@ -147,15 +147,15 @@
 }
 
 
-@pytest.mark.parametrize(("verdict", "metric_name"), VERDICTS.items())
+@pytest.mark.parametrize(("verdict", "outcome"), VERDICTS.items())
 def test_verdict_has_the_same_outcome_for_attempt_and_health_check(
-    verdict: str, metric_name: str, monkeypatch: pytest.MonkeyPatch
+    verdict: str, outcome: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     received_events = install_recording_balancer(monkeypatch, lambda values: []).received_events
     ended = ["ATTEMPT_END", "sidecar-1", 5, 0, "10.0.0.1:80", verdict, 400, False, None]
     run_adapter_batches([BEGIN, ended, ["SAMPLED", "sidecar-1", 400, verdict, "10.0.0.1:80"]])
     assert [[each.value for each in event if isinstance(each, Enum)] for event in received_events] == [
-        [metric_name]
+        [outcome]
     ] * 2
 
 
--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -26,7 +26,7 @@
     disconnect_probability: float = 0.0  # Disconnecting before the response, by RST or by FIN.
     large_body_probability: float = 0.02  # Sending a body of `_LARGE_BODY_BYTES`.
     large_response_probability: float = 0.02  # Asking the server for a large response.
-    slow_body_probability: float = 0.0  # Sending the request in two parts with a pause between them.
+    slow_request_probability: float = 0.0  # Sending the request in two parts with a pause between them.
 
 
 @dataclass(slots=True)
@@ -123,7 +123,7 @@
 
     async def _write_request(self, connection: _Connection, attempt: ClientAttempt) -> None:
         data = self._encode_request(attempt)
-        if self._rng.random() < self.behavior.slow_body_probability:
+        if self._rng.random() < self.behavior.slow_request_probability:
             split_at = self._rng.randrange(1, len(data))
             connection.writer.write(data[:split_at])
             await asyncio.sleep(self._rng.uniform(0.0, _MAX_SEND_PAUSE_S))
--- a/tests/soak/discovery.py
+++ b/tests/soak/discovery.py
@@ -143,13 +143,13 @@
         written_at = now()
         withdrawn = {entry["id"] for entry in entries if entry["state"] != "active"}
         if endpoint_list["full"]:
-            known = {
+            already_withdrawn = {
                 withdrawal.server
                 for withdrawal in self._records.withdrawals
                 if withdrawal.sidecar_number == self._sidecar_number
             }
             listed = {entry["id"] for entry in entries}
-            withdrawn |= (self._catalog.updated_server_names() - listed) - known
+            withdrawn |= (self._catalog.updated_server_names() - listed) - already_withdrawn
         self._records.withdrawals += [
             Withdrawal(self._sidecar_number, name, written_at) for name in withdrawn
         ]
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -197,13 +197,13 @@
     generators = [generator for generator in fleet.load_generators if rng.random() < 0.7]
     for generator in generators:
         generator.behavior.disconnect_probability = rng.uniform(0.1, 0.6)
-        generator.behavior.slow_body_probability = rng.uniform(0.0, 0.5)
+        generator.behavior.slow_request_probability = rng.uniform(0.0, 0.5)
         generator.behavior.large_body_probability = generator.behavior.large_response_probability = (
             rng.uniform(0.0, 0.3)
         )
     await asyncio.sleep(_draw_duration_s(rng))
     for generator in generators:
-        generator.behavior.disconnect_probability = generator.behavior.slow_body_probability = 0.0
+        generator.behavior.disconnect_probability = generator.behavior.slow_request_probability = 0.0
         generator.behavior.large_body_probability = generator.behavior.large_response_probability = 0.02
 
 
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -36,8 +36,8 @@
     violations: Sequence[Violation]
     responses: Counter[int]  # Number of client attempts by status; 0 means no complete response.
     failed_system_calls: int  # Number of faults that the shim injected into system calls.
-    processes: int
-    faults: Sequence[str]  # Names of the faults, in the order of their starts.
+    process_count: int
+    fault_names: Sequence[str]  # Names of the faults, in the order of their starts.
     duration_s: float
 
     @property
@@ -49,9 +49,9 @@
         counts = " ".join(f"{status}:{count}" for status, count in sorted(self.responses.items()))
         return (
             f"seed {self.options.seed}: {len(self.violations)} violations, "
-            f"{self.client_attempts} requests ({counts}), {self.processes} processes, "
+            f"{self.client_attempts} requests ({counts}), {self.process_count} processes, "
             f"{self.failed_system_calls} failed system calls, {self.duration_s:.1f} s; "
-            f"{', '.join(self.faults)}"
+            f"{', '.join(self.fault_names)}"
         )
 
 
@@ -61,7 +61,7 @@
     def __init__(self, fleet: Fleet, options: SoakOptions) -> None:
         self._fleet, self._options = fleet, options
         self._rng = random.Random(options.seed + 1)
-        self.names: list[str] = []
+        self.fault_names: list[str] = []
         self.violations: list[Violation] = []
 
     async def run(self) -> None:
@@ -71,7 +71,7 @@
         while now() < ends_at:
             while len(active_faults) < self._rng.choice([2, 3]):
                 name = self._rng.choice(self._options.fault_names or tuple(FAULTS))
-                self.names.append(name)
+                self.fault_names.append(name)
                 active_faults.add(asyncio.ensure_future(self._inject(name)))
             _, active_faults = await asyncio.wait(
                 active_faults, timeout=_SCHEDULE_INTERVAL_S, return_when=asyncio.FIRST_COMPLETED
@@ -105,8 +105,8 @@
         violations=[*checker.violations(), *schedule.violations, *recovery_violations],
         responses=Counter(attempt.status for attempt in fleet.records.client_attempts),
         failed_system_calls=sum(sidecar.shim.get(Word.INJECTED) for sidecar in fleet.sidecars),
-        processes=len(fleet.records.processes),
-        faults=schedule.names,
+        process_count=len(fleet.records.processes),
+        fault_names=schedule.fault_names,
         duration_s=now() - started_at,
     )
 
@@ -172,7 +172,7 @@
     line = {
         "seed": result.options.seed,
         "violations": [str(violation) for violation in result.violations],
-        "faults": list(result.faults),
+        "faults": list(result.fault_names),
     }
     with path.open("a") as file:
         file.write(json.dumps(line) + "\n")
--- a/tests/soak/sidecars.py
+++ b/tests/soak/sidecars.py
@@ -92,7 +92,7 @@
         """Starts a process and returns when it is ready or has ended.
 
         Raises:
-            TimeoutError: the process was neither within `READY_TIMEOUT_S`.
+            TimeoutError: the process neither became ready nor ended within `READY_TIMEOUT_S`.
         """
         operator_file = self.folder / "operator.toml"
         operator_file.write_text("[log]\nlines_per_s = 10000.0\nlines_at_once = 100000.0\nrequests = true\n")
