--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -51,7 +51,7 @@
 
 
 def test_subcommand_that_is_not_installed_is_reported_on_one_line() -> None:
-    group = LazyGroup("x", places={"far": ("nowhere_to_be_found", "far")})
+    group = LazyGroup("x", locations={"far": ("nowhere_to_be_found", "far")})
     result = CliRunner().invoke(group, ["far"])
     assert result.exit_code == 1
     assert result.output.count("\n") == 1
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -347,8 +347,8 @@
     log: list[str] = []
 
     def record_event(event: str, /, **fields: object) -> None:
-        assert fields.keys() == logs.EVENTS[event].fields
-        log.append(logs.line(event, fields))
+        assert fields.keys() == logs.EVENTS[event].field_names
+        log.append(logs.format_event(event, fields))
 
     options = OperatorOptions(
         log=record_event,
--- a/tests/sidecar/test_race_conditions.py
+++ b/tests/sidecar/test_race_conditions.py
@@ -39,7 +39,7 @@
 from tulipnotch.sidecar.downstream import listener
 from tulipnotch.sidecar.downstream.client_limits import ClientLimits
 from tulipnotch.sidecar.downstream.connection import ConnectionState, DownstreamConnection
-from tulipnotch.sidecar.sockets import own_socket
+from tulipnotch.sidecar.sockets import borrow_socket
 from tulipnotch.sidecar.upstream import connection as client_module
 from tulipnotch.sidecar.upstream import pool as upstream
 
@@ -434,7 +434,7 @@
 
 def _send_now(writer: asyncio.StreamWriter, raw: bytes) -> None:
     """Send at once; on loopback it lies in the other side's socket when this is done, if that is open."""
-    with own_socket(writer.transport) as own:
+    with borrow_socket(writer.transport) as own:
         own.send(raw)
 
 
--- a/tests/sidecar/test_readiness.py
+++ b/tests/sidecar/test_readiness.py
@@ -98,11 +98,11 @@
 
 
 def _serving(name: str, after_ms: int) -> str:
-    return logs.line("serving", {"name": name, "address": "127.0.0.1:80", "after_ms": after_ms})
+    return logs.format_event("serving", {"name": name, "address": "127.0.0.1:80", "after_ms": after_ms})
 
 
 def _endpoint_list_stale() -> str:
-    return logs.line("endpoint_list_stale", {"waited_s": 1.0})
+    return logs.format_event("endpoint_list_stale", {"waited_s": 1.0})
 
 
 def _report(logs_folder: Path, *options: str) -> Result:
--- a/tulipnotch/cli/check.py
+++ b/tulipnotch/cli/check.py
@@ -12,7 +12,7 @@
 
 import click
 
-from tulipnotch.cli.root import examples
+from tulipnotch.cli.root import format_examples
 from tulipnotch.settings import operator
 from tulipnotch.settings.check import Fault, InvalidFileError
 from tulipnotch.settings.source_lines import json_lines, line_of
@@ -34,7 +34,7 @@
 
 
 @click.command(
-    epilog=examples(
+    epilog=format_examples(
         "tulipnotch check deploy/operator.toml",
         "tulipnotch check config.json my-scenario.toml --json",
     )
--- a/tulipnotch/cli/ctl.py
+++ b/tulipnotch/cli/ctl.py
@@ -9,7 +9,7 @@
 
 import click
 
-from tulipnotch.cli.root import examples
+from tulipnotch.cli.root import format_examples
 from tulipnotch.sidecar.addresses import Address, parse_address
 from tulipnotch.sidecar.control.client import parse_metrics, send_command
 
@@ -33,7 +33,7 @@
 
 
 @click.command(
-    epilog=examples(
+    epilog=format_examples(
         "tulipnotch ctl 127.0.0.1:9800 readyz",
         "tulipnotch ctl 127.0.0.1:9800 telemetry --json --watch 2",
         "tulipnotch ctl 127.0.0.1:9800 evacuate",
--- a/tulipnotch/cli/lab.py
+++ b/tulipnotch/cli/lab.py
@@ -4,19 +4,19 @@
 
 import click
 
-from tulipnotch.cli.root import LazyGroup, examples
+from tulipnotch.cli.root import LazyGroup, format_examples
 
 
 @click.group(
     cls=LazyGroup,
-    places={
+    locations={
         "list": ("tulipnotch.cli.lab_run", "list_scenarios"),
         "run": ("tulipnotch.cli.lab_run", "run"),
         "compare": ("tulipnotch.cli.lab_run", "compare"),
         "up": ("tulipnotch.cli.lab_real", "up"),
         "overhead": ("tulipnotch.cli.lab_real", "overhead"),
     },
-    epilog=examples(
+    epilog=format_examples(
         "tulipnotch lab list",
         "tulipnotch lab up crash",
         "tulipnotch lab run crash --seeds 8",
--- a/tulipnotch/cli/lab_real.py
+++ b/tulipnotch/cli/lab_real.py
@@ -16,7 +16,7 @@
 from rich.table import Table
 
 from tulipnotch.cli.lab_run import load
-from tulipnotch.cli.root import examples
+from tulipnotch.cli.root import format_examples
 from tulipnotch.lab.real.overhead import compare
 from tulipnotch.lab.real.play import LabFault
 from tulipnotch.lab.real.up import Up
@@ -26,7 +26,7 @@
 
 
 @click.command(
-    epilog=examples(
+    epilog=format_examples(
         "tulipnotch lab up",
         "tulipnotch lab up rolling-drain",
         "tulipnotch lab up calm --no-load    # and send your own with curl",
@@ -120,7 +120,7 @@
 
 
 @click.command(
-    epilog=examples("tulipnotch lab overhead", "tulipnotch lab overhead --rate 500 --turns 5 --json")
+    epilog=format_examples("tulipnotch lab overhead", "tulipnotch lab overhead --rate 500 --turns 5 --json")
 )
 @click.option("--rate", default=300.0, show_default=True, type=click.FloatRange(1.0, 5_000.0))
 @click.option("--seconds", default=6.0, show_default=True, type=click.FloatRange(1.0, 600.0))
--- a/tulipnotch/cli/lab_run.py
+++ b/tulipnotch/cli/lab_run.py
@@ -14,7 +14,7 @@
 from rich.progress import BarColumn, Progress, TextColumn, TimeElapsedColumn, TimeRemainingColumn
 from rich.table import Table
 
-from tulipnotch.cli.root import examples
+from tulipnotch.cli.root import format_examples
 from tulipnotch.lab import play, report, results, scenario
 from tulipnotch.lab.compare import differences
 from tulipnotch.lab.policies import POLICIES
@@ -42,7 +42,7 @@
         raise
 
 
-@click.command("list", epilog=examples("tulipnotch lab list", "tulipnotch lab list --json"))
+@click.command("list", epilog=format_examples("tulipnotch lab list", "tulipnotch lab list --json"))
 @click.option("--json", "as_json", is_flag=True, help="One JSON object a scenario.")
 def list_scenarios(as_json: bool) -> None:
     """The scenarios that come with the laboratory, and the policies."""
@@ -57,7 +57,7 @@
 
 
 @click.command(
-    epilog=examples(
+    epilog=format_examples(
         "tulipnotch lab run calm",
         "tulipnotch lab run crash --seeds 8 --policy least-of-2 --out found/crash",
         "tulipnotch lab run my.toml --time real --seed 7",
@@ -160,7 +160,7 @@
 
 
 @click.command(
-    epilog=examples(
+    epilog=format_examples(
         "tulipnotch lab compare found/calm-module-virtual found/calm-random-virtual",
         "tulipnotch lab compare A B --all --json",
     )
--- a/tulipnotch/cli/root.py
+++ b/tulipnotch/cli/root.py
@@ -22,17 +22,17 @@
 class LazyGroup(click.Group):
     """A group whose subcommands live in modules that are imported when they are needed."""
 
-    def __init__(self, *args: object, places: Mapping[str, tuple[str, str]], **kwargs: object) -> None:
+    def __init__(self, *args: object, locations: Mapping[str, tuple[str, str]], **kwargs: object) -> None:
         super().__init__(*args, **kwargs)  # type: ignore[arg-type]
-        self._places = places
+        self._locations = locations
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        return list(self._places)
+        return list(self._locations)
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-        if cmd_name not in self._places:
+        if cmd_name not in self._locations:
             return None
-        module, name = self._places[cmd_name]
+        module, name = self._locations[cmd_name]
         try:
             command = getattr(importlib.import_module(module), name)
         except ModuleNotFoundError as missing:
@@ -46,7 +46,7 @@
         return command
 
 
-def examples(*lines: str) -> str:
+def format_examples(*lines: str) -> str:
     """An epilog of examples and the exit codes; line breaks are kept."""
     shown = textwrap.indent("\n".join(lines), "  ")
     return f"\b\nExamples:\n{shown}\n\n{EXIT_CODES}"
@@ -54,14 +54,14 @@
 
 @click.group(
     cls=LazyGroup,
-    places={
+    locations={
         "run": ("tulipnotch.cli.run", "run"),
         "check": ("tulipnotch.cli.check", "check"),
         "ctl": ("tulipnotch.cli.ctl", "ctl"),
         "lab": ("tulipnotch.cli.lab", "lab"),
     },
     context_settings={"help_option_names": ["-h", "--help"], "max_content_width": 110},
-    epilog=examples("tulipnotch lab run calm", "tulipnotch check deploy/operator.toml"),
+    epilog=format_examples("tulipnotch lab run calm", "tulipnotch check deploy/operator.toml"),
 )
 @click.version_option(__version__)
 def root() -> None:
--- a/tulipnotch/cli/run.py
+++ b/tulipnotch/cli/run.py
@@ -8,11 +8,11 @@
 
 import click
 
-from tulipnotch.cli.root import examples
+from tulipnotch.cli.root import format_examples
 
 
 @click.command(
-    epilog=examples(
+    epilog=format_examples(
         "BALANCER_CONFIG=config.json tulipnotch run",
         "tulipnotch run --config config.json --operator deploy/operator.toml",
     )
--- a/tulipnotch/sidecar/downstream/connection.py
+++ b/tulipnotch/sidecar/downstream/connection.py
@@ -31,7 +31,7 @@
 )
 from tulipnotch.sidecar.http1.request_reader import RequestReader
 from tulipnotch.sidecar.requests.invariants import CloseReason, InvariantChecker
-from tulipnotch.sidecar.sockets import has_input, is_peer_closed, own_socket, watch_input
+from tulipnotch.sidecar.sockets import borrow_socket, has_unread_input, is_peer_closed, register_for_input
 
 _MAX_PENDING_BODY_BYTES = 32 << 10  # of a streamed body, before reading pauses until the server takes some
 _HEALTH_PATH = b"/_health"
@@ -179,7 +179,7 @@
     @property
     def has_unread_input(self) -> bool:
         """Whether bytes, perhaps the last of a request, or the end of the stream are unread in the socket."""
-        return has_input(self._poll)
+        return has_unread_input(self._poll)
 
     @property
     def has_unsent_output(self) -> bool:
@@ -328,7 +328,7 @@
         if not self.has_unsent_output:
             # The event loop itself shuts the socket down only in its next round.  A request that comes before
             # would be dropped although it came before our end.
-            with own_socket(transport) as own:
+            with borrow_socket(transport) as own:
                 own.shutdown(socket.SHUT_WR)
         transport.write_eof()
         self._resume_reading()
@@ -343,7 +343,7 @@
             return
         self._record_close(reason)
         if self._stream is not None:  # so the transport is open
-            with own_socket(self._transport) as own:
+            with borrow_socket(self._transport) as own:
                 own.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET)
         self._transport.abort()
 
@@ -382,7 +382,7 @@
         """Begin to serve the client."""
         # The class of uvloop does not derive from asyncio's, so it can't be checked.
         self._transport = cast("asyncio.Transport", transport)
-        watch_input(self._poll, transport)
+        register_for_input(self._poll, transport)
         self._owner.connections_by_state.add(self)
 
     def get_buffer(self, _sizehint: int) -> memoryview:
--- a/tulipnotch/sidecar/logs.py
+++ b/tulipnotch/sidecar/logs.py
@@ -34,31 +34,31 @@
 
 
 @dataclass(frozen=True, slots=True)
-class EventForm:
+class EventTemplate:
     """How an event is written: its severity, and its text with the names of its fields in braces."""
 
     severity: Severity
     text: str
 
     @property
-    def fields(self) -> frozenset[str]:
+    def field_names(self) -> frozenset[str]:
         """The names of the event's fields."""
         return frozenset(name for _, name, _, _ in string.Formatter().parse(self.text) if name)
 
 
-def _info(text: str) -> EventForm:
-    return EventForm(Severity.INFO, text)
+def _info(text: str) -> EventTemplate:
+    return EventTemplate(Severity.INFO, text)
 
 
-def _warning(text: str) -> EventForm:
-    return EventForm(Severity.WARNING, text)
+def _warning(text: str) -> EventTemplate:
+    return EventTemplate(Severity.WARNING, text)
 
 
-def _error(text: str) -> EventForm:
-    return EventForm(Severity.ERROR, text)
+def _error(text: str) -> EventTemplate:
+    return EventTemplate(Severity.ERROR, text)
 
 
-EVENTS: Mapping[str, EventForm] = {
+EVENTS: Mapping[str, EventTemplate] = {
     "serving": _info("{name} serves on {address}, {after_ms} ms after its start"),
     "control_endpoint_listening": _info("control endpoint listens on {address}"),
     "draining": _info("draining"),
@@ -86,7 +86,7 @@
 }
 
 
-def line(event: str, fields: Mapping[str, Any]) -> str:
+def format_event(event: str, fields: Mapping[str, Any]) -> str:
     """Formats an event as one line of text; line feeds in its fields become spaces.
 
     Raises:
@@ -170,7 +170,7 @@
         return True
 
     def _write_text(self, event: str, fields: Mapping[str, object]) -> None:
-        self._stream.write(line(event, fields) + "\n")
+        self._stream.write(format_event(event, fields) + "\n")
         self._stream.flush()
 
 
--- a/tulipnotch/sidecar/sockets.py
+++ b/tulipnotch/sidecar/sockets.py
@@ -12,7 +12,7 @@
 
 
 @contextmanager
-def own_socket(transport: asyncio.BaseTransport) -> Iterator[socket.socket]:
+def borrow_socket(transport: asyncio.BaseTransport) -> Iterator[socket.socket]:
     """Lend the socket of an open transport for system calls that the transport does not offer.
 
     The object shares the transport's descriptor, since there may be none left for a duplicate. It must not be
@@ -28,13 +28,13 @@
         plain.detach()
 
 
-def watch_input(poll: select.poll, transport: asyncio.BaseTransport) -> None:
-    """Have `poll` look at the socket of an open transport, for `has_input` and `is_peer_closed`."""
+def register_for_input(poll: select.poll, transport: asyncio.BaseTransport) -> None:
+    """Have `poll` look at the socket of an open transport, for `has_unread_input` and `is_peer_closed`."""
     descriptor = transport.get_extra_info("socket").fileno()
     poll.register(descriptor, select.POLLIN | select.POLLRDHUP)
 
 
-def has_input(poll: select.poll) -> bool:
+def has_unread_input(poll: select.poll) -> bool:
     """Return whether bytes or the end of the stream are unread, also if the event loop has not seen them."""
     return bool(poll.poll(0))
 
--- a/tulipnotch/sidecar/upstream/connection.py
+++ b/tulipnotch/sidecar/upstream/connection.py
@@ -19,7 +19,7 @@
 
 from tulipnotch.sidecar.http1.messages import Request, Response
 from tulipnotch.sidecar.http1.response_reader import ResponseReader
-from tulipnotch.sidecar.sockets import own_socket
+from tulipnotch.sidecar.sockets import borrow_socket
 from tulipnotch.sidecar.upstream.errors import ConnectionNotIdleError
 from tulipnotch.sidecar.upstream.exchange import (
     AwaitingResponse,
@@ -160,7 +160,7 @@
         self._stop_stall_timer()
         self._state = Closed(is_unwritten=isinstance(state, Writing))
         if self._transport is not None:
-            with own_socket(self._transport) as own:
+            with borrow_socket(self._transport) as own:
                 own.shutdown(socket.SHUT_RDWR)
             self._transport.abort()
         self._reader.release()
