--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -176,7 +176,7 @@
             await running.process.wait()
             code, output = await ctl("readyz")
             assert code == 3
-            assert output.startswith(f"{address} does not answer: ")
+            assert output.startswith(f"{address} did not respond: ")
             assert output.count("\n") == 1
 
     run_async(work)
--- a/tests/sidecar/test_program.py
+++ b/tests/sidecar/test_program.py
@@ -122,7 +122,7 @@
             running.config_path.write_text(json.dumps({**given, "discovery": discovery.address, "seed": "1"}))
             running.process.send_signal(signal.SIGHUP)
             said = await running.read_log_line()
-            assert said == f"reloaded: discovery at {discovery.address}; only a restart takes up seed\n"
+            assert said == f"reloaded: discovery at {discovery.address}; a restart is needed to apply seed\n"
             await wait_until(lambda: len(discovery.received_requests) >= 2)  # the list, then the watch
             assert (await (await running.connect()).send_request("lodge")).status == 200
             assert len(other.received_requests) == 1
--- a/tests/sidecar/test_race_conditions.py
+++ b/tests/sidecar/test_race_conditions.py
@@ -420,11 +420,11 @@
             await wait_until(lambda: harness.sidecar._discovery.first_call_ended.is_set())
             members = len(harness.sidecar._balancer._context.endpoints)
             if end == "fin":
-                await wait_until(lambda: harness.sidecar._endpoints.received.is_set())
+                await wait_until(lambda: harness.sidecar._endpoint_updates.received.is_set())
                 assert harness.sidecar._balancer.endpoint_counts()[0] == 0
             else:
                 await wait_until(lambda: answered >= 3)
-                assert not harness.sidecar._endpoints.received.is_set()
+                assert not harness.sidecar._endpoint_updates.received.is_set()
                 assert harness.sidecar._balancer.endpoint_counts()[0] == members == 1
                 assert any("broke" in each for each in harness.log)
         discovery.stop()
--- a/tulipnotch/__init__.py
+++ b/tulipnotch/__init__.py
@@ -1,3 +1,3 @@
-"""tulipnotch: a client-side balancing sidecar."""
+"""tulipnotch: a client-side load-balancing sidecar."""
 
 __version__ = "0.2.0"
--- a/tulipnotch/cli/__init__.py
+++ b/tulipnotch/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The command `tulipnotch`.  Each subcommand is a thin module, imported when it is called and not before."""
+"""The command `tulipnotch`.  Each subcommand is a small module, imported only when it is called."""
 
 from __future__ import annotations
 
@@ -6,9 +6,10 @@
 
 
 def main() -> None:
-    """The console script.
+    """Entry point of the console script.
 
-    `run` alone is the sidecar itself on a small machine, so it starts without the command line's libraries.
+    `run` without options starts the sidecar directly, without the libraries of the command line, because it
+    may run on a small machine.
     """
     if sys.argv[1:] == ["run"]:
         from tulipnotch.sidecar.__main__ import main as run
--- a/tulipnotch/cli/check.py
+++ b/tulipnotch/cli/check.py
@@ -26,7 +26,7 @@
 
 @unique
 class _FileKind(StrEnum):
-    """What a file is; the values are shown to users."""
+    """Kind of a file; the values are shown to users."""
 
     CONFIGURATION = "configuration"
     OPERATOR_FILE = "operator file"
@@ -40,16 +40,16 @@
     )
 )
 @click.argument("files", nargs=-1, required=True, type=click.Path(path_type=Path))
-@click.option("--json", "as_json", is_flag=True, help="One JSON object a file.")
+@click.option("--json", "as_json", is_flag=True, help="Print one JSON object for each file.")
 def check(*, files: tuple[Path, ...], as_json: bool) -> None:
-    """Check configurations (.json), operator files and scenarios (.toml); name every fault of each.
+    """Check configurations (.json), operator files and scenarios (.toml); report every fault of each.
 
     A .toml file that has `seconds` or `fleet` is a scenario, any other an operator file.  Exits with 2 if
     there is any fault.
     """
     is_any_invalid = False
     for path in files:
-        kind = _kind(path)
+        kind = _file_kind(path)
         faults = _find_faults(path, kind)
         is_any_invalid = is_any_invalid or bool(faults)
         if as_json:
@@ -63,20 +63,20 @@
     sys.exit(_EXIT_INVALID if is_any_invalid else 0)
 
 
-def _kind(path: Path) -> _FileKind:
+def _file_kind(path: Path) -> _FileKind:
     if path.suffix == ".json":
         return _FileKind.CONFIGURATION
     try:
-        given = tomllib.loads(path.read_text(encoding="utf-8"))
+        table = tomllib.loads(path.read_text(encoding="utf-8"))
     except (OSError, ValueError):
         return _FileKind.OPERATOR_FILE
-    is_scenario = "fleet" in given or "seconds" in given
+    is_scenario = "fleet" in table or "seconds" in table
     return _FileKind.SCENARIO if is_scenario else _FileKind.OPERATOR_FILE
 
 
 def _find_faults(path: Path, kind: _FileKind) -> list[Fault]:
     if kind is _FileKind.CONFIGURATION:
-        return _configuration_faults(path)
+        return _find_configuration_faults(path)
     try:
         if kind is _FileKind.SCENARIO:
             from tulipnotch.lab import scenario
@@ -89,11 +89,11 @@
     return []
 
 
-def _configuration_faults(path: Path) -> list[Fault]:
+def _find_configuration_faults(path: Path) -> list[Fault]:
     try:
-        given = read_object(str(path))
+        configuration = read_object(str(path))
     except ConfigError as error:
         return [Fault(0, "", str(error).removeprefix(f"{CONFIG_VARIABLE}: "))]
     lines = json_lines(path.read_text(encoding="utf-8"))
-    faults = find_faults(with_environment(given, os.environ))
+    faults = find_faults(with_environment(configuration, os.environ))
     return [Fault(line_of(lines, each.key), each.key, each.problem) for each in faults]
--- a/tulipnotch/cli/ctl.py
+++ b/tulipnotch/cli/ctl.py
@@ -20,12 +20,12 @@
 
 
 class _AddressType(click.ParamType[Address]):
-    """Parses an address with a port."""
+    """Command line argument that is an IP address with a port."""
 
     name = "ADDRESS:PORT"
 
     def convert(self, value: object, param: click.Parameter | None, ctx: click.Context | None) -> Address:
-        """Returns the address; ends the command if there is none."""
+        """Returns the parsed address; ends the command with a usage error if it is invalid."""
         try:
             return parse_address(value)
         except ValueError as error:
@@ -41,20 +41,20 @@
 )
 @click.argument("address", type=_AddressType())
 @click.argument("command", type=click.Choice(_COMMANDS))
-@click.option("--json", "as_json", is_flag=True, help="One JSON object a response.")
+@click.option("--json", "as_json", is_flag=True, help="Print one JSON object for each response.")
 @click.option(
     "--watch", "interval_s", metavar="SECONDS", type=click.FloatRange(0.1, 3600.0),
     help="Repeat the command at this interval.",
 )  # fmt: skip
 @click.option(
     "--timeout", "timeout_s", metavar="SECONDS", default=2.0, show_default=True,
-    type=click.FloatRange(0.05, 60.0), help="How long to wait for a response.",
+    type=click.FloatRange(0.05, 60.0), help="Maximum wait for a response.",
 )  # fmt: skip
 def ctl(*, address: Address, command: str, as_json: bool, interval_s: float | None, timeout_s: float) -> None:
     """Send COMMAND to the control endpoint of a sidecar at ADDRESS.
 
-    Exits with 0 on +OK, with 1 on -ERR, with 3 if there is no response in time; with --watch, at Ctrl-C, by
-    the last response.
+    Exits with 0 on +OK, with 1 on -ERR, with 3 if there is no response in time.  With --watch, Ctrl-C ends
+    the command, and the last response determines the exit code.
     """
     exit_code = _EXIT_OK
     with suppress(KeyboardInterrupt):
@@ -67,11 +67,11 @@
 
 
 def _send_and_print(address: Address, command: str, timeout_s: float, *, as_json: bool) -> int:
-    """Sends the command once, prints the response or why there is none; returns the exit code."""
+    """Sends the command once, prints the response or why there is none, and returns the exit code."""
     try:
         lines = send_command(address, command, timeout_s)
     except OSError as error:
-        text = f"{address[0]}:{address[1]} does not answer: {error or type(error).__name__}"
+        text = f"{address[0]}:{address[1]} did not respond: {error or type(error).__name__}"
         click.echo(json.dumps({"ok": None, "fault": text}) if as_json else text, err=not as_json)
         return _EXIT_NO_RESPONSE
     status, *metrics = lines
--- a/tulipnotch/cli/lab.py
+++ b/tulipnotch/cli/lab.py
@@ -1,4 +1,4 @@
-"""`tulipnotch lab`: the laboratory."""
+"""`tulipnotch lab`: the group of commands that simulate the platform."""
 
 from __future__ import annotations
 
@@ -25,4 +25,4 @@
     ),
 )
 def lab() -> None:
-    """A model of the platform, in virtual and in real time."""
+    """Simulate the platform in virtual time, or run it with real processes."""
--- a/tulipnotch/cli/root.py
+++ b/tulipnotch/cli/root.py
@@ -1,4 +1,4 @@
-"""The root of the command line: names of subcommands, and where each is found."""
+"""Root of the command line: the subcommands, and the module that implements each."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 
 EXIT_CODES = """\b
 Exit codes:
-  0  it went well
-  1  the answer is no: -ERR, an expectation not met, an address that can't be had
-  2  a call or a file is wrong; each fault is one line that names it
-  3  nobody answered at the address
+  0  success
+  1  negative result: -ERR, an expectation that does not hold, an address that cannot be bound
+  2  invalid command line or file; each fault is reported on one line
+  3  no response from the address
 """
 
 
 class LazyGroup(click.Group):
-    """A group whose subcommands live in modules that are imported when they are needed."""
+    """A group that imports the module of a subcommand only when that subcommand is needed."""
 
     def __init__(self, *args: object, locations: Mapping[str, tuple[str, str]], **kwargs: object) -> None:
         super().__init__(*args, **kwargs)  # type: ignore[arg-type]
@@ -32,24 +32,24 @@
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
         if cmd_name not in self._locations:
             return None
-        module, name = self._locations[cmd_name]
+        module_name, attribute = self._locations[cmd_name]
         try:
-            command = getattr(importlib.import_module(module), name)
-        except ModuleNotFoundError as missing:
-            if (missing.name or "").startswith("tulipnotch"):
+            command = getattr(importlib.import_module(module_name), attribute)
+        except ModuleNotFoundError as error:
+            if (error.name or "").startswith("tulipnotch"):
                 raise
             raise click.ClickException(
-                f"{cmd_name} needs {missing.name}, which is not installed: pip install 'tulipnotch[lab]'"
+                f"{cmd_name} needs {error.name}, which is not installed: pip install 'tulipnotch[lab]'"
             ) from None
         if not isinstance(command, click.Command):
-            raise TypeError(f"{module}:{name} is no command")
+            raise TypeError(f"{module_name}:{attribute} is not a click command")
         return command
 
 
-def format_examples(*lines: str) -> str:
-    """An epilog of examples and the exit codes; line breaks are kept."""
-    shown = textwrap.indent("\n".join(lines), "  ")
-    return f"\b\nExamples:\n{shown}\n\n{EXIT_CODES}"
+def format_examples(*command_lines: str) -> str:
+    """Returns the epilog of a help text: examples and the exit codes, with line breaks preserved."""
+    indented = textwrap.indent("\n".join(command_lines), "  ")
+    return f"\b\nExamples:\n{indented}\n\n{EXIT_CODES}"
 
 
 @click.group(
@@ -65,4 +65,4 @@
 )
 @click.version_option(__version__)
 def root() -> None:
-    """A client-side balancing sidecar, and the tools to run, ask and measure it."""
+    """A client-side load-balancing sidecar, and tools to run, control and measure it."""
--- a/tulipnotch/cli/run.py
+++ b/tulipnotch/cli/run.py
@@ -20,12 +20,12 @@
 @click.option(
     "--config",
     type=click.Path(exists=True, dir_okay=False, path_type=Path),
-    help="The configuration, in place of $BALANCER_CONFIG.",
+    help="Configuration file; replaces $BALANCER_CONFIG.",
 )
 @click.option(
     "--operator",
     type=click.Path(exists=True, dir_okay=False, path_type=Path),
-    help="The operator file, in place of $BALANCER_OPERATOR.",
+    help="Operator file; replaces $BALANCER_OPERATOR.",
 )
 def run(config: Path | None, operator: Path | None) -> None:
     """Run one sidecar until SIGTERM or SIGINT; SIGHUP reloads the configuration.
@@ -38,6 +38,6 @@
         environ["BALANCER_CONFIG"] = str(config.resolve())
     if operator is not None:
         environ["BALANCER_OPERATOR"] = str(operator.resolve())
-    # Replaces the process image, so that the sidecar's memory holds nothing of the command line.
+    # Replaces the process image, so that the sidecar's memory contains no libraries of the command line.
     command = [sys.executable, "-m", "tulipnotch.sidecar"]
     os.execve(command[0], command, environ)
--- a/tulipnotch/sidecar/__init__.py
+++ b/tulipnotch/sidecar/__init__.py
@@ -1,7 +1,8 @@
-"""The real sidecar: it puts the decisions on real sockets."""
+"""The sidecar process: carries out the decisions of load balancing on real sockets."""
 
 from __future__ import annotations
 
 import time
 
-BEGAN = time.monotonic()  # before anything else of the program is loaded: its time to ready counts from here
+# Set before any other module of the program is imported, so that the time to ready includes the imports.
+PROCESS_STARTED_AT = time.monotonic()
--- a/tulipnotch/sidecar/__main__.py
+++ b/tulipnotch/sidecar/__main__.py
@@ -14,10 +14,11 @@
 def main() -> int:
     """Runs one sidecar and returns its exit code.
 
-    Blocks SIGHUP before anything else is imported: it would terminate a process that has no handler yet.
+    Blocks SIGHUP before anything else is imported, because SIGHUP terminates a process that has not installed
+    a handler yet.
     """
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
-    gc.disable()  # what imports create stays, so collections meanwhile would only take time
+    gc.disable()  # objects created by imports are never freed, so collecting during imports only costs time
     from tulipnotch.sidecar.program import run
 
     gc.enable()
--- a/tulipnotch/sidecar/action_executor.py
+++ b/tulipnotch/sidecar/action_executor.py
@@ -1,4 +1,4 @@
-"""The execution of the balancer's actions, each by its owner; timers and health checks are owned here."""
+"""Execution of the balancer's actions: dispatches each to its component; owns timers and health checks."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 class ActionTargets:
-    """Who executes the actions that are not executed by the event loop or the upstream pool."""
+    """Components that execute the actions which neither the event loop nor the upstream pool executes."""
 
     __slots__ = ("attempts", "discovery", "peers", "responses")
 
@@ -48,7 +48,7 @@
         discovery: DiscoveryClient,
         peers: PeerMessenger,
     ) -> None:
-        """Each executes the actions that its type has a method for."""
+        """Stores the components; each executes the actions for which its type has a method."""
         self.attempts = attempts
         self.responses = responses
         self.discovery = discovery
@@ -56,16 +56,16 @@
 
 
 class ActionExecutor:
-    """Brings each action to its owner."""
+    """Dispatches each action to the component that executes it."""
 
     def __init__(self, context: SidecarContext, events: EventQueue, targets: ActionTargets) -> None:
-        """Timers and health checks post their ends to `events`."""
+        """Creates an executor that posts fired timers and ended health checks to `events`."""
         self._context = context
         self._events = events
         self._peers = targets.peers
         self._discovery = targets.discovery
         upstream = context.upstream
-        # Looked up by class for each action; a handler takes actions of its own class only.
+        # Keyed by action class; a handler is called only with actions of its own class.
         self._handlers: dict[type[Action], Callable[[Any], None]] = {
             StartAttempt: targets.attempts.start_attempt,
             CancelAttempt: targets.attempts.cancel_attempt,
@@ -81,39 +81,39 @@
         }
 
     def execute(self, action: Action) -> None:
-        """Executes one action; whatever its owner raises is raised here."""
+        """Executes one action; an exception of the component that executes it is propagated."""
         self._handlers[type(action)](action)
 
     def _set_timer(self, action: SetTimer) -> None:
         self._arm_timer(self._context.clock.now() + action.delay_us, action.token)
 
-    def _arm_timer(self, due: int, token: str) -> None:
+    def _arm_timer(self, due_us: int, token: str) -> None:
         clock = self._context.clock
-        delay_s = (due - clock.now()) / 1e6
+        delay_s = (due_us - clock.now()) / 1e6
 
-        def fire() -> None:
-            if clock.now() < due:
-                self._arm_timer(due, token)  # event loops may fire some microseconds early
+        def on_timer() -> None:
+            if clock.now() < due_us:
+                self._arm_timer(due_us, token)  # an event loop may fire a timer some microseconds early
             else:
                 self._events.post(TimerFired(token))
 
-        asyncio.get_running_loop().call_later(max(delay_s, 0.0), fire)
+        asyncio.get_running_loop().call_later(max(delay_s, 0.0), on_timer)
 
     def _start_health_check(self, action: StartHealthCheck) -> None:
         context = self._context
         started_at = context.clock.now()
-        in_body = context.settings.report_source is not ReportSource.NONE
-        target = b"/_load" if in_body else b"/ping"
+        is_report_in_body = context.settings.report_source is not ReportSource.NONE
+        target = b"/_load" if is_report_in_body else b"/ping"
         message = Request(b"GET", target, [(b"host", action.endpoint.encode())])
 
-        def ended(outcome: Outcome, response: Response | None) -> None:
-            report = parse_load_report(response, context.settings.report_columns, in_body=in_body)
+        def post_result(outcome: Outcome, response: Response | None) -> None:
+            report = parse_load_report(response, context.settings.report_columns, in_body=is_report_in_body)
             elapsed_us = context.clock.now() - started_at
             self._events.post(HealthCheckEnded(action.endpoint, outcome, elapsed_us, report))
 
         deadline = started_at + _HEALTH_CHECK_TIMEOUT_US
         context.upstream.start_request(
-            UpstreamRequest(action.endpoint, deadline, lambda _: message, _HealthCheckObserver(ended))
+            UpstreamRequest(action.endpoint, deadline, lambda _: message, _HealthCheckObserver(post_result))
         )
 
     def _subscribe(self, action: Subscribe) -> None:
@@ -131,7 +131,7 @@
 
 
 class _HealthCheckObserver(BackgroundRequestObserver):
-    """Observes one health check; only its end matters."""
+    """Observes one health check and passes its result on; intermediate steps are ignored."""
 
     def __init__(self, on_end: Callable[[Outcome, Response | None], None]) -> None:
         self._on_end = on_end
--- a/tulipnotch/sidecar/addresses.py
+++ b/tulipnotch/sidecar/addresses.py
@@ -1,4 +1,4 @@
-"""Addresses of sockets, as files and the endpoint list write them."""
+"""Socket addresses in the text form that files and the endpoint list use."""
 
 from __future__ import annotations
 
@@ -8,22 +8,23 @@
 
 
 def parse_address(value: object) -> Address:
-    """Split `address:port`.
+    """Parses `address:port`.
 
     Args:
-        value: the text; an IPv6 address stands in brackets.
+        value: The text; an IPv6 address is enclosed in brackets.
 
     Raises:
-        ValueError: if it is no text of this form. There is no DNS, so the address must be numeric.
+        ValueError: The value is not a string of this form.  The address must be numeric, since there is no
+            DNS.
     """
     if not isinstance(value, str):
         raise ValueError(f"address:port is needed, not {value!r:.60}")
     host, _, port = value.rpartition(":")
     try:
         ipaddress.ip_address(host.strip("[]"))
-        number = int(port)
+        port_number = int(port)
     except ValueError:
         raise ValueError(f"address:port is needed, not {value!r:.60}") from None
-    if not 0 <= number <= 65_535:
-        raise ValueError(f"a port from 0 to 65535 is needed, not {number}")
-    return host.strip("[]"), number
+    if not 0 <= port_number <= 65_535:
+        raise ValueError(f"a port from 0 to 65535 is needed, not {port_number}")
+    return host.strip("[]"), port_number
--- a/tulipnotch/sidecar/clock.py
+++ b/tulipnotch/sidecar/clock.py
@@ -1,4 +1,4 @@
-"""The sidecar's clock."""
+"""Clock of the sidecar: Unix time that advances monotonically."""
 
 from __future__ import annotations
 
@@ -6,15 +6,16 @@
 
 
 class Clock:
-    """Whole microseconds of Unix time, read once; from there on only the monotonic clock advances it.
+    """Reads Unix time once; from then on only the monotonic clock advances it.
 
-    Servers' start times compare with it, and no step of the system's clock affects a timer or a deadline.
+    Its values can be compared with the start times of servers, and a step of the system's wall clock affects
+    no timer and no deadline.
     """
 
     def __init__(self) -> None:
-        """Reads the system's clock, for the only time."""
+        """Reads the system's wall clock, which is not read again."""
         self._offset_ns = time.time_ns() - time.monotonic_ns()
 
     def now(self) -> int:
-        """Clock time (us); it never goes back."""
+        """Returns the time in whole microseconds; it never decreases."""
         return (time.monotonic_ns() + self._offset_ns) // 1_000
--- a/tulipnotch/sidecar/control_commands.py
+++ b/tulipnotch/sidecar/control_commands.py
@@ -1,4 +1,4 @@
-"""What operators may command or read at the control endpoint."""
+"""Commands that operators may send to the control endpoint."""
 
 from __future__ import annotations
 
@@ -13,7 +13,11 @@
 
 
 class ControlCommands:
-    """Handles each command with a reply: the rest of its first line, and further lines."""
+    """Handles each command.
+
+    A handler returns the text that follows the status on the first line of the response, and any further
+    lines.
+    """
 
     def __init__(
         self,
@@ -21,17 +25,17 @@
         lifecycle: Lifecycle,
         balancer: Balancer,
         registry: RequestRegistry,
-        levels: ServiceLevelMonitor | None,
+        level_monitor: ServiceLevelMonitor | None,
     ) -> None:
-        """`levels` is None where the operator file sets no service levels."""
+        """Creates the handlers; `level_monitor` is None if the operator file sets no service levels."""
         self._context = context
         self._lifecycle = lifecycle
         self._balancer = balancer
         self._registry = registry
-        self._levels = levels
+        self._level_monitor = level_monitor
 
     def handlers(self) -> Mapping[str, CommandHandler]:
-        """The commands by name."""
+        """Returns the handlers, keyed by command name."""
         return {
             "readyz": self.readyz,
             "telemetry": self.telemetry,
@@ -41,19 +45,27 @@
         }
 
     def readyz(self) -> Sequence[str]:
-        """Whether clients may be sent here; raises CommandRejectedError with the phase if not."""
+        """Reports whether this sidecar accepts clients.
+
+        Raises:
+            CommandRejectedError: It does not; the error contains the phase.
+        """
         if not self._lifecycle.is_ready:
             raise CommandRejectedError(self._lifecycle.phase.value)
         return ["ready"]
 
     def level(self) -> Sequence[str]:
-        """The service level in force; raises CommandRejectedError where no levels are set."""
-        if self._levels is None:
+        """Returns the current service level.
+
+        Raises:
+            CommandRejectedError: The operator file sets no levels.
+        """
+        if self._level_monitor is None:
             raise CommandRejectedError("no levels are set")
-        return [self._levels.describe()]
+        return [self._level_monitor.describe()]
 
     def telemetry(self) -> Sequence[str]:
-        """All counters and gauges, a line each, and a line with a full stop."""
+        """Returns all counters and gauges, one on each line, and a last line that holds a full stop."""
         counts = self._balancer.endpoint_counts()
         gauges = {
             "pending": self._registry.pending_complete_request_count,
@@ -61,17 +73,21 @@
             "members_unavailable": counts.unavailable,
             "invariant_violations": self._context.invariants.violation_count,
         }
-        if self._levels is not None:
-            gauges |= {"level": self._levels.index, "level_changes": self._levels.changes}
+        if self._level_monitor is not None:
+            gauges |= {"level": self._level_monitor.index, "level_changes": self._level_monitor.change_count}
         return ["", *self._context.telemetry.lines(gauges), "."]
 
     def evacuate(self) -> Sequence[str]:
-        """Has clients leave; replies with the phase."""
+        """Asks clients to leave this sidecar; returns the phase."""
         self._lifecycle.evacuate()
         return [self._lifecycle.phase.value]
 
     def activate(self) -> Sequence[str]:
-        """Takes an evacuation back; raises CommandRejectedError with the phase where the process stops."""
+        """Ends an evacuation; returns the phase.
+
+        Raises:
+            CommandRejectedError: The process is stopping; the error contains the phase.
+        """
         if not self._lifecycle.activate():
             raise CommandRejectedError(self._lifecycle.phase.value)
         return [self._lifecycle.phase.value]
--- a/tulipnotch/sidecar/descriptor_budget.py
+++ b/tulipnotch/sidecar/descriptor_budget.py
@@ -1,4 +1,4 @@
-"""Division of the descriptors and the memory of this process among clients, servers and operators."""
+"""Division of the process's file descriptors and memory among client, server and operator connections."""
 
 from __future__ import annotations
 
@@ -9,36 +9,36 @@
 from tulipnotch.sidecar.configuration.configuration import Config
 from tulipnotch.sidecar.downstream.client_limits import ClientLimits
 
-RESERVED_DESCRIPTORS = 32  # for everything but clients, servers and operators
-# Part of all descriptors that clients and servers have at least, however many operators may connect.
+RESERVED_DESCRIPTORS = 32  # for everything except connections of clients, servers and operators
+# Minimum fraction of all descriptors for clients and servers, however many operators may connect.
 _MIN_TRAFFIC_FRACTION = 0.25
-_DOWNSTREAM_FRACTION = 0.5  # clients' part of the descriptors of clients and servers
-# Servers' part is multiplied by this while a second process of this sidecar may run.
-_SHARED_FRACTION = 0.5
-# For each MB of the memory limit: a quarter of it, at 4 KiB for an idle connection.
+_DOWNSTREAM_FRACTION = 0.5  # clients' fraction of the descriptors for clients and servers
+# The limit for servers is multiplied by this while a second process of this sidecar may be running.
+_SHARED_UPSTREAM_FRACTION = 0.5
+# For each MB of the memory limit: connections may use a quarter of it, at 4 KiB for an idle connection.
 _CONNECTIONS_PER_MB = (1 << 20) // 4 // 4_096
-_REQUEST_BYTES_PER_MB = (1 << 20) // 8  # for each MB of the memory limit: what pending requests may take
+_REQUEST_BYTES_PER_MB = (1 << 20) // 8  # for each MB of the memory limit: pending requests may use an eighth
 
 
 class LimitedConnections(Protocol):
-    """An owner of connections that never has more than `max_connections` of them."""
+    """Owns connections, of which there are never more than `max_connections`."""
 
     max_connections: int
 
 
-def client_limits(config: Config, given: Mapping[str, Any] | None = None) -> ClientLimits:
-    """Returns the default limits of clients under this configuration, with the given ones replaced."""
+def create_client_limits(config: Config, overrides: Mapping[str, Any] | None = None) -> ClientLimits:
+    """Returns the default limits for clients under this configuration, with `overrides` applied."""
     limits = ClientLimits(most_bytes=config.memory_mb * _REQUEST_BYTES_PER_MB)
-    return replace(limits, **(given or {}))
+    return replace(limits, **(overrides or {}))
 
 
-def max_control_connections(descriptors: int, wanted: int) -> int:
-    """Returns how many of the wanted connections of operators the descriptors allow."""
-    return min(wanted, descriptors - int(_MIN_TRAFFIC_FRACTION * descriptors) - RESERVED_DESCRIPTORS)
+def limit_control_connections(descriptors: int, requested: int) -> int:
+    """Returns how many of the requested operator connections this number of descriptors allows."""
+    return min(requested, descriptors - int(_MIN_TRAFFIC_FRACTION * descriptors) - RESERVED_DESCRIPTORS)
 
 
 class DescriptorBudget:
-    """Owns the division, and sets `max_connections` of the client side and of the server side by it."""
+    """Divides descriptors and memory, and sets `max_connections` downstream and upstream accordingly."""
 
     def __init__(
         self,
@@ -54,19 +54,19 @@
         self._downstream = downstream
         self._upstream = upstream
         self._is_shared = False  # whether a second process of this sidecar may be running
-        self._divide()
+        self._update_limits()
 
     def set_descriptors(self, descriptors: int) -> None:
-        """Divides this number of descriptors from now on."""
+        """Changes the total number of descriptors and divides it again."""
         self._descriptors = descriptors
-        self._divide()
+        self._update_limits()
 
     def set_shared(self, *, is_shared: bool) -> None:
-        """Sets whether a second process of this sidecar may be running."""
+        """Sets whether a second process of this sidecar may be running, and divides again."""
         self._is_shared = is_shared
-        self._divide()
+        self._update_limits()
 
-    def _divide(self) -> None:
+    def _update_limits(self) -> None:
         connections = max(
             self._descriptors - RESERVED_DESCRIPTORS - self._control_connections,
             int(_MIN_TRAFFIC_FRACTION * self._descriptors),
@@ -74,8 +74,8 @@
         connections = min(connections, self._memory_mb * _CONNECTIONS_PER_MB)
         downstream = int(connections * _DOWNSTREAM_FRACTION)
         self._downstream.max_connections = downstream
-        # A client connects to one of the two processes, so its part is not divided; a server gets connections
-        # of both.
+        # A client connects to one of the two processes, so the downstream limit stays as it is; a server
+        # accepts connections from both.
         self._upstream.max_connections = int(
-            (connections - downstream) * (_SHARED_FRACTION if self._is_shared else 1.0)
+            (connections - downstream) * (_SHARED_UPSTREAM_FRACTION if self._is_shared else 1.0)
         )
--- a/tulipnotch/sidecar/event_queue.py
+++ b/tulipnotch/sidecar/event_queue.py
@@ -1,4 +1,4 @@
-"""Events to the balancer, one at a time and in order, and the execution of the actions that it returns."""
+"""Delivers events to the balancer one at a time, in order, and has the actions that it returns executed."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class EventQueue:
-    """Owns the events that the balancer has not handled yet; `Balancer.handle` is called nowhere else."""
+    """Queues the events that the balancer has not handled yet; `Balancer.handle` is called only here."""
 
     def __init__(
         self,
@@ -23,7 +23,7 @@
         registry: RequestRegistry,
         responses: ResponseSender,
     ) -> None:
-        """Events may be posted once `connect` was called."""
+        """Creates an empty queue; events may be posted once `set_executor` was called."""
         self._balancer = balancer
         self._context = context
         self._registry = registry
@@ -32,12 +32,12 @@
         self._events: deque[Event] = deque()
         self._is_handling = False
 
-    def connect(self, execute: Callable[[Action], None]) -> None:
-        """Sets who executes actions; executing one may post further events."""
+    def set_executor(self, execute: Callable[[Action], None]) -> None:
+        """Sets the function that executes an action; it may post further events."""
         self._execute = execute
 
     def post(self, event: Event) -> None:
-        """Has the balancer handle an event: at once, or after the one that it handles now."""
+        """Has the balancer handle an event: at once, or after the events that are queued already."""
         self._events.append(event)
         if self._is_handling:
             return
@@ -46,7 +46,8 @@
             while self._events:
                 event = self._events.popleft()
                 if isinstance(event, AttemptEnded):
-                    # Known only now: an event that was handled before may have led to the response.
+                    # Set when the event is handled, not when it is posted: an event handled in between may
+                    # have caused the response.
                     event.is_responded = self._registry.is_responded(event.request)
                     self._handle(event)
                     request = self._registry.get(event.request)
@@ -58,23 +59,23 @@
             self._is_handling = False
 
     def _handle(self, event: Event) -> None:
-        """Handles an event, and executes each action whatever becomes of the one before.
+        """Handles an event and executes each resulting action, even if an earlier one fails.
 
-        The edge of the event loop: nothing that the balancer or an action raises ends the process.
+        No exception of the balancer or of an action propagates to the caller, so none ends the process.
         """
         try:
             actions = self._balancer.handle(self._context.clock.now(), event)
         except Exception as error:
-            self._internal_error(event, error)
+            self._report_internal_error(event, error)
             return
         for action in actions:
             try:
                 self._execute(action)
             except Exception as error:
-                self._internal_error(action, error)
+                self._report_internal_error(action, error)
 
-    def _internal_error(self, source: Event | Action, error: Exception) -> None:
-        """Logs an internal error, and responds to the request that it may concern."""
+    def _report_internal_error(self, source: Event | Action, error: Exception) -> None:
+        """Logs an internal error, and responds with status 500 to the request that it may affect."""
         self._context.log("internal_error", where=type(source).__name__, fault=repr(error))
         if isinstance(source, (RequestArrived, AttemptEnded, StartAttempt, RejectRequest, FailRequest)):
             self._responses.respond(source.request, 500, [])
--- a/tulipnotch/sidecar/log_stream.py
+++ b/tulipnotch/sidecar/log_stream.py
@@ -1,7 +1,7 @@
-"""A stream for log lines that never blocks the process.
+"""Output stream for log lines that never blocks the process.
 
-Standard error may be a pipe that nobody reads, a file on a full disk or a connection that has ended.  In each
-of these cases the write fails at once with an OSError and the line is lost: no request waits for the log.
+Standard error may be a pipe that nobody reads, a file on a full disk or a closed connection.  In each of
+these cases the write fails at once with an OSError and the line is lost: no request waits for the log.
 """
 
 from __future__ import annotations
@@ -10,16 +10,16 @@
 import select
 import stat
 
-STANDARD_ERROR = 2
-# A pipe that poll(2) reports as writable accepts this many bytes at once, or none.
+STDERR_DESCRIPTOR = 2
+# A pipe that poll(2) reports as writable accepts a write of up to this many bytes completely or not at all.
 _MAX_LINE_BYTES = select.PIPE_BUF
 
 
 class LogStream:
-    """Writes lines to a descriptor; has the two methods of a text stream that a log needs."""
+    """Writes lines to a descriptor; implements the two methods of a text stream that a log needs."""
 
-    def __init__(self, descriptor: int = STANDARD_ERROR) -> None:
-        """Prepares to write to this descriptor, which stays open as it is."""
+    def __init__(self, descriptor: int = STDERR_DESCRIPTOR) -> None:
+        """Prepares to write to this descriptor, which is neither closed nor modified."""
         self._descriptor = _reopen_pipe_nonblocking(descriptor)
         self._poll = select.poll()
         self._poll.register(self._descriptor, select.POLLOUT)
@@ -29,10 +29,10 @@
         """Writes one line at once, truncated to the maximum size; returns the length of `text`.
 
         Raises:
-            OSError: The line was not written, or only partially; the next write ends a partial line first.
+            OSError: The line was written partially or not at all; the next write ends a partial line first.
         """
         if not self._poll.poll(0):
-            raise BlockingIOError("the log's descriptor is not writable")
+            raise BlockingIOError("the descriptor of the log is not writable")
         line_end = b"\n" if text.endswith("\n") else b""
         separator = b"\n" if self._ends_in_partial_line else b""
         content = text.removesuffix("\n").encode("utf-8", "backslashreplace")
@@ -41,7 +41,7 @@
         written_bytes = os.write(self._descriptor, line)
         self._ends_in_partial_line = written_bytes < len(line)
         if self._ends_in_partial_line:
-            raise BlockingIOError("the line was written partially")
+            raise BlockingIOError("the log line was written only partially")
         return len(text)
 
     def flush(self) -> None:
@@ -52,7 +52,7 @@
     """Returns a non-blocking descriptor of the same pipe, or `descriptor` itself if that is not a pipe.
 
     A blocking pipe could block if another process fills it between poll(2) and write(2).  The flag is not set
-    on the inherited file description because other processes share that.
+    on the inherited open file description because other processes share it.
     """
     try:
         if not stat.S_ISFIFO(os.fstat(descriptor).st_mode):
--- a/tulipnotch/sidecar/logs.py
+++ b/tulipnotch/sidecar/logs.py
@@ -1,7 +1,7 @@
-"""Log of one process: events with fixed names and fixed fields, one event a line on standard error.
+"""Log of one process: events with fixed names and fixed fields, one event per line on standard error.
 
-`EVENTS` lists all of them; `docs/on-call.md` explains each.  The default format is text for people.  JSON
-lines are written by structlog where the operator file asks for them, and only then is structlog imported.
+`EVENTS` lists all events; `docs/on-call.md` explains each.  The default format is human-readable text.  If
+the operator file selects JSON, structlog writes the lines; structlog is imported only in that case.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 @unique
 class Severity(StrEnum):
-    """How serious an event is; the values are written to JSON lines."""
+    """Severity of an event; the values are written to JSON lines."""
 
     INFO = "info"
     WARNING = "warning"
@@ -35,14 +35,14 @@
 
 @dataclass(frozen=True, slots=True)
 class EventTemplate:
-    """How an event is written: its severity, and its text with the names of its fields in braces."""
+    """Severity of an event, and its text with the names of its fields in braces."""
 
     severity: Severity
     text: str
 
     @property
     def field_names(self) -> frozenset[str]:
-        """The names of the event's fields."""
+        """Names of the event's fields."""
         return frozenset(name for _, name, _, _ in string.Formatter().parse(self.text) if name)
 
 
@@ -87,17 +87,17 @@
 
 
 def format_event(event: str, fields: Mapping[str, Any]) -> str:
-    """Formats an event as one line of text; line feeds in its fields become spaces.
+    """Returns an event as one line of text; line feeds in its fields become spaces.
 
     Raises:
-        KeyError: No such event, or a field is missing.
+        KeyError: `EVENTS` has no such event, or a field is missing.
     """
     return EVENTS[event].text.format_map(fields).replace("\n", " ")
 
 
 @unique
 class LogFormat(StrEnum):
-    """How events are written; the values are those of the operator file."""
+    """Output format of the log; the values are those of the operator file."""
 
     TEXT = "text"
     JSON = "json"
@@ -105,26 +105,26 @@
 
 @dataclass(frozen=True, slots=True)
 class LogLimits:
-    """Rate limit of the log, so that it can't fill the disk that it is written to."""
+    """Rate limit of the log, which keeps it from filling the disk."""
 
     lines_per_s: float = 20.0
     burst_lines: float = 200.0
 
 
 class LineStream(Protocol):
-    """Where lines are written to; both methods raise OSError on failure."""
+    """Destination of log lines; both methods raise OSError on failure."""
 
     def write(self, text: str, /) -> int:
         """Writes a line that includes its line end; returns the number of characters."""
         ...
 
     def flush(self) -> None:
-        """Writes what is buffered."""
+        """Writes all buffered lines."""
         ...
 
 
 class LineLog:
-    """Writes events to a stream, up to a rate limit; counts the lines that it drops and logs their number.
+    """Writes events to a stream up to a rate limit; drops and counts the rest, and logs their number later.
 
     A line that the stream does not accept is dropped too: the process neither fails nor waits because of it.
     """
@@ -136,30 +136,30 @@
         stream: LineStream | None = None,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        """Creates a log that may begin with a burst; `clock` is monotonic and returns seconds."""
+        """Creates a log with a full token bucket; `clock` is monotonic and returns seconds."""
         self._limits = limits or LogLimits()
         self._stream = stream or LogStream()
         self._clock = clock
         self._write = self._write_text if log_format is LogFormat.TEXT else _json_writer(self._stream)
         self._tokens = self._limits.burst_lines
         self._refilled_at = clock()
-        self._dropped = 0  # lines, since the last one that was written
+        self._dropped_lines = 0  # since the last line that was written
 
     def __call__(self, event: str, /, **fields: object) -> None:
         """Writes one event, or drops it; see `Log`."""
         if not self._take_token():
-            self._dropped += 1
+            self._dropped_lines += 1
             return
         try:
-            if self._dropped:
-                self._write("log_lines_dropped", {"count": self._dropped})
-                self._dropped = 0
+            if self._dropped_lines:
+                self._write("log_lines_dropped", {"count": self._dropped_lines})
+                self._dropped_lines = 0
             self._write(event, fields)
         except OSError:
-            self._dropped += 1
+            self._dropped_lines += 1
 
     def _take_token(self) -> bool:
-        """Refills the token bucket, then takes the token for one event, if there is one."""
+        """Refills the token bucket and takes one token; returns False if the bucket is empty."""
         now = self._clock()
         refill = (now - self._refilled_at) * self._limits.lines_per_s
         self._tokens = min(self._tokens + refill, self._limits.burst_lines)
@@ -175,7 +175,7 @@
 
 
 def _json_writer(stream: LineStream) -> Callable[[str, Mapping[str, object]], None]:
-    """Returns a function that writes an event as one JSON object on one line."""
+    """Returns a function that writes an event to `stream` as one JSON object on one line."""
     import structlog
 
     logger = structlog.wrap_logger(
--- a/tulipnotch/sidecar/program.py
+++ b/tulipnotch/sidecar/program.py
@@ -16,41 +16,43 @@
 
 import uvloop
 
-from tulipnotch.sidecar import BEGAN
+from tulipnotch.sidecar import PROCESS_STARTED_AT
 from tulipnotch.sidecar.addresses import Address
 from tulipnotch.sidecar.configuration.configuration import Config, ConfigError, load
 from tulipnotch.sidecar.configuration.reload import reload_configuration
 from tulipnotch.sidecar.control.endpoint import ControlEndpoint
 from tulipnotch.sidecar.downstream.listener import adopt, bind_with_retry, listen
 from tulipnotch.sidecar.logs import Log
-from tulipnotch.sidecar.operator_file import OPERATOR_VARIABLE, OperatorOptions, load_operator_options
+from tulipnotch.sidecar.operator_file import OPERATOR_FILE_VARIABLE, OperatorOptions, load_operator_options
 from tulipnotch.sidecar.sidecar import Sidecar
 
-_INHERITED_VARIABLE = "BALANCER_INHERITED_FD"  # of the environment: descriptor of a listening socket
+_INHERITED_FD_VARIABLE = (
+    "BALANCER_INHERITED_FD"  # environment variable with the descriptor of a listening socket
+)
 
 
 @unique
 class ExitCode(IntEnum):
-    """How the process ends."""
+    """Exit codes of the process."""
 
     STOPPED = 0  # after SIGTERM or SIGINT
     CANNOT_LISTEN = 1
-    INVALID_CONFIGURATION = 2  # or what it inherited is not a listening socket
+    INVALID_CONFIGURATION = 2  # also if the inherited descriptor is not a listening socket
 
 
 def run() -> int:
-    """Runs one sidecar as the environment says, and returns the exit code of its process."""
+    """Runs one sidecar as configured by the environment, and returns the exit code of the process."""
     try:
         config = load(os.environ)
-        options = load_operator_options(os.environ.get(OPERATOR_VARIABLE), config)
+        options = load_operator_options(os.environ.get(OPERATOR_FILE_VARIABLE), config)
     except ConfigError as error:
         print(f"tulipnotch: config: {error}".replace("\n", " "), file=sys.stderr)
         return ExitCode.INVALID_CONFIGURATION
-    descriptor = os.environ.get(_INHERITED_VARIABLE)
+    descriptor = os.environ.get(_INHERITED_FD_VARIABLE)
     try:
         inherited = adopt(descriptor) if descriptor else None
     except ValueError as error:
-        print(f"tulipnotch: {_INHERITED_VARIABLE}: {error}", file=sys.stderr)
+        print(f"tulipnotch: {_INHERITED_FD_VARIABLE}: {error}", file=sys.stderr)
         return ExitCode.INVALID_CONFIGURATION
     try:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
@@ -62,35 +64,35 @@
 
 
 async def _serve(config: Config, inherited: socket.socket | None, options: OperatorOptions) -> None:
-    """Serves until SIGTERM or SIGINT, then drains; SIGHUP reloads the configuration.
+    """Serves until SIGTERM or SIGINT, then drains the sidecar; SIGHUP reloads the configuration.
 
     Raises:
         OSError: An address cannot be bound.
     """
     log = options.log
     loop = asyncio.get_running_loop()
-    loop.set_exception_handler(lambda _, context: _log_internal_error(log, context))
+    loop.set_exception_handler(lambda _, context: _log_uncaught_exception(log, context))
     stop_requested = asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop_requested.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop_requested.set)
     sidecar = Sidecar(config, options)
     loop.add_signal_handler(signal.SIGHUP, reload_configuration, sidecar, os.environ, log)
-    signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})  # `__main__` blocks it until here
+    signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})  # `__main__` has blocked it
     control = ControlEndpoint(
         sidecar.command_handlers(),
         replace(options.control_limits, max_connections=sidecar.max_control_connections),
     )
     if config.control is not None:
-        await _listen_for_commands(control, config.control, log)
-    await _start_and_wait(sidecar, inherited, stop_requested, log)
+        await _open_control_endpoint(control, config.control, log)
+    await _serve_until_stopped(sidecar, inherited, stop_requested, log)
     log("draining")
     await sidecar.shut_down()
     control.close()
     log("drained")
 
 
-async def _listen_for_commands(control: ControlEndpoint, address: Address, log: Log) -> None:
-    """Opens the control endpoint; waits a few seconds for its address if that is in use.
+async def _open_control_endpoint(control: ControlEndpoint, address: Address, log: Log) -> None:
+    """Opens the control endpoint; retries for a few seconds if its address is in use.
 
     Raises:
         OSError: The address cannot be bound.
@@ -101,28 +103,33 @@
     log("control_endpoint_listening", address=f"{address[0]}:{control.port}")
 
 
-async def _start_and_wait(
+async def _serve_until_stopped(
     sidecar: Sidecar, inherited: socket.socket | None, stop_requested: asyncio.Event, log: Log
 ) -> None:
-    """Starts the sidecar and returns when a stop is requested, which may be before the start is complete.
+    """Starts the sidecar and returns when a stop is requested, even if the start is not complete by then.
 
     Raises:
         OSError: An address cannot be bound.
     """
-    starting = asyncio.create_task(sidecar.start(inherited))
-    stopping = asyncio.create_task(stop_requested.wait())
-    await asyncio.wait((starting, stopping), return_when=asyncio.FIRST_COMPLETED)
-    if not starting.done():
-        starting.cancel()
+    start_task = asyncio.create_task(sidecar.start(inherited))
+    stop_task = asyncio.create_task(stop_requested.wait())
+    await asyncio.wait((start_task, stop_task), return_when=asyncio.FIRST_COMPLETED)
+    if not start_task.done():
+        start_task.cancel()
         return
-    starting.result()  # raises the error of the start, if any
+    start_task.result()  # raises the exception with which the start failed, if any
     config = sidecar.config
     address = f"{config.listen[0]}:{sidecar.downstream.port}"
-    log("serving", name=config.name, address=address, after_ms=int((time.monotonic() - BEGAN) * 1e3))
-    gc.freeze()  # objects that exist by now mostly stay, so the garbage collector need not visit them
-    await stopping
+    log(
+        "serving",
+        name=config.name,
+        address=address,
+        after_ms=int((time.monotonic() - PROCESS_STARTED_AT) * 1e3),
+    )
+    gc.freeze()  # most objects that exist now are never freed, so the garbage collector need not visit them
+    await stop_task
 
 
-def _log_internal_error(log: Log, context: Mapping[str, Any]) -> None:
-    """Logs an exception that nothing has caught; `context` is that of the event loop's handler."""
+def _log_uncaught_exception(log: Log, context: Mapping[str, Any]) -> None:
+    """Logs an uncaught exception; `context` is what the event loop passes to its exception handler."""
     log("internal_error", where=context["message"], fault=repr(context.get("exception")))
--- a/tulipnotch/sidecar/service_level_monitor.py
+++ b/tulipnotch/sidecar/service_level_monitor.py
@@ -1,4 +1,4 @@
-"""Periodic observation of the load, which moves the sidecar between its service levels."""
+"""Periodic observation of the load, by which the sidecar changes between its service levels."""
 
 from __future__ import annotations
 
@@ -19,19 +19,19 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceLevels:
-    """The levels of reduced service that the operator file sets, and the least time (us) between changes."""
+    """Levels of reduced service that the operator file sets, and the minimum time between two changes."""
 
     levels: tuple[ServiceLevel, ...]
     hold_us: int
 
 
 class ServiceLevelMonitor:
-    """Owns the controller: gives it an observation each interval, and the balancer its changes of level."""
+    """Passes the load to the level controller periodically, and its changes of level to the balancer."""
 
     def __init__(
         self, levels: ServiceLevels, clock: Clock, balancer: Balancer, events: EventQueue, log: Log
     ) -> None:
-        """Starts at full service; nothing is observed before `start`."""
+        """Creates a monitor at full service, which observes nothing before `start`."""
         self._clock = clock
         self._balancer = balancer
         self._events = events
@@ -40,20 +40,20 @@
 
     @property
     def index(self) -> int:
-        """The level in force; 0: full service."""
+        """Current service level; 0 is full service."""
         return self._controller.index
 
     @property
-    def changes(self) -> int:
-        """How often the level has changed since the start."""
+    def change_count(self) -> int:
+        """Number of level changes since the start."""
         return self._controller.changes
 
     def describe(self) -> str:
-        """Returns the level in force and its reasons, for operators."""
+        """Returns a description of the current level and its reasons, for operators."""
         return self._controller.describe(self._clock.now())
 
     def start(self, lifecycle: Lifecycle) -> None:
-        """Observes now and each interval from now on, until the process stops."""
+        """Observes the load now, and once in each interval until the process stops."""
         change = self._controller.observe_pressure(self._clock.now(), self._balancer.pressure())
         if change is not None:
             self._log(
--- a/tulipnotch/sidecar/shutdown.py
+++ b/tulipnotch/sidecar/shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown: every request that was read gets its response before the process ends."""
+"""Graceful shutdown: each request that was read receives a response before the process ends."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 from tulipnotch.sidecar.requests.request_registry import RequestRegistry
 from tulipnotch.sidecar.requests.responses import ResponseSender
 
-_NEW_CONNECTIONS_S = 0.4  # how long after SIGTERM clients may go on connecting
-_QUIET_PERIOD_S = 0.05  # how long none must have connected before the listener closes
-_KILL_DELAY_S = 0.7  # SIGKILL comes no sooner after SIGTERM than this and the longest deadline
-_MAX_DEADLINE_S = 3.0  # a longer deadline counts as this
-_FINAL_WRITE_S = 0.1  # before SIGKILL, reserved for writing the last responses
-_POLL_INTERVAL_S = 0.01  # also gives the event loop time to write what is pending
+_NEW_CONNECTION_PERIOD_S = 0.4  # time after SIGTERM during which clients may still connect
+_QUIET_PERIOD_S = 0.05  # time without a new connection after which the listener is closed
+_MIN_KILL_DELAY_S = 0.7  # SIGKILL follows SIGTERM no earlier than the longest deadline plus this time
+_MAX_DEADLINE_S = 3.0  # upper bound of the longest deadline in that sum
+_FINAL_WRITE_RESERVE_S = 0.1  # reserved before SIGKILL for writing the last responses
+_POLL_INTERVAL_S = 0.01  # between two checks; the event loop writes pending responses meanwhile
 
 
 class Shutdown:
-    """Ends the service of clients."""
+    """Shuts down the downstream side: responds to all requests and closes all client connections."""
 
     def __init__(
         self,
@@ -32,7 +32,7 @@
         registry: RequestRegistry,
         responses: ResponseSender,
     ) -> None:
-        """Nothing changes before `run` is called."""
+        """Creates a shutdown that changes nothing before `run` is called."""
         self._context = context
         self._downstream = downstream
         self._budget = budget
@@ -40,14 +40,16 @@
         self._responses = responses
 
     async def run(self, *, hands_over_listener: bool) -> None:
-        """Responds to all requests that were read or are still coming, then returns.
+        """Responds to all requests that were read or still arrive, then returns.
 
         Args:
-            hands_over_listener: Whether other processes hold the listening socket too.
+            hands_over_listener: Whether other processes have the listening socket open too.
         """
         started_at = asyncio.get_running_loop().time()
         deadlines_us = [each.deadline_us for each in self._context.settings.classes]
-        remaining_s = min(max(deadlines_us) / 1e6, _MAX_DEADLINE_S) + _KILL_DELAY_S - _FINAL_WRITE_S
+        remaining_s = (
+            min(max(deadlines_us) / 1e6, _MAX_DEADLINE_S) + _MIN_KILL_DELAY_S - _FINAL_WRITE_RESERVE_S
+        )
         self._registry.respond_by = self._context.clock.now() + int(remaining_s * 1e6)
         self._downstream.lifecycle.stop()
         if hands_over_listener:
@@ -55,7 +57,7 @@
         else:
             await self._drain_connections(started_at, started_at + remaining_s)
         for request in self._registry:
-            self._responses.respond(request.number, 504, [])  # the balancer has not ended it in time
+            self._responses.respond(request.number, 504, [])  # the balancer did not end it in time
             self._responses.end_stream(request, Outcome.CANCELLED)
         await asyncio.sleep(0)
         pending = self._registry.pending_response_count
@@ -63,40 +65,41 @@
             Invariant.STOP_WITHOUT_PENDING_RESPONSE, str(pending), holds=not pending
         )
 
-    async def _hand_over_listener(self, until: float) -> None:
-        """Leaves new connections to whoever else holds the listening socket, and finishes the open ones.
+    async def _hand_over_listener(self, end_at: float) -> None:
+        """Leaves new connections to the other processes that listen, and serves the open ones to their end.
 
-        Idle ones are closed by the downstream server, after a while, so that few requests meet a closed one.
+        The downstream server closes idle connections after some time, not at once, so that few requests
+        arrive on a connection that is just being closed.
         """
         self._downstream.stop_listening()
         self._budget.set_shared(is_shared=True)
         self._context.upstream.close_all_idle_connections()
-        await _poll(lambda: self._downstream.has_no_connections, _POLL_INTERVAL_S, until)
+        await _wait_until(lambda: self._downstream.has_no_connections, _POLL_INTERVAL_S, end_at)
 
-    async def _drain_connections(self, started_at: float, until: float) -> None:
-        """Accepts what clients still send, since nobody else listens, then closes what is idle."""
+    async def _drain_connections(self, started_at: float, end_at: float) -> None:
+        """Accepts late connections, since no other process listens, then closes connections once idle."""
         loop = asyncio.get_running_loop()
         downstream = self._downstream
-        downstream.close_idle()  # while new connections are still accepted
-        await asyncio.sleep(_NEW_CONNECTIONS_S)
-        await _poll(
+        downstream.close_idle()  # their clients can reconnect, since new connections are still accepted
+        await asyncio.sleep(_NEW_CONNECTION_PERIOD_S)
+        await _wait_until(
             lambda: loop.time() >= downstream.last_opened + _QUIET_PERIOD_S,
             _QUIET_PERIOD_S / 2,
-            started_at + _KILL_DELAY_S,
+            started_at + _MIN_KILL_DELAY_S,
         )
-        await _poll(downstream.accept_pending, _QUIET_PERIOD_S / 2, until)
+        await _wait_until(downstream.accept_pending, _QUIET_PERIOD_S / 2, end_at)
         downstream.stop_listening()
         while (
             self._registry.pending_response_count or not downstream.has_no_connections
-        ) and loop.time() < until:
+        ) and loop.time() < end_at:
             if not self._registry.pending_response_count:
                 downstream.close_idle()
             await asyncio.sleep(_POLL_INTERVAL_S)
 
 
-async def _poll(condition: Callable[[], bool], interval_s: float, until: float) -> None:
-    """Returns once the condition holds, or at this time of the event loop."""
+async def _wait_until(condition: Callable[[], bool], interval_s: float, end_at: float) -> None:
+    """Returns once the condition holds, at the latest at `end_at`, a time of the event loop."""
     loop = asyncio.get_running_loop()
-    # Nothing reports an empty listen queue, and the interval lets the event loop finish writes.
-    while not condition() and loop.time() < until:  # noqa: ASYNC110 - there is no event to wait for
+    # Polls, since nothing signals an empty accept queue; the event loop finishes writes in each interval.
+    while not condition() and loop.time() < end_at:  # noqa: ASYNC110 - there is no event to wait for
         await asyncio.sleep(interval_s)
--- a/tulipnotch/sidecar/sidecar.py
+++ b/tulipnotch/sidecar/sidecar.py
@@ -1,4 +1,4 @@
-"""One sidecar: its components and how they are connected; each component owns its own state."""
+"""The sidecar: creates and connects its components, each of which owns its state."""
 
 from __future__ import annotations
 
@@ -42,20 +42,21 @@
 from tulipnotch.sidecar.startup import Startup
 from tulipnotch.sidecar.upstream.pool import UpstreamPool
 
-# What only a restart applies: fields of `Config`, and fields of its settings with their keys in the file.
-_FIXED_AT_START = ("name", "listen", "control", "peer_listen", "seed", "memory_mb")
-_SETTINGS_FIXED_AT_START = {"discovery_mode": "settings.discovery", "instance_index": "settings.me"}
+# Changes that take effect only after a restart: fields of `Config`, and fields of its settings, each with the
+# key of the configuration file.
+_RESTART_ONLY_FIELDS = ("name", "listen", "control", "peer_listen", "seed", "memory_mb")
+_RESTART_ONLY_SETTINGS = {"discovery_mode": "settings.discovery", "instance_index": "settings.me"}
 
 
 class Sidecar:
-    """One sidecar from its start to its end."""
+    """One sidecar, from its start to its shutdown."""
 
     def __init__(self, config: Config, options: OperatorOptions) -> None:
-        """Connects the components; nothing listens before `start`.
+        """Creates and connects the components; nothing listens before `start`.
 
         Args:
-            config: The configuration, until `reload` replaces it.
-            options: What operators have set, and the log.
+            config: The configuration; `reload` replaces it later.
+            options: The options that operators have set, and the log.
         """
         self.config = config
         self.lifecycle = Lifecycle()
@@ -72,14 +73,14 @@
             RequestReceiver(self._context, self._registry, self._responses, self._events),
             self._context.invariants,
         )
-        # Fixed at the start, like the control endpoint itself.
+        # A reload does not change this limit, since the control endpoint is created only once.
         self.max_control_connections = max_control_connections(
             config.sockets, options.control_limits.max_connections
         )
         self._budget = DescriptorBudget(config, self.max_control_connections, self.downstream, self._upstream)
-        self._create_executor()
-        self._create_control(options.service_levels)
-        self._create_lifecycle_steps()
+        self._create_action_executor()
+        self._create_control_commands(options.service_levels)
+        self._create_startup_and_shutdown()
 
     def _create_request_handling(self) -> None:
         self._registry = RequestRegistry()
@@ -88,9 +89,9 @@
 
     def _create_discovery(self) -> None:
         config = self.config
-        self._endpoints = _EndpointUpdates(self._context, self._events)
+        self._endpoint_updates = _EndpointUpdateForwarder(self._context, self._events)
         self._discovery = DiscoveryClient(
-            config.discovery, config.settings, config.known, observer=self._endpoints
+            config.discovery, config.settings, config.known, observer=self._endpoint_updates
         )
         self._peers = PeerMessenger(
             config.peers,
@@ -99,46 +100,47 @@
             lambda sender, payload: self._events.post(PeerMessageReceived(sender, payload)),
         )
 
-    def _create_executor(self) -> None:
+    def _create_action_executor(self) -> None:
         attempts = AttemptStarter(
             self._context, self._registry, self._responses, self._balancer, self._events
         )
         targets = ActionTargets(attempts, self._responses, self._discovery, self._peers)
         self._executor = ActionExecutor(self._context, self._events, targets)
-        self._events.connect(self._executor.execute)
+        self._events.set_executor(self._executor.execute)
 
-    def _create_control(self, levels: ServiceLevels | None) -> None:
+    def _create_control_commands(self, service_levels: ServiceLevels | None) -> None:
         context = self._context
-        self._levels = (
-            ServiceLevelMonitor(levels, context.clock, self._balancer, self._events, context.log)
-            if levels
+        self._level_monitor = (
+            ServiceLevelMonitor(service_levels, context.clock, self._balancer, self._events, context.log)
+            if service_levels
             else None
         )
         self._commands = ControlCommands(
-            context, self.lifecycle, self._balancer, self._registry, self._levels
+            context, self.lifecycle, self._balancer, self._registry, self._level_monitor
         )
 
-    def _create_lifecycle_steps(self) -> None:
+    def _create_startup_and_shutdown(self) -> None:
         self._startup = Startup(
             self._context.log,
             self.downstream,
             self._budget,
             self._discovery.first_call_ended,
-            self._endpoints.received,
+            self._endpoint_updates.received,
         )
         self._shutdown = Shutdown(
             self._context, self.downstream, self._budget, self._registry, self._responses
         )
-        self._has_inherited_listener = False  # whether other processes hold the listening socket too
+        self._has_inherited_listener = False  # if so, other processes have the listening socket open too
 
     async def start(self, inherited: socket.socket | None = None) -> None:
         """Starts with the cached endpoint list, and returns once clients can be served.
 
         Args:
-            inherited: A socket on which the previous process listens; it accepts from it meanwhile.
+            inherited: A socket on which the previous process listens; it accepts connections until this
+                process does.
 
         Raises:
-            OSError: An address can't be had.
+            OSError: An address cannot be bound.
         """
         self._has_inherited_listener = inherited is not None
         reserved = await bind_with_retry(self.config.listen) if inherited is None else None
@@ -155,11 +157,11 @@
                 await self._startup.wait_for_endpoints()
         self._check_readiness_invariant()
         self.lifecycle.started()
-        if self._levels is not None:
-            self._levels.start(self.lifecycle)
+        if self._level_monitor is not None:
+            self._level_monitor.start(self.lifecycle)
 
     def _check_readiness_invariant(self) -> None:
-        """Checks that this process has waited for an endpoint list, or that the cached one is sufficient."""
+        """Checks that this process has waited for discovery, or that the cached list is sufficient."""
         needs_fresh_list = (
             self._has_inherited_listener or self._context.settings.discovery_mode is DiscoveryMode.PUSHED
         )
@@ -172,36 +174,40 @@
 
     @property
     def open_requests(self) -> int:
-        """How many requests have a pending response or an attempt in flight."""
+        """Number of requests that have a pending response or an attempt in flight."""
         return len(self._registry)
 
     def command_handlers(self) -> Mapping[str, CommandHandler]:
-        """The commands of the control endpoint by name."""
+        """Returns the handlers of the control endpoint's commands, keyed by command name."""
         return self._commands.handlers()
 
     def reload(self, config: Config) -> None:
-        """Applies what a new configuration may change in a running sidecar, and logs what it may not."""
-        before = self.config
+        """Applies the changes that need no restart, and logs the keys of those that do."""
+        previous = self.config
         settings = self._context.settings
-        fixed = [key for key in _FIXED_AT_START if getattr(config, key) != getattr(before, key)]
-        fixed_settings = [
-            key for key in _SETTINGS_FIXED_AT_START if getattr(config.settings, key) != getattr(settings, key)
+        restart_only = [key for key in _RESTART_ONLY_FIELDS if getattr(config, key) != getattr(previous, key)]
+        restart_only_settings = [
+            key for key in _RESTART_ONLY_SETTINGS if getattr(config.settings, key) != getattr(settings, key)
         ]
-        new_settings = replace(config.settings, **{key: getattr(settings, key) for key in fixed_settings})
-        self.config = replace(config, settings=new_settings, **{key: getattr(before, key) for key in fixed})
-        if config.discovery != before.discovery:
+        new_settings = replace(
+            config.settings, **{key: getattr(settings, key) for key in restart_only_settings}
+        )
+        self.config = replace(
+            config, settings=new_settings, **{key: getattr(previous, key) for key in restart_only}
+        )
+        if config.discovery != previous.discovery:
             self._discovery.change_address(config.discovery)
         self._peers.set_addresses(config.peers, config.peers_all)
         self._budget.set_descriptors(config.sockets)
         if new_settings != settings:
             self._apply_settings(new_settings)
-        fixed += [_SETTINGS_FIXED_AT_START[key] for key in fixed_settings]
-        waits = f"; only a restart takes up {', '.join(fixed)}" if fixed else ""
+        restart_only += [_RESTART_ONLY_SETTINGS[key] for key in restart_only_settings]
+        restart_note = f"; a restart is needed to apply {', '.join(restart_only)}" if restart_only else ""
         address = f"{config.discovery[0]}:{config.discovery[1]}"
-        self._context.log("reloaded", discovery=address, waits=waits)
+        self._context.log("reloaded", discovery=address, waits=restart_note)
 
     def _apply_settings(self, settings: Settings) -> None:
-        """Gives new settings to each component that has some of its own, all within this call."""
+        """Passes new settings to each component that uses settings, without yielding to the event loop."""
         self._context.settings = settings
         self.telemetry.add_classes(each.name for each in settings.classes)
         self._upstream.apply_settings(settings)
@@ -210,7 +216,7 @@
         self._events.post(SettingsChanged(settings))
 
     async def shut_down(self) -> None:
-        """Responds to all requests that were read or are still coming, then closes everything."""
+        """Responds to all requests that were read or still arrive, then closes everything."""
         await self._shutdown.run(hands_over_listener=self._has_inherited_listener)
         self.close()
 
@@ -242,13 +248,13 @@
     )
 
 
-class _EndpointUpdates:
-    """Brings what discovery reports to the upstream pool and to the balancer."""
+class _EndpointUpdateForwarder:
+    """Forwards what discovery reports to the upstream pool and to the balancer."""
 
     def __init__(self, context: SidecarContext, events: EventQueue) -> None:
         self._context = context
         self._events = events
-        self.received = asyncio.Event()  # set once discovery has sent an endpoint list
+        self.received = asyncio.Event()  # set when discovery has sent an endpoint list
 
     def endpoints_received(self, response: DiscoveryResponse) -> None:
         self.received.set()
