--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -260,7 +260,7 @@
     **headers: str,
 ) -> bytes:
     """Returns the bytes of a client's request; a header given as an empty string is left out."""
-    all_headers = {
+    header_values = {
         "Host": "origin.svc",
         "Request-Id": f"{next(_request_ids):016x}",
         "Request-Class": service_class,
@@ -269,8 +269,8 @@
         "Idempotency-Key": "5c0f" if service_class == "amend" else "",
         "Content-Length": str(len(body)) if _METHODS.get(service_class) == "POST" else "",
     }
-    all_headers.update({name.replace("_", "-"): value for name, value in headers.items()})
-    head = "".join(f"{name}: {value}\r\n" for name, value in all_headers.items() if value)
+    header_values.update({name.replace("_", "-"): value for name, value in headers.items()})
+    head = "".join(f"{name}: {value}\r\n" for name, value in header_values.items() if value)
     return f"{_METHODS.get(service_class, 'GET')} {target} HTTP/1.1\r\n{head}\r\n".encode() + body
 
 
--- a/tests/sidecar/test_race_conditions.py
+++ b/tests/sidecar/test_race_conditions.py
@@ -173,7 +173,7 @@
             silent.send(
                 http_request("lodge")
             )  # it lies in the sidecar's socket, and the event loop has not run
-            assert frontend.connections_by_state.evict()
+            assert frontend.connection_table.evict()
             assert (await silent.read_response()).status == 200
             assert await within_timeout(resting.reader.read()) == b""
 
@@ -193,7 +193,7 @@
                 lambda: _states(harness) == [ConnectionState.READING if sent else ConnectionState.CONNECTED]
             )
             client.send(whole[sent:])  # it lies in the sidecar's socket, and the event loop has not run
-            assert not harness.sidecar.downstream.connections_by_state.evict()
+            assert not harness.sidecar.downstream.connection_table.evict()
             assert (await client.read_response()).status == 200
 
     run_async(work)
@@ -229,7 +229,7 @@
             frontend = harness.sidecar.downstream
             assert frontend.open_connections == 1
             frontend.max_connections = 1
-            assert not frontend.connections_by_state.evict()  # it is owed the rest
+            assert not frontend.connection_table.evict()  # it is owed the rest
             got, was_reset = await client.rest()
             assert got.endswith(b"\r\n\r\n" + bytes(size))
             assert not was_reset
@@ -555,7 +555,7 @@
             discovery_port = int(harness.discovery.address.rpartition(":")[2])
             await harness.sidecar.start()
             assert (await harness.send_request()).status == 200
-            inherited = listener.adopt(str(listener.bind_and_listen((HOST, 0)).detach()))
+            inherited = listener.adopt_listener(str(listener.bind_and_listen((HOST, 0)).detach()))
             harness.sidecar.downstream.stop_listening()
             harness.sidecar.downstream.listen(inherited)
             assert (await harness.send_request()).status == 200
@@ -685,7 +685,7 @@
             frontend = harness.sidecar.downstream
             await wait_until(lambda: frontend.open_connections == 1)
             await wait_until(lambda: harness.sidecar.open_requests == 0)
-            assert frontend.connections_by_state.buffered_bytes == 0
+            assert frontend.connection_table.buffered_bytes == 0
             assert resource.getrusage(resource.RUSAGE_SELF).ru_maxrss - before < 30_000  # KiB
 
     run_async(work)
--- a/tests/sidecar/upstream/interleaving_simulation.py
+++ b/tests/sidecar/upstream/interleaving_simulation.py
@@ -83,7 +83,7 @@
         self.sidecar = Sidecar(config, OperatorOptions(log=self._log))
         self.sidecar._upstream.endpoints_updated(config.known)
         self.sidecar._events.post(config.known.event(EndpointUpdateKind.CACHED))
-        self.sidecar.lifecycle.started()
+        self.sidecar.lifecycle.mark_started()
         if start.has_connections:
             self._establish_connections()
         self.client = self._connect(lambda status: self.checker.response_written(self.loop.now_us, status))
--- a/tulipnotch/sidecar/control_commands.py
+++ b/tulipnotch/sidecar/control_commands.py
@@ -75,7 +75,7 @@
         }
         if self._level_monitor is not None:
             gauges |= {"level": self._level_monitor.index, "level_changes": self._level_monitor.change_count}
-        return ["", *self._context.telemetry.lines(gauges), "."]
+        return ["", *self._context.telemetry.render_metrics(gauges), "."]
 
     def evacuate(self) -> Sequence[str]:
         """Asks clients to leave this sidecar; returns the phase."""
--- a/tulipnotch/sidecar/requests/attempts.py
+++ b/tulipnotch/sidecar/requests/attempts.py
@@ -59,7 +59,7 @@
             context.trace.attempt_started(request.id_for_logs, number, action.endpoint, cause)
 
         upstream_request = UpstreamRequest(
-            action.endpoint, deadline, request.incoming.upstream_message, attempt
+            action.endpoint, deadline, request.incoming.to_upstream_request, attempt
         )
         request.upstream_requests.append(upstream_request)
         request.open_attempt_count += 1
@@ -95,7 +95,7 @@
         waiting = request.response
         if type(waiting) is not WaitingForResponse:
             return False
-        waiting.client.check_disconnected()
+        waiting.client.abort_if_disconnected()
         return type(request.response) is WaitingForResponse
 
     def write_deadline(self) -> int:
--- a/tulipnotch/sidecar/requests/responses.py
+++ b/tulipnotch/sidecar/requests/responses.py
@@ -4,7 +4,7 @@
 
 from tulipnotch.load_balancing.actions import FailRequest, RejectRequest
 from tulipnotch.load_balancing.outcomes import Outcome
-from tulipnotch.sidecar.control.telemetry import Result
+from tulipnotch.sidecar.control.telemetry import RequestResult
 from tulipnotch.sidecar.downstream.connection import DownstreamConnection
 from tulipnotch.sidecar.http1.messages import Headers, Response
 from tulipnotch.sidecar.requests.context import SidecarContext
@@ -21,7 +21,7 @@
 from tulipnotch.sidecar.upstream.connection import UpstreamConnection
 
 # Any other status means a failed request.
-_RESULTS = {200: Result.COMPLETED, 429: Result.REJECTED, 503: Result.REJECTED}
+_RESULTS = {200: RequestResult.COMPLETED, 429: RequestResult.REJECTED, 503: RequestResult.REJECTED}
 # Headers of a server's response that are forwarded to the client, since they describe the body.
 _FORWARDED_HEADERS = (b"content-type", b"content-encoding")
 
@@ -82,7 +82,9 @@
         client = self.stop_waiting(request, RESPONSE_ENDED)
         if client is not None:
             context = self._context
-            context.telemetry.request_ended(request.incoming.class_name, _RESULTS.get(status, Result.FAILED))
+            context.telemetry.request_ended(
+                request.incoming.class_name, _RESULTS.get(status, RequestResult.FAILED)
+            )
             if context.trace is not None:
                 context.trace.request_ended(request.id_for_logs, status)
             client.send_response(status, headers, body, length)
@@ -139,19 +141,19 @@
         if type(streaming) is not StreamingResponse:
             return
         if outcome is Outcome.DELIVERED:
-            self._record_stream_end(request, Result.COMPLETED)
+            self._record_stream_end(request, RequestResult.COMPLETED)
             streaming.client.finish_response()
         else:
-            self._record_stream_end(request, Result.FAILED)
+            self._record_stream_end(request, RequestResult.FAILED)
             # The connection is closed before the response's end, so that the client sees that it is cut off.
             streaming.client.abort(CloseReason.RESPONSE_INCOMPLETE)
 
     def cancel_stream(self, request: OpenRequest, streaming: StreamingResponse) -> None:
         """Cancels the attempt whose response was streamed to a client that has disconnected."""
-        self._record_stream_end(request, Result.FAILED)
+        self._record_stream_end(request, RequestResult.FAILED)
         self._context.upstream.cancel_request(request.upstream_requests[streaming.attempt])
 
-    def _record_stream_end(self, request: OpenRequest, result: Result) -> None:
+    def _record_stream_end(self, request: OpenRequest, result: RequestResult) -> None:
         request.response = RESPONSE_ENDED
         self._registry.response_ended(request)
         self._context.telemetry.request_ended(request.incoming.class_name, result)
--- a/tulipnotch/sidecar/shutdown.py
+++ b/tulipnotch/sidecar/shutdown.py
@@ -83,7 +83,7 @@
         downstream.close_idle()  # their clients can reconnect, since new connections are still accepted
         await asyncio.sleep(_NEW_CONNECTION_PERIOD_S)
         await _wait_until(
-            lambda: loop.time() >= downstream.last_opened + _QUIET_PERIOD_S,
+            lambda: loop.time() >= downstream.last_opened_at + _QUIET_PERIOD_S,
             _QUIET_PERIOD_S / 2,
             started_at + _MIN_KILL_DELAY_S,
         )
--- a/tulipnotch/sidecar/startup.py
+++ b/tulipnotch/sidecar/startup.py
@@ -8,7 +8,7 @@
 from tulipnotch.load_balancing.settings import DiscoveryMode
 from tulipnotch.sidecar.control.lifecycle import Phase
 from tulipnotch.sidecar.descriptor_budget import DescriptorBudget
-from tulipnotch.sidecar.downstream.listener import listen, wait_until_unserved
+from tulipnotch.sidecar.downstream.listener import listen, wait_until_no_process_accepts
 from tulipnotch.sidecar.downstream.server import DownstreamServer
 from tulipnotch.sidecar.logs import Log
 
@@ -83,7 +83,7 @@
         loop = asyncio.get_running_loop()
         started_at = loop.time()
         endpoints_task = loop.create_task(self._endpoints_received.wait())
-        unaccepted_task = loop.create_task(wait_until_unserved(inherited, _UNACCEPTED_AFTER_S))
+        unaccepted_task = loop.create_task(wait_until_no_process_accepts(inherited, _UNACCEPTED_AFTER_S))
         try:
             await asyncio.wait(
                 (endpoints_task, unaccepted_task),
--- a/tulipnotch/sidecar/upstream/unwritten_request.py
+++ b/tulipnotch/sidecar/upstream/unwritten_request.py
@@ -19,7 +19,7 @@
     def __init__(self, request: Request, on_data: Callable[[], None]) -> None:
         """Starts with the head; `on_data` is called when more of the body is received, until `detach`."""
         self._request = request
-        self._remainder = request.encode_start()
+        self._remainder = request.encode_head_and_buffered_body()
         self._has_end = False  # whether `_remainder` contains the end of the request
         request.body.on_data = on_data
 
@@ -31,7 +31,7 @@
     def pop_available(self) -> bytes:
         """Removes and returns the bytes of an incomplete request that may be written now."""
         request = self._request
-        available = self._remainder + request.frame(request.body.pop_pending(except_last=1))
+        available = self._remainder + request.encode_body_part(request.body.pop_pending(except_last=1))
         self._remainder = b""
         return available
 
@@ -39,7 +39,7 @@
         """Returns all unwritten bytes of a complete request, without removing them."""
         if not self._has_end:
             request = self._request
-            self._remainder += request.frame(request.body.pop_pending()) + request.terminator
+            self._remainder += request.encode_body_part(request.body.pop_pending()) + request.body_terminator
             self._has_end = True
         return self._remainder
 
