--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -1,4 +1,4 @@
-"""The command line, as people and scripts use it."""
+"""The command line, as users and scripts call it."""
 
 from __future__ import annotations
 
@@ -24,24 +24,24 @@
 
 
 def invoke(*arguments: str) -> Result:
-    """Runs the command in this process."""
+    """Runs the command with these arguments in this process."""
     return CliRunner().invoke(root, list(arguments))
 
 
-def _commands(group: click.Command, path: tuple[str, ...] = ()) -> list[tuple[str, ...]]:
+def _command_paths(group: click.Command, path: tuple[str, ...] = ()) -> list[tuple[str, ...]]:
     if not isinstance(group, click.Group):
         return [path]
     context = click.Context(group)
-    found = [path] if path else []
+    paths = [path] if path else []
     for name in group.list_commands(context):
         command = group.get_command(context, name)
         assert command is not None
-        found += _commands(command, (*path, name))
-    return found
+        paths += _command_paths(command, (*path, name))
+    return paths
 
 
 def test_help_of_every_subcommand_has_examples_and_exit_codes() -> None:
-    paths = _commands(root)
+    paths = _command_paths(root)
     assert {("ctl",), ("check",), ("run",)} <= set(paths)
     for path in paths:
         result = invoke(*path, "--help")
@@ -51,27 +51,27 @@
 
 
 def test_subcommand_that_is_not_installed_is_reported_on_one_line() -> None:
-    group = LazyGroup("x", locations={"far": ("nowhere_to_be_found", "far")})
-    result = CliRunner().invoke(group, ["far"])
+    group = LazyGroup("x", locations={"missing": ("nowhere_to_be_found", "missing")})
+    result = CliRunner().invoke(group, ["missing"])
     assert result.exit_code == 1
     assert result.output.count("\n") == 1
     assert "nowhere_to_be_found, which is not installed" in result.output
 
 
-def test_run_imports_no_library_of_the_command_line_and_the_laboratory() -> None:
+def test_run_imports_no_library_of_the_command_line_or_the_laboratory() -> None:
     # Whatever `run` imports counts against the memory limit of small machines.
     script = (
         "import sys; import tulipnotch.sidecar.__main__, tulipnotch.cli; "
         "print(*(m for m in ('click','rich','msgspec','structlog','numpy','matplotlib','jinja2',"
         "'tulipnotch.lab','tulipnotch.settings') if m in sys.modules))"
     )
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-c", script], capture_output=True, text=True, check=True, cwd=ROOT
     )
-    assert done.stdout == "\n"
+    assert completed.stdout == "\n"
 
 
-def test_run_becomes_the_sidecar_with_the_files_of_its_options(tmp_path: Path) -> None:
+def test_run_replaces_its_process_with_a_sidecar_that_reads_the_given_files(tmp_path: Path) -> None:
     config, operator = tmp_path / "config.json", tmp_path / "operator.toml"
     config.write_text(json.dumps(VALID_CONFIG))
     operator.write_text('[log]\nformat = "json"\n')
@@ -93,20 +93,20 @@
         "control_endpoint_listening", "serving", "endpoint_list_stale", "discovery_failed",
     }  # fmt: skip
     assert events[-1].keys() == {"event", "level", "at", "name", "address", "after_ms"}
-    # It has neither a cached nor a fresh endpoint list, so it waits, and `after_ms` includes that.
-    (waited,) = [each["waited_s"] for each in events if each["event"] == "endpoint_list_stale"]
-    assert events[-1]["after_ms"] >= 1_000 * waited
+    # The process has neither a cached nor a fresh endpoint list, so it waits; `after_ms` includes the wait.
+    (waited_s,) = [each["waited_s"] for each in events if each["event"] == "endpoint_list_stale"]
+    assert events[-1]["after_ms"] >= 1_000 * waited_s
     assert [each["event"] for each in later_events] == ["draining", "drained"]
     process.stderr.close()
 
 
 def test_start_fails_with_all_faults_of_an_invalid_operator_file_on_one_line(tmp_path: Path) -> None:
-    said = run_expecting_failure(
+    stderr = run_expecting_failure(
         tmp_path, json.dumps(VALID_CONFIG), '[log]\nformat = "yaml"\nlines_pers = 3\n'
     )
-    assert said.startswith("tulipnotch: config: BALANCER_OPERATOR: ")
-    assert "line 2: log.format" in said
-    assert "line 3: log.lines_pers" in said
+    assert stderr.startswith("tulipnotch: config: BALANCER_OPERATOR: ")
+    assert "line 2: log.format" in stderr
+    assert "line 3: log.lines_pers" in stderr
 
 
 def test_check_reports_every_fault_of_a_configuration_with_its_line(tmp_path: Path) -> None:
@@ -115,14 +115,14 @@
         "lanes": [{"name": "look", "giveUpUs": -1, "repeat": "sometimes"}, {"name": "look", "giveUpUs": 5}],
         "bounds": {"sendCap": 0, "retryAfter": "yes"},
     }
-    bad = {
+    invalid_config = {
         **VALID_CONFIG,
         "listen": "localhost:80",
         "seed": "xyz",
         "limits": {"sockets": 3},
         "settings": settings,
     }
-    path.write_text(json.dumps(bad, indent=1))
+    path.write_text(json.dumps(invalid_config, indent=1))
     result = invoke("check", str(path), "--json")
     assert result.exit_code == 2
     faults = json.loads(result.output)["faults"]
@@ -132,11 +132,11 @@
     }  # fmt: skip
     lines = path.read_text().splitlines()
     for each in faults:
-        last = each["key"].rpartition(".")[2].partition("[")[0]
-        assert f'"{last}"' in lines[each["line"] - 1], each
+        last_key = each["key"].rpartition(".")[2].partition("[")[0]
+        assert f'"{last_key}"' in lines[each["line"] - 1], each
 
 
-def test_check_accepts_the_example_and_valid_files(tmp_path: Path) -> None:
+def test_check_accepts_a_valid_configuration_and_the_deployed_operator_file(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps(VALID_CONFIG))
     result = invoke("check", str(path), str(ROOT / "deploy" / "operator.toml"))
@@ -152,7 +152,7 @@
     assert result.output.startswith(f"{path}: ")
 
 
-def test_ctl_shows_the_response_and_exits_by_its_status(tmp_path: Path) -> None:
+def test_ctl_prints_the_response_and_exits_with_the_code_of_its_status(tmp_path: Path) -> None:
     async def work() -> None:
         async with sidecar_with_server(OK_RESPONSE, tmp_path) as running:
             address = f"{HOST}:{running.control_port}"
--- a/tests/sidecar/test_log_faults.py
+++ b/tests/sidecar/test_log_faults.py
@@ -1,4 +1,4 @@
-"""A log that cannot be written: the process continues to serve."""
+"""Failures to write the log: the process continues to serve."""
 
 from __future__ import annotations
 
@@ -57,20 +57,20 @@
 
 @pytest.mark.parametrize("failure", ["disk full", "reader closed", "reader stalled"])
 def test_program_continues_to_serve_if_its_log_cannot_be_written(failure: str, tmp_path: Path) -> None:
-    # One of two servers is down, so that there are events to log.
+    # One of the two servers is down, so that there are events to log.
     async def work() -> None:
         stopped_server = await ScriptedServer(OK_RESPONSE).start()
-        unreachable = stopped_server.address
+        unreachable_address = stopped_server.address
         stopped_server.stop()
         async with server_with_config(OK_RESPONSE, tmp_path) as (config, server):
-            given = json.loads(config.read_text())
-            given["known"]["servers"] = [
+            content = json.loads(config.read_text())
+            content["known"]["servers"] = [
                 endpoint_entry("s-1", server.address),
-                endpoint_entry("s-2", unreachable),
+                endpoint_entry("s-2", unreachable_address),
             ]
-            given["discovery"] = f"{HOST}:9"
-            given["settings"]["bounds"] = {"sendCap": 3, "dialTimeoutUs": 250_000}
-            config.write_text(json.dumps(given))
+            content["discovery"] = f"{HOST}:9"
+            content["settings"]["bounds"] = {"sendCap": 3, "dialTimeoutUs": 250_000}
+            config.write_text(json.dumps(content))
             with _failing_descriptor(failure) as log, _listener() as listener:
                 process = await start_process(
                     config,
@@ -83,7 +83,7 @@
                     for _ in range(20):
                         client.send(http_request("check"))
                         assert (await client.read_response()).status == 200
-                    process.send_signal(signal.SIGHUP)  # it has something to log each time
+                    process.send_signal(signal.SIGHUP)  # a reload is logged each time
                     assert (await client.send_request("check")).status == 200
                     client.close()
                     process.send_signal(signal.SIGTERM)
--- a/tests/sidecar/test_logs.py
+++ b/tests/sidecar/test_logs.py
@@ -1,4 +1,4 @@
-"""The log: its rate limit, and the same events in both formats."""
+"""The log: its rate limit, and its events in both formats."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 LIMITS = LogLimits(lines_per_s=1.0, burst_lines=3.0)
 
 
-def _lines_of_an_overflow(log_format: LogFormat) -> list[str]:
-    """The lines of a log that drops seven events, then has another one a second later."""
+def _exceed_rate_limit(log_format: LogFormat) -> list[str]:
+    """Logs ten events, of which the limit drops seven, and one more a second later; returns all lines."""
     now = [0.0]
     stream = io.StringIO()
     log = LineLog(log_format, LIMITS, stream, lambda: now[0])
@@ -25,13 +25,13 @@
     return stream.getvalue().splitlines()
 
 
-def test_text_log_drops_and_counts_lines_over_its_limit() -> None:
-    lines = _lines_of_an_overflow(LogFormat.TEXT)
+def test_text_log_drops_and_counts_lines_above_its_limit() -> None:
+    lines = _exceed_rate_limit(LogFormat.TEXT)
     assert lines[3:] == ["dropped 7 log lines", "ejected s-1: two lines"]
 
 
-def test_json_log_drops_and_counts_lines_over_its_limit() -> None:
-    events = [json.loads(each) for each in _lines_of_an_overflow(LogFormat.JSON)[3:]]
+def test_json_log_drops_and_counts_lines_above_its_limit() -> None:
+    events = [json.loads(each) for each in _exceed_rate_limit(LogFormat.JSON)[3:]]
     assert [(each["event"], each["level"]) for each in events] == [
         ("log_lines_dropped", "warning"),
         ("ejected", "warning"),
@@ -41,11 +41,11 @@
 
 
 @pytest.mark.parametrize("log_format", list(LogFormat))
-def test_log_raises_for_an_event_that_is_not_listed(log_format: LogFormat) -> None:
+def test_log_raises_for_an_event_that_is_unknown(log_format: LogFormat) -> None:
     with pytest.raises(KeyError):
-        LineLog(log_format, stream=io.StringIO())("surprise")
+        LineLog(log_format, stream=io.StringIO())("unknown_event")
 
 
-def test_severities_are_those_that_operators_know() -> None:
+def test_severities_are_those_that_json_lines_may_contain() -> None:
     assert {each.value for each in Severity} == {"info", "warning", "error"}
-    assert all(form.severity in ("info", "warning", "error") for form in EVENTS.values())
+    assert all(template.severity in ("info", "warning", "error") for template in EVENTS.values())
--- a/tests/sidecar/test_program.py
+++ b/tests/sidecar/test_program.py
@@ -1,4 +1,4 @@
-"""The process of a sidecar as it is deployed: configuration, signals and exit codes."""
+"""The sidecar process as it is deployed: configuration, signals and exit codes."""
 
 from __future__ import annotations
 
@@ -25,16 +25,16 @@
 from running import VALID_CONFIG, run_expecting_failure, sidecar_with_server, start_process, wait_for_readyz
 
 
-def _without(key: str) -> dict[str, Any]:
+def _valid_config_without(key: str) -> dict[str, Any]:
     return {name: value for name, value in VALID_CONFIG.items() if name != key}
 
 
 @pytest.mark.parametrize(
-    ("given", "key"),
+    ("config", "key"),
     [
         ("", "BALANCER_CONFIG"),
         ("[1]", "BALANCER_CONFIG"),
-        (_without("name"), "name"),
+        (_valid_config_without("name"), "name"),
         ({**VALID_CONFIG, "listen": "localhost:80"}, "listen"),
         ({**VALID_CONFIG, "discovery": 5}, "discovery"),
         ({**VALID_CONFIG, "control": "nowhere"}, "control"),
@@ -43,7 +43,7 @@
         ({**VALID_CONFIG, "known": {"version": 1}}, "known: full"),
         ({**VALID_CONFIG, "peers": ["nowhere"]}, "peers[0]"),
         ({**VALID_CONFIG, "peer_listen": "x"}, "peer_listen"),
-        (_without("settings"), "settings"),
+        (_valid_config_without("settings"), "settings"),
         ({**VALID_CONFIG, "settings": {"lanes": []}}, "settings.lanes"),
         (
             {**VALID_CONFIG, "settings": {"lanes": SERVICE_CLASSES, "bounds": {"sendCap": "x"}}},
@@ -52,29 +52,30 @@
     ],
 )
 def test_program_names_the_key_on_one_line_for_an_invalid_configuration(
-    given: object, key: str, tmp_path: Path
+    config: object, key: str, tmp_path: Path
 ) -> None:
-    said = run_expecting_failure(tmp_path, given if isinstance(given, str) else json.dumps(given))
-    assert said.startswith(f"tulipnotch: config: {key}")
+    stderr = run_expecting_failure(tmp_path, config if isinstance(config, str) else json.dumps(config))
+    assert stderr.startswith(f"tulipnotch: config: {key}")
 
 
 def test_program_responds_to_open_and_new_requests_after_sigterm_and_exits_with_0(tmp_path: Path) -> None:
-    # No request is lost at a restart: received before SIGTERM, on open connections, and on new ones.
+    # Guards against losing a request at a restart: one received before SIGTERM, or one that arrives later on
+    # an open or a new connection.
     async def work() -> None:
         release, hold = blocking_script()
         async with sidecar_with_server(hold, tmp_path) as running:
-            early, idle = await running.connect(), await running.connect()
-            early.send(http_request("lodge"))
+            early_client, idle_client = await running.connect(), await running.connect()
+            early_client.send(http_request("lodge"))
             await wait_until(lambda: len(running.server.received_requests) == 1)
             assert await running.send_command("readyz") == ["+OK ready"]
             running.process.send_signal(signal.SIGTERM)
             await wait_for_readyz(running, "-ERR stopping")
-            assert await within_timeout(idle.reader.read()) == b""  # an idle connection is closed
-            late = await running.connect()
-            late.send(http_request("lodge"))
+            assert await within_timeout(idle_client.reader.read()) == b""  # idle connections are closed
+            late_client = await running.connect()
+            late_client.send(http_request("lodge"))
             await wait_until(lambda: len(running.server.received_requests) == 2)
             release.set()
-            for client in (early, late):
+            for client in (early_client, late_client):
                 response = await client.read_response()
                 assert (response.status, response.headers["connection"]) == (200, "close")
                 assert await within_timeout(client.reader.read()) == b""
@@ -84,7 +85,7 @@
 
 
 def test_program_responds_in_time_after_sigterm_while_a_server_is_unresponsive(tmp_path: Path) -> None:
-    # SIGKILL follows SIGTERM before the deadline of this request.
+    # SIGKILL would follow SIGTERM before the deadline of this request.
     async def work() -> None:
         async def unresponsive(_: ReceivedRequest) -> None:
             return None
@@ -105,12 +106,12 @@
     async def work() -> None:
         async with sidecar_with_server(OK_RESPONSE, tmp_path) as running:
             assert (await (await running.connect()).send_request("lodge")).status == 200
-            other = await ScriptedServer(OK_RESPONSE).start()
+            other_server = await ScriptedServer(OK_RESPONSE).start()
             discovery = ScriptedDiscovery()
-            discovery.version = 0  # it counts its own versions, and begins anew
-            discovery.servers = [endpoint_entry("s-2", other.address)]
+            discovery.version = 0  # versions of another discovery server are independent and start again
+            discovery.servers = [endpoint_entry("s-2", other_server.address)]
             await discovery.start()
-            given = json.loads(running.config_path.read_text())
+            valid = json.loads(running.config_path.read_text())
             running.config_path.write_text("{")
             running.process.send_signal(signal.SIGHUP)
             assert (
@@ -119,14 +120,18 @@
             )
             assert (await (await running.connect()).send_request("lodge")).status == 200
             assert len(running.server.received_requests) == 2
-            running.config_path.write_text(json.dumps({**given, "discovery": discovery.address, "seed": "1"}))
+            running.config_path.write_text(json.dumps({**valid, "discovery": discovery.address, "seed": "1"}))
             running.process.send_signal(signal.SIGHUP)
-            said = await running.read_log_line()
-            assert said == f"reloaded: discovery at {discovery.address}; a restart is needed to apply seed\n"
-            await wait_until(lambda: len(discovery.received_requests) >= 2)  # the list, then the watch
+            log_line = await running.read_log_line()
+            assert (
+                log_line == f"reloaded: discovery at {discovery.address}; a restart is needed to apply seed\n"
+            )
+            await wait_until(
+                lambda: len(discovery.received_requests) >= 2
+            )  # the endpoint list, then the watch
             assert (await (await running.connect()).send_request("lodge")).status == 200
-            assert len(other.received_requests) == 1
-            other.stop()
+            assert len(other_server.received_requests) == 1
+            other_server.stop()
             discovery.stop()
 
     run_async(work)
@@ -139,10 +144,10 @@
             for key, port in (("listen", running.port), ("control", running.control_port)):
                 path.write_text(json.dumps({**VALID_CONFIG, "control": None, key: f"{HOST}:{port}"}))
                 second = await start_process(path)
-                _, said = await within_timeout(second.communicate())
+                _, stderr = await within_timeout(second.communicate())
                 assert second.returncode == 1
-                assert said.startswith(b"tulipnotch: can't listen: ")
-                assert said.count(b"\n") == 1
+                assert stderr.startswith(b"tulipnotch: can't listen: ")
+                assert stderr.count(b"\n") == 1
 
     run_async(work)
 
--- a/tests/sidecar/test_readiness.py
+++ b/tests/sidecar/test_readiness.py
@@ -1,4 +1,4 @@
-"""What a start waits for ends in time while discovery is away, and the logs tell how long each start took."""
+"""Time to ready: bounded waits of a start while discovery is unavailable, and the report on logged starts."""
 
 from __future__ import annotations
 
@@ -20,36 +20,36 @@
 from tulipnotch.sidecar import logs
 from tulipnotch.sidecar.downstream.listener import bind_and_listen
 
-LATE_S = 1.0  # for a busy machine, beyond the waits
+ALLOWANCE_S = 1.0  # for a busy machine, added to the expected waits
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
-    """What a process wrote from its open door to ready."""
+class StartLog:
+    """What the log of one process shows from its open control endpoint until it is ready."""
 
-    took_s: float
-    waits_s: list[float]  # for a list, in vain
+    elapsed_s: float
+    waits_s: list[float]  # that ended without an endpoint list
     after_ms: int
 
 
-async def _start(config: Path, listener: socket.socket | None) -> Told:
+async def _start(config: Path, listener: socket.socket | None) -> StartLog:
     environ = {} if listener is None else {"BALANCER_INHERITED_FD": str(listener.fileno())}
     process = await start_process(config, () if listener is None else (listener.fileno(),), **environ)
     try:
         assert process.stderr is not None
         waits_s: list[float] = []
-        begun = 0.0
+        listening_at = 0.0
         while True:
-            said = (await within_timeout(process.stderr.readline())).decode()
-            assert said, "it ended"
-            event = ready.parse_event(said)
-            assert event is not None, said
+            log_line = (await within_timeout(process.stderr.readline())).decode()
+            assert log_line, "the process ended"
+            event = ready.parse_event(log_line)
+            assert event is not None, log_line
             if event.name == "control_endpoint_listening":
-                begun = time.monotonic()
+                listening_at = time.monotonic()
             elif event.name == "endpoint_list_stale":
-                waits_s.append(float(re.findall(r"in ([0-9.]+) s", said)[0]))
+                waits_s.append(float(re.findall(r"in ([0-9.]+) s", log_line)[0]))
             elif event.name == "serving":
-                return Told(time.monotonic() - begun, waits_s, event.fields["after_ms"])
+                return StartLog(time.monotonic() - listening_at, waits_s, event.fields["after_ms"])
     finally:
         process.kill()
         await process.wait()
@@ -57,7 +57,7 @@
 
 @pytest.mark.alone
 @pytest.mark.parametrize(
-    ("mode", "knows_servers", "takes_over", "waits_s"),
+    ("mode", "has_cached_servers", "takes_over", "waits_s"),
     [
         ("on_request", True, False, {"refused": [], "503": [], "hung": []}),
         ("on_request", False, False, {"refused": [1.0], "503": [1.0], "hung": [1.0]}),
@@ -65,47 +65,47 @@
         ("pushed", False, False, {"refused": [1.0], "503": [1.0], "hung": [1.0, 1.0]}),
         ("on_request", True, True, {"refused": [3.0], "503": [3.0], "hung": [3.0]}),
     ],
-    ids=["asked", "asked-unknown", "pushed", "pushed-unknown", "takeover"],
+    ids=["polled", "polled-uncached", "pushed", "pushed-uncached", "takeover"],
 )
 def test_restart_is_ready_within_its_waits_while_discovery_is_unreachable(
-    *, mode: str, knows_servers: bool, takes_over: bool, waits_s: dict[str, list[float]], tmp_path: Path
+    *, mode: str, has_cached_servers: bool, takes_over: bool, waits_s: dict[str, list[float]], tmp_path: Path
 ) -> None:
-    async def once(away: str) -> None:
-        agent = UnavailableDiscovery(away)
-        await agent.start_unavailable()
-        servers = [endpoint_entry("s-1", f"{HOST}:9")] if knows_servers else []
-        config = tmp_path / f"{away}.json"
-        given = {
+    async def start_once(discovery_fault: str) -> None:
+        discovery = UnavailableDiscovery(discovery_fault)
+        await discovery.start_unavailable()
+        servers = [endpoint_entry("s-1", f"{HOST}:9")] if has_cached_servers else []
+        config = tmp_path / f"{discovery_fault}.json"
+        content = {
             **VALID_CONFIG,
-            "discovery": f"{HOST}:{agent.port}",
+            "discovery": f"{HOST}:{discovery.port}",
             "known": {"version": 1, "full": True, "servers": servers},
             "settings": {**VALID_CONFIG["settings"], "discovery": mode},
         }
-        config.write_text(json.dumps(given))
+        config.write_text(json.dumps(content))
         try:
             with bind_and_listen((HOST, 0)) as listener:
-                told = await _start(config, listener if takes_over else None)
+                start_log = await _start(config, listener if takes_over else None)
         finally:
-            agent.stop()
-        assert told.waits_s == waits_s[away]
-        assert told.took_s < sum(waits_s[away]) + LATE_S
-        assert told.after_ms >= 1_000 * sum(waits_s[away])
+            discovery.stop()
+        assert start_log.waits_s == waits_s[discovery_fault]
+        assert start_log.elapsed_s < sum(waits_s[discovery_fault]) + ALLOWANCE_S
+        assert start_log.after_ms >= 1_000 * sum(waits_s[discovery_fault])
 
     async def work() -> None:
-        await asyncio.gather(*(once(each) for each in DISCOVERY_FAULTS))
+        await asyncio.gather(*(start_once(each) for each in DISCOVERY_FAULTS))
 
     run_async(work)
 
 
-def _serving(name: str, after_ms: int) -> str:
+def _serving_line(name: str, after_ms: int) -> str:
     return logs.format_event("serving", {"name": name, "address": "127.0.0.1:80", "after_ms": after_ms})
 
 
-def _endpoint_list_stale() -> str:
+def _endpoint_list_stale_line() -> str:
     return logs.format_event("endpoint_list_stale", {"waited_s": 1.0})
 
 
-def _report(logs_folder: Path, *options: str) -> Result:
+def _run_report(logs_folder: Path, *options: str) -> Result:
     return CliRunner(catch_exceptions=False).invoke(ready.main, [str(logs_folder), *options])
 
 
@@ -113,18 +113,24 @@
     roll, herd = tmp_path / "roll+mass", tmp_path / "herd+mass" / "n"
     roll.mkdir()
     herd.mkdir(parents=True)
-    first = [_serving(f"n{number}", 100 + number) for number in range(20)]
-    again = [_endpoint_list_stale(), _serving("n3", 1_400), "draining", "drained", _serving("n3", 300)]
-    (roll / "sidecars.log").write_text("\n".join([*first, *again, "something else {"]))
-    told = {"level": "info", "at": "2026-01-01T00:00:00Z"}
-    door = {"event": "control_endpoint_listening", "address": "127.0.0.1:81", **told}
-    serving = {"event": "serving", "name": "n1", "address": "127.0.0.1:80", "after_ms": 250, **told}
+    first_starts = [_serving_line(f"n{number}", 100 + number) for number in range(20)]
+    restarts = [
+        _endpoint_list_stale_line(),
+        _serving_line("n3", 1_400),
+        "draining",
+        "drained",
+        _serving_line("n3", 300),
+    ]
+    (roll / "sidecars.log").write_text("\n".join([*first_starts, *restarts, "something else {"]))
+    common_keys = {"level": "info", "at": "2026-01-01T00:00:00Z"}
+    listening = {"event": "control_endpoint_listening", "address": "127.0.0.1:81", **common_keys}
+    serving = {"event": "serving", "name": "n1", "address": "127.0.0.1:80", "after_ms": 250, **common_keys}
     (herd / "n1.err").write_text(
-        "\n".join(["12.5 " + json.dumps(door), json.dumps(serving), "null", "{}", "[1"])
+        "\n".join(["12.5 " + json.dumps(listening), json.dumps(serving), "null", "{}", "[1"])
     )
-    (herd / "n2.err").write_text(json.dumps(door) + "\n")
+    (herd / "n2.err").write_text(json.dumps(listening) + "\n")
     (herd / "core").write_bytes(b"\xff\x00{" * 100)
-    json_report = _report(tmp_path, "--json")
+    json_report = _run_report(tmp_path, "--json")
     assert json_report.exit_code == 0, json_report.output
     report = json.loads(json_report.stdout)
     assert report["never_ready"] == ["herd+mass/n/n2.err"]
@@ -135,10 +141,10 @@
     assert report["folders"]["herd+mass/n"]["starts"]["longest"] == 250
     assert report["folders"]["herd+mass/n"]["restarts"]["count"] == 0
     assert report["folders"]["all"]["starts"]["count"] == 23
-    table = _report(tmp_path)
+    table = _run_report(tmp_path)
     assert table.exit_code == 0, table.output
     assert "never ready: herd+mass/n/n2.err" in table.stdout
 
 
 def test_ready_report_exits_with_an_error_when_a_folder_has_no_start(tmp_path: Path) -> None:
-    assert _report(tmp_path).exit_code == 1
+    assert _run_report(tmp_path).exit_code == 1
--- a/tests/sidecar/test_reload.py
+++ b/tests/sidecar/test_reload.py
@@ -1,4 +1,4 @@
-"""New settings at SIGHUP: the whole file is checked, then it is taken at once, or nothing changes."""
+"""Reload at SIGHUP: the whole file is validated first; then all of it is applied, or nothing changes."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 from tulipnotch.load_balancing.outcomes import Outcome
 from tulipnotch.sidecar.configuration.configuration import Config, ConfigError, load, parse
 
-FULL: dict[str, Any] = {
+FULL_CONFIG: dict[str, Any] = {
     **VALID_CONFIG,
     "settings": {
         **VALID_CONFIG["settings"],
@@ -46,8 +46,8 @@
     return load({"BALANCER_CONFIG": str(path)}, before)
 
 
-def key_paths(given: Any, path: tuple[str | int, ...] = ()) -> Iterator[tuple[str | int, ...]]:
-    items = enumerate(given) if isinstance(given, list) else given.items()
+def key_paths(content: Any, path: tuple[str | int, ...] = ()) -> Iterator[tuple[str | int, ...]]:
+    items = enumerate(content) if isinstance(content, list) else content.items()
     for key, value in items:
         if isinstance(key, str):
             yield (*path, key)
@@ -60,40 +60,38 @@
             yield from key_paths(value, (*path, key))
 
 
-def _common(path: tuple[str | int, ...]) -> bool:
-    """Whether all classes have the key; what only some have, others may leave out."""
+def _is_required(path: tuple[str | int, ...]) -> bool:
+    """Returns whether the key must not be omitted; a key that only some classes have is optional."""
     return not (len(path) == 4 and path[1] == "lanes") or all(
-        path[3] in each for each in FULL["settings"]["lanes"]
+        path[3] in each for each in FULL_CONFIG["settings"]["lanes"]
     )
 
 
-@pytest.mark.parametrize("path", [each for each in key_paths(FULL) if _common(each)], ids=str)
+@pytest.mark.parametrize("path", [each for each in key_paths(FULL_CONFIG) if _is_required(each)], ids=str)
 def test_reload_is_rejected_when_the_file_lacks_a_key_of_the_one_in_force(
     path: tuple[str | int, ...], tmp_path: Path
 ) -> None:
-    # Guards against a default, or the environment, that hides what was cut off.
-    before = read(json.dumps(FULL), tmp_path, None)
+    # Guards against a truncated file whose missing keys are silently replaced by defaults or the environment.
+    before = read(json.dumps(FULL_CONFIG), tmp_path, None)
     for value in (..., None):
-        given = copy.deepcopy(FULL)
-        at: Any = given
+        content = copy.deepcopy(FULL_CONFIG)
+        parent: Any = content
         for key in path[:-1]:
-            at = at[key]
+            parent = parent[key]
         if value is None:
-            at[path[-1]] = None
+            parent[path[-1]] = None
         else:
-            del at[path[-1]]
-        with pytest.raises(ConfigError) as complaint:
-            read(json.dumps(given), tmp_path, before)
-        assert "".join(f"[{key}]" if type(key) is int else f".{key}" for key in path)[1:] in str(
-            complaint.value
-        )
+            del parent[path[-1]]
+        with pytest.raises(ConfigError) as raised:
+            read(json.dumps(content), tmp_path, before)
+        assert "".join(f"[{key}]" if type(key) is int else f".{key}" for key in path)[1:] in str(raised.value)
 
 
 @pytest.mark.parametrize(
-    "text", ["", " ", "{", "[]", "null", "7", json.dumps(FULL)[:-1], json.dumps(FULL)[:200]]
+    "text", ["", " ", "{", "[]", "null", "7", json.dumps(FULL_CONFIG)[:-1], json.dumps(FULL_CONFIG)[:200]]
 )
 def test_reload_is_rejected_when_the_file_is_empty_or_truncated(text: str, tmp_path: Path) -> None:
-    before = read(json.dumps(FULL), tmp_path, None)
+    before = read(json.dumps(FULL_CONFIG), tmp_path, None)
     with pytest.raises(ConfigError, match=r"^BALANCER_CONFIG: "):
         read(text, tmp_path, before)
 
@@ -102,33 +100,35 @@
     "value", ["NaN", "Infinity", "-Infinity", "1e999", "true", "0", "-5", '"3"', "[]", "null"]
 )
 @pytest.mark.parametrize("key", ["giveUpUs", "promiseUs", "sendCap"])
-def test_reload_is_rejected_when_a_figure_is_no_positive_number(key: str, value: str, tmp_path: Path) -> None:
-    before = read(json.dumps(FULL), tmp_path, None)
-    given = copy.deepcopy(FULL)
-    at = given["settings"]["bounds"] if key == "sendCap" else given["settings"]["lanes"][1]
-    at[key] = "HERE"
-    for in_force in (before, None):  # at the start as well, but for a null, which counts as absent there
-        if value == "null" and in_force is None:
+def test_reload_is_rejected_when_a_value_is_not_a_positive_number(
+    key: str, value: str, tmp_path: Path
+) -> None:
+    before = read(json.dumps(FULL_CONFIG), tmp_path, None)
+    content = copy.deepcopy(FULL_CONFIG)
+    parent = content["settings"]["bounds"] if key == "sendCap" else content["settings"]["lanes"][1]
+    parent[key] = "HERE"
+    for previous in (before, None):  # None: at the start, where null means that the key is absent
+        if value == "null" and previous is None:
             continue
-        with pytest.raises(ConfigError) as complaint:
-            read(json.dumps(given).replace('"HERE"', value), tmp_path, in_force)
-        assert key in str(complaint.value) or str(complaint.value).startswith("BALANCER_CONFIG: ")
+        with pytest.raises(ConfigError) as raised:
+            read(json.dumps(content).replace('"HERE"', value), tmp_path, previous)
+        assert key in str(raised.value) or str(raised.value).startswith("BALANCER_CONFIG: ")
 
 
 def test_reload_is_rejected_when_a_key_is_duplicated(tmp_path: Path) -> None:
-    text = json.dumps(FULL)[:-1] + ', "seed": "1"}'
+    text = json.dumps(FULL_CONFIG)[:-1] + ', "seed": "1"}'
     with pytest.raises(ConfigError, match=r"^seed: "):
         read(text, tmp_path, None)
 
 
-def test_reload_accepts_a_further_class(tmp_path: Path) -> None:
-    before = read(json.dumps(FULL), tmp_path, None)
-    given = copy.deepcopy(FULL)
-    given["settings"]["lanes"] = [{**FULL["settings"]["lanes"][0], "name": "new"}]
-    assert [each.name for each in read(json.dumps(given), tmp_path, before).settings.classes] == ["new"]
+def test_reload_accepts_an_additional_class(tmp_path: Path) -> None:
+    before = read(json.dumps(FULL_CONFIG), tmp_path, None)
+    content = copy.deepcopy(FULL_CONFIG)
+    content["settings"]["lanes"] = [{**FULL_CONFIG["settings"]["lanes"][0], "name": "new"}]
+    assert [each.name for each in read(json.dumps(content), tmp_path, before).settings.classes] == ["new"]
 
 
-# The decisions
+# Load balancing
 
 
 def test_reload_limits_every_later_attempt_when_fewer_are_allowed() -> None:
@@ -140,7 +140,7 @@
     assert len(driver.started_attempts(first)) == 2
     driver.handle(SettingsChanged(make_settings(limits={"max_attempts": 2})))
     driver.end_attempt(first, Outcome.SERVER_ERROR)
-    assert len(driver.started_attempts(first)) == 2  # it was allowed three when it came
+    assert len(driver.started_attempts(first)) == 2  # three were allowed when the request arrived
     driver.end_attempt(second, Outcome.SERVER_ERROR)
     assert len(driver.started_attempts(second)) == 2
 
@@ -148,14 +148,14 @@
 def test_request_retains_its_class_when_a_reload_changes_it() -> None:
     driver = BalancerDriver()
     driver.update_endpoints(endpoint_names(5))
-    under_way = driver.receive_request("look")
+    earlier = driver.receive_request("look")
     driver.handle(
         SettingsChanged(make_settings(classes=[{**IDEMPOTENT_CLASS, "idempotency": "non_idempotent"}]))
     )
     later = driver.receive_request("look")
-    for each in (under_way, later):
+    for each in (earlier, later):
         driver.end_attempt(each, Outcome.SERVER_ERROR)
-    assert len(driver.started_attempts(under_way)) == 2
+    assert len(driver.started_attempts(earlier)) == 2
     assert len(driver.started_attempts(later)) == 1
 
 
@@ -167,24 +167,26 @@
         driver.handle(SettingsChanged(make_settings(classes=[{**IDEMPOTENT_CLASS, "name": name}])))
         driver.run_traffic(5, service_class=name)
         request = driver.receive_request(name)
-        if driver.started_attempts(request):  # full answers make it refuse some, sooner or later
+        if driver.started_attempts(request):  # after overloaded attempts, some requests are rejected
             driver.end_attempt(request, Outcome.OVERLOADED)
     balancer = driver.balancer
-    parts = balancer._components
-    kept = [kind for kind, _ in parts.admission._demand._traffic]
-    kept += [kind for kind, _ in parts.latency.expected_us]
-    kept += list(parts.class_costs._means)
-    kept += [kind for server in balancer._context.endpoints.values() for kind in server.back_offs]
-    assert set(kept) <= {"look-19"}
+    components = balancer._components
+    retained = [service_class for service_class, _ in components.admission._demand._traffic]
+    retained += [service_class for service_class, _ in components.latency.expected_us]
+    retained += list(components.class_costs._means)
+    retained += [
+        service_class for server in balancer._context.endpoints.values() for service_class in server.back_offs
+    ]
+    assert set(retained) <= {"look-19"}
 
 
 # The sidecar
 
 
-def changed(config: Config, **what: Any) -> Config:
-    given = copy.deepcopy(dict(config.file))
-    given["settings"].update(what)
-    return parse(given, given)
+def with_settings(config: Config, **settings: Any) -> Config:
+    content = copy.deepcopy(dict(config.file))
+    content["settings"].update(settings)
+    return parse(content, content)
 
 
 def test_reload_applies_settings_to_every_component(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -197,66 +199,68 @@
             client = await harness.connect()
             client.send(http_request("check"))
             await wait_until(lambda: len(harness.received_requests) == 1)
-            new = {**SERVICE_CLASSES[0], "name": "new", "giveUpUs": 1_000_000}
+            new_class = {**SERVICE_CLASSES[0], "name": "new", "giveUpUs": 1_000_000}
             bounds = {"sendCap": 1, "maxOpen": 1, "dialTimeoutUs": 123_000, "idleCloseUs": 1_000_000}
-            sidecar.reload(changed(sidecar.config, lanes=[new], bounds=bounds))
-            shown = sidecar.command_handlers()["telemetry"]()
-            assert "app.downstream_requests.new.rejected=0" in shown
-            assert (await harness.send_request("new")).status == 503  # one may be open, and one is
+            sidecar.reload(with_settings(sidecar.config, lanes=[new_class], bounds=bounds))
+            metrics = sidecar.command_handlers()["telemetry"]()
+            assert "app.downstream_requests.new.rejected=0" in metrics
+            assert (await harness.send_request("new")).status == 503  # the one request allowed is open
             release.set()
             assert (await client.read_response()).status == 200
             assert (await harness.send_request("new", timeout="9")).status == 200
             assert float(harness.received_requests[-1].headers["request-timeout"]) <= 1.0
             assert sidecar._upstream._timeouts.connect_s == 0.123
-            assert sidecar._upstream._timeouts.response_stall_s == 0.4 * 0.75  # of the aim of the only class
+            assert sidecar._upstream._timeouts.response_stall_s == 0.4 * 0.75  # of the only class's objective
             await asyncio.sleep(0.1)
-            assert (await harness.send_request("check")).status == 400  # it vanished, and has faded
+            assert (await harness.send_request("check")).status == 400  # no longer accepted
             assert "app.downstream_requests.check.completed=1" in sidecar.command_handlers()["telemetry"]()
 
     run_async(work)
 
 
 def test_request_is_accepted_when_its_class_was_just_removed() -> None:
-    # Guards against failing what was on its way when the file changed.
+    # Guards against failing requests that were in transit when the file changed.
     async def work() -> None:
         async with sidecar_harness(OK_RESPONSE) as harness:
             harness.sidecar.reload(
-                changed(harness.sidecar.config, lanes=[{**SERVICE_CLASSES[0], "name": "new"}])
+                with_settings(harness.sidecar.config, lanes=[{**SERVICE_CLASSES[0], "name": "new"}])
             )
-            assert [(await harness.send_request(kind)).status for kind in ("check", "new")] == [200, 200]
+            assert [(await harness.send_request(each)).status for each in ("check", "new")] == [200, 200]
 
     run_async(work)
 
 
-@pytest.mark.parametrize("ahead", [False, True], ids=["at rest", "behind an open request"])
+@pytest.mark.parametrize("is_pipelined", [False, True], ids=["idle connection", "behind an open request"])
 def test_request_is_accepted_when_its_class_is_removed_after_its_first_byte(
-    *, ahead: bool, monkeypatch: pytest.MonkeyPatch
+    *, is_pipelined: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Guards slow clients: a head may take longer than a class that vanished is taken.
+    # Guards against failing slow clients: a head may take longer to arrive than a removed class is accepted.
     monkeypatch.setattr("tulipnotch.sidecar.downstream.server._CLASS_RETENTION_S", 0.05)
 
     async def work() -> None:
         release, hold = blocking_script()
         async with sidecar_harness(hold, OK_RESPONSE) as harness:
-            frontend = harness.sidecar.downstream
-            slow, raw = await harness.connect(), http_request("check")
-            if ahead:
-                slow.send(http_request("check"))
+            downstream = harness.sidecar.downstream
+            slow_client, request = await harness.connect(), http_request("check")
+            if is_pipelined:
+                slow_client.send(http_request("check"))
                 await wait_until(lambda: len(harness.received_requests) == 1)
             else:
                 release.set()
-            slow.send(raw[:40])
-            await wait_until(lambda: any(each._reader.is_mid_message for each in frontend.connections()))
+            slow_client.send(request[:40])
+            await wait_until(lambda: any(each._reader.is_mid_message for each in downstream.connections()))
             harness.sidecar.reload(
-                changed(harness.sidecar.config, lanes=[{**SERVICE_CLASSES[0], "name": "new"}])
+                with_settings(harness.sidecar.config, lanes=[{**SERVICE_CLASSES[0], "name": "new"}])
             )
-            await wait_until(lambda: set(frontend.classes) == {"new"})
+            await wait_until(lambda: set(downstream.classes) == {"new"})
             release.set()
-            if ahead:
-                assert (await slow.read_response()).status == 200
-            slow.send(raw[40:])
-            assert (await slow.read_response()).status == 200
-            assert (await slow.send_request("check")).status == 400  # this one began after it had vanished
+            if is_pipelined:
+                assert (await slow_client.read_response()).status == 200
+            slow_client.send(request[40:])
+            assert (await slow_client.read_response()).status == 200
+            assert (
+                await slow_client.send_request("check")
+            ).status == 400  # it began after the class was removed
 
     run_async(work)
 
@@ -264,29 +268,29 @@
 def test_process_reloads_valid_files_and_rejects_invalid_ones(tmp_path: Path) -> None:
     async def work() -> None:
         async with sidecar_with_server(OK_RESPONSE, tmp_path) as running:
-            good = json.loads(running.config_path.read_text())
+            valid = json.loads(running.config_path.read_text())
 
-            async def hup(text: str) -> str:
+            async def reload_with(text: str) -> str:
                 running.config_path.write_text(text)
                 running.process.send_signal(signal.SIGHUP)
                 return await running.read_log_line()
 
-            bad = copy.deepcopy(good)
-            bad["settings"]["lanes"][0]["giveUpUs"] = 0
-            bad["discovery"] = "127.0.0.1:1"
-            said = await hup(json.dumps(bad))
-            assert said.startswith(
+            invalid = copy.deepcopy(valid)
+            invalid["settings"]["lanes"][0]["giveUpUs"] = 0
+            invalid["discovery"] = "127.0.0.1:1"
+            log_line = await reload_with(json.dumps(invalid))
+            assert log_line.startswith(
                 "reload rejected, the previous configuration stays in force: settings.lanes[0].giveUpUs"
             )
-            del bad["discovery"]
-            assert "force: discovery: the key is missing" in await hup(json.dumps(bad))
-            good["settings"]["lanes"] = [{**SERVICE_CLASSES[0], "name": "new"}]
-            assert (await hup(json.dumps(good))).startswith("reloaded: ")
+            del invalid["discovery"]
+            assert "force: discovery: the key is missing" in await reload_with(json.dumps(invalid))
+            valid["settings"]["lanes"] = [{**SERVICE_CLASSES[0], "name": "new"}]
+            assert (await reload_with(json.dumps(valid))).startswith("reloaded: ")
             assert (await (await running.connect()).send_request("new")).status == 200
-            figures = await running.send_command("telemetry")
-            assert "app.config_reloads=1" in figures
-            assert "app.config_reload_errors=2" in figures
-            assert "app.downstream_requests.new.completed=1" in figures
+            metrics = await running.send_command("telemetry")
+            assert "app.config_reloads=1" in metrics
+            assert "app.config_reload_errors=2" in metrics
+            assert "app.downstream_requests.new.completed=1" in metrics
             running.process.send_signal(signal.SIGTERM)
             assert await within_timeout(running.process.wait()) == 0
 
--- a/tests/sidecar/test_start_faults.py
+++ b/tests/sidecar/test_start_faults.py
@@ -30,7 +30,7 @@
 remaining_failures = [3]
 def failing(call):
     def wrapped(*given, **named):
-        # Only a new socket, or a call of its own: sockets made from a descriptor are left alone.
+        # Fails only the creation of new sockets and the call itself, not sockets made from a descriptor.
         if remaining_failures[0] and len(given) < 5 and "fileno" not in named:
             remaining_failures[0] -= 1
             raise OSError(errno.{error}, os.strerror(errno.{error}))
@@ -74,14 +74,14 @@
     tmp_path: Path,
 ) -> None:
     async def work() -> None:
-        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as free:
-            free.bind((HOST, 0))
-            peer_listen = f"{HOST}:{free.getsockname()[1]}"
+        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as port_finder:
+            port_finder.bind((HOST, 0))
+            peer_listen = f"{HOST}:{port_finder.getsockname()[1]}"
         async with server_with_config(OK_RESPONSE, tmp_path) as (config, server):
-            given: dict[str, Any] = json.loads(config.read_text())
-            given |= {"peer_listen": peer_listen, "peers": [peer_listen]}
-            given["settings"]["bounds"] = {"mayTell": True, "sendCap": 1}
-            config.write_text(json.dumps(given))
+            content: dict[str, Any] = json.loads(config.read_text())
+            content |= {"peer_listen": peer_listen, "peers": [peer_listen]}
+            content["settings"]["bounds"] = {"mayTell": True, "sendCap": 1}
+            config.write_text(json.dumps(content))
             with socket.socket() as listener:
                 listener.bind((HOST, 0))
                 listener.listen()
@@ -108,8 +108,8 @@
 async def _wait_until_serving(process: asyncio.subprocess.Process) -> bool:
     """Returns whether the process logs that it serves before it ends."""
     assert process.stderr is not None
-    while said := await within_timeout(process.stderr.readline()):
-        if b"serves on" in said:
+    while log_line := await within_timeout(process.stderr.readline()):
+        if b"serves on" in log_line:
             return True
     return False
 
--- a/tests/sidecar/test_wall_clock.py
+++ b/tests/sidecar/test_wall_clock.py
@@ -1,4 +1,4 @@
-"""A wall clock that is behind: a server can't have started later than now, whatever its list says."""
+"""A wall clock that is behind: start times of servers in the future are treated as the current time."""
 
 from __future__ import annotations
 
@@ -26,14 +26,14 @@
 from tulipnotch.load_balancing.events import EndpointDescription
 
 _HOUR_S = 3_600
-_COLD_S = 0.5
+_WARM_UP_S = 0.5
 
 
 @pytest.mark.parametrize("ahead_s", [1, _HOUR_S])
 def test_slow_start_begins_now_when_the_start_time_is_in_the_future(ahead_s: int) -> None:
-    given = make_settings()
-    cold_us = given.rules.warm_up_us
-    driver = BalancerDriver(given)
+    settings = make_settings()
+    warm_up_us = settings.rules.warm_up_us
+    driver = BalancerDriver(settings)
     driver.update_endpoints(
         [
             EndpointDescription(each, zone="east", started_at=START_US + ahead_s * S)
@@ -43,21 +43,21 @@
     slow_start = driver.balancer._components.slow_start
     servers = list(driver.balancer._context.endpoints.values())
     assert all(slow_start.is_warming_up(each) for each in servers)
-    driver.advance(cold_us + 1 * MS)
+    driver.advance(warm_up_us + 1 * MS)
     driver.receive_request()
     assert not any(slow_start.is_warming_up(each) for each in servers)
 
 
-def test_readmitted_server_is_not_set_back_when_its_start_time_is_in_the_future() -> None:
-    given = make_settings()
-    driver = BalancerDriver(given)
+def test_readmitted_server_does_not_warm_up_again_when_its_start_time_is_in_the_future() -> None:
+    settings = make_settings()
+    driver = BalancerDriver(settings)
     driver.update_endpoints(
         [
             EndpointDescription(each, zone="east", started_at=START_US + _HOUR_S * S)
             for each in endpoint_names(4)
         ]
     )
-    driver.advance(given.rules.warm_up_us + 1 * MS)
+    driver.advance(settings.rules.warm_up_us + 1 * MS)
     driver.receive_request()
     outliers = driver.balancer._components.outlier_detection
     server = next(iter(driver.balancer._context.endpoints.values()))
@@ -66,14 +66,19 @@
     assert not driver.balancer._components.slow_start.is_warming_up(server)
 
 
-def test_process_serves_alike_when_its_clock_is_an_hour_behind(tmp_path: Path) -> None:
+def test_process_serves_normally_when_its_clock_is_an_hour_behind(tmp_path: Path) -> None:
     async def work() -> None:
         server = await ScriptedServer(OK_RESPONSE).start()
-        listed = endpoint_entry("s-1", server.address, started_ms=time.time_ns() // 1_000_000)
-        guarantees = {"coldUs": int(_COLD_S * 1e6), "coldFrom": 0.1, "fallMultiple": 1.0, "fallUs": 500_000}
-        given: dict[str, Any] = {
+        entry = endpoint_entry("s-1", server.address, started_ms=time.time_ns() // 1_000_000)
+        guarantees = {
+            "coldUs": int(_WARM_UP_S * 1e6),
+            "coldFrom": 0.1,
+            "fallMultiple": 1.0,
+            "fallUs": 500_000,
+        }
+        content: dict[str, Any] = {
             **VALID_CONFIG,
-            "known": {"version": 1, "full": True, "servers": [listed]},
+            "known": {"version": 1, "full": True, "servers": [entry]},
             "settings": {
                 "lanes": SERVICE_CLASSES,
                 "discovery": "on_request",
@@ -82,20 +87,22 @@
             },
         }
         config = tmp_path / "config.json"
-        config.write_text(json.dumps(given))
+        config.write_text(json.dumps(content))
         shim = Shim(compile_shim(tmp_path), tmp_path / "words")
         shim.put(Word.WALL_OFFSET_NS, -_HOUR_S * 10**9)
         process = await start_process(config, **shim.environ)
         try:
             assert process.stderr is not None
-            while b"serves on" not in (said := await within_timeout(process.stderr.readline())):
-                assert said
-            port = int(said.split(b":")[1].split(b",")[0])
+            while b"serves on" not in (log_line := await within_timeout(process.stderr.readline())):
+                assert log_line
+            port = int(log_line.split(b":")[1].split(b",")[0])
             client = Client(*await asyncio.open_connection(HOST, port))
-            served = 0
-            async with asyncio.timeout(10 * _COLD_S):
-                while served < 50:
-                    served = served + 1 if (await client.send_request("check")).status == 200 else 0
+            consecutive_successes = 0
+            async with asyncio.timeout(10 * _WARM_UP_S):
+                while consecutive_successes < 50:
+                    consecutive_successes = (
+                        consecutive_successes + 1 if (await client.send_request("check")).status == 200 else 0
+                    )
             client.close()
         finally:
             process.kill()
