--- a/tests/sidecar/test_race_conditions.py
+++ b/tests/sidecar/test_race_conditions.py
@@ -1,4 +1,4 @@
-"""Bytes that arrive in the very instant of a shutdown or close: what is owed is finished first."""
+"""Races between received bytes and a shutdown or close: every pending response is completed first."""
 
 from __future__ import annotations
 
@@ -35,179 +35,194 @@
 from running import sidecar_with_server
 from slow_to_accept import FullAcceptQueueServer
 
-from tulipnotch.sidecar.control import endpoint as control
+from tulipnotch.sidecar.control import endpoint as control_endpoint
 from tulipnotch.sidecar.downstream import listener
 from tulipnotch.sidecar.downstream.client_limits import ClientLimits
 from tulipnotch.sidecar.downstream.connection import ConnectionState, DownstreamConnection
 from tulipnotch.sidecar.sockets import borrow_socket
-from tulipnotch.sidecar.upstream import connection as client_module
-from tulipnotch.sidecar.upstream import pool as upstream
+from tulipnotch.sidecar.upstream import connection as upstream_connection
+from tulipnotch.sidecar.upstream import pool as upstream_pool
 
 T = TypeVar("T")
 
-# Far less than the client's side takes at once: most of it is still with the sidecar's system when it closes.
-_LARGE = bytes(range(250)) * 200
-_ANSWER = http_response(_LARGE)
+# Far more than a client with a small receive buffer accepts at once: most of it is still in the send buffer
+# of the sidecar's socket when the sidecar closes the connection.
+_LARGE_BODY = bytes(range(250)) * 200
+_LARGE_RESPONSE = http_response(_LARGE_BODY)
 _LIMITS = ClientLimits(linger_s=0.05, sweep_s=0.01)
 
 
-class _Narrow:
-    """A client that takes a few KiB at a time, and reads nothing until it is told to."""
+class _SlowReadingClient:
+    """A client with a small receive buffer, which reads nothing before `read_until_end`."""
 
-    def __init__(self, plain: socket.socket) -> None:
-        self._plain = plain
+    def __init__(self, client_socket: socket.socket) -> None:
+        self._socket = client_socket
 
     def send(self, raw: bytes) -> None:
-        """Send at once; on loopback it lies in the sidecar's socket when this is done."""
-        assert self._plain.send(raw) == len(raw)
+        """Sends at once: on loopback, the bytes are in the sidecar's socket when this returns."""
+        assert self._socket.send(raw) == len(raw)
 
-    async def rest(self) -> tuple[bytes, bool]:
-        """All that comes up to the connection's end, and whether that was a reset."""
-        got = bytearray()
+    async def read_until_end(self) -> tuple[bytes, bool]:
+        """Returns all bytes up to the end of the connection, and whether that was a reset."""
+        received = bytearray()
         loop = asyncio.get_running_loop()
         while True:
             try:
-                piece = await within_timeout(loop.sock_recv(self._plain, 1 << 16))
+                piece = await within_timeout(loop.sock_recv(self._socket, 1 << 16))
             except ConnectionError:
-                return bytes(got), True
+                return bytes(received), True
             if not piece:
-                return bytes(got), False
-            got += piece
+                return bytes(received), False
+            received += piece
 
 
 @asynccontextmanager
-async def _narrow(harness: SidecarHarness) -> AsyncIterator[_Narrow]:
-    with socket.socket() as plain:
-        plain.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
-        plain.setblocking(False)
-        await asyncio.get_running_loop().sock_connect(plain, (HOST, harness.sidecar.downstream.port))
-        yield _Narrow(plain)
+async def _connect_slow_reader(harness: SidecarHarness) -> AsyncIterator[_SlowReadingClient]:
+    with socket.socket() as client_socket:
+        client_socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
+        client_socket.setblocking(False)
+        await asyncio.get_running_loop().sock_connect(client_socket, (HOST, harness.sidecar.downstream.port))
+        yield _SlowReadingClient(client_socket)
 
 
-def _states(harness: SidecarHarness) -> list[ConnectionState]:
+def _connection_states(harness: SidecarHarness) -> list[ConnectionState]:
     return [each.state for each in harness.sidecar.downstream.connections()]
 
 
-@pytest.mark.parametrize("how", ["asked to close", "emptying", "stopping", "passed through"])
-def test_last_response_is_complete_when_bytes_are_unread_behind_its_request(how: str) -> None:
-    # Guards against the reset that a close over unread bytes sends: the rest of the answer goes with it.
+@pytest.mark.parametrize("close_cause", ["client request", "evacuation", "stop", "client request, streamed"])
+def test_last_response_is_complete_when_bytes_are_unread_behind_its_request(close_cause: str) -> None:
+    # Guards against closing a socket that has unread bytes: the kernel then sends a reset, and the part of
+    # the response that the client has not received yet is lost.
     async def work() -> None:
         release = asyncio.Event()
-        body = 2 * _LARGE if how == "passed through" else _LARGE  # that is more than is kept
+        # Twice the body is more than the sidecar buffers, so it is streamed.
+        body = 2 * _LARGE_BODY if close_cause == "client request, streamed" else _LARGE_BODY
 
-        async def script(_heard: ReceivedRequest) -> bytes:
+        async def script(_received: ReceivedRequest) -> bytes:
             await release.wait()
             return http_response(body)
 
-        async with sidecar_harness(script, client_limits=_LIMITS) as harness, _narrow(harness) as client:
-            last = "" if how in ("emptying", "stopping") else "close"
-            client.send(http_request("lodge", timeout="15", Connection=last) + http_request("lodge"))
+        async with (
+            sidecar_harness(script, client_limits=_LIMITS) as harness,
+            _connect_slow_reader(harness) as client,
+        ):
+            connection_header = "" if close_cause in ("evacuation", "stop") else "close"
+            client.send(
+                http_request("lodge", timeout="15", Connection=connection_header) + http_request("lodge")
+            )
             await wait_until(lambda: len(harness.received_requests) == 1)
             await wait_until(
                 lambda: all(each.is_reading_paused for each in harness.sidecar.downstream.connections())
             )
-            client.send(http_request("lodge"))  # it stays in the socket
-            if how == "emptying":
+            client.send(http_request("lodge"))  # stays unread in the socket
+            if close_cause == "evacuation":
                 harness.sidecar.lifecycle.evacuate()
-            elif how == "stopping":
+            elif close_cause == "stop":
                 harness.sidecar.lifecycle.stop()
             release.set()
             await wait_until(lambda: harness.sidecar.downstream.open_connections == 0)
-            got, was_reset = await client.rest()
-            assert got.endswith(b"\r\n\r\n" + body)
+            received, was_reset = await client.read_until_end()
+            assert received.endswith(b"\r\n\r\n" + body)
             assert not was_reset
             assert len(harness.received_requests) == 1
 
     run_async(work)
 
 
-@pytest.mark.parametrize("part", ["whole", "first half"])
-@pytest.mark.parametrize("why", ["idle for long", "drain", "evacuation"])
-def test_request_that_comes_as_its_connection_closes_is_not_forwarded_and_loses_no_response(
-    why: str, part: str
+@pytest.mark.parametrize("sent_before_close", ["whole", "first half"])
+@pytest.mark.parametrize("close_cause", ["idle timeout", "drain", "evacuation"])
+def test_request_that_arrives_as_its_connection_closes_is_not_forwarded_and_loses_no_response(
+    close_cause: str, sent_before_close: str
 ) -> None:
-    # It crosses the close, so its client sends it again; nothing may come of this copy.
+    # The client sends a request while the sidecar closes the connection, so it sends the request again on
+    # another one; this copy must have no effect.
     async def work() -> None:
         limits = ClientLimits(linger_s=0.05, sweep_s=600.0, idle_timeout_s=0.0, leaving_s=0.0)
-        async with sidecar_harness(_ANSWER, client_limits=limits) as harness, _narrow(harness) as client:
-            frontend = harness.sidecar.downstream
+        async with (
+            sidecar_harness(_LARGE_RESPONSE, client_limits=limits) as harness,
+            _connect_slow_reader(harness) as client,
+        ):
+            downstream = harness.sidecar.downstream
             client.send(http_request("lodge"))
-            await wait_until(lambda: _states(harness) == [ConnectionState.IDLE])
-            await wait_until(lambda: all(each.can_close_safely for each in frontend.connections()))
-            if why == "drain":
-                frontend.close_idle()
+            await wait_until(lambda: _connection_states(harness) == [ConnectionState.IDLE])
+            await wait_until(lambda: all(each.can_close_safely for each in downstream.connections()))
+            if close_cause == "drain":
+                downstream.close_idle()
             else:
-                if why == "evacuation":
+                if close_cause == "evacuation":
                     harness.sidecar.lifecycle.evacuate()
-                frontend._timeouts.sweep()
-            again = http_request("lodge")
-            at = len(again) if part == "whole" else len(again) // 2
-            client.send(again[:at])  # the event loop has not run since
+                downstream._timeouts.sweep()
+            second_request = http_request("lodge")
+            split_at = len(second_request) if sent_before_close == "whole" else len(second_request) // 2
+            client.send(second_request[:split_at])  # the event loop has not run since the close
             await asyncio.sleep(limits.linger_s)
-            client.send(again[at:])
+            client.send(second_request[split_at:])
             await asyncio.sleep(limits.linger_s)
-            frontend._timeouts.sweep()
-            await wait_until(lambda: frontend.open_connections == 0)
-            got, was_reset = await client.rest()
-            assert got.endswith(b"\r\n\r\n" + _LARGE)
+            downstream._timeouts.sweep()
+            await wait_until(lambda: downstream.open_connections == 0)
+            received, was_reset = await client.read_until_end()
+            assert received.endswith(b"\r\n\r\n" + _LARGE_BODY)
             assert not was_reset
             assert len(harness.received_requests) == 1
-            other = await harness.connect()
-            other.send(again)
-            assert (await other.read_response()).status == 200
+            other_client = await harness.connect()
+            other_client.send(second_request)
+            assert (await other_client.read_response()).status == 200
             assert len(harness.received_requests) == 2
 
     run_async(work)
 
 
-def test_capacity_is_made_by_closing_an_idle_connection_and_none_with_an_unread_request() -> None:
+def test_eviction_closes_an_idle_connection_and_none_with_an_unread_request() -> None:
     async def work() -> None:
         limits = ClientLimits(greeting_s=0.0, sweep_s=600.0)
         async with sidecar_harness(OK_RESPONSE, client_limits=limits) as harness:
-            frontend = harness.sidecar.downstream
-            silent = await harness.connect()
-            await wait_until(lambda: _states(harness) == [ConnectionState.CONNECTED])
-            resting = await harness.connect()
-            assert (await resting.send_request("lodge")).status == 200
-            await wait_until(lambda: sorted(each.value for each in _states(harness)) == ["connected", "idle"])
-            silent.send(
-                http_request("lodge")
-            )  # it lies in the sidecar's socket, and the event loop has not run
-            assert frontend.connection_table.evict()
-            assert (await silent.read_response()).status == 200
-            assert await within_timeout(resting.reader.read()) == b""
+            downstream = harness.sidecar.downstream
+            new_client = await harness.connect()
+            await wait_until(lambda: _connection_states(harness) == [ConnectionState.CONNECTED])
+            idle_client = await harness.connect()
+            assert (await idle_client.send_request("lodge")).status == 200
+            await wait_until(
+                lambda: sorted(each.value for each in _connection_states(harness)) == ["connected", "idle"]
+            )
+            new_client.send(http_request("lodge"))  # unread in the sidecar's socket until the event loop runs
+            assert downstream.connection_table.evict()
+            assert (await new_client.read_response()).status == 200
+            assert await within_timeout(idle_client.reader.read()) == b""
 
     run_async(work)
 
 
-@pytest.mark.parametrize("sent", [0, 40], ids=["unread", "read in part"])
-def test_capacity_is_not_made_by_closing_a_request_whose_last_byte_is_unread(sent: int) -> None:
-    # It has been taken by then; whoever connects is turned away instead.
+@pytest.mark.parametrize("read_bytes", [0, 40], ids=["unread", "partly read"])
+def test_eviction_does_not_close_a_connection_when_the_last_byte_of_its_request_is_unread(
+    read_bytes: int,
+) -> None:
+    # The kernel has accepted the request by then; a client that connects is rejected instead.
     async def work() -> None:
         limits = ClientLimits(greeting_s=0.0, sweep_s=600.0)
         async with sidecar_harness(OK_RESPONSE, client_limits=limits) as harness:
             client = await harness.connect()
-            whole = http_request("lodge")
-            client.send(whole[:sent])
+            request = http_request("lodge")
+            client.send(request[:read_bytes])
             await wait_until(
-                lambda: _states(harness) == [ConnectionState.READING if sent else ConnectionState.CONNECTED]
+                lambda: (
+                    _connection_states(harness)
+                    == [ConnectionState.READING if read_bytes else ConnectionState.CONNECTED]
+                )
             )
-            client.send(whole[sent:])  # it lies in the sidecar's socket, and the event loop has not run
+            client.send(request[read_bytes:])  # unread in the sidecar's socket until the event loop runs
             assert not harness.sidecar.downstream.connection_table.evict()
             assert (await client.read_response()).status == 200
 
     run_async(work)
 
 
-def test_first_request_is_read_when_it_comes_as_its_time_is_up() -> None:
+def test_first_request_is_read_when_it_arrives_as_its_timeout_expires() -> None:
     async def work() -> None:
         limits = ClientLimits(header_timeout_s=0.0, sweep_s=600.0)
         async with sidecar_harness(OK_RESPONSE, client_limits=limits) as harness:
             client = await harness.connect()
-            await wait_until(lambda: _states(harness) == [ConnectionState.CONNECTED])
-            client.send(
-                http_request("lodge")
-            )  # it lies in the sidecar's socket, and the event loop has not run
+            await wait_until(lambda: _connection_states(harness) == [ConnectionState.CONNECTED])
+            client.send(http_request("lodge"))  # unread in the sidecar's socket until the event loop runs
             harness.sidecar.downstream._timeouts.sweep()
             assert (await client.read_response()).status == 200
 
@@ -215,23 +230,27 @@
 
 
 def test_last_response_is_complete_when_its_client_reads_slowly() -> None:
-    # The time to linger begins when all is written; until then it counts that the client goes on reading.
+    # The linger time begins when the whole response is written; until then the connection stays open as long
+    # as the client keeps reading.
     async def work() -> None:
-        size = 8 << 20
+        body_bytes = 8 << 20
 
-        async def script(_heard: ReceivedRequest) -> bytes:
-            return http_response(bytes(size))
+        async def script(_received: ReceivedRequest) -> bytes:
+            return http_response(bytes(body_bytes))
 
-        async with sidecar_harness(script, client_limits=_LIMITS) as harness, _narrow(harness) as client:
+        async with (
+            sidecar_harness(script, client_limits=_LIMITS) as harness,
+            _connect_slow_reader(harness) as client,
+        ):
             client.send(http_request("lodge", timeout="15", Connection="close"))
             await wait_until(lambda: len(harness.received_requests) == 1)
             await asyncio.sleep(10 * _LIMITS.linger_s)
-            frontend = harness.sidecar.downstream
-            assert frontend.open_connections == 1
-            frontend.max_connections = 1
-            assert not frontend.connection_table.evict()  # it is owed the rest
-            got, was_reset = await client.rest()
-            assert got.endswith(b"\r\n\r\n" + bytes(size))
+            downstream = harness.sidecar.downstream
+            assert downstream.open_connections == 1
+            downstream.max_connections = 1
+            assert not downstream.connection_table.evict()  # its response is not complete
+            received, was_reset = await client.read_until_end()
+            assert received.endswith(b"\r\n\r\n" + bytes(body_bytes))
             assert not was_reset
 
     run_async(work)
@@ -246,7 +265,7 @@
                 client = await harness.connect()
                 assert (await client.send_request("lodge", Connection="close")).status == 200
                 assert await within_timeout(client.reader.read()) == b""
-                client.send(http_request("lodge"))  # and it stays
+                client.send(http_request("lodge"))  # and keeps the connection open
             await wait_until(lambda: harness.sidecar.downstream.open_connections == 0)
             assert len(harness.received_requests) == 5
 
@@ -254,13 +273,14 @@
 
 
 @pytest.mark.alone
-@pytest.mark.parametrize("waits_for", ["a dial", "a connection's rest"])
+@pytest.mark.parametrize("waits_for", ["connect", "reuse delay"])
 def test_retry_is_not_written_after_the_deduplication_window(
     waits_for: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # The repeat is drawn within the window, which is shorter than the deadline, and its connection is late.
-    monkeypatch.setattr(upstream, "_REUSE_DELAY_US", 0)
-    window_s, late_s = 0.4, 1.0
+    # The retry is decided within the window, which ends before the deadline, but its connection becomes
+    # usable only after the window.
+    monkeypatch.setattr(upstream_pool, "_REUSE_DELAY_US", 0)
+    window_s, connection_delay_s = 0.4, 1.0
     classes = [
         {**each, "giveUpUs": 4_000_000, "memorySpanUs": int(window_s * 1e6)} for each in SERVICE_CLASSES
     ]
@@ -270,48 +290,50 @@
         await slow.fill_accept_queue()
         release = asyncio.Event()
 
-        async def fails(heard: ReceivedRequest) -> bytes:
-            if heard.method == "GET":
+        async def fail_once_released(received: ReceivedRequest) -> bytes:
+            if received.method == "GET":
                 return OK_RESPONSE
             await release.wait()
             return ERROR_RESPONSE
 
         bounds = {"dialTimeoutUs": 15_000_000, "mayCancel": False}
         loop = asyncio.get_running_loop()
-        async with sidecar_harness(fails, fails, limit_overrides=bounds, lanes=classes) as harness:
+        async with sidecar_harness(
+            fail_once_released, fail_once_released, limit_overrides=bounds, lanes=classes
+        ) as harness:
             await wait_until(lambda: len(harness.discovery.received_requests) >= 2)
             while not all(each.received_requests for each in harness.servers):
                 assert (await harness.send_request("check")).status == 200
-            before = len(harness.received_requests)
+            earlier_requests = len(harness.received_requests)
             client = await harness.connect()
             client.send(http_request("amend", timeout="4.0"))
-            began = loop.time()
-            await wait_until(lambda: len(harness.received_requests) == before + 1)
-            if waits_for == "a dial":
-                leaving = [
+            sent_at = loop.time()
+            await wait_until(lambda: len(harness.received_requests) == earlier_requests + 1)
+            if waits_for == "connect":
+                removed = [
                     endpoint_entry(f"s-{n}", each.address, state="left")
                     for n, each in enumerate(harness.servers)
                 ]
-                harness.discovery.announce(*leaving, endpoint_entry("s-slow", slow.address))
+                harness.discovery.announce(*removed, endpoint_entry("s-slow", slow.address))
                 await wait_until(lambda: len(harness.discovery.received_requests) >= 3)
-            monkeypatch.setattr(upstream, "_REUSE_DELAY_US", int(late_s * 1e6))
+            monkeypatch.setattr(upstream_pool, "_REUSE_DELAY_US", int(connection_delay_s * 1e6))
             release.set()
             pool = harness.sidecar._upstream
             await wait_until(
-                lambda: pool._dials_in_flight == 1 if waits_for == "a dial" else len(pool._reuse_timers) == 1
+                lambda: pool._dials_in_flight == 1 if waits_for == "connect" else len(pool._reuse_timers) == 1
             )
-            assert loop.time() - began < window_s  # else this machine was too slow to show anything
-            await asyncio.sleep(late_s)
-            if waits_for == "a dial":
+            assert loop.time() - sent_at < window_s  # otherwise the machine is too slow for this test
+            await asyncio.sleep(connection_delay_s)
+            if waits_for == "connect":
                 accepted = await slow.accept_sidecar_connection()
                 await wait_until(lambda: pool._dials_in_flight == 0)
                 accepted.settimeout(0.2)
                 with pytest.raises(TimeoutError):
-                    accepted.recv(1_000)  # the connection itself is kept
+                    accepted.recv(1_000)  # the connection stays open, but nothing was written to it
                 accepted.close()
             assert not pool._reuse_timers
             assert (await client.read_response()).status == 502
-            assert len(harness.received_requests) == before + 1
+            assert len(harness.received_requests) == earlier_requests + 1
             assert harness.sidecar.open_requests == 0
         slow.close()
 
@@ -319,113 +341,118 @@
 
 
 def _reset(writer: asyncio.StreamWriter) -> None:
-    """End the connection by a reset, at once."""
-    plain = socket.socket(fileno=os.dup(writer.get_extra_info("socket").fileno()))
-    plain.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-    plain.close()
+    """Resets the connection at once."""
+    duplicate = socket.socket(fileno=os.dup(writer.get_extra_info("socket").fileno()))
+    duplicate.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+    duplicate.close()
     writer.transport.abort()
 
 
-_NO_LENGTH = b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"
+_HEAD_WITHOUT_LENGTH = b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"
 
 
-@pytest.mark.parametrize("end", ["fin", "reset", "reset in one go"])
-def test_response_without_length_is_complete_after_an_end_and_broken_after_a_reset(end: str) -> None:
+@pytest.mark.parametrize("end", ["fin", "reset", "immediate reset"])
+def test_response_without_length_is_complete_after_a_close_and_malformed_after_a_reset(end: str) -> None:
     async def work() -> None:
-        def reader_has_part() -> bool:
-            calls = [call for each in harness.sidecar._registry for call in each.upstream_requests]
+        def is_response_partly_read() -> bool:
+            upstream_requests = [
+                request for each in harness.sidecar._registry for request in each.upstream_requests
+            ]
             return any(
-                each.connection is not None and each.connection._reader.is_mid_message for each in calls
+                each.connection is not None and each.connection._reader.is_mid_message
+                for each in upstream_requests
             )
 
-        async def script(heard: ReceivedRequest) -> None:
-            heard.writer.write(_NO_LENGTH + b"served")
+        async def script(received: ReceivedRequest) -> None:
+            received.writer.write(_HEAD_WITHOUT_LENGTH + b"served")
             if end == "fin":
-                heard.writer.close()
+                received.writer.close()
                 return
             if end == "reset":
-                await wait_until(reader_has_part)
-            _reset(heard.writer)
+                await wait_until(is_response_partly_read)
+            _reset(received.writer)
 
         async with sidecar_harness(script, script) as harness:
-            answer = await harness.send_request("lodge")
-            assert (answer.status, answer.body) == ((200, b"served") if end == "fin" else (502, b""))
-            assert len(harness.received_requests) == 1  # it may have run
+            response = await harness.send_request("lodge")
+            assert (response.status, response.body) == ((200, b"served") if end == "fin" else (502, b""))
+            assert len(harness.received_requests) == 1  # not retried, since it may have been executed
 
     run_async(work)
 
 
 @pytest.mark.parametrize("end", ["fin", "reset", "stall"])
 @pytest.mark.parametrize("version", [b"HTTP/1.0", b"HTTP/1.1"])
-def test_client_can_tell_how_a_streamed_response_without_length_ended(
+def test_client_can_distinguish_a_complete_from_a_truncated_response_without_length(
     version: bytes, end: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # For HTTP/1.0 nothing but the connection's end frames it: an orderly one would say that it is whole.
-    monkeypatch.setattr(client_module, "_STREAM_STALL_TIMEOUT_S", 0.2)
+    # In HTTP/1.0 only the end of the connection delimits such a response: an orderly close would mean that it
+    # is complete.
+    monkeypatch.setattr(upstream_connection, "_STREAM_STALL_TIMEOUT_S", 0.2)
 
     async def work() -> None:
-        go_on = asyncio.Event()
+        end_response = asyncio.Event()
 
-        async def script(heard: ReceivedRequest) -> None:
-            heard.writer.write(_NO_LENGTH + _LARGE)
-            await go_on.wait()
+        async def script(received: ReceivedRequest) -> None:
+            received.writer.write(_HEAD_WITHOUT_LENGTH + _LARGE_BODY)
+            await end_response.wait()
             if end == "fin":
-                heard.writer.close()
+                received.writer.close()
             elif end == "reset":
-                _reset(heard.writer)
+                _reset(received.writer)
 
         limits = ClientLimits(idle_timeout_s=0.1, sweep_s=0.01)
         async with sidecar_harness(script, client_limits=limits) as harness:
             client = await harness.connect()
             client.send(http_request("lodge").replace(b"HTTP/1.1", version, 1))
-            got = await within_timeout(client.reader.readexactly(len(_LARGE)))  # most of it has passed
-            go_on.set()
+            # Most of the response: as many bytes as its body has, which begin with its head.
+            response = await within_timeout(client.reader.readexactly(len(_LARGE_BODY)))
+            end_response.set()
             if end == "fin":
-                got += await within_timeout(client.reader.read())
-                whole = got.partition(b"\r\n\r\n")[2]
-                assert whole == _LARGE if version == b"HTTP/1.0" else whole.endswith(b"\r\n0\r\n\r\n")
+                response += await within_timeout(client.reader.read())
+                body = response.partition(b"\r\n\r\n")[2]
+                assert body == _LARGE_BODY if version == b"HTTP/1.0" else body.endswith(b"\r\n0\r\n\r\n")
             elif version == b"HTTP/1.0":
                 with pytest.raises(ConnectionError):
                     await within_timeout(client.reader.read())
             else:
                 with suppress(ConnectionError):
-                    got += await within_timeout(client.reader.read())
-                assert not got.endswith(b"\r\n0\r\n\r\n")
+                    response += await within_timeout(client.reader.read())
+                assert not response.endswith(b"\r\n0\r\n\r\n")
             await wait_until(lambda: harness.sidecar.open_requests == 0)
 
     run_async(work)
 
 
 @pytest.mark.parametrize("end", ["fin", "reset"])
-def test_endpoint_list_without_length_is_accepted_after_an_end_and_not_after_a_reset(end: str) -> None:
+def test_endpoint_list_without_length_is_accepted_after_a_close_and_not_after_a_reset(end: str) -> None:
     async def work() -> None:
-        answered = 0
-
-        async def script(heard: ReceivedRequest) -> bytes | None:
-            nonlocal answered
-            if "wait_ms=2" in heard.target:
-                await asyncio.Event().wait()  # a watch: no news
-            answered += 1
-            listed = json.dumps({"version": 2, "full": True, "servers": []}).encode()
-            heard.writer.write(_NO_LENGTH + listed)
-            await heard.writer.drain()
+        response_count = 0
+
+        async def script(received: ReceivedRequest) -> bytes | None:
+            nonlocal response_count
+            if "wait_ms=2" in received.target:
+                await asyncio.Event().wait()  # a watch without an event
+            response_count += 1
+            endpoint_list = json.dumps({"version": 2, "full": True, "servers": []}).encode()
+            received.writer.write(_HEAD_WITHOUT_LENGTH + endpoint_list)
+            await received.writer.drain()
             if end == "fin":
-                heard.writer.close()
+                received.writer.close()
             else:
-                _reset(heard.writer)
+                _reset(received.writer)
             return None
 
         discovery = await ScriptedServer(script).start()
         async with sidecar_harness(OK_RESPONSE, config_overrides={"discovery": discovery.address}) as harness:
             await wait_until(lambda: harness.sidecar._discovery.first_call_ended.is_set())
-            members = len(harness.sidecar._balancer._context.endpoints)
+            endpoint_count = len(harness.sidecar._balancer._context.endpoints)
             if end == "fin":
                 await wait_until(lambda: harness.sidecar._endpoint_updates.received.is_set())
                 assert harness.sidecar._balancer.endpoint_counts()[0] == 0
             else:
-                await wait_until(lambda: answered >= 3)
+                await wait_until(lambda: response_count >= 3)
                 assert not harness.sidecar._endpoint_updates.received.is_set()
-                assert harness.sidecar._balancer.endpoint_counts()[0] == members == 1
+                assert harness.sidecar._balancer.endpoint_counts()[0] == endpoint_count == 1
                 assert any("broke" in each for each in harness.log)
         discovery.stop()
 
@@ -433,73 +460,72 @@
 
 
 def _send_now(writer: asyncio.StreamWriter, raw: bytes) -> None:
-    """Send at once; on loopback it lies in the other side's socket when this is done, if that is open."""
-    with borrow_socket(writer.transport) as own:
-        own.send(raw)
+    """Sends at once: on loopback, the bytes are in the peer's socket when this returns, if that is open."""
+    with borrow_socket(writer.transport) as borrowed:
+        borrowed.send(raw)
 
 
 @pytest.fixture
-def nothing_breaks() -> Iterator[None]:
-    """Exceptions that the event loop would only log fail the test."""
-    found: list[object] = []
-    before = asyncio.Runner.run
+def no_uncaught_exceptions() -> Iterator[None]:
+    """Fails the test for each exception that the event loop would only log."""
+    uncaught: list[object] = []
+    original_run = asyncio.Runner.run
 
-    def note(_loop: asyncio.AbstractEventLoop, what: dict[str, Any]) -> None:
-        if not isinstance(
-            what.get("exception"), asyncio.CancelledError
-        ):  # a scripted end's, as it is taken down
-            found.append(what)
+    def record(_loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
+        # Closing a scripted server cancels its scripts.
+        if not isinstance(context.get("exception"), asyncio.CancelledError):
+            uncaught.append(context)
 
-    def run(runner: asyncio.Runner, work: Coroutine[Any, Any, T], **how: Any) -> T:
-        runner.get_loop().set_exception_handler(note)
-        return before(runner, work, **how)
+    def run(runner: asyncio.Runner, work: Coroutine[Any, Any, T], **options: Any) -> T:
+        runner.get_loop().set_exception_handler(record)
+        return original_run(runner, work, **options)
 
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(asyncio.Runner, "run", run)
         yield
-    assert found == []
+    assert uncaught == []
 
 
-_HALF_LINES = [b"H", b"HTT", b"HTTP/1.1 20", b"HTTP/1.1 200 OK\r\nContent-Le", b"x", b"\r", b"\r\n", b"\0"]
+_PARTIAL_LINES = [b"H", b"HTT", b"HTTP/1.1 20", b"HTTP/1.1 200 OK\r\nContent-Le", b"x", b"\r", b"\r\n", b"\0"]
 
 
-@pytest.mark.usefixtures("nothing_breaks")
-@pytest.mark.parametrize("half", _HALF_LINES)
-@pytest.mark.parametrize("when", ["in one piece", "at rest", "just before use"])
-def test_half_a_line_behind_a_response_breaks_no_further_request(
-    half: bytes, when: str, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.usefixtures("no_uncaught_exceptions")
+@pytest.mark.parametrize("partial_line", _PARTIAL_LINES)
+@pytest.mark.parametrize("sent_when", ["with the response", "connection idle", "just before reuse"])
+def test_partial_line_after_a_response_fails_no_later_request(
+    partial_line: bytes, sent_when: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # An unsafe request must not be lost to it: the connection goes, or what came means nothing.
-    monkeypatch.setattr(upstream, "_REUSE_DELAY_US", 0)
+    # Guards against losing a non-idempotent request on a connection with unexpected bytes: either the
+    # connection is closed, or the bytes are ignored.
+    monkeypatch.setattr(upstream_pool, "_REUSE_DELAY_US", 0)
 
     async def work() -> None:
-        async def script(heard: ReceivedRequest) -> bytes:
-            answer = http_response(heard.target.rpartition("/")[2].encode())
-            return answer + half if when == "in one piece" else answer
+        async def script(received: ReceivedRequest) -> bytes:
+            response = http_response(received.target.rpartition("/")[2].encode())
+            return response + partial_line if sent_when == "with the response" else response
 
         async with sidecar_harness(script) as harness:
             client = await harness.connect()
             for number in range(10, 20):
                 assert (await client.send_request("lodge", target=f"/api/{number}")).body == b"%d" % number
-                if when != "in one piece":
-                    _send_now(harness.received_requests[-1].writer, half)
-                if when == "just before use":
+                if sent_when != "with the response":
+                    _send_now(harness.received_requests[-1].writer, partial_line)
+                if sent_when == "just before reuse":
                     (server,) = harness.sidecar._upstream._endpoints.values()
-                    assert (
-                        harness.sidecar._upstream._pop_reusable(server) is None
-                    )  # the event loop has not run
-                if when != "in one piece":
+                    # The event loop has not run since the bytes were sent.
+                    assert harness.sidecar._upstream._pop_reusable(server) is None
+                if sent_when != "with the response":
                     await wait_until(
-                        lambda seen=number - 9: len(harness.servers[0].closed_connections) == seen
+                        lambda closed=number - 9: len(harness.servers[0].closed_connections) == closed
                     )  # type: ignore[misc]
 
     run_async(work)
 
 
-@pytest.mark.usefixtures("nothing_breaks")
-@pytest.mark.parametrize("when", ["given up", "idle closed", "all closed"])
-def test_half_a_line_that_comes_as_a_server_connection_closes_belongs_to_no_request(
-    when: str,
+@pytest.mark.usefixtures("no_uncaught_exceptions")
+@pytest.mark.parametrize("close_cause", ["request cancelled", "idle closed", "all closed"])
+def test_partial_line_that_arrives_as_a_server_connection_closes_belongs_to_no_request(
+    close_cause: str,
 ) -> None:
     async def work() -> None:
         release, hold = blocking_script()
@@ -507,22 +533,21 @@
             client = await harness.connect()
             client.send(http_request("lodge", timeout="15"))
             await wait_until(lambda: len(harness.received_requests) == 1)
-            if when == "given up":
-                ((call,),) = [each.upstream_requests for each in harness.sidecar._registry]
-                harness.sidecar._upstream.cancel_request(call)
+            if close_cause == "request cancelled":
+                ((upstream_request,),) = [each.upstream_requests for each in harness.sidecar._registry]
+                harness.sidecar._upstream.cancel_request(upstream_request)
             else:
                 release.set()
                 assert (await client.read_response()).status == 200
-                if when == "idle closed":
+                if close_cause == "idle closed":
                     harness.sidecar._upstream.close_all_idle_connections()
                 else:
                     harness.sidecar._upstream.close()
-            _send_now(
-                harness.received_requests[0].writer, b"HTTP/1.1 200 OK\r\nContent-Le"
-            )  # the event loop has not run
+            # The event loop has not run since the close.
+            _send_now(harness.received_requests[0].writer, b"HTTP/1.1 200 OK\r\nContent-Le")
             release.set()
             await wait_until(lambda: harness.servers[0].closed_connections == [0])
-            if when == "given up":
+            if close_cause == "request cancelled":
                 assert (await client.read_response()).status != 200
             assert (await client.send_request("lodge")).status == 200
             assert harness.servers[0].connection_count == 2
@@ -530,23 +555,30 @@
     run_async(work)
 
 
-def test_sockets_delay_no_small_writes(monkeypatch: pytest.MonkeyPatch) -> None:
-    # What the system still holds back goes with a reset: each socket is set before its first byte.
-    found: dict[str, set[int]] = {}
+def test_all_connections_disable_the_delay_of_small_writes(monkeypatch: pytest.MonkeyPatch) -> None:
+    # Small writes that the kernel delays are lost if the connection is reset, so TCP_NODELAY has to be set on
+    # each socket before its first byte.
+    no_delay_values: dict[str, set[int]] = {}
 
-    def watched(kind: type[Any]) -> None:
-        made = kind.connection_made
+    def record_no_delay(connection_class: type[Any]) -> None:
+        original = connection_class.connection_made
 
         def connection_made(self: object, transport: asyncio.BaseTransport) -> None:
             plain = transport.get_extra_info("socket")
-            peer = "discovery" if plain.getpeername()[1] == discovery_port else kind.__name__
-            found.setdefault(peer, set()).add(plain.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY))
-            made(self, transport)
+            name = "discovery" if plain.getpeername()[1] == discovery_port else connection_class.__name__
+            no_delay_values.setdefault(name, set()).add(
+                plain.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
+            )
+            original(self, transport)
 
-        monkeypatch.setattr(kind, "connection_made", connection_made)
+        monkeypatch.setattr(connection_class, "connection_made", connection_made)
 
-    for kind in (DownstreamConnection, client_module.UpstreamConnection, control._ControlConnection):
-        watched(kind)
+    for connection_class in (
+        DownstreamConnection,
+        upstream_connection.UpstreamConnection,
+        control_endpoint._ControlConnection,
+    ):
+        record_no_delay(connection_class)
     discovery_port = 0
 
     async def work() -> None:
@@ -559,29 +591,29 @@
             harness.sidecar.downstream.stop_listening()
             harness.sidecar.downstream.listen(inherited)
             assert (await harness.send_request()).status == 200
-            door = control.ControlEndpoint(harness.sidecar.command_handlers())
-            door.listen((HOST, 0))
-            reader, writer = await asyncio.open_connection(HOST, door.port)
+            endpoint = control_endpoint.ControlEndpoint(harness.sidecar.command_handlers())
+            endpoint.listen((HOST, 0))
+            reader, writer = await asyncio.open_connection(HOST, endpoint.port)
             writer.write(b"readyz\n")
             assert await within_timeout(reader.read()) == b"+OK ready\n"
             writer.close()
-            door.close()
+            endpoint.close()
 
     run_async(work)
-    assert found == {
+    assert no_delay_values == {
         each: {1}
         for each in ("DownstreamConnection", "UpstreamConnection", "discovery", "_ControlConnection")
     }
 
 
-async def _asked(accepted: socket.socket) -> bytes:
-    """The target of the next request on a connection that a test has accepted."""
+async def _read_target(accepted: socket.socket) -> bytes:
+    """Returns the target of the next request on a connection that a test has accepted."""
     raw = await within_timeout(asyncio.get_running_loop().sock_recv(accepted, 16_384))
     return raw.split(b" ")[1]
 
 
 @pytest.mark.alone
-def test_connection_that_is_established_late_is_used_retained_and_counted() -> None:
+def test_connection_that_is_established_late_is_used_kept_and_counted() -> None:
     async def work() -> None:
         slow = FullAcceptQueueServer()
         await slow.fill_accept_queue()
@@ -590,33 +622,39 @@
             await wait_until(lambda: len(harness.discovery.received_requests) >= 2)
             harness.discovery.announce(endpoint_entry("s", slow.address))
             await wait_until(lambda: len(harness.discovery.received_requests) >= 3)
-            # Its deadline holds while the dial is under way, and no server had it.
-            hasty, patient = await harness.connect(), await harness.connect()
-            began = asyncio.get_running_loop().time()
-            hasty.send(http_request("lodge", timeout="0.3", target="/api/hasty"))
-            assert (await hasty.read_response()).status in (503, 504)
-            assert 0.2 < asyncio.get_running_loop().time() - began < 0.8
+            # A request fails at its deadline while a connection for it is being established; no server has
+            # received the request.
+            hasty_client, patient_client = await harness.connect(), await harness.connect()
+            sent_at = asyncio.get_running_loop().time()
+            hasty_client.send(http_request("lodge", timeout="0.3", target="/api/hasty"))
+            assert (await hasty_client.read_response()).status in (503, 504)
+            assert 0.2 < asyncio.get_running_loop().time() - sent_at < 0.8
             assert (pool._dials_in_flight, len(pool._endpoint_of), harness.sidecar.open_requests) == (1, 0, 0)
-            # What came up for nothing is kept, and the next request, which dials as well, loses nothing.
-            patient.send(http_request("lodge", timeout="15", target="/api/patient"))
+            # The connection that this request no longer needs is kept.  The next request also starts to
+            # connect, and uses whichever connection is established first.
+            patient_client.send(http_request("lodge", timeout="15", target="/api/patient"))
             await wait_until(lambda: pool._dials_in_flight == 2)
             accepted = [await slow.accept_sidecar_connection(), await slow.accept_sidecar_connection()]
             await wait_until(lambda: pool._dials_in_flight == 0)
             assert len(pool._endpoint_of) == 2
-            asked = [asyncio.ensure_future(_asked(each)) for each in accepted]
-            (used,), _ = await asyncio.wait(asked, return_when=asyncio.FIRST_COMPLETED)
-            assert used.result() == b"/api/patient"
-            accepted[asked.index(used)].send(OK_RESPONSE)
-            assert (await patient.read_response()).status == 200
-            # Either serves from here on, and none is opened beside them.
-            patient.send(http_request("lodge", timeout="15", target="/api/next"))
+            reads = [asyncio.ensure_future(_read_target(each)) for each in accepted]
+            (completed,), _ = await asyncio.wait(reads, return_when=asyncio.FIRST_COMPLETED)
+            assert completed.result() == b"/api/patient"
+            accepted[reads.index(completed)].send(OK_RESPONSE)
+            assert (await patient_client.read_response()).status == 200
+            # Either connection may serve later requests, and no other one is opened.
+            patient_client.send(http_request("lodge", timeout="15", target="/api/next"))
             await wait_until(lambda: len(harness.sidecar._registry) == 1)
-            (waiting,) = [each for each in asked if each is not used]
-            again = asyncio.ensure_future(_asked(accepted[asked.index(used)]))
-            (used,), _ = await asyncio.wait((waiting, again), return_when=asyncio.FIRST_COMPLETED)
-            assert used.result() == b"/api/next"
-            accepted[asked.index(waiting) if used is waiting else 1 - asked.index(waiting)].send(OK_RESPONSE)
-            assert (await patient.read_response()).status == 200
+            (first_read,) = [each for each in reads if each is not completed]
+            second_read = asyncio.ensure_future(_read_target(accepted[reads.index(completed)]))
+            (completed,), _ = await asyncio.wait(
+                (first_read, second_read), return_when=asyncio.FIRST_COMPLETED
+            )
+            assert completed.result() == b"/api/next"
+            accepted[
+                reads.index(first_read) if completed is first_read else 1 - reads.index(first_read)
+            ].send(OK_RESPONSE)
+            assert (await patient_client.read_response()).status == 200
             assert (pool._dials_in_flight, len(pool._endpoint_of), harness.sidecar.open_requests) == (0, 2, 0)
             harness.sidecar.close()
             for each in accepted:
@@ -626,7 +664,7 @@
     run_async(work)
 
 
-def test_dial_that_takes_too_long_costs_its_request_only_time() -> None:
+def test_request_is_served_by_another_server_when_a_connect_times_out() -> None:
     async def work() -> None:
         slow = FullAcceptQueueServer()
         await slow.fill_accept_queue()
@@ -642,9 +680,8 @@
             harness.discovery.announce(endpoint_entry("s-other", other.address))
             assert (await client.read_response()).status == 200
             assert len(other.received_requests) == 1
-            assert (
-                float(other.received_requests[0].headers["request-timeout"]) < 3.7
-            )  # what was left of its time
+            # The timeout that is sent on is the time that remains of the 4 s.
+            assert float(other.received_requests[0].headers["request-timeout"]) < 3.7
             assert (pool._dials_in_flight, len(pool._endpoint_of), harness.sidecar.open_requests) == (0, 1, 0)
         slow.close()
         other.stop()
@@ -654,77 +691,79 @@
 
 _FLOODS = {
     "requests": http_request("lodge", timeout="15") * 1_500,
-    "nonsense": b"\0" * 300_000,
-    "health": b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n" * 8_000,
-    "heads": b"GET /api HTTP/1.1\r\nHost: x\r\n" + b"X-Pad: 0123456789abcdef\r\n" * 12_000,
-    "a body's part": http_request("lodge", timeout="15", Content_Length="30000000") + bytes(300_000),
+    "invalid bytes": b"\0" * 300_000,
+    "health checks": b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n" * 8_000,
+    "long header section": b"GET /api HTTP/1.1\r\nHost: x\r\n" + b"X-Pad: 0123456789abcdef\r\n" * 12_000,
+    "partial body": http_request("lodge", timeout="15", Content_Length="30000000") + bytes(300_000),
 }
 
 
-@pytest.mark.parametrize("what", _FLOODS)
-def test_clients_that_send_much_and_disconnect_cost_others_nothing(what: str) -> None:
-    # Each sends as much as its system takes, without a pause, and leaves; some reset, some close.
+@pytest.mark.parametrize("flood", _FLOODS)
+def test_other_clients_are_served_when_many_send_much_and_disconnect(flood: str) -> None:
+    # Each client sends as much as its kernel accepts at once and disconnects, half of them with a reset.
     async def work() -> None:
         loop = asyncio.get_running_loop()
 
-        async def rush(number: int) -> None:
-            with socket.socket() as plain:
-                plain.setblocking(False)
-                await loop.sock_connect(plain, (HOST, harness.sidecar.downstream.port))
+        async def send_and_disconnect(number: int) -> None:
+            with socket.socket() as client_socket:
+                client_socket.setblocking(False)
+                await loop.sock_connect(client_socket, (HOST, harness.sidecar.downstream.port))
                 with suppress(OSError):
-                    plain.send(_FLOODS[what])
+                    client_socket.send(_FLOODS[flood])
                 if number % 2:
-                    plain.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+                    client_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
 
         async with sidecar_harness(OK_RESPONSE, OK_RESPONSE, client_limits=_LIMITS) as harness:
-            steady = await harness.connect()
-            before = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
+            steady_client = await harness.connect()
+            max_rss_before = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
             for _ in range(10):
-                await asyncio.gather(*(rush(number) for number in range(30)))
-                assert (await steady.send_request("lodge", timeout="2.0")).status == 200
-            frontend = harness.sidecar.downstream
-            await wait_until(lambda: frontend.open_connections == 1)
+                await asyncio.gather(*(send_and_disconnect(number) for number in range(30)))
+                assert (await steady_client.send_request("lodge", timeout="2.0")).status == 200
+            downstream = harness.sidecar.downstream
+            await wait_until(lambda: downstream.open_connections == 1)
             await wait_until(lambda: harness.sidecar.open_requests == 0)
-            assert frontend.connection_table.buffered_bytes == 0
-            assert resource.getrusage(resource.RUSAGE_SELF).ru_maxrss - before < 30_000  # KiB
+            assert downstream.connection_table.buffered_bytes == 0
+            assert resource.getrusage(resource.RUSAGE_SELF).ru_maxrss - max_rss_before < 30_000  # KiB
 
     run_async(work)
 
 
-@pytest.mark.parametrize("after_s", [0.0, 0.002, 0.01])
-def test_request_that_comes_as_the_process_stops_is_responded_or_never_forwarded(
-    after_s: float, tmp_path: Path
+@pytest.mark.parametrize("spread_s", [0.0, 0.002, 0.01])
+def test_request_that_arrives_as_the_process_stops_is_responded_or_never_forwarded(
+    spread_s: float, tmp_path: Path
 ) -> None:
-    # Clients rest on their connections, and all of them send around the moment in which these are let go.
+    # All clients have idle connections, and send a request at about the time when the sidecar closes these.
     async def work() -> None:
         async with sidecar_with_server(OK_RESPONSE, tmp_path) as running:
             clients = [await running.connect() for _ in range(60)]
             for client in clients:
                 assert (await client.send_request("lodge")).status == 200
-            before = len(running.server.received_requests)
+            earlier_requests = len(running.server.received_requests)
             running.process.send_signal(signal.SIGTERM)
 
-            async def ask(number: int) -> int:
-                await asyncio.sleep(after_s * number / len(clients))
-                again = http_request("lodge", Request_Id=f"again-{number}")
+            async def send_late_request(number: int) -> int:
+                await asyncio.sleep(spread_s * number / len(clients))
+                request = http_request("lodge", Request_Id=f"late-{number}")
                 client = clients[number]
                 try:
-                    client.send(again)
-                    answer = await client.read_response()
+                    client.send(request)
+                    response = await client.read_response()
                 except (ConnectionError, asyncio.IncompleteReadError):
-                    # It crossed the close: once more, on a new connection, as the protocol has it.
+                    # The connection was closed meanwhile; the protocol lets a client retry on a new one.
                     client = await running.connect()
-                    client.send(again)
-                    answer = await client.read_response()
+                    client.send(request)
+                    response = await client.read_response()
                 client.close()
-                return answer.status
-
-            statuses = await asyncio.gather(*(ask(number) for number in range(len(clients))))
-            assert set(statuses) <= {200, 503}  # a crowd at one server: some may be refused
-            served = [f"again-{number}" for number, status in enumerate(statuses) if status == 200]
-            heard = [each.headers["request-id"] for each in running.server.received_requests[before:]]
+                return response.status
+
+            statuses = await asyncio.gather(*(send_late_request(number) for number in range(len(clients))))
+            assert set(statuses) <= {200, 503}  # one server for all: some requests may be rejected
+            served = [f"late-{number}" for number, status in enumerate(statuses) if status == 200]
+            received = [
+                each.headers["request-id"] for each in running.server.received_requests[earlier_requests:]
+            ]
             assert served
-            assert sorted(heard) == sorted(served)
+            assert sorted(received) == sorted(served)
             assert await within_timeout(running.process.wait()) == 0
 
     run_async(work)
