--- a/tests/sidecar/test_listener_handover.py
+++ b/tests/sidecar/test_listener_handover.py
@@ -158,18 +158,18 @@
 def test_start_waits_for_an_endpoint_list_for_a_bounded_time_when_none_is_cached(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Guards against waiting forever for a discovery that is down, while clients and operators wait for this
-    # process.
+    # Guards against an unbounded wait for a discovery that is down, while others wait until this process is
+    # ready.
     async def work() -> None:
         monkeypatch.setattr("tulipnotch.sidecar.startup._ENDPOINT_LIST_TIMEOUT_S", 0.5)
         async with sidecar_harness(
             OK_RESPONSE, unresponsive_discovery=True, started=False, config_overrides={"known": None}
         ) as harness:
-            starting = asyncio.ensure_future(harness.sidecar.start())
+            start_task = asyncio.ensure_future(harness.sidecar.start())
             await asyncio.sleep(0)
             assert await health_check_status(harness.sidecar.downstream.port) == 503
-            assert not starting.done()
-            await within_timeout(starting)
+            assert not start_task.done()
+            await within_timeout(start_task)
             assert await health_check_status(harness.sidecar.downstream.port) == 200
             assert harness.log == ["no fresh endpoint list within 0.5 s, using the cached one"]
 
@@ -189,7 +189,7 @@
 def test_takeover_accepts_nothing_before_it_has_a_fresh_endpoint_list(listener: socket.socket) -> None:
     async def work() -> None:
         async with sidecar_harness(OK_RESPONSE, unresponsive_discovery=True, started=False) as harness:
-            starting = asyncio.ensure_future(
+            start_task = asyncio.ensure_future(
                 harness.sidecar.start(adopt_listener(str(os.dup(listener.fileno()))))
             )
             client = await connect(listener)
@@ -198,7 +198,7 @@
             assert harness.sidecar.downstream.open_connections == 0
             assert harness.sidecar.lifecycle.phase.value == "starting"
             harness.discovery.resume_responding()
-            await within_timeout(starting)
+            await within_timeout(start_task)
             assert (await client.read_response()).status == 200
 
     run_async(work)
@@ -236,9 +236,9 @@
             await harness.sidecar.start(adopt_listener(str(os.dup(listener.fileno()))))
             assert harness.sidecar._upstream.max_connections == full_limit // 2
             await wait_until(lambda: harness.sidecar._upstream.max_connections == full_limit)
-            shutdown = asyncio.ensure_future(harness.sidecar.shut_down())
+            shutdown_task = asyncio.ensure_future(harness.sidecar.shut_down())
             await wait_until(lambda: harness.sidecar._upstream.max_connections == full_limit // 2)
-            await within_timeout(shutdown)
+            await within_timeout(shutdown_task)
 
     run_async(work)
 
@@ -252,12 +252,12 @@
         async with sidecar_harness(OK_RESPONSE, started=False, unresponsive_discovery=True) as harness:
             client = await connect(listener)
             client.send(http_request("check", timeout="1.0"))
-            starting = asyncio.ensure_future(
+            start_task = asyncio.ensure_future(
                 harness.sidecar.start(adopt_listener(str(os.dup(listener.fileno()))))
             )
             async with asyncio.timeout(1.0):
                 assert (await client.read_response()).status == 200
-            await starting
+            await start_task
             client.close()
 
     run_async(work)
--- a/tests/sidecar/test_program.py
+++ b/tests/sidecar/test_program.py
@@ -126,9 +126,7 @@
             assert (
                 log_line == f"reloaded: discovery at {discovery.address}; a restart is needed to apply seed\n"
             )
-            await wait_until(
-                lambda: len(discovery.received_requests) >= 2
-            )  # the endpoint list, then the watch
+            await wait_until(lambda: len(discovery.received_requests) >= 2)  # the list, then the watch
             assert (await (await running.connect()).send_request("lodge")).status == 200
             assert len(other_server.received_requests) == 1
             other_server.stop()
--- a/tulipnotch/sidecar/program.py
+++ b/tulipnotch/sidecar/program.py
@@ -26,9 +26,7 @@
 from tulipnotch.sidecar.operator_file import OPERATOR_FILE_VARIABLE, OperatorOptions, load_operator_options
 from tulipnotch.sidecar.sidecar import Sidecar
 
-_INHERITED_FD_VARIABLE = (
-    "BALANCER_INHERITED_FD"  # environment variable with the descriptor of a listening socket
-)
+_INHERITED_FD_VARIABLE = "BALANCER_INHERITED_FD"  # environment variable; descriptor of a listening socket
 
 
 @unique
--- a/tulipnotch/sidecar/sidecar.py
+++ b/tulipnotch/sidecar/sidecar.py
@@ -22,7 +22,11 @@
 from tulipnotch.sidecar.control.lifecycle import Lifecycle
 from tulipnotch.sidecar.control.telemetry import Telemetry
 from tulipnotch.sidecar.control_commands import ControlCommands
-from tulipnotch.sidecar.descriptor_budget import DescriptorBudget, client_limits, max_control_connections
+from tulipnotch.sidecar.descriptor_budget import (
+    DescriptorBudget,
+    create_client_limits,
+    limit_control_connections,
+)
 from tulipnotch.sidecar.discovery.client import DiscoveryClient
 from tulipnotch.sidecar.discovery.endpoint_list_codec import DiscoveryResponse
 from tulipnotch.sidecar.discovery.peers import PeerMessenger
@@ -68,13 +72,13 @@
         self._create_discovery()
         self.downstream = DownstreamServer(
             config.settings,
-            client_limits(config, options.client_limits),
+            create_client_limits(config, options.client_limits),
             self.lifecycle,
             RequestReceiver(self._context, self._registry, self._responses, self._events),
             self._context.invariants,
         )
         # A reload does not change this limit, since the control endpoint is created only once.
-        self.max_control_connections = max_control_connections(
+        self.max_control_connections = limit_control_connections(
             config.sockets, options.control_limits.max_connections
         )
         self._budget = DescriptorBudget(config, self.max_control_connections, self.downstream, self._upstream)
--- a/tulipnotch/sidecar/startup.py
+++ b/tulipnotch/sidecar/startup.py
@@ -13,7 +13,7 @@
 from tulipnotch.sidecar.logs import Log
 
 _ENDPOINT_LIST_TIMEOUT_S = 1.0  # maximum wait for discovery at a start without a takeover
-_TAKEOVER_TIMEOUT_S = 3.0  # maximum wait for it at a takeover, where the previous process serves meanwhile
+_TAKEOVER_TIMEOUT_S = 3.0  # maximum wait for discovery at a takeover; the previous process serves meanwhile
 # A connection that stays in the accept queue this long shows that the previous process accepts no more.
 _UNACCEPTED_AFTER_S = 0.25
 _TAKEOVER_OVERLAP_S = 5.0  # time after a takeover by which the previous process has ended
