--- a/tests/sidecar/test_listener_handover.py
+++ b/tests/sidecar/test_listener_handover.py
@@ -54,24 +54,26 @@
             server_with_config(script, tmp_path) as (config, server),
             running_sidecar(config, server, listener) as old,
         ):
-            waiting, partial = await connect(listener), await connect(listener)
-            waiting.send(http_request("lodge", target="/hold"))
-            assert (await partial.send_request("lodge")).status == 200
+            waiting_client, partial_client = await connect(listener), await connect(listener)
+            waiting_client.send(http_request("lodge", target="/hold"))
+            assert (await partial_client.send_request("lodge")).status == 200
             await wait_until(lambda: len(server.received_requests) == 2)
             async with running_sidecar(config, server, listener) as new:
                 assert await new.send_command("readyz") == ["+OK ready"]
                 request = http_request("lodge")
-                partial.send(request[:20])  # an idle connection would be closed half a second later
-                await partial.writer.drain()
+                partial_client.send(request[:20])  # an idle connection would be closed half a second later
+                await partial_client.writer.drain()
                 old.process.send_signal(signal.SIGTERM)
                 await wait_for_readyz(old, "-ERR stopping")
                 await _assert_new_connections_served_by(new, listener)
-                partial.send(request[20:])
-                response = await partial.read_response()  # of the old process, which has this connection
+                partial_client.send(request[20:])
+                response = (
+                    await partial_client.read_response()
+                )  # of the old process, which has this connection
                 assert (response.status, response.headers["connection"]) == (200, "close")
                 assert old.process.returncode is None
                 release.set()
-                response = await waiting.read_response()
+                response = await waiting_client.read_response()
                 assert (response.status, response.headers["connection"]) == (200, "close")
                 assert await within_timeout(old.process.wait()) == 0
                 await _assert_new_connections_served_by(new, listener)
@@ -102,15 +104,15 @@
             server_with_config(OK_RESPONSE, tmp_path) as (config, server),
             running_sidecar(config, server, listener) as old,
         ):
-            idle = await connect(listener)
-            assert (await idle.send_request("lodge")).status == 200
+            idle_client = await connect(listener)
+            assert (await idle_client.send_request("lodge")).status == 200
             old.process.send_signal(signal.SIGTERM)
-            assert await within_timeout(idle.reader.read()) == b""
+            assert await within_timeout(idle_client.reader.read()) == b""
             assert await within_timeout(old.process.wait()) == 0
-            waiting = await connect(listener)  # queued for the next process, not refused
-            waiting.send(http_request("lodge"))
+            waiting_client = await connect(listener)  # queued for the next process, not refused
+            waiting_client.send(http_request("lodge"))
             async with running_sidecar(config, server, listener):
-                assert (await waiting.read_response()).status == 200
+                assert (await waiting_client.read_response()).status == 200
 
     run_async(work)
 
@@ -140,7 +142,7 @@
     run_async(work)
 
 
-def test_adopt_leaves_a_descriptor_open_when_it_is_no_listener() -> None:
+def test_adopt_listener_does_not_close_the_descriptor_when_it_is_not_a_listener() -> None:
     with socket.socket() as other:
         with pytest.raises(ValueError, match="not a listening"):
             adopt_listener(str(other.fileno()))
--- a/tests/sidecar/test_race_conditions.py
+++ b/tests/sidecar/test_race_conditions.py
@@ -613,7 +613,7 @@
 
 
 @pytest.mark.alone
-def test_connection_that_is_established_late_is_used_kept_and_counted() -> None:
+def test_connection_that_is_established_late_is_used_retained_and_counted() -> None:
     async def work() -> None:
         slow = FullAcceptQueueServer()
         await slow.fill_accept_queue()
--- a/tests/sidecar/test_reload.py
+++ b/tests/sidecar/test_reload.py
@@ -40,10 +40,10 @@
 }
 
 
-def read(text: str, folder: Path, before: Config | None) -> Config:
+def write_and_load(text: str, folder: Path, current: Config | None) -> Config:
     path = folder / "config.json"
     path.write_text(text)
-    return load({"BALANCER_CONFIG": str(path)}, before)
+    return load({"BALANCER_CONFIG": str(path)}, current)
 
 
 def key_paths(content: Any, path: tuple[str | int, ...] = ()) -> Iterator[tuple[str | int, ...]]:
@@ -72,7 +72,7 @@
     path: tuple[str | int, ...], tmp_path: Path
 ) -> None:
     # Guards against a truncated file whose missing keys are silently replaced by defaults or the environment.
-    before = read(json.dumps(FULL_CONFIG), tmp_path, None)
+    current = write_and_load(json.dumps(FULL_CONFIG), tmp_path, None)
     for value in (..., None):
         content = copy.deepcopy(FULL_CONFIG)
         parent: Any = content
@@ -83,7 +83,7 @@
         else:
             del parent[path[-1]]
         with pytest.raises(ConfigError) as raised:
-            read(json.dumps(content), tmp_path, before)
+            write_and_load(json.dumps(content), tmp_path, current)
         assert "".join(f"[{key}]" if type(key) is int else f".{key}" for key in path)[1:] in str(raised.value)
 
 
@@ -91,9 +91,9 @@
     "text", ["", " ", "{", "[]", "null", "7", json.dumps(FULL_CONFIG)[:-1], json.dumps(FULL_CONFIG)[:200]]
 )
 def test_reload_is_rejected_when_the_file_is_empty_or_truncated(text: str, tmp_path: Path) -> None:
-    before = read(json.dumps(FULL_CONFIG), tmp_path, None)
+    current = write_and_load(json.dumps(FULL_CONFIG), tmp_path, None)
     with pytest.raises(ConfigError, match=r"^BALANCER_CONFIG: "):
-        read(text, tmp_path, before)
+        write_and_load(text, tmp_path, current)
 
 
 @pytest.mark.parametrize(
@@ -103,37 +103,39 @@
 def test_reload_is_rejected_when_a_value_is_not_a_positive_number(
     key: str, value: str, tmp_path: Path
 ) -> None:
-    before = read(json.dumps(FULL_CONFIG), tmp_path, None)
+    current = write_and_load(json.dumps(FULL_CONFIG), tmp_path, None)
     content = copy.deepcopy(FULL_CONFIG)
     parent = content["settings"]["bounds"] if key == "sendCap" else content["settings"]["lanes"][1]
     parent[key] = "HERE"
-    for previous in (before, None):  # None: at the start, where null means that the key is absent
+    for previous in (current, None):  # None: at the start, where null means that the key is absent
         if value == "null" and previous is None:
             continue
         with pytest.raises(ConfigError) as raised:
-            read(json.dumps(content).replace('"HERE"', value), tmp_path, previous)
+            write_and_load(json.dumps(content).replace('"HERE"', value), tmp_path, previous)
         assert key in str(raised.value) or str(raised.value).startswith("BALANCER_CONFIG: ")
 
 
 def test_reload_is_rejected_when_a_key_is_duplicated(tmp_path: Path) -> None:
     text = json.dumps(FULL_CONFIG)[:-1] + ', "seed": "1"}'
     with pytest.raises(ConfigError, match=r"^seed: "):
-        read(text, tmp_path, None)
+        write_and_load(text, tmp_path, None)
 
 
 def test_reload_accepts_an_additional_class(tmp_path: Path) -> None:
-    before = read(json.dumps(FULL_CONFIG), tmp_path, None)
+    current = write_and_load(json.dumps(FULL_CONFIG), tmp_path, None)
     content = copy.deepcopy(FULL_CONFIG)
     content["settings"]["lanes"] = [{**FULL_CONFIG["settings"]["lanes"][0], "name": "new"}]
-    assert [each.name for each in read(json.dumps(content), tmp_path, before).settings.classes] == ["new"]
+    assert [
+        each.name for each in write_and_load(json.dumps(content), tmp_path, current).settings.classes
+    ] == ["new"]
 
 
 # Load balancing
 
 
 def test_reload_limits_every_later_attempt_when_fewer_are_allowed() -> None:
-    before = make_settings(limits={"max_attempts": 3})
-    driver = BalancerDriver(before)
+    current = make_settings(limits={"max_attempts": 3})
+    driver = BalancerDriver(current)
     driver.update_endpoints(endpoint_names(5))
     first, second = driver.receive_request("look"), driver.receive_request("look")
     driver.end_attempt(first, Outcome.SERVER_ERROR)
@@ -210,7 +212,9 @@
             assert (await harness.send_request("new", timeout="9")).status == 200
             assert float(harness.received_requests[-1].headers["request-timeout"]) <= 1.0
             assert sidecar._upstream._timeouts.connect_s == 0.123
-            assert sidecar._upstream._timeouts.response_stall_s == 0.4 * 0.75  # of the only class's objective
+            assert (
+                sidecar._upstream._timeouts.response_stall_s == 0.4 * 0.75
+            )  # 0.75 s: objective of the only class
             await asyncio.sleep(0.1)
             assert (await harness.send_request("check")).status == 400  # no longer accepted
             assert "app.downstream_requests.check.completed=1" in sidecar.command_handlers()["telemetry"]()
@@ -258,9 +262,7 @@
                 assert (await slow_client.read_response()).status == 200
             slow_client.send(request[40:])
             assert (await slow_client.read_response()).status == 200
-            assert (
-                await slow_client.send_request("check")
-            ).status == 400  # it began after the class was removed
+            assert (await slow_client.send_request("check")).status == 400  # began after the removal
 
     run_async(work)
 
--- a/tests/sidecar/test_start_faults.py
+++ b/tests/sidecar/test_start_faults.py
@@ -29,12 +29,12 @@
 import errno, os, socket
 remaining_failures = [3]
 def failing(call):
-    def wrapped(*given, **named):
-        # Fails only the creation of new sockets and the call itself, not sockets made from a descriptor.
-        if remaining_failures[0] and len(given) < 5 and "fileno" not in named:
+    def wrapped(*args, **kwargs):
+        # Fails the creation of sockets and calls on them, but not the creation from an existing descriptor.
+        if remaining_failures[0] and len(args) < 5 and "fileno" not in kwargs:
             remaining_failures[0] -= 1
             raise OSError(errno.{error}, os.strerror(errno.{error}))
-        return call(*given, **named)
+        return call(*args, **kwargs)
     return wrapped
 socket.socket.{call} = failing(socket.socket.{call})
 """
