--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -23,10 +23,10 @@
 class ClientBehavior:
     """Probabilities, from 0 to 1, that are drawn for each request."""
 
-    disconnect_probability: float = 0.0  # Disconnecting before the response, by RST or by FIN.
-    large_body_probability: float = 0.02  # Sending a body of `_LARGE_BODY_BYTES`.
-    large_response_probability: float = 0.02  # Asking the server for a large response.
-    slow_request_probability: float = 0.0  # Sending the request in two parts with a pause between them.
+    disconnect_probability: float = 0.0  # Probability of disconnecting early, by RST or FIN.
+    large_body_probability: float = 0.02  # Probability of a body of `_LARGE_BODY_BYTES`.
+    large_response_probability: float = 0.02  # Probability of requesting a large response.
+    slow_request_probability: float = 0.0  # Probability of sending in two parts, with a pause.
 
 
 @dataclass(slots=True)
--- a/tests/soak/fault_proxy.py
+++ b/tests/soak/fault_proxy.py
@@ -101,7 +101,7 @@
         self._attempt: ServerAttempt | None = None
         self._fault: RequestFault | None = None
         self._is_stalled = False  # True while the rest of a response is discarded.
-        self._is_rejected = False  # True if the request was rejected here, so its data is not forwarded.
+        self._is_rejected = False  # True if the data just received ended a request that was rejected here.
 
     # Connection to the sidecar
 
--- a/tests/soak/servers.py
+++ b/tests/soak/servers.py
@@ -30,16 +30,16 @@
     """Faults of one server; probabilities are from 0 to 1 and are drawn for each connection or request."""
 
     hangs: bool = False  # True if the server accepts requests and responds to none.
-    reject_probability: float = 0.0  # Of the response 503 with the header Not-Started.
-    error_probability: float = 0.0  # Of the response 500.
+    reject_probability: float = 0.0  # Probability of responding 503 with the header Not-Started.
+    error_probability: float = 0.0  # Probability of responding 500.
     mean_service_time_s: float = 0.004
-    accept_close_probability: float = 0.0  # Of a FIN as soon as the connection is established.
-    accept_reset_probability: float = 0.0  # Of a RST as soon as the connection is established.
-    reset_after_headers_probability: float = 0.0  # Of a RST after the headers of the request.
-    reset_after_request_probability: float = 0.0  # Of a RST after the complete request.
-    reset_in_response_probability: float = 0.0  # Of a RST after a part of the response.
-    stall_in_response_probability: float = 0.0  # Of a response that stops after its first part.
-    duplicate_response_probability: float = 0.0  # Of a response that is sent twice.
+    accept_close_probability: float = 0.0  # Probability of sending FIN right after accepting.
+    accept_reset_probability: float = 0.0  # Probability of sending RST right after accepting.
+    reset_after_headers_probability: float = 0.0  # Probability of sending RST after the request headers.
+    reset_after_request_probability: float = 0.0  # Probability of sending RST after the complete request.
+    reset_in_response_probability: float = 0.0  # Probability of sending RST after a part of the response.
+    stall_in_response_probability: float = 0.0  # Probability of stopping after a part of the response.
+    duplicate_response_probability: float = 0.0  # Probability of sending the response twice.
     read_delay_s: float = 0.0  # Pause in reading after each received part of an incomplete request.
 
 
