--- a/tests/external_names/outside.py
+++ b/tests/external_names/outside.py
@@ -36,12 +36,12 @@
     Subscribe,
 )
 from tulipnotch.load_balancing.settings_reader import settings_from_mapping
-from tulipnotch.sidecar.configuration.configuration import parse
+from tulipnotch.sidecar.configuration.configuration import parse_config
 from tulipnotch.sidecar.control.endpoint import CommandRejectedError
 from tulipnotch.sidecar.discovery.peers import PeerMessenger
 from tulipnotch.sidecar.downstream.listener import bind_and_listen
 from tulipnotch.sidecar.operator_file import load_operator_options
-from tulipnotch.simulator_wire.adapter import run
+from tulipnotch.simulator_wire.adapter import run_adapter
 from tulipnotch.simulator_wire.names import settings_from_wire
 
 PACKAGE = "tulipnotch"
@@ -89,7 +89,7 @@
 
 def configuration(given: dict[str, Any]) -> list[Any]:
     """All values of a configuration as the program gets them, by place."""
-    return plain(parse(given))
+    return plain(parse_config(given))
 
 
 # The simulator's adapter
@@ -108,7 +108,7 @@
 def adapter_text(text: str) -> tuple[int, str, str]:
     """Exit code, standard output and standard error of the adapter for this input."""
     out, err = io.StringIO(), io.StringIO()
-    return run(io.StringIO(text), out, err), out.getvalue(), err.getvalue()
+    return run_adapter(io.StringIO(text), out, err), out.getvalue(), err.getvalue()
 
 
 # The decisions, heard or replaced
@@ -191,7 +191,7 @@
 def set_by_operator(path: Path) -> list[Any]:
     """All values that an operator file sets in the program, by place."""
     classes = [{"name": name, "giveUpUs": 2_000_000} for name in ("look", "odd")]
-    place = load_operator_options(str(path), parse(put(CONFIGURATION, "settings.lanes", classes)))
+    place = load_operator_options(str(path), parse_config(put(CONFIGURATION, "settings.lanes", classes)))
     log = [vars(place.log)["_limits"], vars(place.log)["_write"].__qualname__]
     rest = [getattr(place, each.name) for each in dataclasses.fields(place)][1:]
     return [
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -14,7 +14,7 @@
 import uvloop
 
 from tulipnotch.sidecar import logs
-from tulipnotch.sidecar.configuration.configuration import parse
+from tulipnotch.sidecar.configuration.configuration import parse_config
 from tulipnotch.sidecar.downstream.client_limits import ClientLimits
 from tulipnotch.sidecar.operator_file import OperatorOptions
 from tulipnotch.sidecar.service_level_monitor import ServiceLevels
@@ -355,7 +355,7 @@
         client_limits=asdict(client_limits) if client_limits is not None else {},
         service_levels=service_levels,
     )
-    sidecar = Sidecar(parse(config, config), options)
+    sidecar = Sidecar(parse_config(config, config), options)
     if started:
         await sidecar.start()
     harness = SidecarHarness(sidecar, discovery, servers, log)
--- a/tests/sidecar/configuration/test_configuration_validation.py
+++ b/tests/sidecar/configuration/test_configuration_validation.py
@@ -10,10 +10,10 @@
 from running import VALID_CONFIG
 
 from tulipnotch.sidecar.configuration.completeness import check_no_key_missing
-from tulipnotch.sidecar.configuration.configuration import load, parse
+from tulipnotch.sidecar.configuration.configuration import load_config, parse_config
 from tulipnotch.sidecar.configuration.errors import ConfigError
-from tulipnotch.sidecar.configuration.json_file import read_object
-from tulipnotch.sidecar.configuration.validation import find_faults
+from tulipnotch.sidecar.configuration.json_file import read_json_object
+from tulipnotch.sidecar.configuration.validation import find_config_faults
 
 
 @pytest.mark.parametrize(
@@ -36,26 +36,28 @@
     changes: dict[str, Any], text: str
 ) -> None:
     with pytest.raises(ConfigError) as error:
-        parse({**VALID_CONFIG, **changes})
+        parse_config({**VALID_CONFIG, **changes})
     assert str(error.value) == text
     assert text == f"{error.value.key}: {error.value.problem}"
 
 
 def test_find_faults_reports_the_faults_that_parse_would_raise_one_by_one() -> None:
     given = {**VALID_CONFIG, "name": "", "seed": "xyz", "limits": {"sockets": 3, "memory_mb": 3}}
-    keys = [each.key for each in find_faults(given)]
+    keys = [each.key for each in find_config_faults(given)]
     assert keys == ["name", "seed", "limits.sockets", "limits.memory_mb"]
-    assert find_faults(VALID_CONFIG) == []
+    assert find_config_faults(VALID_CONFIG) == []
 
 
 @pytest.mark.parametrize(("sockets", "memory_mb"), [(64, 16), (1_024, 192)])
 def test_parse_accepts_the_minimum_limits_and_others(sockets: int, memory_mb: int) -> None:
-    config = parse({**VALID_CONFIG, "limits": {"sockets": sockets, "memory_mb": memory_mb}})
+    config = parse_config({**VALID_CONFIG, "limits": {"sockets": sockets, "memory_mb": memory_mb}})
     assert (config.sockets, config.memory_mb) == (sockets, memory_mb)
 
 
 def test_parse_uses_defaults_for_limits_and_cached_endpoints_that_are_omitted() -> None:
-    config = parse({key: value for key, value in VALID_CONFIG.items() if key not in ("limits", "known")})
+    config = parse_config(
+        {key: value for key, value in VALID_CONFIG.items() if key not in ("limits", "known")}
+    )
     assert (config.sockets, config.memory_mb) == (1_024, 64)
     assert (config.known.version, config.known.endpoints) == (0, ())
 
@@ -72,14 +74,14 @@
     path = tmp_path / "config.json"
     path.write_text(text)
     with pytest.raises(ConfigError) as raised:
-        read_object(str(path))
+        read_json_object(str(path))
     assert str(raised.value) == error
 
 
 def test_load_uses_the_environment_only_for_keys_that_the_file_omits(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps({key: value for key, value in VALID_CONFIG.items() if key != "listen"}))
-    config = load(
+    config = load_config(
         {"BALANCER_CONFIG": str(path), "BALANCER_LISTEN": "127.0.0.1:81", "BALANCER_NAME": "another"}
     )
     assert (config.name, config.listen) == ("n0", ("127.0.0.1", 81))
--- a/tests/sidecar/discovery/test_change_propagation.py
+++ b/tests/sidecar/discovery/test_change_propagation.py
@@ -32,7 +32,7 @@
 from tulipnotch.load_balancing.settings import DiscoveryMode as Mode
 from tulipnotch.sidecar import startup
 from tulipnotch.sidecar.addresses import parse_address
-from tulipnotch.sidecar.configuration.configuration import parse
+from tulipnotch.sidecar.configuration.configuration import parse_config
 from tulipnotch.sidecar.discovery import client as discovery
 from tulipnotch.sidecar.discovery.poll_schedule import PollSchedule
 
@@ -168,7 +168,7 @@
     if case == ANOTHER_ADDRESS:
         await server.start()
         raw = {**dict(harness.sidecar.config.file), "discovery": server.address}
-        harness.sidecar.reload(parse(raw, raw))
+        harness.sidecar.reload(parse_config(raw, raw))
         await wait_until(lambda: len(server.received_requests) >= 1)
         return
     port = int(harness.discovery.address.rpartition(":")[2])
@@ -352,7 +352,7 @@
             await other.start()
             before = harness.sidecar.config
             raw = _raw(before.name, other.address)
-            harness.sidecar.reload(parse(raw, raw))
+            harness.sidecar.reload(parse_config(raw, raw))
             await wait_until(lambda: "s-1" in harness.sidecar._balancer._context.endpoints)
             assert (await harness.send_request("check")).status == 503  # the new limit is one open request
             release.set()
@@ -409,7 +409,7 @@
             assert (await harness.send_request()).status == 200
             assert harness.sidecar._balancer._components.response_times.cpu_utilization is not None
             raw = _raw(harness.sidecar.config.name, harness.discovery.address)
-            harness.sidecar.reload(parse(raw, raw))
+            harness.sidecar.reload(parse_config(raw, raw))
             assert harness.sidecar._balancer._components.response_times.cpu_utilization is None
 
     run_async(work)
--- a/tests/sidecar/downstream/test_descriptor_limits.py
+++ b/tests/sidecar/downstream/test_descriptor_limits.py
@@ -29,7 +29,7 @@
 from running import VALID_CONFIG, SidecarProcess, resident_bytes, running_sidecar, sidecar_with_server
 from unavailable_discovery import DISCOVERY_FAULTS, UnavailableDiscovery
 
-from tulipnotch.sidecar.configuration.configuration import parse
+from tulipnotch.sidecar.configuration.configuration import parse_config
 from tulipnotch.sidecar.control.endpoint import ControlLimits
 from tulipnotch.sidecar.descriptor_budget import RESERVED_DESCRIPTORS
 from tulipnotch.sidecar.operator_file import OperatorOptions
@@ -238,7 +238,7 @@
     given = {**VALID_CONFIG, "limits": {**VALID_CONFIG["limits"], "sockets": sockets, "memory_mb": 2_048}}
 
     async def work() -> None:
-        config = parse(given, given)
+        config = parse_config(given, given)
         sidecar = Sidecar(
             config,
             OperatorOptions(log=_ignore_log, control_limits=ControlLimits(max_connections=operators)),
@@ -266,7 +266,7 @@
     given = {**VALID_CONFIG, "limits": {"sockets": sockets, "memory_mb": memory_mb}}
 
     async def work() -> None:
-        sidecar = Sidecar(parse(given, given), OperatorOptions(log=_ignore_log))
+        sidecar = Sidecar(parse_config(given, given), OperatorOptions(log=_ignore_log))
         assert sidecar.downstream.max_connections + sidecar._upstream.max_connections == connections
         assert connections * MAX_BYTES_PER_CONNECTION <= memory_mb * (1 << 20) / 4
         sidecar.close()
--- a/tests/sidecar/test_reload.py
+++ b/tests/sidecar/test_reload.py
@@ -26,7 +26,7 @@
 
 from tulipnotch.load_balancing.events import SettingsChanged
 from tulipnotch.load_balancing.outcomes import Outcome
-from tulipnotch.sidecar.configuration.configuration import Config, ConfigError, load, parse
+from tulipnotch.sidecar.configuration.configuration import Config, ConfigError, load_config, parse_config
 
 FULL: dict[str, Any] = {
     **VALID_CONFIG,
@@ -43,7 +43,7 @@
 def read(text: str, folder: Path, before: Config | None) -> Config:
     path = folder / "config.json"
     path.write_text(text)
-    return load({"BALANCER_CONFIG": str(path)}, before)
+    return load_config({"BALANCER_CONFIG": str(path)}, before)
 
 
 def key_paths(given: Any, path: tuple[str | int, ...] = ()) -> Iterator[tuple[str | int, ...]]:
@@ -184,7 +184,7 @@
 def changed(config: Config, **what: Any) -> Config:
     given = copy.deepcopy(dict(config.file))
     given["settings"].update(what)
-    return parse(given, given)
+    return parse_config(given, given)
 
 
 def test_reload_applies_settings_to_every_component(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/sidecar/upstream/interleaving_cases.py
+++ b/tests/sidecar/upstream/interleaving_cases.py
@@ -11,7 +11,7 @@
     MS,
 )
 
-from tulipnotch.sidecar.configuration.configuration import Config, parse
+from tulipnotch.sidecar.configuration.configuration import Config, parse_config
 
 LATENCY_OBJECTIVE = 100 * MS
 WINDOW = 200 * MS
@@ -119,4 +119,4 @@
             },
         },
     }
-    return parse(given, given)
+    return parse_config(given, given)
--- a/tests/sidecar/upstream/interleaving_world.py
+++ b/tests/sidecar/upstream/interleaving_world.py
@@ -80,7 +80,7 @@
         config = config_for(case, seed)
         self.sidecar = Sidecar(config, OperatorOptions(log=self._log))
         self.sidecar._upstream.endpoints_updated(config.known)
-        self.sidecar._events.post(config.known.event(EndpointUpdateKind.CACHED))
+        self.sidecar._events.post(config.known.to_event(EndpointUpdateKind.CACHED))
         self.sidecar.lifecycle.started()
         if start.has_connections:
             self._establish_connections()
--- a/tests/sidecar/upstream/test_reload_bounds.py
+++ b/tests/sidecar/upstream/test_reload_bounds.py
@@ -25,14 +25,14 @@
     until_dial_is_delayed,
 )
 
-from tulipnotch.sidecar.configuration.configuration import parse
+from tulipnotch.sidecar.configuration.configuration import parse_config
 
 
 def _reload(harness: SidecarHarness, **changes: Any) -> None:
     """Change settings in the running sidecar."""
     before = dict(harness.sidecar.config.file)
     raw = {**before, "settings": {**before["settings"], **changes}}
-    harness.sidecar.reload(parse(raw, raw))
+    harness.sidecar.reload(parse_config(raw, raw))
 
 
 def _with_class(**changes: Any) -> dict[str, Any]:
--- a/tests/simulator_wire/test_adapter.py
+++ b/tests/simulator_wire/test_adapter.py
@@ -15,7 +15,7 @@
 from hypothesis import settings as how
 from hypothesis import strategies as st
 
-from tulipnotch.simulator_wire.adapter import run
+from tulipnotch.simulator_wire.adapter import run_adapter
 from tulipnotch.simulator_wire.names import settings_from_wire
 
 SETTINGS: dict[str, Any] = {
@@ -52,7 +52,7 @@
 
 def play_text(text: str) -> tuple[int, list[list[Any]], str]:
     output, err = io.StringIO(), io.StringIO()
-    code = run(io.StringIO(text), output, err)
+    code = run_adapter(io.StringIO(text), output, err)
     return code, [json.loads(each) for each in output.getvalue().splitlines()], err.getvalue()
 
 
--- a/tulipnotch/cli/check.py
+++ b/tulipnotch/cli/check.py
@@ -18,8 +18,8 @@
 from tulipnotch.settings.source_lines import json_lines, line_of
 from tulipnotch.sidecar.configuration.configuration import with_environment
 from tulipnotch.sidecar.configuration.errors import ConfigError
-from tulipnotch.sidecar.configuration.json_file import CONFIG_VARIABLE, read_object
-from tulipnotch.sidecar.configuration.validation import find_faults
+from tulipnotch.sidecar.configuration.json_file import CONFIG_VARIABLE, read_json_object
+from tulipnotch.sidecar.configuration.validation import find_config_faults
 
 _EXIT_INVALID = 2
 
@@ -91,9 +91,9 @@
 
 def _configuration_faults(path: Path) -> list[Fault]:
     try:
-        given = read_object(str(path))
+        given = read_json_object(str(path))
     except ConfigError as error:
         return [Fault(0, "", str(error).removeprefix(f"{CONFIG_VARIABLE}: "))]
     lines = json_lines(path.read_text(encoding="utf-8"))
-    faults = find_faults(with_environment(given, os.environ))
+    faults = find_config_faults(with_environment(given, os.environ))
     return [Fault(line_of(lines, each.key), each.key, each.problem) for each in faults]
--- a/tulipnotch/sidecar/configuration/configuration.py
+++ b/tulipnotch/sidecar/configuration/configuration.py
@@ -10,11 +10,11 @@
 from tulipnotch.sidecar.addresses import Address
 from tulipnotch.sidecar.configuration.completeness import check_no_key_missing
 from tulipnotch.sidecar.configuration.errors import ConfigError
-from tulipnotch.sidecar.configuration.json_file import CONFIG_VARIABLE, read_object
+from tulipnotch.sidecar.configuration.json_file import CONFIG_VARIABLE, read_json_object
 from tulipnotch.sidecar.configuration.validation import read_fields
 from tulipnotch.sidecar.discovery.endpoint_list_codec import DiscoveryResponse
 
-__all__ = ["Config", "ConfigError", "load", "parse", "with_environment"]
+__all__ = ["Config", "ConfigError", "load_config", "parse_config", "with_environment"]
 
 _KEYS_FROM_ENVIRONMENT = ("name", "listen", "discovery", "control")
 
@@ -38,7 +38,7 @@
     file: Mapping[str, Any] = field(default_factory=dict, compare=False, repr=False)  # as it was read
 
 
-def load(environ: Mapping[str, str], in_force: Config | None = None) -> Config:
+def load_config(environ: Mapping[str, str], in_force: Config | None = None) -> Config:
     """Reads the file that `BALANCER_CONFIG` names.
 
     Args:
@@ -51,13 +51,13 @@
     path = environ.get(CONFIG_VARIABLE)
     if not path:
         raise ConfigError(CONFIG_VARIABLE, "the path of the configuration file is missing")
-    given = read_object(path)
+    given = read_json_object(path)
     if in_force is not None:
         check_no_key_missing(given, in_force.file)
-    return parse(with_environment(given, environ), given)
+    return parse_config(with_environment(given, environ), given)
 
 
-def parse(given: Mapping[str, Any], file: Mapping[str, Any] | None = None) -> Config:
+def parse_config(given: Mapping[str, Any], file: Mapping[str, Any] | None = None) -> Config:
     """Validates a configuration that has been read; `file` is the object of its file.
 
     Raises:
--- a/tulipnotch/sidecar/configuration/json_file.py
+++ b/tulipnotch/sidecar/configuration/json_file.py
@@ -12,7 +12,7 @@
 CONFIG_VARIABLE = "BALANCER_CONFIG"  # of the environment; it holds the path of the file
 
 
-def read_object(path: str) -> dict[str, Any]:
+def read_json_object(path: str) -> dict[str, Any]:
     """Reads a file that holds one JSON object.
 
     Raises:
--- a/tulipnotch/sidecar/configuration/reload.py
+++ b/tulipnotch/sidecar/configuration/reload.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping
 from typing import Protocol
 
-from tulipnotch.sidecar.configuration.configuration import Config, load
+from tulipnotch.sidecar.configuration.configuration import Config, load_config
 from tulipnotch.sidecar.configuration.errors import ConfigError
 from tulipnotch.sidecar.control.telemetry import Telemetry
 from tulipnotch.sidecar.logs import Log
@@ -32,7 +32,7 @@
 def reload_configuration(sidecar: ReloadableSidecar, environ: Mapping[str, str], log: Log) -> None:
     """Reads the complete configuration again and applies it; an invalid one leaves the previous in force."""
     try:
-        config = load(environ, sidecar.config)
+        config = load_config(environ, sidecar.config)
     except ConfigError as error:
         sidecar.telemetry.configuration_rejected()
         log("reload_rejected", fault=str(error))
--- a/tulipnotch/sidecar/configuration/validation.py
+++ b/tulipnotch/sidecar/configuration/validation.py
@@ -29,7 +29,7 @@
     return fields | {name: read(given) for name, read in _READERS.items()}
 
 
-def find_faults(given: Mapping[str, Any]) -> list[ConfigError]:
+def find_config_faults(given: Mapping[str, Any]) -> list[ConfigError]:
     """Returns an error for each value that is missing or invalid, not only for the first one."""
     faults: list[ConfigError] = []
     try:
--- a/tulipnotch/sidecar/discovery/endpoint_list_codec.py
+++ b/tulipnotch/sidecar/discovery/endpoint_list_codec.py
@@ -51,7 +51,7 @@
     is_complete: bool
     endpoints: tuple[DiscoveredEndpoint, ...]
 
-    def event(self, kind: EndpointUpdateKind | None = None) -> EndpointsUpdated:
+    def to_event(self, kind: EndpointUpdateKind | None = None) -> EndpointsUpdated:
         """Return the event for the balancer; `kind` replaces the kind that follows from the response."""
         if kind is None:
             kind = EndpointUpdateKind.COMPLETE if self.is_complete else EndpointUpdateKind.DELTA
--- a/tulipnotch/sidecar/program.py
+++ b/tulipnotch/sidecar/program.py
@@ -18,7 +18,7 @@
 
 from tulipnotch.sidecar import BEGAN
 from tulipnotch.sidecar.addresses import Address
-from tulipnotch.sidecar.configuration.configuration import Config, ConfigError, load
+from tulipnotch.sidecar.configuration.configuration import Config, ConfigError, load_config
 from tulipnotch.sidecar.configuration.reload import reload_configuration
 from tulipnotch.sidecar.control.endpoint import ControlEndpoint
 from tulipnotch.sidecar.downstream.listener import adopt, bind_with_retry, listen
@@ -41,7 +41,7 @@
 def run() -> int:
     """Runs one sidecar as the environment says, and returns the exit code of its process."""
     try:
-        config = load(os.environ)
+        config = load_config(os.environ)
         options = load_operator_options(os.environ.get(OPERATOR_VARIABLE), config)
     except ConfigError as error:
         print(f"tulipnotch: config: {error}".replace("\n", " "), file=sys.stderr)
--- a/tulipnotch/sidecar/sidecar.py
+++ b/tulipnotch/sidecar/sidecar.py
@@ -145,7 +145,7 @@
         if self._context.settings.limits.may_send_peer_messages and self.config.peer_listen is not None:
             await self._peers.listen(self.config.peer_listen)
         self._upstream.endpoints_updated(self.config.known)
-        self._events.post(self.config.known.event(EndpointUpdateKind.CACHED))
+        self._events.post(self.config.known.to_event(EndpointUpdateKind.CACHED))
         self._discovery.start()
         if inherited is not None:
             await self._startup.take_over(inherited)
@@ -253,7 +253,7 @@
     def endpoints_received(self, response: DiscoveryResponse) -> None:
         self.received.set()
         self._context.upstream.endpoints_updated(response)
-        self._events.post(response.event())
+        self._events.post(response.to_event())
 
     def call_failed(self) -> None:
         self._events.post(EndpointsUpdated(EndpointUpdateKind.FAILED))
--- a/tulipnotch/simulator_wire/adapter.py
+++ b/tulipnotch/simulator_wire/adapter.py
@@ -134,7 +134,7 @@
     return message
 
 
-def run(lines: Iterable[str], output: TextIO, errors: TextIO) -> int:
+def run_adapter(lines: Iterable[str], output: TextIO, errors: TextIO) -> int:
     """Play all lines; return the exit code."""
     host = BalancerHost()
     for number, text in enumerate(lines, 1):
@@ -153,7 +153,7 @@
     """Play standard input; return the exit code."""
     sys.stdin.reconfigure(encoding="utf-8", errors="replace")  # type: ignore[union-attr]
     sys.stdout.reconfigure(encoding="utf-8", newline="\n")  # type: ignore[union-attr]
-    return run(sys.stdin, sys.stdout, sys.stderr)
+    return run_adapter(sys.stdin, sys.stdout, sys.stderr)
 
 
 if __name__ == "__main__":
