--- a/tests/load_balancing/admission/test_service_levels_in_force.py
+++ b/tests/load_balancing/admission/test_service_levels_in_force.py
@@ -15,7 +15,7 @@
 from tulipnotch.load_balancing.admission.concurrency_limit import ConcurrencyLimit
 from tulipnotch.load_balancing.events import RequestArrived, ServiceLevelChanged
 from tulipnotch.settings.check import InvalidFileError
-from tulipnotch.settings.operator import load
+from tulipnotch.settings.operator import load_operator_file
 from tulipnotch.sidecar.service_level_monitor import ServiceLevels
 
 CLASS_REJECTED = ServiceLevelChanged(frozenset({"look"}), frozenset({"look"}))
@@ -165,10 +165,10 @@
 ) -> None:
     path = tmp_path / "operator.toml"
     path.write_text(VALID_LEVELS)
-    assert [each.name for each in load(path).overload.levels] == ["spare", "orders-only"]
+    assert [each.name for each in load_operator_file(path).overload.levels] == ["spare", "orders-only"]
     path.write_text(VALID_LEVELS.replace(*change))
     with pytest.raises(InvalidFileError, match=r".") as error:
-        load(path)
+        load_operator_file(path)
     assert expected_error in str(error.value)
 
 
--- a/tests/settings/test_check.py
+++ b/tests/settings/test_check.py
@@ -9,8 +9,8 @@
 import pytest
 
 from tulipnotch.settings.check import InvalidFileError, read_toml
-from tulipnotch.settings.operator import OperatorFile, load
-from tulipnotch.settings.source_lines import json_lines, toml_lines
+from tulipnotch.settings.operator import OperatorFile, load_operator_file
+from tulipnotch.settings.source_lines import locate_json_keys, locate_toml_keys
 from tulipnotch.sidecar.control.endpoint import ControlLimits
 from tulipnotch.sidecar.downstream.client_limits import ClientLimits
 from tulipnotch.sidecar.logs import LogLimits
@@ -68,7 +68,7 @@
 
 
 def test_operator_example_shows_every_key_with_its_default() -> None:
-    assert load(EXAMPLE) == OperatorFile()
+    assert load_operator_file(EXAMPLE) == OperatorFile()
     given = tomllib.loads(EXAMPLE.read_text())
     assert given == msgspec.json.decode(msgspec.json.encode(OperatorFile()))
 
@@ -82,10 +82,10 @@
 
 def test_toml_lines_finds_keys_in_arrays_of_tables() -> None:
     text = "[[a]]\nx = 1\n[a.b]\ny = 2\n[[a]]\n# x = 0\nx = 3\n"
-    lines = toml_lines(text)
+    lines = locate_toml_keys(text)
     assert (lines["a[0].x"], lines["a[1].x"], lines["a[1]"]) == (2, 7, 5)
 
 
 def test_json_lines_finds_keys_in_nested_arrays_and_objects() -> None:
     text = '{"a": [1, {"b": "x,}"},\n {"b": 2}],\n "c": {"d\\"": null}}'
-    assert json_lines(text) == {"a": 1, "a[1].b": 1, "a[2].b": 2, "c": 3, 'c.d"': 3}
+    assert locate_json_keys(text) == {"a": 1, "a[1].b": 1, "a[2].b": 2, "c": 3, 'c.d"': 3}
--- a/tulipnotch/cli/check.py
+++ b/tulipnotch/cli/check.py
@@ -15,7 +15,7 @@
 from tulipnotch.cli.root import examples
 from tulipnotch.settings import operator
 from tulipnotch.settings.check import Fault, InvalidFileError
-from tulipnotch.settings.source_lines import json_lines, line_of
+from tulipnotch.settings.source_lines import find_line, locate_json_keys
 from tulipnotch.sidecar.configuration.configuration import with_environment
 from tulipnotch.sidecar.configuration.errors import ConfigError
 from tulipnotch.sidecar.configuration.json_file import CONFIG_VARIABLE, read_json_object
@@ -83,7 +83,7 @@
 
             scenario.load(path)
         else:
-            operator.load(path)
+            operator.load_operator_file(path)
     except InvalidFileError as error:
         return error.faults
     return []
@@ -94,6 +94,6 @@
         given = read_json_object(str(path))
     except ConfigError as error:
         return [Fault(0, "", str(error).removeprefix(f"{CONFIG_VARIABLE}: "))]
-    lines = json_lines(path.read_text(encoding="utf-8"))
+    lines = locate_json_keys(path.read_text(encoding="utf-8"))
     faults = find_config_faults(with_environment(given, os.environ))
-    return [Fault(line_of(lines, each.key), each.key, each.problem) for each in faults]
+    return [Fault(find_line(lines, each.key), each.key, each.problem) for each in faults]
--- a/tulipnotch/lab/scenario.py
+++ b/tulipnotch/lab/scenario.py
@@ -26,7 +26,7 @@
     PriorityWeightBasis,
     ReportSource,
 )
-from tulipnotch.settings.check import Checked, Fault, InvalidFileError, nearest, read_toml
+from tulipnotch.settings.check import Fault, InvalidFileError, ValidatedFile, format_suggestion, read_toml
 from tulipnotch.simulator_wire.names import settings_to_wire
 
 Part = Annotated[float, Meta(ge=0.0, le=1.0)]
@@ -294,7 +294,7 @@
         return given
     base, known = given.pop("extends"), shipped()
     if not isinstance(base, str) or base not in known:
-        raise ValueError(f"extends: {base!r:.40} is no shipped scenario{nearest(str(base), known)}")
+        raise ValueError(f"extends: {base!r:.40} is no shipped scenario{format_suggestion(str(base), known)}")
     below = _extended(tomllib.loads(known[base].read_text(encoding="utf-8")))
     for key in ("expect", "faults", "about"):
         below.pop(key, None)
@@ -312,7 +312,7 @@
     return found
 
 
-def _across(checked: Checked[Scenario]) -> Iterator[Fault]:
+def _across(checked: ValidatedFile[Scenario]) -> Iterator[Fault]:
     """What no single table can tell."""
     given = checked.value
     for label, names in (
@@ -323,31 +323,31 @@
     ):
         for index, name in enumerate(names):
             if name in names[:index]:
-                yield checked.fault(f"{label}[{index}]", f"the name {name} stands twice")
+                yield checked.create_fault(f"{label}[{index}]", f"the name {name} stands twice")
     if given.warmup_s >= given.seconds:
-        yield checked.fault("warmup_s", "must be under seconds")
+        yield checked.create_fault("warmup_s", "must be under seconds")
     known = metric_names(given)
     for index, text in enumerate(given.expect):
         try:
             wanted = Expectation.parse(text)
         except ValueError as fault:
-            yield checked.fault(f"expect[{index}]", str(fault))
+            yield checked.create_fault(f"expect[{index}]", str(fault))
             continue
         if wanted.metric not in known:
-            yield checked.fault(
-                f"expect[{index}]", f"{wanted.metric} is no metric{nearest(wanted.metric, known)}"
+            yield checked.create_fault(
+                f"expect[{index}]", f"{wanted.metric} is no metric{format_suggestion(wanted.metric, known)}"
             )
     for index, each in enumerate(given.faults):
         path = f"faults[{index}]"
         if each.at_s >= given.seconds:
-            yield checked.fault(f"{path}.at_s", "lies after the end")
+            yield checked.create_fault(f"{path}.at_s", "lies after the end")
         if each.kind == "cut" and each.zone not in given.fleet.zones:
-            hint = nearest(each.zone, given.fleet.zones)
-            yield checked.fault(f"{path}.zone", f"{each.zone or 'nothing'} is no zone{hint}")
+            hint = format_suggestion(each.zone, given.fleet.zones)
+            yield checked.create_fault(f"{path}.zone", f"{each.zone or 'nothing'} is no zone{hint}")
         if each.kind in ("fast_errors", "garble") and each.size > 1.0:
-            yield checked.fault(f"{path}.size", f"is a part for {each.kind}, at most 1")
+            yield checked.create_fault(f"{path}.size", f"is a part for {each.kind}, at most 1")
         if each.kind in ("slow", "heavy_tail") and each.size < 1.0:
-            yield checked.fault(f"{path}.size", f"must be 1 or more for {each.kind}")
+            yield checked.create_fault(f"{path}.size", f"must be 1 or more for {each.kind}")
 
 
 RULES = ("answers", "effects", "drains", "cold")
@@ -393,7 +393,7 @@
         return path
     if name in known:
         return known[name]
-    raise InvalidFileError(name, [Fault(0, "", f"is no scenario{nearest(name, known)}")])
+    raise InvalidFileError(name, [Fault(0, "", f"is no scenario{format_suggestion(name, known)}")])
 
 
 def _us(ms: float) -> int:
--- a/tulipnotch/settings/check.py
+++ b/tulipnotch/settings/check.py
@@ -17,7 +17,7 @@
 
 import msgspec
 
-from tulipnotch.settings.source_lines import join_path, line_of, toml_lines
+from tulipnotch.settings.source_lines import find_line, join_key_path, locate_toml_keys
 
 T = TypeVar("T", bound=msgspec.Struct)
 
@@ -55,21 +55,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Checked(Generic[T]):
+class ValidatedFile(Generic[T]):
     """The value of a valid file, and the lines of its keys for further checks."""
 
     value: T
     lines: Mapping[str, int]
 
-    def fault(self, key: str, text: str) -> Fault:
+    def create_fault(self, key: str, text: str) -> Fault:
         """Returns a fault of this key, with its line."""
-        return Fault(line_of(self.lines, key), key, text)
+        return Fault(find_line(self.lines, key), key, text)
 
 
 Prepare = Callable[[dict[str, Any]], dict[str, Any]]
 
 
-def read_toml(path: Path, struct: type[T], prepare: Prepare | None = None) -> Checked[T]:
+def read_toml(path: Path, struct: type[T], prepare: Prepare | None = None) -> ValidatedFile[T]:
     """Reads and validates a file of at most 1 MiB.
 
     Args:
@@ -83,18 +83,18 @@
     """
     text = _read_text(path)
     given = _parse(text, path)
-    lines = toml_lines(text)
+    lines = locate_toml_keys(text)
     if prepare is not None:
         try:
             given = prepare(given)
         except ValueError as error:
             key, _, problem = str(error).partition(": ")
-            raise InvalidFileError(str(path), [Fault(line_of(lines, key), key, problem)]) from None
+            raise InvalidFileError(str(path), [Fault(find_line(lines, key), key, problem)]) from None
     conversion = _Conversion(lines)
     value = conversion.convert(given, struct, "")
     if conversion.faults or value is None:
         raise InvalidFileError(str(path), conversion.faults)
-    return Checked(value, lines)
+    return ValidatedFile(value, lines)
 
 
 def _read_text(path: Path) -> str:
@@ -132,20 +132,22 @@
         hints = get_type_hints(struct, include_extras=True)
         fields = {each.encode_name: each for each in msgspec.structs.fields(struct)}
         for key in given.keys() - fields.keys():
-            self._add_fault(join_path(path, key), f"unknown key{nearest(key, fields)}")
+            self._add_fault(join_key_path(path, key), f"unknown key{format_suggestion(key, fields)}")
         values: dict[str, Any] = {}
         for key, each in fields.items():
             if key in given:
-                values[each.name] = self._convert_value(given[key], hints[each.name], join_path(path, key))
+                values[each.name] = self._convert_value(
+                    given[key], hints[each.name], join_key_path(path, key)
+                )
             elif each.required:
-                self._add_fault(join_path(path, key), "is missing")
+                self._add_fault(join_key_path(path, key), "is missing")
         if len(self.faults) > faults_before:
             return None
         try:
             return struct(**values)
         except ValueError as error:  # raised by the struct's __post_init__, worded `key: problem`
             key, colon, problem = str(error).partition(": ")
-            self._add_fault(join_path(path, key) if colon else path, problem if colon else key)
+            self._add_fault(join_key_path(path, key) if colon else path, problem if colon else key)
             return None
 
     def _convert_value(self, given: Any, hint: Any, path: str) -> Any:
@@ -170,7 +172,7 @@
             return None
 
     def _add_fault(self, key: str, text: str) -> None:
-        self.faults.append(Fault(line_of(self.lines, key), key, text))
+        self.faults.append(Fault(find_line(self.lines, key), key, text))
 
 
 def _without_constraints(hint: Any) -> Any:
@@ -184,7 +186,7 @@
     return hint
 
 
-def nearest(name: str, known: Iterable[str]) -> str:
+def format_suggestion(name: str, known: Iterable[str]) -> str:
     """Returns a hint: the known name that resembles this one most, or all of them if there are few."""
     names = sorted(known)
     similar = difflib.get_close_matches(name, names, 1)
--- a/tulipnotch/settings/operator.py
+++ b/tulipnotch/settings/operator.py
@@ -103,7 +103,7 @@
     overload: OverloadTable = OverloadTable()
 
 
-def load(path: Path) -> OperatorFile:
+def load_operator_file(path: Path) -> OperatorFile:
     """Reads and validates the file.
 
     Raises:
--- a/tulipnotch/settings/source_lines.py
+++ b/tulipnotch/settings/source_lines.py
@@ -15,12 +15,12 @@
 _JSON_TOKEN = re.compile(r'"(?:[^"\\]|\\.)*"|[{}\[\]:,]|[^\s{}\[\]:,"]+')
 
 
-def join_path(path: str, key: str) -> str:
+def join_key_path(path: str, key: str) -> str:
     """Returns the path of a key of the table at `path`; the path is empty for the file itself."""
     return f"{path}.{key}" if path else key
 
 
-def line_of(lines: Mapping[str, int], path: str) -> int:
+def find_line(lines: Mapping[str, int], path: str) -> int:
     """Returns the line of a key, or of the nearest enclosing table that has one; 0 if there is none."""
     while path:
         if path in lines:
@@ -29,7 +29,7 @@
     return 0
 
 
-def toml_lines(text: str) -> dict[str, int]:
+def locate_toml_keys(text: str) -> dict[str, int]:
     """Returns the line of each table and key of a TOML text, except for keys within inline tables."""
     lines: dict[str, int] = {}
     array_lengths: dict[str, int] = {}  # of arrays of tables, by path
@@ -44,7 +44,7 @@
             lines.setdefault(table, number)
         elif (key := _TOML_KEY.match(line)) is not None:
             name = key[1].strip("\"'") + (key[2] or "").replace(" ", "")
-            lines.setdefault(join_path(table, name), number)
+            lines.setdefault(join_key_path(table, name), number)
     return lines
 
 
@@ -82,7 +82,7 @@
             case ":":
                 pass
             case _ if self._expects_key:
-                self._path = join_path(self._containers[-1].path, str(json.loads(token)))
+                self._path = join_key_path(self._containers[-1].path, str(json.loads(token)))
                 self.lines[self._path] = line
                 self._expects_key = False
 
@@ -94,7 +94,7 @@
             container.next_index += 1
 
 
-def json_lines(text: str) -> dict[str, int]:
+def locate_json_keys(text: str) -> dict[str, int]:
     """Returns the line of each key of a valid JSON text."""
     finder = _JsonLineFinder()
     line, position = 1, 0
--- a/tulipnotch/sidecar/operator_file.py
+++ b/tulipnotch/sidecar/operator_file.py
@@ -43,7 +43,7 @@
     try:
         from tulipnotch.settings import check, operator
 
-        options = _options(operator.load(Path(path)))
+        options = _options(operator.load_operator_file(Path(path)))
     except ImportError as error:
         raise ConfigError(
             OPERATOR_VARIABLE, f"{error.name} is not installed; it comes with tulipnotch[operator]"
