--- a/tests/sidecar/discovery/test_change_propagation.py
+++ b/tests/sidecar/discovery/test_change_propagation.py
@@ -59,7 +59,7 @@
 ) -> None:
     # The watch is lost with its event; the change counts as announced all the same.
     if fault == "hung":
-        monkeypatch.setattr(discovery, "_SCHEDULE", SCHEDULE)
+        monkeypatch.setattr(discovery, "_DEFAULT_SCHEDULE", SCHEDULE)
 
     async def work() -> None:
         async with sidecar_harness(OK_RESPONSE, OK_RESPONSE, discovery=mode) as harness:
@@ -226,9 +226,9 @@
 ) -> None:
     # The bound runs from when discovery had the change and could be reached.  Every call that began before is
     # lost, the last of them just before, and calls have failed so often that the delay is at its longest.
-    monkeypatch.setattr(discovery, "_SCHEDULE", SCHEDULE)
+    monkeypatch.setattr(discovery, "_DEFAULT_SCHEDULE", SCHEDULE)
     longest_ms = int(1_000 * SCHEDULE.max_watch_s)
-    monkeypatch.setattr(PollSchedule, "wait_ms", lambda *_, **__: longest_ms)
+    monkeypatch.setattr(PollSchedule, "watch_wait_ms", lambda *_, **__: longest_ms)
 
     async def work() -> list[float]:
         # Each case has its own servers, so they run concurrently.
@@ -249,7 +249,7 @@
         received.append((now_us, instance, after_event))
         return 2_000
 
-    monkeypatch.setattr(PollSchedule, "wait_ms", wait_ms)
+    monkeypatch.setattr(PollSchedule, "watch_wait_ms", wait_ms)
 
     async def work() -> None:
         async with sidecar_harness(OK_RESPONSE, OK_RESPONSE, me=7) as harness:
--- a/tests/sidecar/discovery/test_discovery_client.py
+++ b/tests/sidecar/discovery/test_discovery_client.py
@@ -412,9 +412,12 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # Attempts may hang while discovery is unavailable; what it has on its return counts as announced.
-    for name in ("_PUSHED_CONNECT", "_PUSHED_MAX_S"):  # the attempt that hangs has no timeout
+    for name in (
+        "_PUSHED_CONNECT_FRACTION",
+        "_PUSHED_MAX_INTERVAL_S",
+    ):  # the attempt that hangs has no timeout
         monkeypatch.setattr(poll_schedule, name, 1_000.0)
-    monkeypatch.setattr(poll_schedule, "_PUSHED_HEDGE", 0.02)
+    monkeypatch.setattr(poll_schedule, "_PUSHED_HEDGE_FRACTION", 0.02)
 
     async def work() -> None:
         slow = FullAcceptQueueServer()
@@ -439,9 +442,9 @@
 @pytest.mark.parametrize(
     ("answer", "cause"),
     [
-        (http_response(_LIST[:-9]), "the list can't be read"),
-        (http_response(_LIST)[:-9], "broke"),
-        (http_response(b"", "503 Busy"), "status 503"),
+        (http_response(_LIST[:-9]), "the response is not a valid endpoint list"),
+        (http_response(_LIST)[:-9], "the connection was lost before the response was complete"),
+        (http_response(b"", "503 Busy"), "the response has status 503"),
         (http_response(_LIST.replace(b"active", b"sleepy")), "unknown state 'sleepy' of s-1"),
     ],
     ids=["truncated", "connection lost", "rejected", "unknown state"],
--- a/tests/sidecar/discovery/test_endpoint_list_codec.py
+++ b/tests/sidecar/discovery/test_endpoint_list_codec.py
@@ -29,22 +29,22 @@
 @pytest.mark.parametrize(
     ("document", "field", "problem"),
     [
-        ([], "", "an object is needed"),
-        (_document(version=True), "version", "a whole number is needed, not True"),
+        ([], "", "the endpoint list must be a JSON object"),
+        (_document(version=True), "version", "an integer >= 0 is needed, not True"),
         (_document(full=1), "full", "true or false is needed, not 1"),
         (_document(servers={}), "servers", "a list is needed, not {}"),
-        (_document(servers=[7]), "servers", "an object is needed for each"),
+        (_document(servers=[7]), "servers", "each server must be a JSON object"),
         (_document(servers=[{"id": ""}]), "servers", "an id is needed, not ''"),
         (_document(servers=[{"id": "a", "state": "odd"}]), "servers", "unknown state 'odd' of a"),
         (
             _document(servers=[endpoint_entry("a", "127.0.0.1:80", weight=-1)]),
             "servers",
-            "weight: a number is needed, not -1",
+            "weight: a number >= 0 and < 2**53 is needed, not -1",
         ),
         (
             _document(servers=[endpoint_entry("a", "127.0.0.1:80", kind=5)]),
             "servers",
-            "kind: a text is needed, not 5",
+            "kind: a string is needed, not 5",
         ),
     ],
     ids=lambda value: value if isinstance(value, str) else "",
--- a/tests/sidecar/discovery/test_initial_polling.py
+++ b/tests/sidecar/discovery/test_initial_polling.py
@@ -92,7 +92,7 @@
     for instance in range(200):
         now = start_us
         while now < start_us + 6_000_000:
-            wait_s = SCHEDULE.until_initial_slot_s(now, instance)
+            wait_s = SCHEDULE.time_until_initial_slot_s(now, instance)
             assert 0.0 < wait_s <= SCHEDULE.initial_call_interval_s + SCHEDULE.max_propagation_s / 600
             now += int(wait_s * 1e6)
             calls.append(now)
@@ -105,7 +105,7 @@
 
 
 def test_initial_slot_is_past_when_a_timer_fires_early() -> None:
-    own = SCHEDULE.until_initial_slot_s(1_800_000_000_000_000, 3)
+    own = SCHEDULE.time_until_initial_slot_s(1_800_000_000_000_000, 3)
     at = 1_800_000_000_000_000 + int(own * 1e6)
-    assert SCHEDULE.until_initial_slot_s(at - 2_000, 3) > 0.9 * SCHEDULE.initial_call_interval_s
-    assert SCHEDULE.until_initial_slot_s(at + 2_000, 3) > 0.9 * SCHEDULE.initial_call_interval_s
+    assert SCHEDULE.time_until_initial_slot_s(at - 2_000, 3) > 0.9 * SCHEDULE.initial_call_interval_s
+    assert SCHEDULE.time_until_initial_slot_s(at + 2_000, 3) > 0.9 * SCHEDULE.initial_call_interval_s
--- a/tests/sidecar/discovery/test_poll_schedule.py
+++ b/tests/sidecar/discovery/test_poll_schedule.py
@@ -60,16 +60,16 @@
     min_s = schedule.max_watch_s - schedule.slot_interval_s / (2 if after_event else 1)
     for instance, step in itertools.product(range(FLEET), range(40)):
         now_us = 1_764_000_000_000_000 + step * 97_001
-        wait_s = schedule.wait_ms(now_us, instance, after_event=after_event) / 1_000
+        wait_s = schedule.watch_wait_ms(now_us, instance, after_event=after_event) / 1_000
         assert min_s - 0.002 < wait_s <= schedule.max_watch_s
         now_us += int(wait_s * 1e6)
-        next_wait_s = schedule.wait_ms(now_us, instance, after_event=False) / 1_000
+        next_wait_s = schedule.watch_wait_ms(now_us, instance, after_event=False) / 1_000
         if after_event and next_wait_s < 0.75 * schedule.slot_interval_s:
             assert next_wait_s == pytest.approx(
                 schedule.slot_interval_s / 2, abs=0.002
             )  # once, to its own slot
             now_us += int(next_wait_s * 1e6)
-            next_wait_s = schedule.wait_ms(now_us, instance, after_event=False) / 1_000
+            next_wait_s = schedule.watch_wait_ms(now_us, instance, after_event=False) / 1_000
         assert next_wait_s == pytest.approx(
             schedule.slot_interval_s, abs=0.002
         )  # from then on, slot after slot
@@ -78,15 +78,17 @@
 def test_wait_stays_on_the_slots_when_a_response_is_early_or_late() -> None:
     for instance, offset_us in itertools.product(range(FLEET), (-40_000, -1_000, 1_000, 300_000)):
         now_us = 1_764_000_000_000_000
-        end_us = now_us + 1_000 * SCHEDULE.wait_ms(now_us, instance, after_event=False)
-        wait_s = SCHEDULE.wait_ms(end_us + offset_us, instance, after_event=False) / 1_000
+        end_us = now_us + 1_000 * SCHEDULE.watch_wait_ms(now_us, instance, after_event=False)
+        wait_s = SCHEDULE.watch_wait_ms(end_us + offset_us, instance, after_event=False) / 1_000
         assert wait_s + offset_us / 1e6 == pytest.approx(SCHEDULE.slot_interval_s, abs=0.002)
 
 
 @pytest.mark.parametrize(("after_event", "max_ratio"), [(False, 1.25), (True, 2.5)])
 def test_fleet_spreads_its_calls_when_all_ended_at_once(*, after_event: bool, max_ratio: float) -> None:
     # After a restart, the return of discovery or a watch event.
-    ends = [SCHEDULE.wait_ms(1_764_000_000_000_000, each, after_event=after_event) for each in range(FLEET)]
+    ends = [
+        SCHEDULE.watch_wait_ms(1_764_000_000_000_000, each, after_event=after_event) for each in range(FLEET)
+    ]
     mean = FLEET / SCHEDULE.slot_interval_s * 0.25
     for start_ms in range(0, int(SCHEDULE.max_watch_s * 1_000), 50):
         assert sum(start_ms <= end < start_ms + 250 for end in ends) <= max_ratio * mean
@@ -97,21 +99,21 @@
 
 
 def test_poll_intervals_follow_the_drain_grace_when_pushed() -> None:
-    pushed = PollIntervals.when_pushed(250_000)
+    pushed = PollIntervals.for_pushed_lists(250_000)
     assert pushed.max_retry_delay_s + pushed.hedge_delay_s < 0.25  # both fit into the grace
-    assert PollIntervals.when_pushed(0).max_retry_delay_s > 0.0  # no tight loop while discovery is down
-    polled = PollIntervals.when_polled(PollSchedule(), 3_600_000_000)
+    assert PollIntervals.for_pushed_lists(0).max_retry_delay_s > 0.0  # no tight loop while discovery is down
+    polled = PollIntervals.for_polled_lists(PollSchedule(), 3_600_000_000)
     assert polled.hedge_delay_s > PollSchedule().call_timeout_s  # so there are never two hedged calls
 
 
 def test_poll_intervals_follow_the_settings_when_polled() -> None:
     schedule = PollSchedule()
-    unbounded = PollIntervals.when_polled(schedule, 3_600_000_000)
+    unbounded = PollIntervals.for_polled_lists(schedule, 3_600_000_000)
     assert unbounded.hedge_delay_s == schedule.call_interval_s
     for max_poll_interval_us in (4_000_000, 4_900_000, 10_000_000, 60_000_000):
-        assert PollIntervals.when_polled(schedule, max_poll_interval_us) == unbounded
+        assert PollIntervals.for_polled_lists(schedule, max_poll_interval_us) == unbounded
     for allowed_s in (0.75, 1.0, 2.0, 3.5):
-        intervals = PollIntervals.when_polled(schedule, int(allowed_s * 1e6))
+        intervals = PollIntervals.for_polled_lists(schedule, int(allowed_s * 1e6))
         assert intervals.max_retry_delay_s <= allowed_s
         assert intervals.hedge_delay_s <= allowed_s
         if allowed_s >= 1.1:  # else the half of it: a longer part would leave nothing to wait for
--- a/tulipnotch/sidecar/discovery/__init__.py
+++ b/tulipnotch/sidecar/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Endpoint discovery: lists, long polls, and the datagrams between sidecars."""
+"""Endpoint discovery: endpoint lists, long polls, and the datagrams between sidecars."""
--- a/tulipnotch/sidecar/discovery/client.py
+++ b/tulipnotch/sidecar/discovery/client.py
@@ -1,4 +1,7 @@
-"""The client of discovery: what is known of the endpoint list, its watch, and fetches of all of it."""
+"""The client of the discovery service: watches the endpoint list, and fetches all of it on demand.
+
+A call is one HTTP request to discovery.  A watch is a series of calls that each wait for changes of the list.
+"""
 
 from __future__ import annotations
 
@@ -9,85 +12,89 @@
 from tulipnotch.sidecar.addresses import Address
 from tulipnotch.sidecar.discovery.discovery_connection import DiscoveryConnection
 from tulipnotch.sidecar.discovery.endpoint_list_codec import DiscoveryError, DiscoveryResponse
-from tulipnotch.sidecar.discovery.poll_schedule import MAX_CALLS, PollIntervals, PollSchedule
+from tulipnotch.sidecar.discovery.poll_schedule import MAX_CALLS_IN_FLIGHT, PollIntervals, PollSchedule
 from tulipnotch.sidecar.discovery.watch import DiscoveryCall, EndpointWatch, InstanceSlots
 
-_SCHEDULE = PollSchedule()
+_DEFAULT_SCHEDULE = PollSchedule()
 
 
 class DiscoveryObserver(Protocol):
-    """Whoever uses the endpoint list."""
+    """Uses the endpoint list, and is notified of responses and failures."""
 
     def endpoints_received(self, response: DiscoveryResponse) -> None:
-        """A subscription or a fetch has its response, or a watch event came."""
+        """Handles the response to a subscription or a fetch, or a watch event."""
         ...
 
     def call_failed(self) -> None:
-        """A subscription or a fetch has no response; where lists are pushed, a fetch only."""
+        """Handles the failure of a subscription or a fetch; where lists are pushed, of a fetch only."""
         ...
 
     def fault_changed(self, fault: str) -> None:
-        """There is no list for this cause; reported once for each cause until there is one."""
+        """Handles the cause of a failed call; further calls that fail for the same cause are not reported."""
         ...
 
 
 class DiscoveryClient:
-    """Calls discovery.  Each `subscribe` and each `fetch` is followed by one notification of the observer.
+    """Watches and fetches the endpoint list.
+
+    Each `subscribe` and each `fetch` is followed by one notification of the observer.
 
-    While the list is watched, calls begin `PollSchedule.call_interval_s` apart at most, whatever became of
-    the one before: `subscribe` may bring the next one forward, and need not be called a second time.
+    While the list is watched, a call starts at most `PollSchedule.call_interval_s` after the start of the one
+    before it, whether or not that one succeeds.  `subscribe` may bring the next call forward, but does not
+    have to be repeated for calls to go on.
     """
 
     def __init__(
         self,
         address: Address,
         settings: Settings,
-        known: DiscoveryResponse,
+        cached: DiscoveryResponse,
         observer: DiscoveryObserver,
         schedule: PollSchedule | None = None,
     ) -> None:
-        """Make no call yet.
+        """Creates a client that has made no call yet.
 
         Args:
             address: Where discovery listens.
-            settings: They say whether lists are pushed, which is fixed from then on, and give the intervals.
-            known: The endpoint list from before the start.
+            settings: Determine the intervals, and whether lists are pushed, which is fixed from then on.
+            cached: The endpoint list that was cached before the start.
             observer: Is notified of responses and failures.
-            schedule: Replaces the usual one.
+            schedule: Replaces the default schedule.
         """
         self._address = address
         self._observer = observer
-        self._slots = InstanceSlots(schedule or _SCHEDULE, settings.instance_index)
+        self._slots = InstanceSlots(schedule or _DEFAULT_SCHEDULE, settings.instance_index)
         self._is_pushed = settings.discovery_mode is DiscoveryMode.PUSHED
         self.apply_settings(settings)
-        self.has_endpoint_list = bool(known.endpoints)
-        self._version: int | None = known.version
-        self._revision = 0  # counts the changes of what is known
-        self._fault: str | None = None  # what was reported last, while there is no list
-        self.first_call_ended = asyncio.Event()  # with a response or a failure
+        self.has_endpoint_list = bool(cached.endpoints)
+        self._version: int | None = cached.version
+        self._revision = 0  # counts applied responses and changes of the address
+        self._fault: str | None = None  # the cause that was reported last; None once a call has succeeded
+        self.first_call_ended = asyncio.Event()  # set when a call has a response or has failed
         self._is_subscribed = self._is_pushed
         self._watch: EndpointWatch | None = None
         self._fetches: set[asyncio.Task[None]] = set()
-        self._tasks: set[asyncio.Task[None]] = set()  # those of the fetches and of all watches
+        self._tasks: set[asyncio.Task[None]] = set()  # the tasks of all fetches and of all watches
 
     def apply_settings(self, settings: Settings) -> None:
-        """Use the intervals of these settings from the next call on."""
+        """Uses the intervals of these settings from the next call on."""
         self.intervals = (
-            PollIntervals.when_pushed(settings.rules.drain_grace_us)
+            PollIntervals.for_pushed_lists(settings.rules.drain_grace_us)
             if self._is_pushed
-            else PollIntervals.when_polled(self._slots.schedule, settings.rules.max_poll_interval_us)
+            else PollIntervals.for_polled_lists(self._slots.schedule, settings.rules.max_poll_interval_us)
         )
 
     def start(self) -> None:
-        """Begin to watch where lists are pushed, since there nobody subscribes."""
-        if self._is_pushed and self._watch is None:  # a reload may have begun it
+        """Starts the watch where lists are pushed, since `subscribe` has no effect there."""
+        if self._is_pushed and self._watch is None:  # a reload may have started it already
             self._start_watch()
 
     def subscribe(self) -> None:
-        """Watch the list from now on; without effect where lists are pushed, since it always is there.
+        """Watches the list from now on; without effect where lists are pushed, since it is always watched.
 
-        A watch whose response is pending goes on as it is.  A new call would give up the place in discovery's
-        queue, and calls that are replaced again and again while discovery is slow would have no response.
+        A watch whose initial response is pending continues as it is.  A new call would lose the place in
+        discovery's request queue, and if calls were replaced repeatedly while discovery is slow, none of them
+        would have a response.
         """
         if self._is_pushed:
             return
@@ -99,7 +106,7 @@
         self._start_watch()
 
     def unsubscribe(self) -> None:
-        """Watch the list no longer; without effect where lists are pushed."""
+        """Stops watching the list; without effect where lists are pushed."""
         if self._is_pushed:
             return
         self._is_subscribed = False
@@ -108,26 +115,26 @@
             self._watch = None
 
     def fetch(self) -> None:
-        """Call once for the complete list; fails at once where too many calls are in flight."""
-        if len(self._tasks) >= MAX_CALLS:
+        """Requests the complete list once; reports a failure instead where too many calls are in flight."""
+        if len(self._tasks) >= MAX_CALLS_IN_FLIGHT:
             asyncio.get_running_loop().call_soon(self._observer.call_failed)
             return
         task = asyncio.create_task(self._fetch())
         self._fetches.add(task)
         task.add_done_callback(self._fetches.discard)
-        self._own(task)
+        self._track_task(task)
 
     def change_address(self, address: Address) -> None:
-        """Call discovery at another address from now on, and drop all calls to the old one.
+        """Calls discovery at another address from now on, and cancels all calls to the previous one.
 
-        Fetches in flight are repeated at the new address, and no failure at the old one is reported.  The
-        versions of two discovery servers do not compare, so the first call asks for the complete list, and
-        its response is used whatever was known.
+        Fetches in flight are repeated at the new address, and no failure at the previous one is reported.
+        Versions of two discovery servers cannot be compared, so the first call requests the complete list,
+        and its response is applied whatever was known before.
         """
         self._address = address
         self._version = None
         self._revision += 1
-        fetches = len(self._fetches)
+        fetch_count = len(self._fetches)
         for task in list(self._tasks):
             task.cancel()
         self._tasks.clear()
@@ -135,19 +142,19 @@
         self._watch = None
         if self._is_subscribed:
             self._start_watch()
-        for _ in range(fetches):
+        for _ in range(fetch_count):
             self.fetch()
 
     def close(self) -> None:
-        """Cancel all calls."""
+        """Cancels all calls."""
         for task in self._tasks:
             task.cancel()
 
     def _start_watch(self) -> None:
         self._watch = EndpointWatch(self, self._slots)
-        self._own(self._watch.task)
+        self._track_task(self._watch.task)
 
-    def _own(self, task: asyncio.Task[None]) -> None:
+    def _track_task(self, task: asyncio.Task[None]) -> None:
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
@@ -159,46 +166,46 @@
         try:
             response = await connection.call(None, 0)
         except DiscoveryError as error:
-            self._report(error)
+            self._report_fault(error)
             self._observer.call_failed()
         else:
-            self._received(response, revision)
+            self._apply_response(response, revision)
         finally:
             connection.close()
 
-    # What the watch calls (`WatchOwner`)
+    # Implementation of `WatchOwner`, called by the watch
 
     def start_call(self, connection: DiscoveryConnection | None, wait_ms: int) -> DiscoveryCall:
-        """Start a call for what changed since the known version."""
+        """Starts a call for the changes since the known version."""
         if connection is None:
             connection = self._new_connection()
         task = asyncio.create_task(connection.call(self._version, wait_ms))
         return DiscoveryCall(connection, self._revision, task)
 
     def watch_responded(self, call: DiscoveryCall, response: DiscoveryResponse, *, is_update: bool) -> None:
-        """Apply an update; any response ends the fault that was reported."""
+        """Applies an update; any response ends the fault that was reported."""
         if is_update:
-            self._received(response, call.revision)
+            self._apply_response(response, call.revision)
         self._fault = None
 
     def watch_failed(self, error: DiscoveryError) -> None:
-        """Report the fault; where lists are pushed, the observer does not wait for the call."""
-        self._report(error)
+        """Reports the cause, and the failed call too if lists are polled: then the observer waits for it."""
+        self._report_fault(error)
         if not self._is_pushed:
             self._observer.call_failed()
 
-    def _report(self, error: DiscoveryError) -> None:
+    def _report_fault(self, error: DiscoveryError) -> None:
         self.first_call_ended.set()
         if str(error) != self._fault:
             self._fault = str(error)
             self._observer.fault_changed(self._fault)
 
-    def _received(self, response: DiscoveryResponse, revision: int) -> None:
-        """Apply the response to a call that began at this revision.
+    def _apply_response(self, response: DiscoveryResponse, revision: int) -> None:
+        """Applies the response to a call that started at this revision, unless its list is stale.
 
-        A fetch and a watch run concurrently, and the one that began first may end last: its list is stale and
-        must not replace the newer one.  A lower version without that is that of a discovery server that was
-        started anew.
+        A fetch and a watch run concurrently, and the call that started first may end last.  If another
+        response was applied since the call started, a lower version is stale and must not replace the newer
+        list.  If none was, it is from a discovery server that was restarted and counts its versions anew.
         """
         if revision != self._revision and self._version is not None and response.version < self._version:
             response = DiscoveryResponse(self._version, is_complete=False, endpoints=())
--- a/tulipnotch/sidecar/discovery/discovery_connection.py
+++ b/tulipnotch/sidecar/discovery/discovery_connection.py
@@ -1,4 +1,4 @@
-"""One connection to discovery, which carries one call at a time."""
+"""A connection to discovery, which carries one call at a time and is reopened when it has ended."""
 
 from __future__ import annotations
 
@@ -19,68 +19,68 @@
 from tulipnotch.sidecar.upstream.exchange import ExchangeFailure
 
 _PATH = "/catalog/members"
-_MAX_LIST_BYTES = 4 << 20
-_FAILURES = {
-    ExchangeFailure.UNWRITTEN: "the connection broke before the request was written",
-    ExchangeFailure.CONNECTION_LOST: "the connection broke before the response's end",
-    ExchangeFailure.MALFORMED_RESPONSE: "the response is not HTTP, too large or has no end",
+_MAX_ENDPOINT_LIST_BYTES = 4 << 20
+_FAILURE_TEXTS = {
+    ExchangeFailure.UNWRITTEN: "the connection was lost before the request was written",
+    ExchangeFailure.CONNECTION_LOST: "the connection was lost before the response was complete",
+    ExchangeFailure.MALFORMED_RESPONSE: "the response is not valid HTTP, is too large or stalled",
 }
 
 
 class DiscoveryCallError(DiscoveryError):
-    """A call to discovery has no response, or none that can be used; the text names the cause."""
+    """A call to discovery got no response, or none that can be used; the text names the cause."""
 
 
 class DiscoveryConnection:
-    """Carries calls to discovery one after another, and reconnects for the next call when it has ended."""
+    """Carries calls to discovery one after another; reconnects for a call if the connection has ended."""
 
     def __init__(self, address: Address, connect_timeout_s: float, schedule: PollSchedule) -> None:
-        """Connect to `address` with the first call, within `connect_timeout_s`."""
+        """Prepares for calls, the first of which connects to `address` within `connect_timeout_s`."""
         self._address = address
         self._connect_timeout_s = connect_timeout_s
         self._schedule = schedule
         self._connection: UpstreamConnection | None = None
 
     def close(self) -> None:
-        """Close the connection; a call in flight has to be cancelled by whoever made it."""
+        """Closes the connection; a call in flight has to be cancelled by its caller."""
         if self._connection is not None:
             self._connection.close()
 
-    async def call(self, after: int | None, wait_ms: int) -> DiscoveryResponse:
-        """Call discovery once.
+    async def call(self, after_version: int | None, wait_ms: int) -> DiscoveryResponse:
+        """Calls discovery once.
 
         Args:
-            after: The version whose changes are asked for; None: the complete list.
+            after_version: The version since which changes are requested; None: the complete list.
             wait_ms: How long discovery may wait for a change before it responds; 0: not at all.
 
         Raises:
-            DiscoveryCallError: If there is no response in time, or none that can be used.
+            DiscoveryCallError: There is no response in time, or none that can be used.
         """
-        target = _PATH if after is None else f"{_PATH}?after={after}&wait_ms={wait_ms}"
+        target = _PATH if after_version is None else f"{_PATH}?after={after_version}&wait_ms={wait_ms}"
         schedule = self._schedule
         timeout_s = wait_ms / 1_000 + schedule.response_timeout_s if wait_ms else schedule.call_timeout_s
         try:
             async with asyncio.timeout(timeout_s):
                 response = await self._get(target.encode())
         except TimeoutError:
-            raise DiscoveryCallError("no response in time") from None
+            raise DiscoveryCallError("no response within the time limit") from None
         except OSError as error:
-            raise DiscoveryCallError(f"no connection: {error}") from None
+            raise DiscoveryCallError(f"cannot connect: {error}") from None
         if isinstance(response, ExchangeFailure):
-            raise DiscoveryCallError(_FAILURES[response])
+            raise DiscoveryCallError(_FAILURE_TEXTS[response])
         if response.status != 200:
-            raise DiscoveryCallError(f"status {response.status}")
+            raise DiscoveryCallError(f"the response has status {response.status}, not 200")
         try:
             return parse_endpoint_list(json.loads(response.body))
         except (ValueError, RecursionError) as error:
-            raise DiscoveryCallError(f"the list can't be read: {error}") from None
+            raise DiscoveryCallError(f"the response is not a valid endpoint list: {error}") from None
 
     async def _get(self, target: bytes) -> Response | ExchangeFailure:
         if self._connection is None or not self._connection.is_usable():
             self.close()
             self._connection = await self._connect()
             if not self._connection.is_usable():
-                # It ended as it came up, so the end of an exchange would never be reported.
+                # It ended before its first use, so the end of an exchange would never be reported.
                 return ExchangeFailure.UNWRITTEN
         exchange = BufferedExchange()
         host = f"{self._address[0]}:{self._address[1]}".encode()
@@ -88,16 +88,16 @@
         return await exchange.result
 
     async def _connect(self) -> UpstreamConnection:
-        """Connect, with a second concurrent attempt if the first takes long; the first to succeed is used.
+        """Connects, with a second, concurrent attempt if the first takes long; uses the first to succeed.
 
-        An attempt whose packets are lost is otherwise noticed only at its timeout.
+        Without the second, an attempt whose packets are lost would be noticed only at its timeout.
         """
-        attempts = {asyncio.create_task(self._attempt())}
+        attempts = {asyncio.create_task(self._connect_once())}
         try:
             async with asyncio.timeout(self._connect_timeout_s):
                 done, _ = await asyncio.wait(attempts, timeout=self._schedule.connection_attempt_delay_s)
                 if not done:
-                    attempts.add(asyncio.create_task(self._attempt()))
+                    attempts.add(asyncio.create_task(self._connect_once()))
                 while True:
                     done, pending = await asyncio.wait(attempts, return_when=asyncio.FIRST_COMPLETED)
                     connected = [attempt for attempt in done if attempt.exception() is None]
@@ -110,15 +110,17 @@
                 attempt.cancel()
                 attempt.add_done_callback(_close_unused)
 
-    async def _attempt(self) -> UpstreamConnection:
-        def create() -> UpstreamConnection:
-            return UpstreamConnection(ResponseReader(_MAX_LIST_BYTES), None, self._schedule.read_timeout_s)
+    async def _connect_once(self) -> UpstreamConnection:
+        def create_protocol() -> UpstreamConnection:
+            return UpstreamConnection(
+                ResponseReader(_MAX_ENDPOINT_LIST_BYTES), None, self._schedule.read_timeout_s
+            )
 
-        _, connection = await asyncio.get_running_loop().create_connection(create, *self._address)
+        _, connection = await asyncio.get_running_loop().create_connection(create_protocol, *self._address)
         return connection
 
 
 def _close_unused(attempt: asyncio.Task[UpstreamConnection]) -> None:
-    """Close the connection of an attempt that succeeded although it was cancelled or came second."""
+    """Closes the connection of an attempt that succeeded after its cancellation or after another one."""
     if not attempt.cancelled() and attempt.exception() is None:
         attempt.result().close()
--- a/tulipnotch/sidecar/discovery/endpoint_list_codec.py
+++ b/tulipnotch/sidecar/discovery/endpoint_list_codec.py
@@ -1,6 +1,6 @@
-"""The endpoint list as discovery writes it, and the records that it is decoded to.
+"""Decodes the endpoint list that discovery sends as JSON.
 
-The keys and states of discovery's JSON are mapped to this package's terms here and nowhere else.
+The keys and states of the JSON are mapped to the terms of this project here and nowhere else.
 """
 
 from __future__ import annotations
@@ -19,29 +19,29 @@
 
 
 class DiscoveryError(Exception):
-    """Base class of this package's errors."""
+    """Base class of the errors of this package."""
 
 
 class DiscoveryFormatError(DiscoveryError, ValueError):
-    """What came is not an endpoint list.
+    """A document that is not an endpoint list.
 
     Attributes:
-        field: The key that is at fault; empty for the document itself.
-        problem: What is wrong with it.
+        field: The key with the invalid value; empty for the document itself.
+        problem: What is wrong with the value.
     """
 
     def __init__(self, field: str, problem: str) -> None:
-        """Compose the error's text from both parts."""
+        """Creates an error whose text begins with the field, if there is one."""
         super().__init__(f"{field}: {problem}" if field else problem)
         self.field = field
         self.problem = problem
 
 
 class DiscoveredEndpoint(NamedTuple):
-    """One endpoint of the list, with the address at which it can be reached."""
+    """One endpoint of the list, and the address at which it can be reached."""
 
     description: EndpointDescription
-    address: Address | None  # None: it was removed
+    address: Address | None  # None: the endpoint was removed
 
 
 class DiscoveryResponse(NamedTuple):
@@ -52,27 +52,27 @@
     endpoints: tuple[DiscoveredEndpoint, ...]
 
     def to_event(self, kind: EndpointUpdateKind | None = None) -> EndpointsUpdated:
-        """Return the event for the balancer; `kind` replaces the kind that follows from the response."""
+        """Returns the event for the balancer; `kind` replaces the kind that follows from `is_complete`."""
         if kind is None:
             kind = EndpointUpdateKind.COMPLETE if self.is_complete else EndpointUpdateKind.DELTA
         return EndpointsUpdated(kind, [endpoint.description for endpoint in self.endpoints], self.version)
 
 
 def parse_endpoint_list(document: object) -> DiscoveryResponse:
-    """Decode a response of discovery.
+    """Converts a JSON document to the response of discovery that it describes.
 
     Args:
         document: The JSON document, already decoded.
 
     Raises:
-        DiscoveryFormatError: If it is not an endpoint list.
-        ValueError: If an address is malformed.
+        DiscoveryFormatError: It is not an endpoint list.
+        ValueError: An address is malformed.
     """
     if not isinstance(document, dict):
-        raise DiscoveryFormatError("", "an object is needed")
+        raise DiscoveryFormatError("", "the endpoint list must be a JSON object")
     version, is_complete, servers = document.get("version"), document.get("full"), document.get("servers")
     if type(version) is not int or version < 0:
-        raise DiscoveryFormatError("version", f"a whole number is needed, not {version!r:.60}")
+        raise DiscoveryFormatError("version", f"an integer >= 0 is needed, not {version!r:.60}")
     if not isinstance(is_complete, bool):
         raise DiscoveryFormatError("full", f"true or false is needed, not {is_complete!r:.60}")
     if not isinstance(servers, list):
@@ -82,7 +82,7 @@
 
 def _parse_endpoint(entry: object) -> DiscoveredEndpoint:
     if not isinstance(entry, dict):
-        raise DiscoveryFormatError("servers", "an object is needed for each")
+        raise DiscoveryFormatError("servers", "each server must be a JSON object")
     name = entry.get("id")
     if not isinstance(name, str) or not name:
         raise DiscoveryFormatError("servers", f"an id is needed, not {name!r:.60}")
@@ -92,32 +92,34 @@
         problem = f"unknown state {entry.get('state')!r:.60} of {name:.60}"
         raise DiscoveryFormatError("servers", problem) from None
     address = None if state is EndpointState.REMOVED else parse_address(entry.get("addr"))
-    started_ms = _number(entry, "started_ms", 0)
+    started_ms = _read_number(entry, "started_ms", 0)
     description = EndpointDescription(
         name=name,
-        zone=_text(entry, "zone"),
-        machine_type=_text(entry, "kind"),
-        cell=int(_number(entry, "cell", 0)),
+        zone=_read_string(entry, "zone"),
+        machine_type=_read_string(entry, "kind"),
+        cell=int(_read_number(entry, "cell", 0)),
         state=state,
-        nominal_capacity=_number(entry, "weight", 1.0),
+        nominal_capacity=_read_number(entry, "weight", 1.0),
         started_at=int(started_ms * 1_000) or None,
     )
     return DiscoveredEndpoint(description, address)
 
 
-def _text(entry: dict[str, Any], key: str) -> str:
+def _read_string(entry: dict[str, Any], key: str) -> str:
     value = entry.get(key)
     if value is None:
         return ""
     if not isinstance(value, str):
-        raise DiscoveryFormatError("servers", f"{key}: a text is needed, not {value!r:.60}")
+        raise DiscoveryFormatError("servers", f"{key}: a string is needed, not {value!r:.60}")
     return value
 
 
-def _number(entry: dict[str, Any], key: str, default: float) -> float:
+def _read_number(entry: dict[str, Any], key: str, default: float) -> float:
     value = entry.get(key)
     if value is None:
         return default
     if isinstance(value, bool) or not isinstance(value, (int, float)) or not 0 <= value < 2**53:
-        raise DiscoveryFormatError("servers", f"{key}: a number is needed, not {value!r:.60}")
+        raise DiscoveryFormatError(
+            "servers", f"{key}: a number >= 0 and < 2**53 is needed, not {value!r:.60}"
+        )
     return value
--- a/tulipnotch/sidecar/discovery/peers.py
+++ b/tulipnotch/sidecar/discovery/peers.py
@@ -1,4 +1,4 @@
-"""Datagrams between the sidecars of one fleet."""
+"""Sends and receives datagrams between the sidecars of one fleet."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 from tulipnotch.sidecar.addresses import Address
 
-_BIND_RETRY_S = 0.5
-MAX_DATAGRAM_BYTES = 256  # a longer one is neither sent nor received
+_BIND_RETRY_INTERVAL_S = 0.5
+MAX_DATAGRAM_BYTES = 256  # longer datagrams are neither sent nor accepted
 
 
 class PeerMessenger(asyncio.DatagramProtocol):
-    """Sends to sidecars by their number in the fleet, and says which one a datagram came from."""
+    """Sends datagrams to sidecars by their number in the fleet, and receives datagrams from them."""
 
     def __init__(
         self,
@@ -23,11 +23,11 @@
         instance: int,
         on_message: Callable[[int, bytes], None],
     ) -> None:
-        """Send and receive nothing before `listen`.
+        """Creates a messenger that sends and receives nothing before `listen`.
 
         Args:
             peers: The address of each sidecar, in the order of their numbers.
-            broadcast: The address that reaches all of them; None: each is sent to.
+            broadcast: The address that reaches all of them; None: each is sent its own datagram.
             instance: This sidecar's own number.
             on_message: Called with the sender's number and the payload of each datagram.
         """
@@ -35,40 +35,40 @@
         self._instance = instance
         self._on_message = on_message
         self._transport: asyncio.DatagramTransport | None = None
-        self._binding: asyncio.Task[None] | None = None  # while the address is in use elsewhere
+        self._bind_task: asyncio.Task[None] | None = None  # retries while another process uses the address
 
     def set_addresses(self, peers: tuple[Address, ...], broadcast: Address | None) -> None:
-        """Use these addresses of the fleet from now on."""
+        """Uses these addresses of the fleet from now on."""
         self._peers = peers
         self._broadcast = broadcast
-        self._numbers = {address: number for number, address in enumerate(peers)}
+        self._number_by_address = {address: number for number, address in enumerate(peers)}
 
     async def listen(self, address: Address) -> None:
-        """Receive datagrams at this address, at once or as soon as it can be bound.
+        """Receives datagrams at this address, at once or as soon as it can be bound.
 
-        The version of the sidecar before this one may use it until it ends, and no response depends on a
-        datagram.
+        The previous process of this sidecar may use the address until it ends.  The start does not wait for
+        that, since no response depends on a datagram.
         """
         try:
             await self._bind(address)
         except OSError:
-            self._binding = asyncio.create_task(self._bind_later(address))
+            self._bind_task = asyncio.create_task(self._retry_bind(address))
 
     async def _bind(self, address: Address) -> None:
         await asyncio.get_running_loop().create_datagram_endpoint(lambda: self, local_addr=address)
 
-    async def _bind_later(self, address: Address) -> None:
+    async def _retry_bind(self, address: Address) -> None:
         while self._transport is None:
-            await asyncio.sleep(_BIND_RETRY_S)  # the system reports no event when an address becomes free
+            await asyncio.sleep(_BIND_RETRY_INTERVAL_S)  # no event reports that an address is free
             with suppress(OSError):
                 await self._bind(address)
 
     def send(self, receiver: int | None, payload: bytes) -> bool:
-        """Send to the sidecar of this number, or to all others with None.
+        """Sends a datagram to the sidecar of this number, or to all others if `receiver` is None.
 
         Returns:
-            Whether it could be sent: not before the address is bound, not to an unknown number, and not if
-            the payload is too long.
+            Whether it was sent: not before the address is bound, not to an unknown number, and not if the
+            payload is too long.
         """
         if self._transport is None or len(payload) > MAX_DATAGRAM_BYTES:
             return False
@@ -85,23 +85,23 @@
         return True
 
     def close(self) -> None:
-        """Receive and send nothing any more."""
-        if self._binding is not None:
-            self._binding.cancel()
+        """Stops sending and receiving."""
+        if self._bind_task is not None:
+            self._bind_task.cancel()
         if self._transport is not None:
             self._transport.close()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Send through this transport."""
-        # The event loop's own class does not derive from DatagramTransport, so it can't be checked.
+        """Sends through this transport from now on."""
+        # The event loop's class does not derive from DatagramTransport, so `isinstance` cannot check it.
         self._transport = cast("asyncio.DatagramTransport", transport)
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Pass the datagram on if it comes from another sidecar of the fleet."""
-        number = self._numbers.get((addr[0], addr[1]))
+        """Passes the datagram on if it comes from another sidecar of the fleet."""
+        number = self._number_by_address.get((addr[0], addr[1]))
         if number is None or number == self._instance or len(data) > MAX_DATAGRAM_BYTES:
             return
         self._on_message(number, data)
 
     def error_received(self, exc: Exception) -> None:
-        """Ignore the error: a datagram may be lost, and nothing more follows from it."""
+        """Ignores the error, since datagrams may be lost without further effect."""
--- a/tulipnotch/sidecar/discovery/watch.py
+++ b/tulipnotch/sidecar/discovery/watch.py
@@ -1,9 +1,10 @@
-"""One watch of the endpoint list: calls that wait for changes, one after another, and the hedged calls.
+"""One watch of the endpoint list: a series of calls that wait for changes, and hedged calls beside them.
 
-* From the beginning of a call to that of the next no more than the schedule's `call_interval_s` pass,
-  whatever becomes of the first.
-* A watch without a response looks like one without an event, and what it misses counts as announced all the
-  same.  So a call that is overdue is hedged: by one that does not wait, on a connection of its own.
+* A call starts at most the schedule's `call_interval_s` after the start of the one before it, whether or not
+  that one succeeds.
+* A watch that hangs looks like one without an event, and a change that it misses counts as announced all the
+  same.  So a call whose response is overdue is hedged: by a call that does not wait, on a connection of its
+  own.
 """
 
 from __future__ import annotations
@@ -18,44 +19,44 @@
 
 
 class DiscoveryCall:
-    """One call in flight."""
+    """One call in flight, and the connection that it uses."""
 
     __slots__ = ("connection", "revision", "task")
 
     def __init__(
         self, connection: DiscoveryConnection, revision: int, task: asyncio.Task[DiscoveryResponse]
     ) -> None:
-        """`revision` counts the changes of what was known when the call began."""
+        """Describes a call in flight; `revision` is that of the owner's list when the call started."""
         self.connection = connection
         self.revision = revision
         self.task = task
 
     def cancel(self) -> None:
-        """Cancel the call and close its connection."""
+        """Cancels the call and closes its connection."""
         self.task.cancel()
         self.connection.close()
 
 
 class InstanceSlots:
-    """The slots of one instance in the schedule of its fleet, by the sidecar's clock."""
+    """The slots of one instance in the poll schedule of its fleet, by the sidecar's clock."""
 
     def __init__(self, schedule: PollSchedule, instance: int) -> None:
-        """`instance` is the number in the fleet: it spreads the slots."""
+        """Derives the slots from `instance`, the number in the fleet, so that those of a fleet are spread."""
         self.schedule = schedule
         self._instance = instance
         self._clock = Clock()
 
-    def wait_ms(self, *, after_event: bool) -> int:
-        """Return how long (ms) a watch that begins now waits."""
-        return self.schedule.wait_ms(self._clock.now(), self._instance, after_event=after_event)
+    def watch_wait_ms(self, *, after_event: bool) -> int:
+        """Returns how long (ms) a call that starts now waits for a change."""
+        return self.schedule.watch_wait_ms(self._clock.now(), self._instance, after_event=after_event)
 
-    def until_initial_slot_s(self) -> float:
-        """Return the time to the next call before the first endpoint list."""
-        return self.schedule.until_initial_slot_s(self._clock.now(), self._instance)
+    def time_until_initial_slot_s(self) -> float:
+        """Returns the time to the next slot for a call before the first endpoint list."""
+        return self.schedule.time_until_initial_slot_s(self._clock.now(), self._instance)
 
 
 class WatchOwner(Protocol):
-    """Whoever a watch belongs to: it knows the list, starts the calls and is notified of their ends."""
+    """The owner of a watch: it knows the endpoint list, starts the calls and is notified of their ends."""
 
     @property
     def intervals(self) -> PollIntervals:
@@ -68,51 +69,51 @@
         ...
 
     def start_call(self, connection: DiscoveryConnection | None, wait_ms: int) -> DiscoveryCall:
-        """Start a call for what changed since the known version; None: on a connection of its own."""
+        """Starts a call for the changes since the known version; None: on a new connection."""
         ...
 
     def watch_responded(self, call: DiscoveryCall, response: DiscoveryResponse, *, is_update: bool) -> None:
-        """A call has its response; `is_update` unless it says only that nothing changed."""
+        """Handles the response to a call; `is_update` unless it says only that nothing has changed."""
         ...
 
     def watch_failed(self, error: DiscoveryError) -> None:
-        """A call failed, and its hedged calls; the watch retries by itself."""
+        """Handles the failure of a call and of its hedged calls; the watch retries by itself."""
         ...
 
 
 class EndpointWatch:
-    """Watches the list from its construction until it is cancelled, and retries after each failure."""
+    """Watches the endpoint list from its creation until it is cancelled, and retries after each failure."""
 
     def __init__(self, owner: WatchOwner, slots: InstanceSlots) -> None:
-        """Begin with a call that does not wait."""
+        """Starts with a call that does not wait for a change."""
         self._owner = owner
         self._slots = slots
         self._schedule = slots.schedule
-        self._call_started_at = 0.0  # the last one, in the event loop's time (s)
-        self._until_initial_slot_s = 0.0  # as it was then
+        self._call_started_at = 0.0  # start of the last call, in the event loop's time (s)
+        self._time_until_initial_slot_s = 0.0  # at the start of the last call
         self.is_initial_response_pending = (
-            True  # whether a response is due whether or not the list has changed
+            True  # whether the first response, which does not wait for a change, is still due
         )
         self.task = asyncio.create_task(self._run())
 
     @property
     def has_ended(self) -> bool:
-        """Whether it watches no longer."""
+        """Whether the list is no longer watched."""
         return self.task.done()
 
     async def _run(self) -> None:
         while True:
             self.is_initial_response_pending = True
             try:
-                await self._watch()
+                await self._watch_until_failure()
             except DiscoveryError as error:
                 self.is_initial_response_pending = False
                 self._owner.watch_failed(error)
-            next_call_s = self._until_next_call_s(self._schedule.call_interval_s)
+            next_call_s = self._time_until_next_call_s(self._schedule.call_interval_s)
             await asyncio.sleep(min(self._owner.intervals.max_retry_delay_s, next_call_s))
 
-    async def _watch(self) -> None:
-        """Call until a call fails.  The first call does not wait, so that its response comes soon.
+    async def _watch_until_failure(self) -> None:
+        """Makes calls until one fails.  The first does not wait for a change, so that its response is early.
 
         Raises:
             DiscoveryError: If a call and all its hedged calls failed.
@@ -121,33 +122,33 @@
         try:
             wait_ms = 0
             while True:
-                call = await self._call(connection, wait_ms)
+                call = await self._call_with_hedging(connection, wait_ms)
                 connection, response = call.connection, call.task.result()
                 has_event = response.is_complete or bool(response.endpoints)
                 is_update = has_event or self.is_initial_response_pending
                 if is_update:
                     self.is_initial_response_pending = False
                 self._owner.watch_responded(call, response, is_update=is_update)
-                wait_ms = self._slots.wait_ms(after_event=has_event and wait_ms > 0)
+                wait_ms = self._slots.watch_wait_ms(after_event=has_event and wait_ms > 0)
         finally:
             if connection is not None:
                 connection.close()
 
-    async def _call(self, connection: DiscoveryConnection | None, wait_ms: int) -> DiscoveryCall:
-        """Call, with hedged calls while it is overdue, and return the first that has a response.
+    async def _call_with_hedging(self, connection: DiscoveryConnection | None, wait_ms: int) -> DiscoveryCall:
+        """Makes a call, and hedged calls while it is overdue; returns the first that has a response.
 
         Raises:
             DiscoveryError: If all of them failed.
         """
-        calls = [self._start(connection, wait_ms)]
+        calls = [self._start_call(connection, wait_ms)]
         delay_s = self._owner.intervals.hedge_delay_s
         if wait_ms:
             delay_s = wait_ms / 1_000 + self._schedule.hedge_delay_s
-        remaining_hedges = self._owner.intervals.max_early_hedges
+        remaining_early_hedges = self._owner.intervals.max_early_hedges
         try:
             while True:
                 tasks = [call.task for call in calls]
-                timeout_s = self._until_next_call_s(delay_s)
+                timeout_s = self._time_until_next_call_s(delay_s)
                 done, _ = await asyncio.wait(tasks, timeout=timeout_s, return_when=asyncio.FIRST_COMPLETED)
                 for call in [call for call in calls if call.task in done]:
                     calls.remove(call)
@@ -157,25 +158,26 @@
                     call.connection.close()
                     if not calls or not isinstance(error, DiscoveryError):
                         raise error
-                    remaining_hedges += 1  # the others may hang since before discovery could be reached
+                    # The other calls may have hung since before discovery could be reached.
+                    remaining_early_hedges += 1
                 if not done:
-                    remaining_hedges -= 1
-                    calls.append(self._start(None, 0))
+                    remaining_early_hedges -= 1
+                    calls.append(self._start_call(None, 0))
                 delay_s = self._schedule.call_interval_s
-                if remaining_hedges > 0:
+                if remaining_early_hedges > 0:
                     delay_s = self._owner.intervals.hedge_delay_s
         finally:
             for call in calls:
                 call.cancel()
 
-    def _start(self, connection: DiscoveryConnection | None, wait_ms: int) -> DiscoveryCall:
+    def _start_call(self, connection: DiscoveryConnection | None, wait_ms: int) -> DiscoveryCall:
         call = self._owner.start_call(connection, wait_ms)
         self._call_started_at = asyncio.get_running_loop().time()
-        self._until_initial_slot_s = self._slots.until_initial_slot_s()
+        self._time_until_initial_slot_s = self._slots.time_until_initial_slot_s()
         return call
 
-    def _until_next_call_s(self, interval_s: float) -> float:
-        """Return the time to the next call, `interval_s` after the last one began; less without a list."""
+    def _time_until_next_call_s(self, interval_s: float) -> float:
+        """Returns the time from now to `interval_s` after the last call started; less without a list."""
         if not self._owner.has_endpoint_list:
-            interval_s = min(interval_s, self._until_initial_slot_s)
+            interval_s = min(interval_s, self._time_until_initial_slot_s)
         return max(self._call_started_at + interval_s - asyncio.get_running_loop().time(), 0.0)
