--- a/tests/sidecar/configuration/test_configuration_validation.py
+++ b/tests/sidecar/configuration/test_configuration_validation.py
@@ -1,4 +1,4 @@
-"""Configuration files that are invalid: the key and the text of each fault."""
+"""Validation of configuration files: which values are rejected, and with which key and text."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 @pytest.mark.parametrize(
     ("changes", "text"),
     [
-        ({"name": ""}, "name: must be a string that is not empty, got ''"),
+        ({"name": ""}, "name: must be a non-empty string, got ''"),
         ({"seed": -1}, "seed: must be a string of hexadecimal digits, got -1"),
         ({"seed": "xyz"}, "seed: must be a string of hexadecimal digits, got 'xyz'"),
         ({"limits": {"sockets": 3}}, "limits.sockets: must be an integer >= 64, got 3"),
@@ -32,29 +32,29 @@
         ),
     ],
 )
-def test_parse_names_the_key_and_the_constraint_for_an_invalid_value(
+def test_parse_config_names_the_key_and_the_constraint_when_a_value_is_invalid(
     changes: dict[str, Any], text: str
 ) -> None:
-    with pytest.raises(ConfigError) as error:
+    with pytest.raises(ConfigError) as raised:
         parse_config({**VALID_CONFIG, **changes})
-    assert str(error.value) == text
-    assert text == f"{error.value.key}: {error.value.problem}"
+    assert str(raised.value) == text
+    assert text == f"{raised.value.key}: {raised.value.problem}"
 
 
-def test_find_faults_reports_the_faults_that_parse_would_raise_one_by_one() -> None:
-    given = {**VALID_CONFIG, "name": "", "seed": "xyz", "limits": {"sockets": 3, "memory_mb": 3}}
-    keys = [each.key for each in find_config_faults(given)]
+def test_find_config_faults_reports_all_faults_when_several_values_are_invalid() -> None:
+    raw = {**VALID_CONFIG, "name": "", "seed": "xyz", "limits": {"sockets": 3, "memory_mb": 3}}
+    keys = [each.key for each in find_config_faults(raw)]
     assert keys == ["name", "seed", "limits.sockets", "limits.memory_mb"]
     assert find_config_faults(VALID_CONFIG) == []
 
 
 @pytest.mark.parametrize(("sockets", "memory_mb"), [(64, 16), (1_024, 192)])
-def test_parse_accepts_the_minimum_limits_and_others(sockets: int, memory_mb: int) -> None:
+def test_parse_config_accepts_limits_at_and_above_the_minimum(sockets: int, memory_mb: int) -> None:
     config = parse_config({**VALID_CONFIG, "limits": {"sockets": sockets, "memory_mb": memory_mb}})
     assert (config.sockets, config.memory_mb) == (sockets, memory_mb)
 
 
-def test_parse_uses_defaults_for_limits_and_cached_endpoints_that_are_omitted() -> None:
+def test_parse_config_uses_defaults_when_limits_and_cached_endpoints_are_omitted() -> None:
     config = parse_config(
         {key: value for key, value in VALID_CONFIG.items() if key not in ("limits", "known")}
     )
@@ -67,10 +67,12 @@
     [
         ('{"seed": 1, "seed": 2}', "seed: duplicate key in one object"),
         ('{"seed": NaN}', "BALANCER_CONFIG: NaN is not a finite number"),
-        ("[]", "BALANCER_CONFIG: the file must hold a JSON object"),
+        ("[]", "BALANCER_CONFIG: the file must contain a JSON object"),
     ],
 )
-def test_read_object_rejects_what_json_does_not_allow(text: str, error: str, tmp_path: Path) -> None:
+def test_read_json_object_rejects_the_file_when_its_content_is_invalid(
+    text: str, error: str, tmp_path: Path
+) -> None:
     path = tmp_path / "config.json"
     path.write_text(text)
     with pytest.raises(ConfigError) as raised:
@@ -78,7 +80,7 @@
     assert str(raised.value) == error
 
 
-def test_load_uses_the_environment_only_for_keys_that_the_file_omits(tmp_path: Path) -> None:
+def test_load_config_uses_environment_variables_only_when_the_file_omits_the_key(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps({key: value for key, value in VALID_CONFIG.items() if key != "listen"}))
     config = load_config(
@@ -97,10 +99,10 @@
         ({"a": [{"b": 1}, {}]}, {"a": [{"b": 1}]}, "a[1].b"),
     ],
 )
-def test_check_no_key_missing_names_the_key_that_disappeared(new: Any, previous: Any, key: str) -> None:
-    with pytest.raises(ConfigError) as error:
+def test_check_no_key_missing_names_the_key_when_it_is_missing(new: Any, previous: Any, key: str) -> None:
+    with pytest.raises(ConfigError) as raised:
         check_no_key_missing(new, previous)
-    assert error.value.key == key
+    assert raised.value.key == key
 
 
 @pytest.mark.parametrize(
@@ -108,9 +110,11 @@
     [
         ({"a": 2, "b": 1}, {"a": 1}),
         ({}, {"a": None}),
-        ({"a": [{"b": 2}]}, {"a": [{"b": 1}, {"b": 1, "c": 1}]}),  # `c` is not in all of them
+        ({"a": [{"b": 2}]}, {"a": [{"b": 1}, {"b": 1, "c": 1}]}),  # `c` is not in all previous objects
         ({"known": {}}, {"known": {"version": 1}}),
     ],
 )
-def test_check_no_key_missing_accepts_other_differences(new: Any, previous: Any) -> None:
+def test_check_no_key_missing_accepts_the_file_when_only_values_or_optional_keys_differ(
+    new: Any, previous: Any
+) -> None:
     check_no_key_missing(new, previous)
--- a/tulipnotch/sidecar/configuration/__init__.py
+++ b/tulipnotch/sidecar/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""The configuration file of a sidecar: reading, validation and reload."""
+"""The configuration file of a sidecar: how it is read, validated and reloaded."""
--- a/tulipnotch/sidecar/configuration/errors.py
+++ b/tulipnotch/sidecar/configuration/errors.py
@@ -4,11 +4,11 @@
 
 
 class ConfigError(Exception):
-    """The configuration cannot be used.
+    """The configuration is invalid or cannot be read.
 
     Attributes:
-        key: Path of the key at fault, as the file names it, or the name of an environment variable.
-        problem: What is wrong with it.
+        key: Path of the invalid key, as the file names it, or the name of an environment variable.
+        problem: What is wrong with its value.
     """
 
     def __init__(self, key: str, problem: str) -> None:
--- a/tulipnotch/sidecar/configuration/reload.py
+++ b/tulipnotch/sidecar/configuration/reload.py
@@ -1,4 +1,4 @@
-"""Replaces the configuration of a running sidecar by the file as it is now."""
+"""Replaces the configuration of a running sidecar with the present content of its file."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class ReloadableSidecar(Protocol):
-    """A sidecar as a reload uses it."""
+    """The part of a sidecar that a reload uses."""
 
     @property
     def config(self) -> Config:
@@ -21,7 +21,7 @@
 
     @property
     def telemetry(self) -> Telemetry:
-        """Where reloads are counted."""
+        """The telemetry, which counts reloads."""
         ...
 
     def reload(self, config: Config) -> None:
@@ -30,7 +30,7 @@
 
 
 def reload_configuration(sidecar: ReloadableSidecar, environ: Mapping[str, str], log: Log) -> None:
-    """Reads the complete configuration again and applies it; an invalid one leaves the previous in force."""
+    """Reads the configuration again and applies it; if it is invalid, the previous one stays in force."""
     try:
         config = load_config(environ, sidecar.config)
     except ConfigError as error:
--- a/tulipnotch/sidecar/configuration/validation.py
+++ b/tulipnotch/sidecar/configuration/validation.py
@@ -19,92 +19,92 @@
 _NO_ENDPOINTS: Mapping[str, Any] = {"version": 0, "full": True, "servers": []}
 
 
-def read_fields(given: Mapping[str, Any]) -> dict[str, Any]:
-    """Returns the value of each field of `Config` by its name, but for the file itself.
+def read_config_fields(raw: Mapping[str, Any]) -> dict[str, Any]:
+    """Returns the value of each field of `Config` by its name, except for `file`.
 
     Raises:
-        ConfigError: A value is missing or invalid; it names the first one.
+        ConfigError: A value is missing or invalid; the error names the first one.
     """
-    fields: dict[str, Any] = {"settings": _read_settings(given.get("settings"), None)}
-    return fields | {name: read(given) for name, read in _READERS.items()}
+    fields: dict[str, Any] = {"settings": _read_settings(raw.get("settings"), None)}
+    return fields | {name: read(raw) for name, read in _READERS.items()}
 
 
-def find_config_faults(given: Mapping[str, Any]) -> list[ConfigError]:
+def find_config_faults(raw: Mapping[str, Any]) -> list[ConfigError]:
     """Returns an error for each value that is missing or invalid, not only for the first one."""
     faults: list[ConfigError] = []
     try:
-        _read_settings(given.get("settings"), faults)
+        _read_settings(raw.get("settings"), faults)
     except ConfigError as fault:
         faults.append(fault)
     for read in _READERS.values():
         try:
-            read(given)
+            read(raw)
         except ConfigError as fault:
             faults.append(fault)
     return faults
 
 
-def _read_settings(given: object, faults: list[ConfigError] | None) -> Settings:
-    """Reads the settings; adds what is wrong to `faults` if that is given, and raises the first if not."""
-    found: list[SettingsError] | None = None if faults is None else []
+def _read_settings(raw: object, faults: list[ConfigError] | None) -> Settings:
+    """Reads the settings; appends their errors to `faults` if that is given, and raises the first if not."""
+    errors: list[SettingsError] | None = None if faults is None else []
     try:
-        settings = settings_from_wire(given, found)
+        settings = settings_from_wire(raw, errors)
     except SettingsError as error:
-        raise _settings_error(error) from None
-    if faults is not None and found is not None:
-        faults += [_settings_error(each) for each in found]
+        raise _to_config_error(error) from None
+    if faults is not None and errors is not None:
+        faults += [_to_config_error(each) for each in errors]
     if settings.limits.max_attempts < 1:
         raise ConfigError("settings.bounds.sendCap", "must be an integer >= 1")
     return settings
 
 
-def _settings_error(error: SettingsError) -> ConfigError:
-    """Converts an error in the settings to one that names the key as the file does."""
+def _to_config_error(error: SettingsError) -> ConfigError:
+    """Converts an error in the settings to one with the path of the key in the file."""
     key = error.path if error.path == ROOT else f"settings.{error.path}"
     return ConfigError(key, error.problem)
 
 
-def _read_cached_endpoints(given: Mapping[str, Any]) -> DiscoveryResponse:
-    listing = given.get("known")
+def _read_cached_endpoint_list(raw: Mapping[str, Any]) -> DiscoveryResponse:
+    endpoint_list = raw.get("known")
     try:
-        return parse_endpoint_list(_NO_ENDPOINTS if listing is None else listing)
+        return parse_endpoint_list(_NO_ENDPOINTS if endpoint_list is None else endpoint_list)
     except ValueError as error:
         raise ConfigError("known", str(error)) from None
 
 
-def _read_peers(given: Mapping[str, Any]) -> tuple[Address, ...]:
-    peers = given.get("peers")
+def _read_peers(raw: Mapping[str, Any]) -> tuple[Address, ...]:
+    peers = raw.get("peers")
     if not peers:
         return ()
     if not isinstance(peers, list):
         raise ConfigError("peers", "must be a list of addresses")
-    return tuple(_address(f"peers[{index}]", each) for index, each in enumerate(peers))
+    return tuple(_parse_address(f"peers[{index}]", peer) for index, peer in enumerate(peers))
 
 
-def _read_name(given: Mapping[str, Any]) -> str:
-    name = given.get("name")
+def _read_name(raw: Mapping[str, Any]) -> str:
+    name = raw.get("name")
     if not isinstance(name, str) or not name:
-        raise ConfigError("name", f"must be a string that is not empty, got {name!r:.60}")
+        raise ConfigError("name", f"must be a non-empty string, got {name!r:.60}")
     return name
 
 
-def _read_address(key: str) -> Callable[[Mapping[str, Any]], Address]:
-    return lambda given: _address(key, given.get(key))
+def _address_reader(key: str) -> Callable[[Mapping[str, Any]], Address]:
+    return lambda raw: _parse_address(key, raw.get(key))
 
 
-def _read_optional_address(key: str) -> Callable[[Mapping[str, Any]], Address | None]:
-    return lambda given: None if given.get(key) in (None, "") else _address(key, given[key])
+def _optional_address_reader(key: str) -> Callable[[Mapping[str, Any]], Address | None]:
+    return lambda raw: None if raw.get(key) in (None, "") else _parse_address(key, raw[key])
 
 
-def _address(key: str, value: object) -> Address:
+def _parse_address(key: str, value: object) -> Address:
     try:
         return parse_address(value)
     except ValueError as error:
         raise ConfigError(key, str(error)) from None
 
 
-def _read_seed(given: Mapping[str, Any]) -> int:
-    seed = given.get("seed")
+def _read_seed(raw: Mapping[str, Any]) -> int:
+    seed = raw.get("seed")
     if type(seed) is int and seed >= 0:
         return seed
     try:
@@ -115,9 +115,9 @@
     raise ConfigError("seed", f"must be a string of hexadecimal digits, got {seed!r:.60}")
 
 
-def _read_limit(key: str, minimum: int, default: int) -> Callable[[Mapping[str, Any]], int]:
-    def read(given: Mapping[str, Any]) -> int:
-        limits = given.get("limits")
+def _limit_reader(key: str, minimum: int, default: int) -> Callable[[Mapping[str, Any]], int]:
+    def read(raw: Mapping[str, Any]) -> int:
+        limits = raw.get("limits")
         if limits is None:
             return default
         if not isinstance(limits, Mapping):
@@ -130,17 +130,17 @@
     return read
 
 
-# How each field of `Config` is read from the file, but for the settings.
+# The function that reads each field of `Config` from the file, except for the settings and the file itself.
 _READERS: Mapping[str, Callable[[Mapping[str, Any]], Any]] = {
     "name": _read_name,
-    "listen": _read_address("listen"),
-    "control": _read_optional_address("control"),
-    "discovery": _read_address("discovery"),
+    "listen": _address_reader("listen"),
+    "control": _optional_address_reader("control"),
+    "discovery": _address_reader("discovery"),
     "seed": _read_seed,
-    "sockets": _read_limit("sockets", _MIN_SOCKETS, _DEFAULT_SOCKETS),
-    "memory_mb": _read_limit("memory_mb", _MIN_MEMORY_MB, _DEFAULT_MEMORY_MB),
-    "known": _read_cached_endpoints,
-    "peer_listen": _read_optional_address("peer_listen"),
+    "sockets": _limit_reader("sockets", _MIN_SOCKETS, _DEFAULT_SOCKETS),
+    "memory_mb": _limit_reader("memory_mb", _MIN_MEMORY_MB, _DEFAULT_MEMORY_MB),
+    "known": _read_cached_endpoint_list,
+    "peer_listen": _optional_address_reader("peer_listen"),
     "peers": _read_peers,
-    "peers_all": _read_optional_address("peers_all"),
+    "peers_all": _optional_address_reader("peers_all"),
 }
