--- a/tests/simulator_wire/test_names.py
+++ b/tests/simulator_wire/test_names.py
@@ -15,7 +15,7 @@
 )
 from tulipnotch.load_balancing.settings_reader import settings_from_mapping
 from tulipnotch.simulator_wire import names
-from tulipnotch.simulator_wire.names import settings_from_wire, settings_to_wire, wire_path
+from tulipnotch.simulator_wire.names import settings_from_wire, settings_to_wire, to_wire_path
 
 PLAIN: dict[str, Any] = {
     "classes": [
@@ -69,9 +69,9 @@
     assert [names._value_from_wire(name, each) for each in written] == [each.value for each in choices]
 
 
-@pytest.mark.parametrize("section", ["_TOP_LEVEL", *names._SECTIONS])
+@pytest.mark.parametrize("section", ["_TOP_LEVEL_KEYS", *names._SECTION_KEYS])
 def test_key_table_is_reversible(section: str) -> None:
-    keys = names._SECTIONS.get(section, names._TOP_LEVEL)
+    keys = names._SECTION_KEYS.get(section, names._TOP_LEVEL_KEYS)
     assert len(set(keys.values())) == len(keys)
 
 
@@ -85,7 +85,7 @@
     ],
 )
 def test_wire_path_names_keys_of_the_wire(path: str, on_wire: str) -> None:
-    assert wire_path(path) == on_wire
+    assert to_wire_path(path) == on_wire
 
 
 def test_settings_from_wire_error_names_key_and_values_of_the_wire() -> None:
--- a/tulipnotch/simulator_wire/__init__.py
+++ b/tulipnotch/simulator_wire/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions on the wire of the operators' simulator."""
+"""Runs balancers behind the line protocol of the operators' simulator."""
--- a/tulipnotch/simulator_wire/action_writer.py
+++ b/tulipnotch/simulator_wire/action_writer.py
@@ -1,4 +1,4 @@
-"""Writes the actions of a balancer as lines of the wire."""
+"""Encodes the actions of a balancer as lines of the simulator's protocol."""
 
 from __future__ import annotations
 
@@ -21,34 +21,34 @@
 from tulipnotch.simulator_wire.names import OutputMessage
 
 _ALL_PEERS = -1
-_MAX_ERROR_LENGTH = 500
+_MAX_ERROR_CHARACTERS = 500
 
 _Field = str | int | bool
 
 
 def write_action(instance: str, action: Action) -> str:
-    """The line for an action of this instance."""
-    name, fields = _request_message(action) or _other_message(action)
-    return _line([name, instance, *fields])
+    """Returns the line for an action of this instance."""
+    name, fields = _request_action_message(action) or _other_action_message(action)
+    return _encode_line([name, instance, *fields])
 
 
 def write_internal_error(instance: str, error: Exception) -> str:
-    """The line for an error that a balancer raised."""
+    """Returns the line for an exception that a balancer of this instance raised."""
     return json.dumps(
-        [OutputMessage.INTERNAL_ERROR, instance, f"{type(error).__name__}: {error}"[:_MAX_ERROR_LENGTH]]
+        [OutputMessage.INTERNAL_ERROR, instance, f"{type(error).__name__}: {error}"[:_MAX_ERROR_CHARACTERS]]
     )
 
 
 def write_done() -> str:
-    """The line that ends the reply to a batch."""
-    return _line([OutputMessage.DONE])
+    """Returns the line that ends the reply to a batch."""
+    return _encode_line([OutputMessage.DONE])
 
 
-def _line(fields: list[_Field]) -> str:
+def _encode_line(fields: list[_Field]) -> str:
     return json.dumps(fields, separators=(",", ":"))
 
 
-def _request_message(action: Action) -> tuple[OutputMessage, list[_Field]] | None:
+def _request_action_message(action: Action) -> tuple[OutputMessage, list[_Field]] | None:
     match action:
         case StartAttempt():
             return OutputMessage.START_ATTEMPT, [action.request, action.endpoint, action.deadline]
@@ -64,7 +64,7 @@
             return None
 
 
-def _other_message(action: Action) -> tuple[OutputMessage, list[_Field]]:
+def _other_action_message(action: Action) -> tuple[OutputMessage, list[_Field]]:
     match action:
         case StartHealthCheck():
             return OutputMessage.START_HEALTH_CHECK, [action.endpoint]
@@ -80,4 +80,4 @@
         case LogEvent():
             return OutputMessage.LOG_EVENT, [action.text]
         case _:
-            raise TypeError(f"no message for {type(action).__name__}")
+            raise TypeError(f"no output message is defined for {type(action).__name__}")
--- a/tulipnotch/simulator_wire/names.py
+++ b/tulipnotch/simulator_wire/names.py
@@ -1,7 +1,8 @@
-"""The names of the simulator's wire, and what they stand for: the one table, read in both directions.
+"""The names of the simulator's protocol, and the only table that maps them to the names in this project.
 
-Settings arrive under the wire's names, in the configuration file too; `settings_from_wire` and
-`settings_to_wire` translate them, and errors name the wire's keys and values.
+Settings have the protocol's names, called wire names here, in the configuration file too.
+`settings_from_wire` and `settings_to_wire` translate them by the same table, and errors name the wire's keys
+and values.
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
 
 @unique
 class InputMessage(StrEnum):
-    """The messages that the simulator sends."""
+    """The messages from the simulator; the values are their names on the wire."""
 
     BATCH_BEGIN = "FRAME"
     BATCH_END = "COMMIT"
@@ -38,7 +39,7 @@
 
 @unique
 class OutputMessage(StrEnum):
-    """The messages that the adapter sends."""
+    """The messages to the simulator; the values are their names on the wire."""
 
     START_ATTEMPT = "ASSIGN"
     REJECT_REQUEST = "NOT_NOW"
@@ -77,8 +78,8 @@
     "unused": Outcome.NOT_SENT,
 }
 
-# Settings: the name of a field -> its key on the wire.  Keys of the wire that stand nowhere here are ignored.
-_TOP_LEVEL = {
+# Settings: internal key -> key on the wire.  Keys of the wire that are not listed here are ignored.
+_TOP_LEVEL_KEYS = {
     "classes": "lanes",
     "tenants": "realms",
     "zone": "zone",
@@ -98,7 +99,7 @@
     "client_habits": "clientHabits",
     "domain": "domain",
 }
-_SECTIONS = {
+_SECTION_KEYS = {
     "classes": {
         "name": "name",
         "deadline_us": "giveUpUs",
@@ -160,8 +161,8 @@
     "client_habits": {"mark_retries": "marksRetry"},
     "domain": {"has_key_affinity": "warmKeys"},
 }
-# The name of a field -> its values that differ on the wire, and how these are written there.
-_VALUES = {
+# Internal key -> its internal values that differ on the wire -> these values on the wire.
+_WIRE_VALUES = {
     "idempotency": {"idempotent": "read_like", "idempotent_with_key": "idempotency_key"},
     "discovery_mode": {"polled": "on_request"},
     "nominal_capacity": {"unspecified": "silent"},
@@ -169,90 +170,92 @@
 }
 
 
-def settings_from_wire(given: object, errors: list[SettingsError] | None = None) -> Settings:
-    """Read the settings object of the wire.
+def settings_from_wire(wire_settings: object, errors: list[SettingsError] | None = None) -> Settings:
+    """Reads settings with wire names.
 
     Args:
-        given: The settings object.
-        errors: If given, every error is appended to it; the settings are valid only if it stays empty.
+        wire_settings: The settings object.
+        errors: If given, all errors are appended to it, and the settings are valid only if it stays empty.
 
     Raises:
-        SettingsError: A value is missing or invalid, and `errors` is not given; or `given` is no mapping.
+        SettingsError: `wire_settings` is no mapping, or `errors` is None and a value is missing or invalid.
     """
-    if not isinstance(given, Mapping):
+    if not isinstance(wire_settings, Mapping):
         raise SettingsError(ROOT, "must be an object")
-    plain = _from_wire(given, _TOP_LEVEL)
-    for section, names in _SECTIONS.items():
-        value = plain.get(section)
+    internal_settings = _mapping_from_wire(wire_settings, _TOP_LEVEL_KEYS)
+    for section, wire_names in _SECTION_KEYS.items():
+        value = internal_settings.get(section)
         if isinstance(value, list):
-            plain[section] = [
-                _from_wire(each, names) if isinstance(each, Mapping) else each for each in value
+            internal_settings[section] = [
+                _mapping_from_wire(each, wire_names) if isinstance(each, Mapping) else each for each in value
             ]
         elif isinstance(value, Mapping):
-            plain[section] = _from_wire(value, names)
+            internal_settings[section] = _mapping_from_wire(value, wire_names)
     if errors is None:
         try:
-            return settings_from_mapping(plain)
+            return settings_from_mapping(internal_settings)
         except SettingsError as error:
-            raise _error_on_wire(error) from None
-    found: list[SettingsError] = []
-    settings = settings_from_mapping(plain, found)
-    errors += [_error_on_wire(each) for each in found]
+            raise _error_to_wire(error) from None
+    internal_errors: list[SettingsError] = []
+    settings = settings_from_mapping(internal_settings, internal_errors)
+    errors += [_error_to_wire(each) for each in internal_errors]
     return settings
 
 
-def settings_to_wire(plain: Mapping[str, Any]) -> dict[str, Any]:
-    """Write settings in the plain form of `settings_reader` under the wire's names.
+def settings_to_wire(internal_settings: Mapping[str, Any]) -> dict[str, Any]:
+    """Returns settings with wire names, given those with the internal names of `settings_reader`.
 
     Raises:
-        KeyError: A name is no setting.
+        KeyError: A name is not that of a setting.
     """
-    written = {}
-    for name, value in plain.items():
-        names = _SECTIONS.get(name)
-        if names is None:
-            written[_TOP_LEVEL[name]] = _value_to_wire(name, value)
+    wire_settings = {}
+    for name, value in internal_settings.items():
+        wire_names = _SECTION_KEYS.get(name)
+        if wire_names is None:
+            wire_settings[_TOP_LEVEL_KEYS[name]] = _value_to_wire(name, value)
         elif isinstance(value, Mapping):
-            written[_TOP_LEVEL[name]] = _to_wire(value, names)
+            wire_settings[_TOP_LEVEL_KEYS[name]] = _mapping_to_wire(value, wire_names)
         else:
-            written[_TOP_LEVEL[name]] = [_to_wire(each, names) for each in value]
-    return written
+            wire_settings[_TOP_LEVEL_KEYS[name]] = [_mapping_to_wire(each, wire_names) for each in value]
+    return wire_settings
 
 
-def wire_path(path: str) -> str:
-    """The path of a setting on the wire, given its path in the plain form."""
-    first, *rest = path.split(".")
+def to_wire_path(path: str) -> str:
+    """Returns the path of a setting on the wire, given its path with internal names."""
+    first, *keys = path.split(".")
     section, bracket, index = first.partition("[")
-    names = _SECTIONS.get(section, {})
-    return ".".join([_TOP_LEVEL.get(section, section) + bracket + index, *(names.get(n, n) for n in rest)])
+    wire_names = _SECTION_KEYS.get(section, {})
+    return ".".join(
+        [_TOP_LEVEL_KEYS.get(section, section) + bracket + index, *(wire_names.get(key, key) for key in keys)]
+    )
 
 
-def _from_wire(given: Mapping[str, Any], names: Mapping[str, str]) -> dict[str, Any]:
+def _mapping_from_wire(wire_settings: Mapping[str, Any], wire_names: Mapping[str, str]) -> dict[str, Any]:
     return {
-        name: _value_from_wire(name, given[wire_name])
-        for name, wire_name in names.items()
-        if wire_name in given
+        name: _value_from_wire(name, wire_settings[wire_name])
+        for name, wire_name in wire_names.items()
+        if wire_name in wire_settings
     }
 
 
-def _to_wire(plain: Mapping[str, Any], names: Mapping[str, str]) -> dict[str, Any]:
-    return {names[name]: _value_to_wire(name, value) for name, value in plain.items()}
+def _mapping_to_wire(internal_settings: Mapping[str, Any], wire_names: Mapping[str, str]) -> dict[str, Any]:
+    return {wire_names[name]: _value_to_wire(name, value) for name, value in internal_settings.items()}
 
 
 def _value_from_wire(name: str, value: Any) -> Any:
     if not isinstance(value, str):
         return value
-    values = {wire_value: plain_value for plain_value, wire_value in _VALUES.get(name, {}).items()}
+    values = {wire_value: internal_value for internal_value, wire_value in _WIRE_VALUES.get(name, {}).items()}
     return values.get(value, value)
 
 
 def _value_to_wire(name: str, value: Any) -> Any:
-    return _VALUES.get(name, {}).get(value, value) if isinstance(value, str) else value
+    return _WIRE_VALUES.get(name, {}).get(value, value) if isinstance(value, str) else value
 
 
-def _error_on_wire(error: SettingsError) -> SettingsError:
-    """The same error, with the wire's names of the key and of the allowed values."""
-    path = wire_path(error.path)
+def _error_to_wire(error: SettingsError) -> SettingsError:
+    """Returns the same error with the wire names of the key and of the allowed values."""
+    path = to_wire_path(error.path)
     if not isinstance(error, ChoiceError):
         return SettingsError(path, error.problem)
     name = error.path.rpartition(".")[2]
