--- a/tulipnotch/settings/__init__.py
+++ b/tulipnotch/settings/__init__.py
@@ -1,1 +1,1 @@
-"""Files that people write: the operator file and scenarios, both checked by one checker."""
+"""Files that people write, the operator file and scenarios, and the validation that both share."""
--- a/tulipnotch/settings/operator.py
+++ b/tulipnotch/settings/operator.py
@@ -1,8 +1,8 @@
 """The operator file: what operators set for one installation, in addition to the platform's configuration.
 
 `deploy/operator.toml` shows every key with its default.  `BALANCER_OPERATOR` names the file; without it the
-defaults hold and nothing of this package is imported.  Where a key of the file differs from the name in the
-code, the field's `name` maps one to the other.
+defaults apply and nothing of this package is imported.  Where a key of the file differs from the name in the
+code, the field has the key as its `name`.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 Fraction = Annotated[float, msgspec.Meta(gt=0.0, le=1.0)]
 ClassNames = tuple[Annotated[str, msgspec.Meta(min_length=1, max_length=128)], ...]
 
-_FULL_SERVICE = "full"  # the name under which the log shows that no level is in force
+_FULL_SERVICE_NAME = "full"  # the name in the log for the state in which no level is in force
 
 
 class LogTable(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -44,7 +44,7 @@
 
 
 class ClientsTable(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """`[clients]`: timeouts of clients' connections; the names are those of `ClientLimits`."""
+    """`[clients]`: timeouts of client connections; the fields are named as in `ClientLimits`."""
 
     header_timeout_s: Seconds = 2.7
     stall_s: Seconds = 2.0
@@ -53,7 +53,7 @@
 
 
 class LevelTable(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """`[[overload.levels]]`: a level of reduced service; it rejects what the previous one does, and more."""
+    """`[[overload.levels]]`: a level of reduced service; it rejects at least what the previous one does."""
 
     name: Annotated[str, msgspec.Meta(pattern=r"^[a-z][a-z0-9-]{0,31}$")]
     over_quota_classes: ClassNames = msgspec.field(default=(), name="over_share")
@@ -64,9 +64,9 @@
     leave_s: Annotated[float, msgspec.Meta(ge=5.0, le=600.0)] = 30.0
 
     def __post_init__(self) -> None:
-        """Validates the level by itself; raises ValueError, worded `key: problem`."""
-        if self.name == _FULL_SERVICE:
-            raise ValueError(f"name: {_FULL_SERVICE!r} is reserved for full service")
+        """Validates the level alone; raises ValueError with a text of the form `key: problem`."""
+        if self.name == _FULL_SERVICE_NAME:
+            raise ValueError(f"name: {_FULL_SERVICE_NAME!r} is reserved for full service")
         if not self.over_quota_classes and not self.rejected_classes:
             raise ValueError("over_share: a level must name classes, here or in `closed`")
 
@@ -78,7 +78,7 @@
     levels: Annotated[tuple[LevelTable, ...], msgspec.Meta(max_length=8)] = ()
 
     def __post_init__(self) -> None:
-        """Validates the order of the levels; raises ValueError, worded `key: problem`."""
+        """Validates the order of the levels; raises ValueError with a text of the form `key: problem`."""
         names = [level.name for level in self.levels]
         if len(set(names)) != len(names):
             raise ValueError("levels: two levels have the same name")
@@ -95,7 +95,7 @@
 
 
 class OperatorFile(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The complete file."""
+    """The top-level table of the operator file."""
 
     log: LogTable = LogTable()
     control: ControlTable = msgspec.field(default=ControlTable(), name="door")
@@ -104,9 +104,9 @@
 
 
 def load_operator_file(path: Path) -> OperatorFile:
-    """Reads and validates the file.
+    """Reads and validates an operator file.
 
     Raises:
-        InvalidFileError: The file is invalid; it has all faults.
+        InvalidFileError: The file cannot be read or is invalid; the error has all faults.
     """
     return read_toml(path, OperatorFile).value
--- a/tulipnotch/settings/source_lines.py
+++ b/tulipnotch/settings/source_lines.py
@@ -1,6 +1,6 @@
-"""Finds the line on which each key of a TOML or JSON file stands.
+"""Finds the line of each key in a TOML or JSON file.
 
-Paths are written as `table.key` and `list[0].key`; lines count from 1.
+Paths of keys are written as `table.key` and `list[0].key`; lines are counted from 1.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 
 
 def join_key_path(path: str, key: str) -> str:
-    """Returns the path of a key of the table at `path`; the path is empty for the file itself."""
+    """Returns the path of a key of the table at `path`, which is empty for the top-level table."""
     return f"{path}.{key}" if path else key
 
 
 def find_line(lines: Mapping[str, int], path: str) -> int:
-    """Returns the line of a key, or of the nearest enclosing table that has one; 0 if there is none."""
+    """Returns the line of a key, or of the innermost table around it that has one; 0 if there is none."""
     while path:
         if path in lines:
             return lines[path]
@@ -32,7 +32,7 @@
 def locate_toml_keys(text: str) -> dict[str, int]:
     """Returns the line of each table and key of a TOML text, except for keys within inline tables."""
     lines: dict[str, int] = {}
-    array_lengths: dict[str, int] = {}  # of arrays of tables, by path
+    array_lengths: dict[str, int] = {}  # lengths of arrays of tables so far, keyed by path
     table = ""
     for number, line in enumerate(text.splitlines(), 1):
         if (header := _TOML_TABLE.match(line)) is not None:
@@ -50,35 +50,35 @@
 
 @dataclass(slots=True)
 class _Container:
-    """An object or array of a JSON text that has not ended yet."""
+    """An object or array of a JSON text whose end has not been reached yet."""
 
     path: str
-    next_index: int | None  # of an array; None: it is an object
+    next_index: int | None  # index of the next item of an array; None for an object
 
 
-class _JsonLineFinder:
-    """Follows the tokens of a valid JSON text and records the line of each key."""
+class _JsonKeyLocator:
+    """Processes the tokens of a valid JSON text and records the line of each key."""
 
     def __init__(self) -> None:
         self.lines: dict[str, int] = {}
         self._containers: list[_Container] = []
-        self._path = ""  # of the value that comes next
+        self._path = ""  # path of the next value
         self._expects_key = False
 
-    def token_read(self, token: str, line: int) -> None:
-        """Takes the next token, which begins on this line."""
+    def process_token(self, token: str, line: int) -> None:
+        """Processes the next token, which starts on this line."""
         match token:
             case "{":
                 self._containers.append(_Container(self._path, None))
                 self._expects_key = True
             case "[":
                 self._containers.append(_Container(self._path, 0))
-                self._next_value()
+                self._start_next_value()
             case "}" | "]":
                 self._path = self._containers.pop().path
                 self._expects_key = False
             case ",":
-                self._next_value()
+                self._start_next_value()
             case ":":
                 pass
             case _ if self._expects_key:
@@ -86,7 +86,7 @@
                 self.lines[self._path] = line
                 self._expects_key = False
 
-    def _next_value(self) -> None:
+    def _start_next_value(self) -> None:
         container = self._containers[-1]
         self._expects_key = container.next_index is None
         if container.next_index is not None:
@@ -96,10 +96,10 @@
 
 def locate_json_keys(text: str) -> dict[str, int]:
     """Returns the line of each key of a valid JSON text."""
-    finder = _JsonLineFinder()
+    locator = _JsonKeyLocator()
     line, position = 1, 0
     for token in _JSON_TOKEN.finditer(text):
         line += text.count("\n", position, token.start())
         position = token.start()
-        finder.token_read(token[0], line)
-    return finder.lines
+        locator.process_token(token[0], line)
+    return locator.lines
