--- a/tests/simulator_wire/test_adapter.py
+++ b/tests/simulator_wire/test_adapter.py
@@ -1,4 +1,4 @@
-"""The wire: what it accepts, what it complains of, and that it adds nothing of its own."""
+"""The adapter of the simulator's protocol: which input it accepts, and which actions it writes."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 import pytest
 from hypothesis import given
-from hypothesis import settings as how
+from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
 from tulipnotch.simulator_wire.adapter import run_adapter
@@ -28,74 +28,76 @@
     "report": {"source": "piggyback", "columns": ["util"]},
     "something_new": [1, 2],
 }
-PAGE = [
+ENDPOINT_LIST = [
     "PAGE",
     0,
     [["10.0.0.1:80", "east", "box", 0, "ready", 1, None], ["10.0.0.2:80", "east", "box", 0, "ready", 1]],
 ]
 
 
-def start_instance(who: str = "sidecar-1", given_settings: Any = None) -> list[list[Any]]:
+def instance_start_messages(instance: str = "sidecar-1", wire_settings: Any = None) -> list[list[Any]]:
     return [
-        ["BEGIN", who, 7, SETTINGS if given_settings is None else given_settings],
-        PAGE,
-        ["TARGETS", who, "cached", 0, 1],
+        ["BEGIN", instance, 7, SETTINGS if wire_settings is None else wire_settings],
+        ENDPOINT_LIST,
+        ["TARGETS", instance, "cached", 0, 1],
     ]
 
 
-def play(*batches: list[list[Any]]) -> tuple[int, list[list[Any]], str]:
+def run_batches(*batches: list[list[Any]]) -> tuple[int, list[list[Any]], str]:
     lines = []
     for index, batch in enumerate(batches):
         lines += [["FRAME", 1_000_000 + 5_000 * index], *batch, ["COMMIT"]]
-    return play_text("".join(json.dumps(each) + "\n" for each in lines))
+    return run_text("".join(json.dumps(each) + "\n" for each in lines))
 
 
-def play_text(text: str) -> tuple[int, list[list[Any]], str]:
+def run_text(text: str) -> tuple[int, list[list[Any]], str]:
     output, err = io.StringIO(), io.StringIO()
     code = run_adapter(io.StringIO(text), output, err)
     return code, [json.loads(each) for each in output.getvalue().splitlines()], err.getvalue()
 
 
-def test_adapter_replies_done_to_empty_batch() -> None:
-    assert play([]) == (0, [["DONE"]], "")
+def test_adapter_replies_done_when_the_batch_is_empty() -> None:
+    assert run_batches([]) == (0, [["DONE"]], "")
 
 
-def test_adapter_starts_attempt_for_request() -> None:
-    work = ["WORK_ITEM", "sidecar-1", 5, "look", 0, None, 900_000, 12_000, 1, "a field to come"]
-    code, reply, _ = play(start_instance(), [work])
-    sends = [each for each in reply if each[0] == "ASSIGN"]
+def test_adapter_starts_an_attempt_when_a_request_arrives() -> None:
+    arrival = ["WORK_ITEM", "sidecar-1", 5, "look", 0, None, 900_000, 12_000, 1, "an additional field"]
+    code, reply, _ = run_batches(instance_start_messages(), [arrival])
+    started_attempts = [each for each in reply if each[0] == "ASSIGN"]
     assert code == 0
-    assert len(sends) == 1
-    assert sends[0][1:3] == ["sidecar-1", 5]
-    assert sends[0][3] in ("10.0.0.1:80", "10.0.0.2:80")
+    assert len(started_attempts) == 1
+    assert started_attempts[0][1:3] == ["sidecar-1", 5]
+    assert started_attempts[0][3] in ("10.0.0.1:80", "10.0.0.2:80")
 
 
-def test_adapter_restarts_stopped_instance_within_a_batch() -> None:
-    work = ["WORK_ITEM", "sidecar-1", 5, "look", None, None, 900_000, None, 0]
-    end = ["ATTEMPT_END", "sidecar-1", 5, 0, "10.0.0.1:80", "delivered", 100, True, {"util": 0.5}]
-    code, reply, _ = play(start_instance(), [work, ["EXIT", "sidecar-1"], *start_instance()], [end])
+def test_adapter_restarts_an_instance_when_it_was_stopped_in_the_same_batch() -> None:
+    arrival = ["WORK_ITEM", "sidecar-1", 5, "look", None, None, 900_000, None, 0]
+    attempt_end = ["ATTEMPT_END", "sidecar-1", 5, 0, "10.0.0.1:80", "delivered", 100, True, {"util": 0.5}]
+    code, reply, _ = run_batches(
+        instance_start_messages(), [arrival, ["EXIT", "sidecar-1"], *instance_start_messages()], [attempt_end]
+    )
     assert code == 0
     assert [each[0] for each in reply].count("FOLLOW") == 2
 
 
-def test_adapter_uses_latest_endpoint_list_of_a_number() -> None:
-    other = ["PAGE", 0, [["10.0.0.9:80", "east", "box", 0, "ready", 1, None]]]
-    work = [["WORK_ITEM", f"sidecar-{n}", n, "look", None, None, 900_000, None, 0] for n in (1, 2)]
+def test_adapter_uses_the_latest_endpoint_list_when_its_number_is_reused() -> None:
+    replacement = ["PAGE", 0, [["10.0.0.9:80", "east", "box", 0, "ready", 1, None]]]
+    arrivals = [["WORK_ITEM", f"sidecar-{n}", n, "look", None, None, 900_000, None, 0] for n in (1, 2)]
     batch = [
-        *start_instance(),
+        *instance_start_messages(),
         ["BEGIN", "sidecar-2", 8, SETTINGS],
-        other,
+        replacement,
         ["TARGETS", "sidecar-2", "cached", 0, 1],
-        *work,
+        *arrivals,
     ]
-    _, reply, _ = play(batch)
-    targets = {each[1]: each[3] for each in reply if each[0] == "ASSIGN"}
-    assert targets["sidecar-2"] == "10.0.0.9:80"
-    assert targets["sidecar-1"] != "10.0.0.9:80"
+    _, reply, _ = run_batches(batch)
+    endpoints = {each[1]: each[3] for each in reply if each[0] == "ASSIGN"}
+    assert endpoints["sidecar-2"] == "10.0.0.9:80"
+    assert endpoints["sidecar-1"] != "10.0.0.9:80"
 
 
 @pytest.mark.parametrize(
-    ("line", "complaint"),
+    ("line", "problem"),
     [
         ("nonsense", "not valid JSON"),
         ("[" * 100_000, "not valid JSON"),
@@ -115,16 +117,16 @@
         ('["BEGIN","sidecar-2",1,{"lanes":[{"name":"a","giveUpUs":-1}]}]', "settings: lanes[0].giveUpUs: "),
     ],
 )
-def test_adapter_ends_with_line_and_problem_of_invalid_input(line: str, complaint: str) -> None:
-    good = "".join(json.dumps(each) + "\n" for each in (["FRAME", 1], *start_instance()))
-    code, _, err = play_text(good + line + "\n")
+def test_adapter_exits_with_line_number_and_problem_when_a_line_is_invalid(line: str, problem: str) -> None:
+    valid_lines = "".join(json.dumps(each) + "\n" for each in (["FRAME", 1], *instance_start_messages()))
+    code, _, err = run_text(valid_lines + line + "\n")
     assert code != 0
     assert err.startswith("line 5: ")
-    assert complaint in err
+    assert problem in err
     assert err.count("\n") == 1
 
 
-@how(max_examples=150, deadline=None, derandomize=True)
+@hypothesis_settings(max_examples=150, deadline=None, derandomize=True)
 @given(
     st.lists(
         st.one_of(
@@ -150,19 +152,19 @@
         max_size=5,
     )
 )
-def test_adapter_survives_any_line(lines: list[str]) -> None:
-    start = "".join(json.dumps(each) + "\n" for each in (["FRAME", 1], *start_instance()))
-    body = "".join(each.replace("\n", " ").replace("\r", " ") + "\n" for each in lines)
-    code, _, err = play_text(start + body + '["COMMIT"]\n')
+def test_adapter_raises_nothing_when_lines_are_arbitrary(lines: list[str]) -> None:
+    valid_lines = "".join(json.dumps(each) + "\n" for each in (["FRAME", 1], *instance_start_messages()))
+    arbitrary_lines = "".join(each.replace("\n", " ").replace("\r", " ") + "\n" for each in lines)
+    code, _, err = run_text(valid_lines + arbitrary_lines + '["COMMIT"]\n')
     assert (code == 0) == (err == "")
 
 
-def test_adapter_output_is_independent_of_hash_seed() -> None:
-    script = [["FRAME", 1_000_000], *start_instance(), ["COMMIT"]]
+def test_adapter_output_is_the_same_when_the_hash_seed_differs() -> None:
+    messages = [["FRAME", 1_000_000], *instance_start_messages(), ["COMMIT"]]
     for number in range(60):
-        work = ["WORK_ITEM", "sidecar-1", number, "look", None, None, 900_000, None, 0]
-        script += [["FRAME", 1_000_000 + 5_000 * number], work, ["COMMIT"]]
-    text = "".join(json.dumps(each) + "\n" for each in script)
+        arrival = ["WORK_ITEM", "sidecar-1", number, "look", None, None, 900_000, None, 0]
+        messages += [["FRAME", 1_000_000 + 5_000 * number], arrival, ["COMMIT"]]
+    text = "".join(json.dumps(each) + "\n" for each in messages)
     replies = [
         subprocess.run(
             [sys.executable, "-m", "tulipnotch.simulator_wire.adapter"],
@@ -180,34 +182,40 @@
     assert replies[0].count("ASSIGN") + replies[0].count("NOT_NOW") == 60
 
 
-def _guarded(guarantees: dict[str, Any]) -> Any:
-    return {**SETTINGS, "guarantees": {**SETTINGS["guarantees"], **guarantees}, "lanes": [
+def _settings_with_rules(rules: dict[str, Any]) -> Any:
+    return {**SETTINGS, "guarantees": {**SETTINGS["guarantees"], **rules}, "lanes": [
         {"name": "pay", "giveUpUs": 2_000_000, "repeat": "non_idempotent"}
     ]}  # fmt: skip
 
 
-@pytest.mark.parametrize(("late", "expected"), [(True, "SURRENDER"), (False, "ASSIGN"), (None, "ASSIGN")])
-def test_adapter_applies_late_shedding(*, late: bool | None, expected: str) -> None:
-    given_settings = _guarded({} if late is None else {"lateShedding": late})
-    work = ["WORK_ITEM", "sidecar-1", 5, "pay", None, None, 900_000, None, 0]
-    _, reply, _ = play(start_instance(given_settings=given_settings), [work])
+@pytest.mark.parametrize(
+    ("late_shedding", "expected"), [(True, "SURRENDER"), (False, "ASSIGN"), (None, "ASSIGN")]
+)
+def test_adapter_retries_a_rejected_request_unless_late_shedding_is_set(
+    *, late_shedding: bool | None, expected: str
+) -> None:
+    wire_settings = _settings_with_rules({} if late_shedding is None else {"lateShedding": late_shedding})
+    arrival = ["WORK_ITEM", "sidecar-1", 5, "pay", None, None, 900_000, None, 0]
+    _, reply, _ = run_batches(instance_start_messages(wire_settings=wire_settings), [arrival])
     server = next(each[3] for each in reply if each[0] == "ASSIGN")
-    shed = ["ATTEMPT_END", "sidecar-1", 5, 0, server, "shed", 900, False, None]
-    _, replies, _ = play(start_instance(given_settings=given_settings), [work], [shed])
+    rejection = ["ATTEMPT_END", "sidecar-1", 5, 0, server, "shed", 900, False, None]
+    _, replies, _ = run_batches(instance_start_messages(wire_settings=wire_settings), [arrival], [rejection])
     assert expected in [each[0] for each in replies[len(reply) :]]
 
 
-def test_adapter_applies_rule_on_idle_connections() -> None:
+def test_adapter_closes_idle_connections_when_a_rule_limits_their_time() -> None:
     drain = ["PAGE", 1, [["10.0.0.1:80", "east", "box", 0, "draining", 1]]]
     update = [drain, ["TARGETS", "sidecar-1", "delta", 1, 2]]
-    _, reply, _ = play(start_instance(given_settings=_guarded({"letGoInUs": 500_000})), update)
+    _, reply, _ = run_batches(
+        instance_start_messages(wire_settings=_settings_with_rules({"letGoInUs": 500_000})), update
+    )
     assert ["SHUT_IDLE", "sidecar-1", "10.0.0.1:80"] in reply
-    _, reply, _ = play(start_instance(given_settings=_guarded({})), update)
+    _, reply, _ = run_batches(instance_start_messages(wire_settings=_settings_with_rules({})), update)
     assert "SHUT_IDLE" not in [each[0] for each in reply]
 
 
-def test_settings_from_wire_reads_every_setting() -> None:
-    given = settings_from_wire(
+def test_settings_from_wire_reads_every_setting_when_all_are_given() -> None:
+    settings = settings_from_wire(
         {
             **SETTINGS,
             "bounds": {"maxOpen": 9, "cpuUsPerS": 8, "cpuUsPerRequest": 0.5},
@@ -219,22 +227,26 @@
             "domain": {"warmKeys": True},
         }
     )
-    assert (given.limits.max_open_requests, given.limits.cpu_us_per_s, given.limits.cpu_us_per_request) == (
+    assert (
+        settings.limits.max_open_requests,
+        settings.limits.cpu_us_per_s,
+        settings.limits.cpu_us_per_request,
+    ) == (
         9,
         8,
         0.5,
     )
-    assert given.rules.close_idle_within_us == 7
-    assert given.rules.overloaded_may_have_run
-    assert given.rules.drain_grace_us == 50_000
-    assert given.rules.overload_multiple == 1.5
-    assert given.cost_weights.late_failure == 0.05
-    assert given.cost_weights.discovery == 0.01
-    assert given.cost_weights.connection == 0.02
-    assert given.cost_weights.handshake == 0.03
-    assert given.objective_weights.tail == 0.2
-    assert given.objective_weights.tail_slack == 0.02
-    assert given.objective_weights.worst_tenant == 0.1
-    assert given.machine_types == ("a", "b")
-    assert given.clients_mark_retries
-    assert given.has_key_affinity
+    assert settings.rules.close_idle_within_us == 7
+    assert settings.rules.overloaded_may_have_run
+    assert settings.rules.drain_grace_us == 50_000
+    assert settings.rules.overload_multiple == 1.5
+    assert settings.cost_weights.late_failure == 0.05
+    assert settings.cost_weights.discovery == 0.01
+    assert settings.cost_weights.connection == 0.02
+    assert settings.cost_weights.handshake == 0.03
+    assert settings.objective_weights.tail == 0.2
+    assert settings.objective_weights.tail_slack == 0.02
+    assert settings.objective_weights.worst_tenant == 0.1
+    assert settings.machine_types == ("a", "b")
+    assert settings.clients_mark_retries
+    assert settings.has_key_affinity
--- a/tests/simulator_wire/test_names.py
+++ b/tests/simulator_wire/test_names.py
@@ -1,4 +1,4 @@
-"""The table of the wire's names, read in both directions."""
+"""The table of the names in the simulator's protocol, which is read in both directions."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from tulipnotch.simulator_wire import names
 from tulipnotch.simulator_wire.names import settings_from_wire, settings_to_wire, to_wire_path
 
-PLAIN: dict[str, Any] = {
+INTERNAL_SETTINGS: dict[str, Any] = {
     "classes": [
         {"name": "look", "deadline_us": 9_000, "idempotency": "idempotent", "deduplication_scope": "all"},
         {"name": "amend", "deadline_us": 8_000, "idempotency": "idempotent_with_key"},
@@ -37,21 +37,21 @@
 }
 
 
-def test_settings_to_wire_is_read_back_by_settings_from_wire() -> None:
-    assert settings_from_wire(settings_to_wire(PLAIN)) == settings_from_mapping(PLAIN)
+def test_settings_from_wire_reads_what_settings_to_wire_returns() -> None:
+    assert settings_from_wire(settings_to_wire(INTERNAL_SETTINGS)) == settings_from_mapping(INTERNAL_SETTINGS)
 
 
-def test_settings_to_wire_writes_values_of_the_wire() -> None:
-    written = settings_to_wire(PLAIN)
-    repeats = [each["repeat"] for each in written["lanes"]]
-    assert repeats == ["read_like", "idempotency_key", "non_idempotent"]
-    assert (written["discovery"], written["weights"]) == ("on_request", "silent")
-    assert written["report"] == {"source": "pull", "columns": ["util"]}
+def test_settings_to_wire_translates_keys_and_values() -> None:
+    wire_settings = settings_to_wire(INTERNAL_SETTINGS)
+    idempotency_values = [each["repeat"] for each in wire_settings["lanes"]]
+    assert idempotency_values == ["read_like", "idempotency_key", "non_idempotent"]
+    assert (wire_settings["discovery"], wire_settings["weights"]) == ("on_request", "silent")
+    assert wire_settings["report"] == {"source": "pull", "columns": ["util"]}
 
 
-def test_settings_to_wire_rejects_unknown_name() -> None:
-    with pytest.raises(KeyError, match="news"):
-        settings_to_wire({**PLAIN, "news": 1})
+def test_settings_to_wire_raises_when_a_name_is_unknown() -> None:
+    with pytest.raises(KeyError, match="unknown_name"):
+        settings_to_wire({**INTERNAL_SETTINGS, "unknown_name": 1})
 
 
 @pytest.mark.parametrize(
@@ -64,9 +64,9 @@
     ],
 )
 def test_value_table_is_reversible(choices: Any, name: str) -> None:
-    written = [names._value_to_wire(name, each.value) for each in choices]
-    assert len(set(written)) == len(written)
-    assert [names._value_from_wire(name, each) for each in written] == [each.value for each in choices]
+    wire_values = [names._value_to_wire(name, each.value) for each in choices]
+    assert len(set(wire_values)) == len(wire_values)
+    assert [names._value_from_wire(name, each) for each in wire_values] == [each.value for each in choices]
 
 
 @pytest.mark.parametrize("section", ["_TOP_LEVEL_KEYS", *names._SECTION_KEYS])
@@ -76,7 +76,7 @@
 
 
 @pytest.mark.parametrize(
-    ("path", "on_wire"),
+    ("path", "wire_path"),
     [
         ("classes[3].deadline_us", "lanes[3].giveUpUs"),
         ("limits.max_attempts", "bounds.sendCap"),
@@ -84,27 +84,31 @@
         ("settings", "settings"),
     ],
 )
-def test_wire_path_names_keys_of_the_wire(path: str, on_wire: str) -> None:
-    assert to_wire_path(path) == on_wire
+def test_to_wire_path_translates_each_key(path: str, wire_path: str) -> None:
+    assert to_wire_path(path) == wire_path
 
 
-def test_settings_from_wire_error_names_key_and_values_of_the_wire() -> None:
-    with pytest.raises(ChoiceError) as error:
+def test_settings_from_wire_names_the_wire_key_and_values_when_a_value_is_unknown() -> None:
+    with pytest.raises(ChoiceError) as raised:
         settings_from_wire({"lanes": [{"name": "a", "giveUpUs": 1, "repeat": "maybe"}]})
-    assert error.value.path == "lanes[0].repeat"
-    assert error.value.choices == ("read_like", "idempotency_key", "non_idempotent")
-    assert str(error.value) == (
+    assert raised.value.path == "lanes[0].repeat"
+    assert raised.value.choices == ("read_like", "idempotency_key", "non_idempotent")
+    assert str(raised.value) == (
         "lanes[0].repeat: must be one of read_like, idempotency_key, non_idempotent, got 'maybe'"
     )
 
 
-def test_settings_from_wire_collects_errors_under_keys_of_the_wire() -> None:
+def test_settings_from_wire_collects_errors_with_wire_keys_when_a_list_is_given() -> None:
     errors: list[SettingsError] = []
-    given = {"lanes": [{"name": "a", "giveUpUs": 0}], "bounds": {"sendCap": "x"}, "report": {"source": "x"}}
-    settings_from_wire(given, errors)
+    wire_settings = {
+        "lanes": [{"name": "a", "giveUpUs": 0}],
+        "bounds": {"sendCap": "x"},
+        "report": {"source": "x"},
+    }
+    settings_from_wire(wire_settings, errors)
     assert [each.path for each in errors] == ["lanes[0].giveUpUs", "report.source", "bounds.sendCap"]
 
 
-def test_settings_from_wire_rejects_what_is_no_object() -> None:
+def test_settings_from_wire_raises_when_the_settings_are_not_an_object() -> None:
     with pytest.raises(SettingsError, match="settings: must be an object"):
         settings_from_wire([])
