--- a/tests/sidecar/discovery/test_change_propagation.py
+++ b/tests/sidecar/discovery/test_change_propagation.py
@@ -1,4 +1,4 @@
-"""Changes that are announced while no watch is open: the sidecar receives them all the same."""
+"""Propagation of changes: the sidecar also learns of those that discovery has while no watch is open."""
 
 from __future__ import annotations
 
@@ -39,17 +39,17 @@
 SCHEDULE = PollSchedule(1.2)  # a fifth of the specified 6 s
 
 
-def _draining(harness: SidecarHarness) -> dict[str, Any]:
+def _draining_entry(harness: SidecarHarness) -> dict[str, Any]:
     return endpoint_entry("s-0", harness.servers[0].address, state="leaving")
 
 
 async def _assert_drained(harness: SidecarHarness) -> None:
-    """Once the balancer knows of the drain, every request goes to the other server."""
+    """Asserts that the balancer learns of the drain and then sends every request to the other server."""
     await wait_until(lambda: harness.sidecar._balancer.endpoint_counts() == (2, 1))
-    before = len(harness.servers[0].received_requests)
+    request_count = len(harness.servers[0].received_requests)
     for _ in range(12):
         assert (await harness.send_request()).status == 200
-    assert len(harness.servers[0].received_requests) == before
+    assert len(harness.servers[0].received_requests) == request_count
 
 
 @pytest.mark.parametrize("mode", ["pushed", "on_request"])
@@ -57,7 +57,7 @@
 def test_drain_is_received_when_the_watch_before_it_was_lost(
     fault: str, mode: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # The watch is lost with its event; the change counts as announced all the same.
+    # The watch is lost together with its event, but the change counts as announced.
     if fault == "hung":
         monkeypatch.setattr(discovery, "_DEFAULT_SCHEDULE", SCHEDULE)
 
@@ -65,7 +65,7 @@
         async with sidecar_harness(OK_RESPONSE, OK_RESPONSE, discovery=mode) as harness:
             server = harness.discovery
             await wait_until(lambda: len(server.received_requests) >= 2)  # the watch is open
-            server.servers[0] = _draining(harness)
+            server.servers[0] = _draining_entry(harness)
             server.version = 2
             if fault == "reset":
                 server.close_connections()
@@ -96,26 +96,26 @@
 
 
 class DrainingDiscovery(ScriptedDiscovery):
-    """Discovery that has a drain from `drain` on; `fault` decides what becomes of calls before then."""
+    """Discovery that has a drain once `drain` is called; until then, `fault` determines how calls end."""
 
     def __init__(self, fault: str) -> None:
         super().__init__()
         self.fault = fault  # "none", "503" or "hung"
         self.script = self._respond_before_drain
-        self.truncates = False  # whether the response to a watch breaks off
+        self.truncates = False  # whether the response to a watch stops before its end
 
-    async def _respond_before_drain(self, heard: ReceivedRequest) -> bytes | None:
+    async def _respond_before_drain(self, request: ReceivedRequest) -> bytes | None:
         if self.fault == "503":
             return http_response(b"", "503 Busy")
         if self.fault == "hung":
             return None
-        if "wait_ms" in heard.target and not heard.target.endswith("wait_ms=0"):
+        if "wait_ms" in request.target and not request.target.endswith("wait_ms=0"):
             if self.truncates:
-                heard.writer.write(http_response(self.complete_list())[:-20])
+                request.writer.write(http_response(self.complete_list_json())[:-20])
             return None
-        return http_response(self.complete_list())
+        return http_response(self.complete_list_json())
 
-    def complete_list(self) -> bytes:
+    def complete_list_json(self) -> bytes:
         return json.dumps({"version": self.version, "full": True, "servers": self.servers}).encode()
 
     def drain(self, drained: dict[str, Any]) -> None:
@@ -126,16 +126,16 @@
     """Counts connection attempts to one address, and makes some of them hang."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, address: str, hanging: str) -> None:
-        self.to_hang = 0  # how many of the next
-        self.made = 0
+        self.remaining_hangs = 0  # how many of the next attempts hang
+        self.count = 0
         loop = asyncio.get_running_loop()
         create_connection = loop.create_connection
 
         async def connect(factory: Callable[[], asyncio.Protocol], host: str, port: int) -> object:
             if f"{host}:{port}" == address:
-                self.made += 1
-                if self.to_hang > 0:
-                    self.to_hang -= 1
+                self.count += 1
+                if self.remaining_hangs > 0:
+                    self.remaining_hangs -= 1
                     host, port = parse_address(hanging)
             return await create_connection(factory, host, port)
 
@@ -145,7 +145,7 @@
 ANOTHER_ADDRESS = "another address, and the first call hung"
 FAULT_CASES = [
     "watch hangs from its first moment",
-    "silent in the middle",
+    "unresponsive in the middle of the wait",
     "half a response, then nothing",
     "refused",
     "503",
@@ -160,9 +160,9 @@
 async def _lose_calls(
     case: str, harness: SidecarHarness, server: DrainingDiscovery, attempts: ConnectionAttempts
 ) -> None:
-    """Lose calls as the case says, the last of them just before this returns."""
+    """Makes calls fail as the case describes, the last of them just before this returns."""
 
-    async def until_failed_often() -> None:
+    async def wait_until_failed_often() -> None:
         await wait_until(lambda: _failures(harness, attempts) >= 4)
 
     if case == ANOTHER_ADDRESS:
@@ -174,40 +174,40 @@
     port = int(harness.discovery.address.rpartition(":")[2])
     harness.discovery.stop()
     if case == "refused":
-        await until_failed_often()
+        await wait_until_failed_often()
         await server.start(port)
     elif case == "attempts hang":
-        attempts.to_hang = 1_000
+        attempts.remaining_hangs = 1_000
         await server.start(port)
-        await until_failed_often()
-        before = attempts.made
-        await wait_until(lambda: attempts.made > before)
-        attempts.to_hang = 0
+        await wait_until_failed_often()
+        attempt_count = attempts.count
+        await wait_until(lambda: attempts.count > attempt_count)
+        attempts.remaining_hangs = 0
     else:
         await server.start(port)
         if server.fault == "none":
             await wait_until(lambda: any("wait_ms=0" not in each.target for each in server.received_requests))
         else:
-            await until_failed_often()
-            calls = len(server.received_requests)
-            await wait_until(lambda: len(server.received_requests) > calls)
-        attempts.to_hang = 1 if "lost" in case else 0
-    if case == "silent in the middle":
+            await wait_until_failed_often()
+            call_count = len(server.received_requests)
+            await wait_until(lambda: len(server.received_requests) > call_count)
+        attempts.remaining_hangs = 1 if "lost" in case else 0
+    if case == "unresponsive in the middle of the wait":
         await asyncio.sleep(SCHEDULE.max_watch_s / 2)
 
 
 async def _propagation_s(case: str, mode: str, monkeypatch: pytest.MonkeyPatch) -> float:
-    """Measure from the instant in which discovery has a drain and can be reached until it is known."""
-    slow = FullAcceptQueueServer()
-    await slow.fill_accept_queue()
+    """Measures the time from when discovery has a drain and can be reached until the balancer knows it."""
+    slow_server = FullAcceptQueueServer()
+    await slow_server.fill_accept_queue()
     loop = asyncio.get_running_loop()
     guarantees = {"askWithinUs": int(10e6 * SCHEDULE.max_propagation_s / PollSchedule().max_propagation_s)}
     async with sidecar_harness(OK_RESPONSE, OK_RESPONSE, discovery=mode, guarantees=guarantees) as harness:
-        drained = _draining(harness)
+        drained = _draining_entry(harness)
         await wait_until(lambda: len(harness.discovery.received_requests) >= 2)  # the watch is open
         server = DrainingDiscovery("503" if "503" in case else "hung" if "hung" in case else "none")
         server.servers, server.truncates = harness.discovery.servers, "half" in case
-        attempts = ConnectionAttempts(monkeypatch, harness.discovery.address, slow.address)
+        attempts = ConnectionAttempts(monkeypatch, harness.discovery.address, slow_server.address)
         await _lose_calls(case, harness, server, attempts)
         server.drain(drained)
         reachable_at = loop.time()
@@ -215,7 +215,7 @@
         elapsed_s = loop.time() - reachable_at
         await _assert_drained(harness)
         server.stop()
-    slow.close()
+    slow_server.close()
     return elapsed_s
 
 
@@ -224,66 +224,67 @@
 def test_drain_is_known_within_the_propagation_bound_in_the_worst_case(
     mode: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # The bound runs from when discovery had the change and could be reached.  Every call that began before is
-    # lost, the last of them just before, and calls have failed so often that the delay is at its longest.
+    # The bound is counted from when discovery has the change and can be reached.  Every call that started
+    # earlier is lost, the last one only just, and calls have failed so often that the retry delay is at its
+    # maximum.
     monkeypatch.setattr(discovery, "_DEFAULT_SCHEDULE", SCHEDULE)
-    longest_ms = int(1_000 * SCHEDULE.max_watch_s)
-    monkeypatch.setattr(PollSchedule, "watch_wait_ms", lambda *_, **__: longest_ms)
+    max_wait_ms = int(1_000 * SCHEDULE.max_watch_s)
+    monkeypatch.setattr(PollSchedule, "watch_wait_ms", lambda *_, **__: max_wait_ms)
 
     async def work() -> list[float]:
-        # Each case has its own servers, so they run concurrently.
+        # Each case has its own servers, so all of them can run concurrently.
         return await asyncio.gather(*(_propagation_s(case, mode, monkeypatch) for case in FAULT_CASES))
 
     elapsed_s = dict(zip(FAULT_CASES, run_async(work), strict=True))
     bound_s = SCHEDULE.max_propagation_s
     print(*(f"{case}, {mode}: {each:.3f} of {bound_s}" for case, each in elapsed_s.items()), sep="\n")
-    max_s = bound_s - SCHEDULE.response_timeout_s  # the stand-in has no queue, so its part is left over
+    # The scripted discovery has no request queue, so the time for waiting in it is not needed.
+    max_s = bound_s - SCHEDULE.response_timeout_s
     assert {case: each for case, each in elapsed_s.items() if each >= max_s} == {}
 
 
 def test_watch_waits_to_the_slot_of_its_instance(monkeypatch: pytest.MonkeyPatch) -> None:
-    # The number of the instance keeps the fleet from calling in step.
-    received: list[tuple[int, int, bool]] = []
+    # Slots depend on the number of the instance, so that the calls of a fleet are not synchronized.
+    arguments: list[tuple[int, int, bool]] = []
 
-    def wait_ms(_: PollSchedule, now_us: int, instance: int, *, after_event: bool) -> int:
-        received.append((now_us, instance, after_event))
+    def watch_wait_ms(_: PollSchedule, now_us: int, instance: int, *, after_event: bool) -> int:
+        arguments.append((now_us, instance, after_event))
         return 2_000
 
-    monkeypatch.setattr(PollSchedule, "watch_wait_ms", wait_ms)
+    monkeypatch.setattr(PollSchedule, "watch_wait_ms", watch_wait_ms)
 
     async def work() -> None:
         async with sidecar_harness(OK_RESPONSE, OK_RESPONSE, me=7) as harness:
             await wait_until(lambda: len(harness.discovery.received_requests) >= 2)
             assert harness.discovery.received_requests[1].target.endswith("wait_ms=2000")
-            harness.discovery.announce(_draining(harness))
+            harness.discovery.announce(_draining_entry(harness))
             await wait_until(lambda: len(harness.discovery.received_requests) >= 3)
-        assert [each[1:] for each in received] == [(7, False), (7, True)]
-        assert all(
-            abs(now_us / 1e6 - time.time()) < TEST_TIMEOUT_S for now_us, *_ in received
-        )  # of one clock
+        assert [each[1:] for each in arguments] == [(7, False), (7, True)]
+        # The slots of all instances refer to the same clock, Unix time.
+        assert all(abs(now_us / 1e6 - time.time()) < TEST_TIMEOUT_S for now_us, *_ in arguments)
 
     run_async(work)
 
 
 def _failures(harness: SidecarHarness, attempts: ConnectionAttempts) -> int:
-    """Count calls that failed in a row where lists are polled, else connection attempts."""
+    """Returns the number of consecutive failed calls where lists are polled, else of connection attempts."""
     is_polled = harness.sidecar.config.settings.discovery_mode is Mode.POLLED
     return (
-        harness.sidecar._balancer._components.discovery_polling.failed_calls if is_polled else attempts.made
+        harness.sidecar._balancer._components.discovery_polling.failed_calls if is_polled else attempts.count
     )
 
 
 def test_start_receives_the_list_before_listening_when_lists_are_pushed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # What discovery has counts as announced from the start; the list from before may be older.
+    # What discovery has counts as announced from the start on; the cached list may be older.
     monkeypatch.setattr(startup, "_ENDPOINT_LIST_TIMEOUT_S", TEST_TIMEOUT_S)
 
     async def work() -> None:
         async with sidecar_harness(
             OK_RESPONSE, OK_RESPONSE, discovery="pushed", started=False, unresponsive_discovery=True
         ) as harness:
-            harness.discovery.servers[0] = _draining(harness)
+            harness.discovery.servers[0] = _draining_entry(harness)
             harness.discovery.version = 2
             starting = asyncio.ensure_future(harness.sidecar.start())
             await wait_until(lambda: len(harness.discovery.received_requests) == 1)
@@ -296,7 +297,7 @@
     run_async(work)
 
 
-def test_start_does_not_wait_when_pushed_discovery_is_down(
+def test_start_does_not_wait_for_the_list_when_pushed_discovery_is_down(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(startup, "_ENDPOINT_LIST_TIMEOUT_S", 4 * TEST_TIMEOUT_S)
@@ -312,26 +313,26 @@
 
 @pytest.mark.parametrize("state", ["active", "leaving"])
 def test_server_gets_no_request_on_an_earlier_connection_attempt_when_it_returns(state: str) -> None:
-    # Same id and address, but a new process: the attempt was made for the one before.
+    # The server has its id and address again but is a new process; the attempt was made for the previous one.
     async def work() -> None:
-        slow = FullAcceptQueueServer()
-        await slow.fill_accept_queue()
+        slow_server = FullAcceptQueueServer()
+        await slow_server.fill_accept_queue()
         async with sidecar_harness(limit_overrides={"dialTimeoutUs": 15_000_000}) as harness:
             await wait_until(lambda: len(harness.discovery.received_requests) >= 2)
-            harness.discovery.announce(endpoint_entry("s", slow.address))
+            harness.discovery.announce(endpoint_entry("s", slow_server.address))
             await wait_until(lambda: len(harness.discovery.received_requests) >= 3)
             client = await harness.connect()
             client.send(http_request("lodge", timeout="15"))
             await wait_until(lambda: harness.sidecar.open_requests == 1)
             harness.discovery.announce({"id": "s", "state": "left"})
             await wait_until(lambda: len(harness.discovery.received_requests) >= 4)
-            harness.discovery.announce(endpoint_entry("s", slow.address, state=state, started_ms=5))
+            harness.discovery.announce(endpoint_entry("s", slow_server.address, state=state, started_ms=5))
             await wait_until(lambda: len(harness.discovery.received_requests) >= 5)
-            accepted = await slow.accept_sidecar_connection()
+            accepted = await slow_server.accept_sidecar_connection()
             assert (await client.read_response()).status == 503
             assert await asyncio.get_running_loop().sock_recv(accepted, 1_000) == b""
             accepted.close()
-        slow.close()
+        slow_server.close()
 
     run_async(work)
 
@@ -347,28 +348,29 @@
             client = await harness.connect()
             client.send(http_request("lodge", timeout="15"))
             await wait_until(lambda: len(harness.received_requests) == 1)
-            other = ScriptedDiscovery()
-            other.version, other.servers = 0, [endpoint_entry("s-1", second)]  # it counts its own versions
-            await other.start()
-            before = harness.sidecar.config
-            raw = _raw(before.name, other.address)
+            # The other discovery server counts its own versions.
+            other_discovery = ScriptedDiscovery()
+            other_discovery.version, other_discovery.servers = 0, [endpoint_entry("s-1", second)]
+            await other_discovery.start()
+            previous = harness.sidecar.config
+            raw = _minimal_config(previous.name, other_discovery.address)
             harness.sidecar.reload(parse_config(raw, raw))
             await wait_until(lambda: "s-1" in harness.sidecar._balancer._context.endpoints)
-            assert (await harness.send_request("check")).status == 503  # the new limit is one open request
+            # The new limit is one open request.
+            assert (await harness.send_request("check")).status == 503
             release.set()
-            assert (
-                await client.read_response()
-            ).status == 200  # it keeps its class, its limits and its server
+            # The request that was open keeps its class, its limits and its server.
+            assert (await client.read_response()).status == 200
             assert (await harness.send_request("check")).status == 200
             assert [len(each.received_requests) for each in harness.servers] == [1, 1]
             assert harness.sidecar._balancer._context.endpoints["s-1"].state is EndpointState.READY
-            other.stop()
+            other_discovery.stop()
 
     run_async(work)
 
 
-def _raw(name: str, address: str) -> dict[str, Any]:
-    """A configuration with one class, one attempt, one open request, and another discovery."""
+def _minimal_config(name: str, address: str) -> dict[str, Any]:
+    """Returns a configuration with one class, one attempt, one open request, and discovery at `address`."""
     return {
         "name": name,
         "listen": f"{HOST}:0",
@@ -386,11 +388,11 @@
 
 
 def test_accept_pending_serves_connections_in_the_accept_queue() -> None:
-    # Closing the listener would reset these connections, with the requests written to them.
+    # Closing the listener would reset these connections and lose the requests that were written to them.
     async def work() -> None:
         async with sidecar_harness(OK_RESPONSE) as harness:
             with socket.create_connection((HOST, harness.sidecar.downstream.port)) as client:
-                client.sendall(http_request("lodge"))  # the event loop has not run since
+                client.sendall(http_request("lodge"))  # the event loop has not run since the connect
                 assert harness.sidecar.downstream.accept_pending()
                 harness.sidecar.downstream.stop_listening()
                 client.settimeout(0.0)
@@ -400,15 +402,15 @@
     run_async(work)
 
 
-def test_reported_cores_are_forgotten_when_a_reload_drops_the_report() -> None:
+def test_reported_cpu_utilization_is_discarded_when_a_reload_drops_the_report() -> None:
     async def work() -> None:
-        async def reports(_: ReceivedRequest) -> bytes:
+        async def respond_with_report(_: ReceivedRequest) -> bytes:
             return OK_RESPONSE.replace(b"\r\n\r\n", b"\r\nServer-Load: TEXT util=0.2\r\n\r\n")
 
-        async with sidecar_harness(await ScriptedServer(reports).start()) as harness:
+        async with sidecar_harness(await ScriptedServer(respond_with_report).start()) as harness:
             assert (await harness.send_request()).status == 200
             assert harness.sidecar._balancer._components.response_times.cpu_utilization is not None
-            raw = _raw(harness.sidecar.config.name, harness.discovery.address)
+            raw = _minimal_config(harness.sidecar.config.name, harness.discovery.address)
             harness.sidecar.reload(parse_config(raw, raw))
             assert harness.sidecar._balancer._components.response_times.cpu_utilization is None
 
--- a/tests/sidecar/discovery/test_discovery_client.py
+++ b/tests/sidecar/discovery/test_discovery_client.py
@@ -32,12 +32,12 @@
 )
 from tulipnotch.sidecar.discovery.poll_schedule import PollSchedule
 
-SOON = PollSchedule(1.2)  # a watch that hangs is overdue within the test
-NEVER = PollSchedule(8 * TEST_TIMEOUT_S)  # nothing times out within the test
+SHORT_SCHEDULE = PollSchedule(1.2)  # short enough for a watch that hangs to be overdue within the test
+LONG_SCHEDULE = PollSchedule(8 * TEST_TIMEOUT_S)  # so long that nothing times out within the test
 
 
-class Recorder:
-    """Records what a client notifies its observer of; a failure is None."""
+class RecordingObserver:
+    """An observer with a client of its own; queues its notifications, a failed call as None."""
 
     def __init__(
         self,
@@ -45,9 +45,9 @@
         *,
         pushed: bool = False,
         schedule: PollSchedule | None = None,
-        max_poll_interval_us: int = 3_600_000_000,  # the schedule alone decides
+        max_poll_interval_us: int = 3_600_000_000,  # so long that only the schedule counts
     ) -> None:
-        self.events: asyncio.Queue[DiscoveryResponse | None] = asyncio.Queue()
+        self.notifications: asyncio.Queue[DiscoveryResponse | None] = asyncio.Queue()
         self.faults: list[str] = []
         settings = Settings(
             (),
@@ -61,62 +61,64 @@
         self.client = DiscoveryClient(parse_address(server.address), settings, known, self, schedule)
 
     def endpoints_received(self, response: DiscoveryResponse) -> None:
-        self.events.put_nowait(response)
+        self.notifications.put_nowait(response)
 
     def call_failed(self) -> None:
-        self.events.put_nowait(None)
+        self.notifications.put_nowait(None)
 
     def fault_changed(self, fault: str) -> None:
         self.faults.append(fault)
 
-    async def next(self) -> DiscoveryResponse | None:
-        return await within_timeout(self.events.get())
+    async def next_notification(self) -> DiscoveryResponse | None:
+        return await within_timeout(self.notifications.get())
 
 
-def test_subscribe_responds_at_once_then_waits_for_events() -> None:
+def test_subscribe_receives_the_list_at_once_and_then_waits_for_events() -> None:
     async def work() -> None:
         server = ScriptedDiscovery()
         server.servers = [endpoint_entry("s-1", "127.0.0.2:80")]
         await server.start()
-        recorder = Recorder(server)
-        recorder.client.subscribe()
-        first = await recorder.next()
-        assert first is not None
-        assert first.is_complete
-        assert first.version == 1
+        observer = RecordingObserver(server)
+        observer.client.subscribe()
+        initial = await observer.next_notification()
+        assert initial is not None
+        assert initial.is_complete
+        assert initial.version == 1
         await wait_until(lambda: len(server.received_requests) == 2)
         assert server.received_requests[0].target == "/catalog/members?after=41&wait_ms=0"
         path, _, wait_ms = server.received_requests[1].target.rpartition("=")
         assert path == "/catalog/members?after=1&wait_ms"
         assert 0 < int(wait_ms) <= 1_000 * PollSchedule().max_watch_s
         server.announce(endpoint_entry("s-1", "127.0.0.2:80", state="leaving"))
-        event = await recorder.next()
+        event = await observer.next_notification()
         assert event is not None
         assert not event.is_complete
         assert event.version == 2
         await wait_until(lambda: len(server.received_requests) == 3)
-        recorder.client.unsubscribe()
+        observer.client.unsubscribe()
         await wait_until(lambda: len(server.closed_connections) == 0 or server.closed_connections == [0])
-        recorder.client.close()
+        observer.client.close()
         server.stop()
 
     run_async(work)
 
 
-GOOD = {"version": 7, "full": True, "servers": []}
+VALID_LIST = {"version": 7, "full": True, "servers": []}
 
 
 @pytest.mark.parametrize(
-    "answer",
+    "response",
     [
         http_response(b"", "503 Busy"),
         http_response(b"not json"),
         http_response(b"[" * 100_000),
-        http_response(json.dumps({**GOOD, "version": "x"}).encode()),
-        http_response(json.dumps({**GOOD, "full": 1}).encode()),
-        http_response(json.dumps({**GOOD, "servers": [{"id": "a", "state": "odd"}]}).encode()),
+        http_response(json.dumps({**VALID_LIST, "version": "x"}).encode()),
+        http_response(json.dumps({**VALID_LIST, "full": 1}).encode()),
+        http_response(json.dumps({**VALID_LIST, "servers": [{"id": "a", "state": "odd"}]}).encode()),
         http_response(
-            json.dumps({**GOOD, "servers": [{"id": "a", "state": "active", "addr": "name:80"}]}).encode()
+            json.dumps(
+                {**VALID_LIST, "servers": [{"id": "a", "state": "active", "addr": "name:80"}]}
+            ).encode()
         ),
         b"garbage\r\n\r\n",
         None,
@@ -124,180 +126,181 @@
     ids=str,
 )
 @pytest.mark.parametrize("method", ["subscribe", "fetch"])
-def test_client_reports_one_failure_when_a_call_fails(answer: bytes | None, method: str) -> None:
+def test_client_reports_one_failure_when_a_call_fails(response: bytes | None, method: str) -> None:
     async def work() -> None:
-        async def once(heard: ReceivedRequest) -> bytes:
-            server.script = http_response(json.dumps(GOOD).encode())
-            if answer is None:
-                heard.writer.transport.abort()
+        async def respond_once(request: ReceivedRequest) -> bytes:
+            server.script = http_response(json.dumps(VALID_LIST).encode())
+            if response is None:
+                request.writer.transport.abort()
                 return b""
-            return answer
+            return response
 
-        server = await ScriptedServer(once).start()
-        recorder = Recorder(server)
+        server = await ScriptedServer(respond_once).start()
+        observer = RecordingObserver(server)
 
         def call() -> None:
             if method == "subscribe":
-                recorder.client.subscribe()
+                observer.client.subscribe()
             else:
-                recorder.client.fetch()
+                observer.client.fetch()
 
         call()
-        assert await recorder.next() is None
-        assert recorder.events.empty()
+        assert await observer.next_notification() is None
+        assert observer.notifications.empty()
         call()
-        received = await recorder.next()
+        received = await observer.next_notification()
         assert received is not None
         assert received.version == 7
-        recorder.client.close()
+        observer.client.close()
         server.stop()
 
     run_async(work)
 
 
-def test_change_address_polls_the_new_server_and_reports_no_failure_of_the_old() -> None:
+def test_change_address_calls_the_new_server_and_reports_no_failure_of_the_old() -> None:
     async def work() -> None:
         old, new = ScriptedDiscovery(), ScriptedDiscovery()
         new.version = 5
         await old.start()
         await new.start()
-        recorder = Recorder(old)
-        recorder.client.subscribe()
-        assert await recorder.next() is not None
+        observer = RecordingObserver(old)
+        observer.client.subscribe()
+        assert await observer.next_notification() is not None
         await wait_until(lambda: len(old.received_requests) == 2)
-        recorder.client.change_address(parse_address(new.address))
-        old.announce(endpoint_entry("s-9", "127.0.0.2:80"))  # dropped: nobody is connected
-        received = await recorder.next()
+        observer.client.change_address(parse_address(new.address))
+        # The old server has no connection left, so this event is lost.
+        old.announce(endpoint_entry("s-9", "127.0.0.2:80"))
+        received = await observer.next_notification()
         assert received is not None
         assert received.version == 5
         await wait_until(lambda: old.closed_connections == [0])
         await wait_until(lambda: len(new.received_requests) == 2)
         assert new.received_requests[0].target == "/catalog/members"
-        assert recorder.events.empty()
-        recorder.client.close()
+        assert observer.notifications.empty()
+        observer.client.close()
         for each in (old, new):
             each.stop()
 
     run_async(work)
 
 
-def test_fetch_changes_nothing_when_a_newer_version_came_first() -> None:
-    # A stale list that arrives after a newer one must not make a draining server ready.
+def test_fetch_changes_nothing_when_a_newer_version_was_applied_first() -> None:
+    # A stale list that arrives after a newer one must not make a draining server ready again.
     async def work() -> None:
         release = asyncio.Event()
 
-        async def answer(heard: ReceivedRequest) -> bytes | None:
-            if "wait_ms=0" in heard.target:
-                return http_response(json.dumps({**GOOD, "version": 42}).encode())
-            if "wait_ms" in heard.target:
+        async def respond(request: ReceivedRequest) -> bytes | None:
+            if "wait_ms=0" in request.target:
+                return http_response(json.dumps({**VALID_LIST, "version": 42}).encode())
+            if "wait_ms" in request.target:
                 return None
             await release.wait()
-            return http_response(json.dumps({**GOOD, "version": 40}).encode())
+            return http_response(json.dumps({**VALID_LIST, "version": 40}).encode())
 
-        server = await ScriptedServer(answer).start()
-        recorder = Recorder(server)
-        recorder.client.fetch()
+        server = await ScriptedServer(respond).start()
+        observer = RecordingObserver(server)
+        observer.client.fetch()
         await wait_until(lambda: len(server.received_requests) == 1)
-        recorder.client.subscribe()
-        event = await recorder.next()
+        observer.client.subscribe()
+        event = await observer.next_notification()
         assert event is not None
         assert event.version == 42
         release.set()
-        late = await recorder.next()
-        assert late == DiscoveryResponse(42, is_complete=False, endpoints=())
-        recorder.client.close()
+        fetched = await observer.next_notification()
+        assert fetched == DiscoveryResponse(42, is_complete=False, endpoints=())
+        observer.client.close()
         server.stop()
 
     run_async(work)
 
 
-def test_client_reports_failures_when_discovery_is_down() -> None:
+def test_client_reports_failures_when_connections_are_refused() -> None:
     async def work() -> None:
         server = await ScriptedServer(None).start()
-        recorder = Recorder(server)
+        observer = RecordingObserver(server)
         server.stop()
-        recorder.client.subscribe()
-        assert await recorder.next() is None
-        recorder.client.fetch()
-        assert await recorder.next() is None
+        observer.client.subscribe()
+        assert await observer.next_notification() is None
+        observer.client.fetch()
+        assert await observer.next_notification() is None
 
     run_async(work)
 
 
 def test_subscribe_keeps_the_pending_call_when_repeated() -> None:
-    # Calls that were replaced while discovery is slow would never have a response.
+    # If calls were replaced while discovery is slow, none of them would have a response.
     async def work() -> None:
         release = asyncio.Event()
 
         async def slow(_: ReceivedRequest) -> bytes:
             await release.wait()
-            return http_response(json.dumps(GOOD).encode())
+            return http_response(json.dumps(VALID_LIST).encode())
 
         server = await ScriptedServer(slow).start()
-        recorder = Recorder(server)
+        observer = RecordingObserver(server)
         for _ in range(3):
-            recorder.client.subscribe()
+            observer.client.subscribe()
         await wait_until(lambda: len(server.received_requests) == 1)
-        recorder.client.subscribe()
+        observer.client.subscribe()
         release.set()
-        assert await recorder.next() is not None
+        assert await observer.next_notification() is not None
         assert server.connection_count == 1
-        recorder.client.close()
+        observer.client.close()
         server.stop()
 
     run_async(work)
 
 
-def test_client_receives_pushed_lists_after_discovery_restarted() -> None:
+def test_client_receives_pushed_lists_when_discovery_was_restarted() -> None:
     async def work() -> None:
         server = ScriptedDiscovery()
         await server.start()
         port = int(server.address.rpartition(":")[2])
-        recorder = Recorder(server, pushed=True)
-        recorder.client.start()
-        assert await recorder.next() is not None
+        observer = RecordingObserver(server, pushed=True)
+        observer.client.start()
+        assert await observer.next_notification() is not None
         server.stop()
         restarted = ScriptedDiscovery()
         restarted.version = 9
         restarted.servers = [endpoint_entry("s-1", f"{HOST}:80")]
         await restarted.start(port)
         restarted.announce(endpoint_entry("s-2", f"{HOST}:80"))
-        received = await recorder.next()
+        received = await observer.next_notification()
         assert received is not None
         assert received.version == 10
-        assert recorder.events.empty()
-        recorder.client.close()
+        assert observer.notifications.empty()
+        observer.client.close()
         restarted.stop()
 
     run_async(work)
 
 
 async def _assert_pushed_list_received(server: ScriptedServer) -> None:
-    """Where lists are pushed, the list arrives whatever hangs."""
-    recorder = Recorder(server, pushed=True, schedule=NEVER)
-    recorder.client.start()
-    received = await recorder.next()
+    """Asserts that a client of pushed lists receives the list before any timeout of the schedule."""
+    observer = RecordingObserver(server, pushed=True, schedule=LONG_SCHEDULE)
+    observer.client.start()
+    received = await observer.next_notification()
     assert received is not None
     assert received.version == 7
-    recorder.client.close()
+    observer.client.close()
     server.stop()
 
 
 def test_watch_is_hedged_before_its_timeout_when_it_hangs() -> None:
-    # Without it a drain is known only at the timeout of the watch that hangs.
+    # Without the hedged call, a drain would be known only at the timeout of the watch that hangs.
     async def work() -> None:
-        server = ScriptedDiscovery()  # its watches hang: it sends no event
+        server = ScriptedDiscovery()  # its watches hang, since no event is announced
         server.servers = [endpoint_entry("s-1", f"{HOST}:80")]
         await server.start()
-        recorder = Recorder(server, schedule=SOON)
-        recorder.client.subscribe()
-        assert await recorder.next() is not None
+        observer = RecordingObserver(server, schedule=SHORT_SCHEDULE)
+        observer.client.subscribe()
+        assert await observer.next_notification() is not None
         server.version, server.servers = 2, [endpoint_entry("s-1", f"{HOST}:80", state="leaving")]
-        received = await recorder.next()
+        received = await observer.next_notification()
         assert received is not None
         assert received.version == 2
         assert server.connection_count >= 2
-        recorder.client.close()
+        observer.client.close()
         server.stop()
 
     run_async(work)
@@ -305,26 +308,26 @@
 
 @pytest.mark.alone
 def test_watch_has_one_early_hedge_when_every_call_hangs() -> None:
-    # A fleet must not add load to a discovery server with a long queue.
+    # The hedged calls of a fleet must not add load to a discovery server with a long queue.
     schedule = PollSchedule(1.2)
 
     async def work() -> None:
-        async def answer(_: ReceivedRequest) -> bytes | None:
+        async def respond(_: ReceivedRequest) -> bytes | None:
             started.append(asyncio.get_running_loop().time())
-            return http_response(json.dumps(GOOD).encode()) if len(started) == 1 else None
+            return http_response(json.dumps(VALID_LIST).encode()) if len(started) == 1 else None
 
         started: list[float] = []
-        server = await ScriptedServer(answer).start()
-        recorder = Recorder(server, schedule=schedule)
-        recorder.client.subscribe()
+        server = await ScriptedServer(respond).start()
+        observer = RecordingObserver(server, schedule=schedule)
+        observer.client.subscribe()
         await wait_until(lambda: len(started) == 4)
         intervals_s = [later - earlier for earlier, later in itertools.pairwise(started)]
-        # All but the first call hang; the first interval is that from its response to the watch.
+        # All calls but the first hang; the first interval is the time from its response to the watch.
         assert intervals_s[0] < 0.1 * schedule.call_interval_s
-        longest_s = schedule.call_interval_s + schedule.scheduling_margin_s
-        assert schedule.hedge_delay_s < intervals_s[1] < longest_s
-        assert 0.95 * schedule.call_interval_s < intervals_s[2] < longest_s
-        recorder.client.close()
+        max_interval_s = schedule.call_interval_s + schedule.scheduling_margin_s
+        assert schedule.hedge_delay_s < intervals_s[1] < max_interval_s
+        assert 0.95 * schedule.call_interval_s < intervals_s[2] < max_interval_s
+        observer.client.close()
         server.stop()
 
     run_async(work)
@@ -333,11 +336,11 @@
 def test_connection_makes_a_second_attempt_when_the_first_hangs(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # An attempt whose packets are lost is noticed only at its timeout.
+    # An attempt whose packets are lost would be noticed only at its timeout.
     async def work() -> None:
         slow = FullAcceptQueueServer()
         await slow.fill_accept_queue()
-        server = await ScriptedServer(http_response(json.dumps(GOOD).encode())).start()
+        server = await ScriptedServer(http_response(json.dumps(VALID_LIST).encode())).start()
         addresses = iter([slow.address])
         create_connection = asyncio.get_running_loop().create_connection
 
@@ -345,28 +348,32 @@
             return await create_connection(factory, *parse_address(next(addresses, server.address)))
 
         monkeypatch.setattr(asyncio.get_running_loop(), "create_connection", connect, raising=False)
-        # 0.2 s to the second attempt, 0.8 s to the timeout of the first
-        recorder = Recorder(server, schedule=PollSchedule(4.8))
-        recorder.client.subscribe()
-        received = await recorder.next()
+        # The second attempt starts after 0.2 s, the first times out after 0.8 s.
+        observer = RecordingObserver(server, schedule=PollSchedule(4.8))
+        observer.client.subscribe()
+        received = await observer.next_notification()
         assert received is not None
         assert received.version == 7
-        assert recorder.faults == []
-        recorder.client.close()
+        assert observer.faults == []
+        observer.client.close()
         server.stop()
         slow.close()
 
     run_async(work)
 
 
-@pytest.mark.parametrize("hangs_at", [0, 1], ids=["first call", "first two calls"])
-def test_first_calls_are_hedged_when_lists_are_pushed_and_calls_hang(hangs_at: int) -> None:
-    # All that discovery has counts as announced, also while a connection to it hangs.
+@pytest.mark.parametrize("hanging_connections", [0, 1], ids=["first call", "first two calls"])
+def test_first_calls_are_hedged_when_lists_are_pushed_and_calls_hang(hanging_connections: int) -> None:
+    # All that discovery has counts as announced, even while a connection to it hangs.
     async def work() -> None:
-        async def answer(heard: ReceivedRequest) -> bytes | None:
-            return None if heard.connection_number <= hangs_at else http_response(json.dumps(GOOD).encode())
-
-        server = await ScriptedServer(answer).start()
+        async def respond(request: ReceivedRequest) -> bytes | None:
+            return (
+                None
+                if request.connection_number <= hanging_connections
+                else http_response(json.dumps(VALID_LIST).encode())
+            )
+
+        server = await ScriptedServer(respond).start()
         await _assert_pushed_list_received(server)
 
     run_async(work)
@@ -375,20 +382,20 @@
 def test_hedged_calls_are_limited_when_discovery_is_slow() -> None:
     async def work() -> None:
         server = await ScriptedServer(None).start()
-        recorder = Recorder(server, pushed=True, schedule=NEVER)
-        recorder.client.start()
+        observer = RecordingObserver(server, pushed=True, schedule=LONG_SCHEDULE)
+        observer.client.start()
         await wait_until(lambda: server.connection_count == 3)
-        await asyncio.sleep(0.3)  # several times the delay of a hedged call
+        await asyncio.sleep(0.3)  # several times the delay before a hedged call
         assert server.connection_count == 3
-        recorder.client.close()
+        observer.client.close()
         server.stop()
 
     run_async(work)
 
 
-def test_calls_begin_within_the_max_poll_interval_when_all_hang() -> None:
+def test_calls_start_within_the_max_poll_interval_when_all_hang() -> None:
     # Settings may allow less time than the schedule leaves between two calls.
-    allowed_s = 1.6
+    max_interval_s = 1.6
 
     async def work() -> None:
         started: list[float] = []
@@ -397,12 +404,12 @@
             started.append(asyncio.get_running_loop().time())
 
         server = await ScriptedServer(hang).start()
-        recorder = Recorder(server, max_poll_interval_us=int(allowed_s * 1e6))
-        recorder.client.subscribe()
-        await wait_until(lambda: len(started) == 5)  # beyond the timeout of the first
+        observer = RecordingObserver(server, max_poll_interval_us=int(max_interval_s * 1e6))
+        observer.client.subscribe()
+        await wait_until(lambda: len(started) == 5)  # the fifth starts after the timeout of the first
         intervals_s = [later - earlier for earlier, later in itertools.pairwise(started)]
-        assert max(intervals_s) < allowed_s, intervals_s
-        recorder.client.close()
+        assert max(intervals_s) < max_interval_s, intervals_s
+        observer.client.close()
         server.stop()
 
     run_async(work)
@@ -411,19 +418,17 @@
 def test_pushed_list_is_received_when_a_connection_attempt_hangs(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Attempts may hang while discovery is unavailable; what it has on its return counts as announced.
-    for name in (
-        "_PUSHED_CONNECT_FRACTION",
-        "_PUSHED_MAX_INTERVAL_S",
-    ):  # the attempt that hangs has no timeout
+    # Attempts may hang while discovery is unavailable; what it has when it returns counts as announced.
+    # The attempt that hangs must not time out.
+    for name in ("_PUSHED_CONNECT_FRACTION", "_PUSHED_MAX_INTERVAL_S"):
         monkeypatch.setattr(poll_schedule, name, 1_000.0)
     monkeypatch.setattr(poll_schedule, "_PUSHED_HEDGE_FRACTION", 0.02)
 
     async def work() -> None:
         slow = FullAcceptQueueServer()
         await slow.fill_accept_queue()
-        server = await ScriptedServer(http_response(json.dumps(GOOD).encode())).start()
-        addresses = iter([slow.address, *[f"{HOST}:9"] * 4])  # nobody listens there
+        server = await ScriptedServer(http_response(json.dumps(VALID_LIST).encode())).start()
+        addresses = iter([slow.address, *[f"{HOST}:9"] * 4])  # at port 9, connections are refused
         create_connection = asyncio.get_running_loop().create_connection
 
         async def connect(factory: Callable[[], asyncio.Protocol], *_: object) -> object:
@@ -436,41 +441,41 @@
     run_async(work)
 
 
-_LIST = json.dumps({**GOOD, "servers": [endpoint_entry("s-1", "127.0.0.2:80")]}).encode()
+_LIST_JSON = json.dumps({**VALID_LIST, "servers": [endpoint_entry("s-1", "127.0.0.2:80")]}).encode()
 
 
 @pytest.mark.parametrize(
-    ("answer", "cause"),
+    ("response", "cause"),
     [
-        (http_response(_LIST[:-9]), "the response is not a valid endpoint list"),
-        (http_response(_LIST)[:-9], "the connection was lost before the response was complete"),
+        (http_response(_LIST_JSON[:-9]), "the response is not a valid endpoint list"),
+        (http_response(_LIST_JSON)[:-9], "the connection was lost before the response was complete"),
         (http_response(b"", "503 Busy"), "the response has status 503"),
-        (http_response(_LIST.replace(b"active", b"sleepy")), "unknown state 'sleepy' of s-1"),
+        (http_response(_LIST_JSON.replace(b"active", b"sleepy")), "unknown state 'sleepy' of s-1"),
     ],
     ids=["truncated", "connection lost", "rejected", "unknown state"],
 )
 @pytest.mark.parametrize("pushed", [True, False])
-def test_unusable_list_is_reported_once_and_retried(answer: bytes, cause: str, *, pushed: bool) -> None:
+def test_unusable_list_is_reported_once_and_retried(response: bytes, cause: str, *, pushed: bool) -> None:
     async def work() -> None:
-        async def script(heard: ReceivedRequest) -> bytes:
+        async def script(request: ReceivedRequest) -> bytes:
             if len(server.received_requests) > 3:
-                return http_response(json.dumps(json.loads(_LIST), indent=2).encode())
-            heard.writer.write(answer)
-            heard.writer.close()
+                return http_response(json.dumps(json.loads(_LIST_JSON), indent=2).encode())
+            request.writer.write(response)
+            request.writer.close()
             return b""
 
         server = await ScriptedServer(script).start()
-        recorder = Recorder(server, pushed=pushed)
-        recorder.client.start()
+        observer = RecordingObserver(server, pushed=pushed)
+        observer.client.start()
         received: DiscoveryResponse | None = None
         while received is None:
-            recorder.client.subscribe()  # without effect where lists are pushed
-            received = await recorder.next()
+            observer.client.subscribe()  # has no effect where lists are pushed
+            received = await observer.next_notification()
         assert received.version == 7
         assert [each.description.name for each in received.endpoints] == ["s-1"]
-        assert len(recorder.faults) == 1
-        assert cause in recorder.faults[0]
-        recorder.client.close()
+        assert len(observer.faults) == 1
+        assert cause in observer.faults[0]
+        observer.client.close()
         server.stop()
 
     run_async(work)
--- a/tests/sidecar/discovery/test_endpoint_list_codec.py
+++ b/tests/sidecar/discovery/test_endpoint_list_codec.py
@@ -1,4 +1,4 @@
-"""The codec of the endpoint list."""
+"""Decoding of the endpoint list."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 from tulipnotch.sidecar.discovery.endpoint_list_codec import DiscoveryFormatError, parse_endpoint_list
 
 
-def _document(**changes: Any) -> dict[str, Any]:
+def _list_document(**changes: Any) -> dict[str, Any]:
     return {"version": 3, "full": False, "servers": [], **changes}
 
 
 def test_parse_endpoint_list_converts_the_start_time_to_microseconds() -> None:
     response = parse_endpoint_list(
-        _document(servers=[endpoint_entry("a", "127.0.0.1:80", started_ms=1_700_000_000_123)])
+        _list_document(servers=[endpoint_entry("a", "127.0.0.1:80", started_ms=1_700_000_000_123)])
     )
     assert response.endpoints[0].description.started_at == 1_700_000_000_123_000
 
 
-def test_parse_endpoint_list_gives_no_address_when_the_endpoint_was_removed() -> None:
-    response = parse_endpoint_list(_document(servers=[{"id": "a", "state": "left"}]))
+def test_parse_endpoint_list_returns_no_address_when_the_endpoint_was_removed() -> None:
+    response = parse_endpoint_list(_list_document(servers=[{"id": "a", "state": "left"}]))
     assert response.endpoints[0].address is None
 
 
@@ -30,29 +30,29 @@
     ("document", "field", "problem"),
     [
         ([], "", "the endpoint list must be a JSON object"),
-        (_document(version=True), "version", "an integer >= 0 is needed, not True"),
-        (_document(full=1), "full", "true or false is needed, not 1"),
-        (_document(servers={}), "servers", "a list is needed, not {}"),
-        (_document(servers=[7]), "servers", "each server must be a JSON object"),
-        (_document(servers=[{"id": ""}]), "servers", "an id is needed, not ''"),
-        (_document(servers=[{"id": "a", "state": "odd"}]), "servers", "unknown state 'odd' of a"),
+        (_list_document(version=True), "version", "an integer >= 0 is needed, not True"),
+        (_list_document(full=1), "full", "true or false is needed, not 1"),
+        (_list_document(servers={}), "servers", "a list is needed, not {}"),
+        (_list_document(servers=[7]), "servers", "each server must be a JSON object"),
+        (_list_document(servers=[{"id": ""}]), "servers", "an id is needed, not ''"),
+        (_list_document(servers=[{"id": "a", "state": "odd"}]), "servers", "unknown state 'odd' of a"),
         (
-            _document(servers=[endpoint_entry("a", "127.0.0.1:80", weight=-1)]),
+            _list_document(servers=[endpoint_entry("a", "127.0.0.1:80", weight=-1)]),
             "servers",
             "weight: a number >= 0 and < 2**53 is needed, not -1",
         ),
         (
-            _document(servers=[endpoint_entry("a", "127.0.0.1:80", kind=5)]),
+            _list_document(servers=[endpoint_entry("a", "127.0.0.1:80", kind=5)]),
             "servers",
             "kind: a string is needed, not 5",
         ),
     ],
     ids=lambda value: value if isinstance(value, str) else "",
 )
-def test_parse_endpoint_list_names_the_field_when_it_is_malformed(
+def test_parse_endpoint_list_names_the_field_when_the_document_is_invalid(
     document: object, field: str, problem: str
 ) -> None:
-    with pytest.raises(DiscoveryFormatError) as caught:
+    with pytest.raises(DiscoveryFormatError) as raised:
         parse_endpoint_list(document)
-    assert (caught.value.field, caught.value.problem) == (field, problem)
-    assert str(caught.value) == (f"{field}: {problem}" if field else problem)
+    assert (raised.value.field, raised.value.problem) == (field, problem)
+    assert str(raised.value) == (f"{field}: {problem}" if field else problem)
--- a/tests/sidecar/discovery/test_peer_messenger.py
+++ b/tests/sidecar/discovery/test_peer_messenger.py
@@ -11,8 +11,8 @@
 from tulipnotch.sidecar.discovery.peers import PeerMessenger
 
 
-def test_peer_messenger_receives_from_its_peers_only() -> None:
-    # An endpoint that never comes up shows only as a line in the log.
+def test_peer_messenger_receives_only_from_its_peers_when_others_send_too() -> None:
+    # Without this test, a socket that is never opened would show only as a line in the log.
     async def work() -> None:
         ports = []
         for _ in range(2):
@@ -22,7 +22,7 @@
         addresses: tuple[Address, ...] = tuple((HOST, port) for port in ports)
         received: asyncio.Queue[tuple[int, int, bytes]] = asyncio.Queue()
 
-        def create(instance: int) -> PeerMessenger:
+        def create_messenger(instance: int) -> PeerMessenger:
             return PeerMessenger(
                 addresses,
                 None,
@@ -30,7 +30,7 @@
                 lambda sender, payload: received.put_nowait((instance, sender, payload)),
             )
 
-        first, second = create(0), create(1)
+        first, second = create_messenger(0), create_messenger(1)
         await first.listen(addresses[0])
         await second.listen(addresses[1])
         assert first.send(1, b"to one")
@@ -41,8 +41,8 @@
         assert not first.send(1, b"x" * 257)
         assert not first.send(2, b"nobody")
         assert await within_timeout(received.get()) == (1, 0, b"x" * 256)
-        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
-            stranger.sendto(b"from a stranger", addresses[1])
+        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as other_sender:
+            other_sender.sendto(b"from a stranger", addresses[1])
         assert first.send(1, b"after it")
         assert await within_timeout(received.get()) == (1, 0, b"after it")
         first.close()
