--- a/tests/sidecar/discovery/test_change_propagation.py
+++ b/tests/sidecar/discovery/test_change_propagation.py
@@ -96,7 +96,7 @@
 
 
 class DrainingDiscovery(ScriptedDiscovery):
-    """Discovery that has a drain once `drain` is called; until then, `fault` determines how calls end."""
+    """Discovery that has a drain once `start_drain` is called; until then, `fault` determines how calls end."""
 
     def __init__(self, fault: str) -> None:
         super().__init__()
@@ -118,7 +118,7 @@
     def complete_list_json(self) -> bytes:
         return json.dumps({"version": self.version, "full": True, "servers": self.servers}).encode()
 
-    def drain(self, drained: dict[str, Any]) -> None:
+    def start_drain(self, drained: dict[str, Any]) -> None:
         self.fault, self.version, self.servers = "none", 2, [drained, *self.servers[1:]]
 
 
@@ -163,7 +163,7 @@
     """Makes calls fail as the case describes, the last of them just before this returns."""
 
     async def wait_until_failed_often() -> None:
-        await wait_until(lambda: _failures(harness, attempts) >= 4)
+        await wait_until(lambda: _failure_count(harness, attempts) >= 4)
 
     if case == ANOTHER_ADDRESS:
         await server.start()
@@ -196,7 +196,7 @@
         await asyncio.sleep(SCHEDULE.max_watch_s / 2)
 
 
-async def _propagation_s(case: str, mode: str, monkeypatch: pytest.MonkeyPatch) -> float:
+async def _measure_propagation_s(case: str, mode: str, monkeypatch: pytest.MonkeyPatch) -> float:
     """Measures the time from when discovery has a drain and can be reached until the balancer knows it."""
     slow_server = FullAcceptQueueServer()
     await slow_server.fill_accept_queue()
@@ -209,7 +209,7 @@
         server.servers, server.truncates = harness.discovery.servers, "half" in case
         attempts = ConnectionAttempts(monkeypatch, harness.discovery.address, slow_server.address)
         await _lose_calls(case, harness, server, attempts)
-        server.drain(drained)
+        server.start_drain(drained)
         reachable_at = loop.time()
         await wait_until(lambda: harness.sidecar._balancer.endpoint_counts() == (2, 1))
         elapsed_s = loop.time() - reachable_at
@@ -233,7 +233,9 @@
 
     async def work() -> list[float]:
         # Each case has its own servers, so all of them can run concurrently.
-        return await asyncio.gather(*(_propagation_s(case, mode, monkeypatch) for case in FAULT_CASES))
+        return await asyncio.gather(
+            *(_measure_propagation_s(case, mode, monkeypatch) for case in FAULT_CASES)
+        )
 
     elapsed_s = dict(zip(FAULT_CASES, run_async(work), strict=True))
     bound_s = SCHEDULE.max_propagation_s
@@ -266,7 +268,7 @@
     run_async(work)
 
 
-def _failures(harness: SidecarHarness, attempts: ConnectionAttempts) -> int:
+def _failure_count(harness: SidecarHarness, attempts: ConnectionAttempts) -> int:
     """Returns the number of consecutive failed calls where lists are polled, else of connection attempts."""
     is_polled = harness.sidecar.config.settings.discovery_mode is Mode.POLLED
     return (
