--- a/tests/sidecar/discovery/test_change_propagation.py
+++ b/tests/sidecar/discovery/test_change_propagation.py
@@ -96,7 +96,7 @@
 
 
 class DrainingDiscovery(ScriptedDiscovery):
-    """Discovery that has a drain once `start_drain` is called; until then, `fault` determines how calls end."""
+    """Discovery that has a drain after `start_drain`; before it, `fault` determines how calls end."""
 
     def __init__(self, fault: str) -> None:
         super().__init__()
--- a/tulipnotch/sidecar/discovery/client.py
+++ b/tulipnotch/sidecar/discovery/client.py
@@ -26,7 +26,7 @@
         ...
 
     def call_failed(self) -> None:
-        """Handles the failure of a subscription or a fetch; where lists are pushed, of a fetch only."""
+        """Handles the failure of a watch or a fetch; where lists are pushed, of a fetch only."""
         ...
 
     def fault_changed(self, fault: str) -> None:
@@ -189,7 +189,7 @@
         self._fault = None
 
     def watch_failed(self, error: DiscoveryError) -> None:
-        """Reports the cause, and the failed call too if lists are polled: then the observer waits for it."""
+        """Reports the cause; the failed call too where lists are polled, since the observer awaits it."""
         self._report_fault(error)
         if not self._is_pushed:
             self._observer.call_failed()
--- a/tulipnotch/sidecar/discovery/poll_schedule.py
+++ b/tulipnotch/sidecar/discovery/poll_schedule.py
@@ -16,13 +16,13 @@
 _MAX_EARLY_HEDGES = 2  # number of hedged calls before they slow down to the schedule's own interval
 # Where lists are pushed, all that discovery has counts as announced, even while no watch is open.  So a call
 # that failed is retried, and one without a response is hedged, after these fractions of the drain grace
-# period; a connection must be established within the last one.
+# period; a connection must be established within the last of them.
 _PUSHED_RETRY_FRACTION = 0.2
 _PUSHED_HEDGE_FRACTION = 0.4
 _PUSHED_CONNECT_FRACTION = 0.8
 _PUSHED_MIN_INTERVAL_S = 0.02
 _PUSHED_MAX_INTERVAL_S = 0.2  # however long the grace period is
-MAX_CALLS_IN_FLIGHT = 8  # for one instance
+MAX_CALLS_IN_FLIGHT = 8  # calls of one instance
 
 
 class PollSchedule(NamedTuple):
@@ -81,7 +81,7 @@
 
     @property
     def hedge_delay_s(self) -> float:
-        """Delay from the end of a watch's wait to a hedged call; so long a queue in discovery causes none."""
+        """Delay from the end of a watch's wait to a hedged call; a shorter queueing delay causes none."""
         return self.max_propagation_s / 15
 
     @property
--- a/tulipnotch/sidecar/discovery/watch.py
+++ b/tulipnotch/sidecar/discovery/watch.py
@@ -26,7 +26,7 @@
     def __init__(
         self, connection: DiscoveryConnection, revision: int, task: asyncio.Task[DiscoveryResponse]
     ) -> None:
-        """Describes a call in flight; `revision` is that of the owner's list when the call started."""
+        """Describes a call in flight; `revision` is the owner's count of changes when it started."""
         self.connection = connection
         self.revision = revision
         self.task = task
@@ -90,10 +90,9 @@
         self._slots = slots
         self._schedule = slots.schedule
         self._call_started_at = 0.0  # start of the last call, in the event loop's time (s)
-        self._time_until_initial_slot_s = 0.0  # at the start of the last call
-        self.is_initial_response_pending = (
-            True  # whether the first response, which does not wait for a change, is still due
-        )
+        self._time_until_initial_slot_s = 0.0  # as it was when the last call started
+        # Whether the first response since the start or a failure, which waits for no change, is still due.
+        self.is_initial_response_pending = True
         self.task = asyncio.create_task(self._run())
 
     @property
@@ -113,10 +112,10 @@
             await asyncio.sleep(min(self._owner.intervals.max_retry_delay_s, next_call_s))
 
     async def _watch_until_failure(self) -> None:
-        """Makes calls until one fails.  The first does not wait for a change, so that its response is early.
+        """Makes calls until one fails.  The first waits for no change, so that its response comes soon.
 
         Raises:
-            DiscoveryError: If a call and all its hedged calls failed.
+            DiscoveryError: A call and all its hedged calls failed.
         """
         connection: DiscoveryConnection | None = None
         try:
@@ -138,7 +137,7 @@
         """Makes a call, and hedged calls while it is overdue; returns the first that has a response.
 
         Raises:
-            DiscoveryError: If all of them failed.
+            DiscoveryError: All of them failed.
         """
         calls = [self._start_call(connection, wait_ms)]
         delay_s = self._owner.intervals.hedge_delay_s
