--- a/tests/sidecar/configuration/test_configuration_validation.py
+++ b/tests/sidecar/configuration/test_configuration_validation.py
@@ -20,8 +20,8 @@
     ("changes", "text"),
     [
         ({"name": ""}, "name: must be a non-empty string, got ''"),
-        ({"seed": -1}, "seed: must be a string of hexadecimal digits, got -1"),
-        ({"seed": "xyz"}, "seed: must be a string of hexadecimal digits, got 'xyz'"),
+        ({"seed": -1}, "seed: must be a string of hexadecimal digits or an integer >= 0, got -1"),
+        ({"seed": "xyz"}, "seed: must be a string of hexadecimal digits or an integer >= 0, got 'xyz'"),
         ({"limits": {"sockets": 3}}, "limits.sockets: must be an integer >= 64, got 3"),
         ({"limits": {"memory_mb": 16.5}}, "limits.memory_mb: must be an integer >= 16, got 16.5"),
         ({"limits": []}, "limits: must be an object"),
--- a/tulipnotch/sidecar/configuration/validation.py
+++ b/tulipnotch/sidecar/configuration/validation.py
@@ -112,7 +112,7 @@
             return int(seed, base=16)
     except ValueError:
         pass
-    raise ConfigError("seed", f"must be a string of hexadecimal digits, got {seed!r:.60}")
+    raise ConfigError("seed", f"must be a string of hexadecimal digits or an integer >= 0, got {seed!r:.60}")
 
 
 def _limit_reader(key: str, minimum: int, default: int) -> Callable[[Mapping[str, Any]], int]:
