--- a/tests/sidecar/discovery/test_peer_messenger.py
+++ b/tests/sidecar/discovery/test_peer_messenger.py
@@ -12,7 +12,7 @@
 
 
 def test_peer_messenger_receives_only_from_its_peers_when_others_send_too() -> None:
-    # Without this test, a socket that is never opened would show only as a line in the log.
+    # In operation, a socket that is never opened shows only as a line in the log.
     async def work() -> None:
         ports = []
         for _ in range(2):
--- a/tulipnotch/settings/source_lines.py
+++ b/tulipnotch/settings/source_lines.py
@@ -30,7 +30,7 @@
 
 
 def locate_toml_keys(text: str) -> dict[str, int]:
-    """Returns the line of each table and key of a TOML text, except for keys within inline tables."""
+    """Returns the lines of all tables and keys of a TOML text by path, but not of keys in inline tables."""
     lines: dict[str, int] = {}
     array_lengths: dict[str, int] = {}  # lengths of arrays of tables so far, keyed by path
     table = ""
@@ -95,7 +95,7 @@
 
 
 def locate_json_keys(text: str) -> dict[str, int]:
-    """Returns the line of each key of a valid JSON text."""
+    """Returns the lines of all keys of a valid JSON text by path."""
     locator = _JsonKeyLocator()
     line, position = 1, 0
     for token in _JSON_TOKEN.finditer(text):
