--- a/tulipnotch/cli/lab.py
+++ b/tulipnotch/cli/lab.py
@@ -1,22 +1,22 @@
-"""`tulipnotch lab`: the laboratory."""
+"""`tulipnotch lab`: the group of commands that simulate the platform."""
 
 from __future__ import annotations
 
 import click
 
-from tulipnotch.cli.root import LazyGroup, examples
+from tulipnotch.cli.root import LazyGroup, format_examples
 
 
 @click.group(
     cls=LazyGroup,
-    places={
+    locations={
         "list": ("tulipnotch.cli.lab_run", "list_scenarios"),
         "run": ("tulipnotch.cli.lab_run", "run"),
         "compare": ("tulipnotch.cli.lab_run", "compare"),
         "up": ("tulipnotch.cli.lab_real", "up"),
         "overhead": ("tulipnotch.cli.lab_real", "overhead"),
     },
-    epilog=examples(
+    epilog=format_examples(
         "tulipnotch lab list",
         "tulipnotch lab up crash",
         "tulipnotch lab run crash --seeds 8",
@@ -25,4 +25,4 @@
     ),
 )
 def lab() -> None:
-    """A model of the platform, in virtual and in real time."""
+    """Simulate the platform in virtual time, or run it with real processes."""
--- a/tulipnotch/sidecar/downstream/connection.py
+++ b/tulipnotch/sidecar/downstream/connection.py
@@ -31,7 +31,7 @@
 )
 from tulipnotch.sidecar.http1.request_reader import RequestReader
 from tulipnotch.sidecar.requests.invariants import CloseReason, InvariantChecker
-from tulipnotch.sidecar.sockets import has_input, is_peer_closed, own_socket, watch_input
+from tulipnotch.sidecar.sockets import borrow_socket, has_unread_input, is_peer_closed, register_for_input
 
 # Reading from the client pauses while this much of a streamed body waits to be written to the server.
 _MAX_PENDING_BODY_BYTES = 32 << 10
@@ -182,7 +182,7 @@
     @property
     def has_unread_input(self) -> bool:
         """Whether the socket has unread bytes, which may complete a request, or an unread end of stream."""
-        return has_input(self._input_poll)
+        return has_unread_input(self._input_poll)
 
     @property
     def has_unsent_output(self) -> bool:
@@ -332,7 +332,7 @@
             # The transport shuts the socket down no earlier than in the next iteration of the event loop.
             # A request received before that would be discarded, although it came before the end of the
             # connection was sent.
-            with own_socket(transport) as plain_socket:
+            with borrow_socket(transport) as plain_socket:
                 plain_socket.shutdown(socket.SHUT_WR)
         transport.write_eof()
         self._resume_reading()
@@ -346,8 +346,8 @@
         if self._transport is None:
             return
         self._record_close(reason)
-        if self._stream is not None:  # the transport is open, as `own_socket` requires
-            with own_socket(self._transport) as plain_socket:
+        if self._stream is not None:  # the transport is open, as `borrow_socket` requires
+            with borrow_socket(self._transport) as plain_socket:
                 plain_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE)
         self._transport.abort()
 
@@ -386,7 +386,7 @@
         """Registers the connection; the event loop starts to read from it."""
         # uvloop's transports do not derive from those of asyncio, so an isinstance check would fail.
         self._transport = cast("asyncio.Transport", transport)
-        watch_input(self._input_poll, transport)
+        register_for_input(self._input_poll, transport)
         self._owner.connection_table.add(self)
 
     def get_buffer(self, _sizehint: int) -> memoryview:
