--- a/tulipnotch/cli/check.py
+++ b/tulipnotch/cli/check.py
@@ -18,7 +18,7 @@
 from tulipnotch.settings.source_lines import find_line, locate_json_keys
 from tulipnotch.sidecar.configuration.configuration import with_environment
 from tulipnotch.sidecar.configuration.errors import ConfigError
-from tulipnotch.sidecar.configuration.json_file import CONFIG_VARIABLE, read_json_object
+from tulipnotch.sidecar.configuration.json_file import CONFIG_FILE_VARIABLE, read_json_object
 from tulipnotch.sidecar.configuration.validation import find_config_faults
 
 _EXIT_INVALID = 2
@@ -93,7 +93,7 @@
     try:
         configuration = read_json_object(str(path))
     except ConfigError as error:
-        return [Fault(0, "", str(error).removeprefix(f"{CONFIG_VARIABLE}: "))]
+        return [Fault(0, "", str(error).removeprefix(f"{CONFIG_FILE_VARIABLE}: "))]
     lines = locate_json_keys(path.read_text(encoding="utf-8"))
     faults = find_config_faults(with_environment(configuration, os.environ))
     return [Fault(find_line(lines, each.key), each.key, each.problem) for each in faults]
--- a/tulipnotch/sidecar/configuration/configuration.py
+++ b/tulipnotch/sidecar/configuration/configuration.py
@@ -10,7 +10,7 @@
 from tulipnotch.sidecar.addresses import Address
 from tulipnotch.sidecar.configuration.completeness import check_no_key_missing
 from tulipnotch.sidecar.configuration.errors import ConfigError
-from tulipnotch.sidecar.configuration.json_file import CONFIG_VARIABLE, read_json_object
+from tulipnotch.sidecar.configuration.json_file import CONFIG_FILE_VARIABLE, read_json_object
 from tulipnotch.sidecar.configuration.validation import read_config_fields
 from tulipnotch.sidecar.discovery.endpoint_list_codec import DiscoveryResponse
 
@@ -49,9 +49,9 @@
     Raises:
         ConfigError: The file cannot be read, or the configuration is invalid.
     """
-    path = environ.get(CONFIG_VARIABLE)
+    path = environ.get(CONFIG_FILE_VARIABLE)
     if not path:
-        raise ConfigError(CONFIG_VARIABLE, "must be set to the path of the configuration file")
+        raise ConfigError(CONFIG_FILE_VARIABLE, "must be set to the path of the configuration file")
     raw = read_json_object(path)
     if current is not None:
         check_no_key_missing(raw, current.file)
--- a/tulipnotch/sidecar/configuration/json_file.py
+++ b/tulipnotch/sidecar/configuration/json_file.py
@@ -9,7 +9,7 @@
 
 from tulipnotch.sidecar.configuration.errors import ConfigError
 
-CONFIG_VARIABLE = "BALANCER_CONFIG"  # environment variable that holds the path of the file
+CONFIG_FILE_VARIABLE = "BALANCER_CONFIG"  # environment variable that holds the path of the file
 
 
 def read_json_object(path: str) -> dict[str, Any]:
@@ -25,15 +25,15 @@
             object_pairs_hook=_build_object_without_duplicates,
         )
     except (OSError, ValueError, RecursionError) as error:
-        raise ConfigError(CONFIG_VARIABLE, f"cannot read {path}: {error}") from None
+        raise ConfigError(CONFIG_FILE_VARIABLE, f"cannot read {path}: {error}") from None
     if not isinstance(document, dict):
-        raise ConfigError(CONFIG_VARIABLE, "the file must contain a JSON object")
+        raise ConfigError(CONFIG_FILE_VARIABLE, "the file must contain a JSON object")
     return document
 
 
 def _reject_constant(text: str) -> NoReturn:
     """Rejects NaN and infinities, which are not JSON but accepted by Python's parser."""
-    raise ConfigError(CONFIG_VARIABLE, f"{text} is not a finite number")
+    raise ConfigError(CONFIG_FILE_VARIABLE, f"{text} is not a finite number")
 
 
 def _build_object_without_duplicates(pairs: Sequence[tuple[str, Any]]) -> dict[str, Any]:
