--- a/tests/external_names/outside.py
+++ b/tests/external_names/outside.py
@@ -37,12 +37,12 @@
     Subscribe,
 )
 from tulipnotch.load_balancing.settings_reader import settings_from_mapping
-from tulipnotch.sidecar.configuration.configuration import parse
+from tulipnotch.sidecar.configuration.configuration import parse_config
 from tulipnotch.sidecar.control.endpoint import CommandRejectedError
 from tulipnotch.sidecar.discovery.peers import PeerMessenger
 from tulipnotch.sidecar.downstream.listener import bind_and_listen
 from tulipnotch.sidecar.operator_file import load_operator_options
-from tulipnotch.simulator_wire.adapter import run
+from tulipnotch.simulator_wire.adapter import run_adapter
 from tulipnotch.simulator_wire.names import settings_from_wire
 
 PACKAGE = "tulipnotch"
@@ -90,7 +90,7 @@
 
 def configuration_values(mapping: dict[str, Any]) -> list[Any]:
     """Parses a configuration and returns all values of the result, in the order of its fields."""
-    return field_values(parse(mapping))
+    return field_values(parse_config(mapping))
 
 
 # The simulator's adapter
@@ -106,10 +106,10 @@
     return [json.loads(each) for each in output.splitlines()]
 
 
-def run_adapter(text: str) -> tuple[int, str, str]:
+def run_adapter_on_text(text: str) -> tuple[int, str, str]:
     """Runs the adapter on this input; returns its exit code, standard output and standard error."""
     output, errors = io.StringIO(), io.StringIO()
-    return run(io.StringIO(text), output, errors), output.getvalue(), errors.getvalue()
+    return run_adapter(io.StringIO(text), output, errors), output.getvalue(), errors.getvalue()
 
 
 # The balancer, recorded or replaced
@@ -196,7 +196,9 @@
 def operator_option_values(path: Path) -> list[Any]:
     """Returns all option values that the program reads from an operator file, in the order of its fields."""
     classes = [{"name": name, "giveUpUs": 2_000_000} for name in ("look", "odd")]
-    options = load_operator_options(str(path), parse(with_value(CONFIGURATION, "settings.lanes", classes)))
+    options = load_operator_options(
+        str(path), parse_config(with_value(CONFIGURATION, "settings.lanes", classes))
+    )
     log = [vars(options.log)["_limits"], vars(options.log)["_write"].__qualname__]
     other_options = [getattr(options, each.name) for each in dataclasses.fields(options)][1:]
     return [
--- a/tests/external_names/test_simulator_names.py
+++ b/tests/external_names/test_simulator_names.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 import pytest
-from outside import ACTIONS_BY_WIRE_NAME, install_recording_balancer, run_adapter, run_adapter_batches
+from outside import ACTIONS_BY_WIRE_NAME, install_recording_balancer, run_adapter_batches, run_adapter_on_text
 
 SETTINGS: dict[str, Any] = {
     "bounds": {"sendCap": 3, "retryAfter": True, "maxRetryAfterUs": 2_000_000},
@@ -36,7 +36,7 @@
 
 
 def test_adapter_responds_to_empty_batch_with_done() -> None:
-    assert run_adapter('["FRAME",8412250]\n["COMMIT"]\n') == (0, '["DONE"]\n', "")
+    assert run_adapter_on_text('["FRAME",8412250]\n["COMMIT"]\n') == (0, '["DONE"]\n', "")
 
 
 def test_adapter_subscribes_and_sets_a_timer_in_the_first_batch() -> None:
@@ -201,7 +201,7 @@
 
 def test_adapter_rejects_event_of_an_instance_after_its_exit() -> None:
     lines = [["FRAME", 1], BEGIN, ["EXIT", "sidecar-1"], ["WAKE", "sidecar-1", "x"]]
-    code, output, errors = run_adapter("".join(json.dumps(each) + "\n" for each in lines))
+    code, output, errors = run_adapter_on_text("".join(json.dumps(each) + "\n" for each in lines))
     assert (code, output) == (2, "")
     assert errors.startswith("line 4: ")
     assert errors.count("\n") == 1
@@ -233,12 +233,12 @@
     name: str, values: tuple[Any, ...], line: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     install_recording_balancer(monkeypatch, lambda _values: [ACTIONS_BY_WIRE_NAME[name](*values)])
-    assert run_adapter(TRIGGER) == (0, f'{line}\n["DONE"]\n', "")
+    assert run_adapter_on_text(TRIGGER) == (0, f'{line}\n["DONE"]\n', "")
 
 
 def test_adapter_writes_internal_error_of_the_balancer(monkeypatch: pytest.MonkeyPatch) -> None:
     install_recording_balancer(monkeypatch, lambda values: [1 // 0])
-    code, output, errors = run_adapter(TRIGGER)
+    code, output, errors = run_adapter_on_text(TRIGGER)
     first, second = output.splitlines()
     assert (code, second, errors) == (0, '["DONE"]', "")
     assert json.loads(first)[:2] == ["INTERNAL_ERROR", "sidecar-1"]
--- a/tests/sidecar/test_reload.py
+++ b/tests/sidecar/test_reload.py
@@ -26,7 +26,7 @@
 
 from tulipnotch.load_balancing.events import SettingsChanged
 from tulipnotch.load_balancing.outcomes import Outcome
-from tulipnotch.sidecar.configuration.configuration import Config, ConfigError, load, parse
+from tulipnotch.sidecar.configuration.configuration import Config, ConfigError, load_config, parse_config
 
 FULL_CONFIG: dict[str, Any] = {
     **VALID_CONFIG,
@@ -43,7 +43,7 @@
 def write_and_load(text: str, folder: Path, current: Config | None) -> Config:
     path = folder / "config.json"
     path.write_text(text)
-    return load({"BALANCER_CONFIG": str(path)}, current)
+    return load_config({"BALANCER_CONFIG": str(path)}, current)
 
 
 def key_paths(content: Any, path: tuple[str | int, ...] = ()) -> Iterator[tuple[str | int, ...]]:
@@ -188,7 +188,7 @@
 def with_settings(config: Config, **settings: Any) -> Config:
     content = copy.deepcopy(dict(config.file))
     content["settings"].update(settings)
-    return parse(content, content)
+    return parse_config(content, content)
 
 
 def test_reload_applies_settings_to_every_component(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/sidecar/upstream/interleaving_cases.py
+++ b/tests/sidecar/upstream/interleaving_cases.py
@@ -11,7 +11,7 @@
     MS,
 )
 
-from tulipnotch.sidecar.configuration.configuration import Config, parse
+from tulipnotch.sidecar.configuration.configuration import Config, parse_config
 
 LATENCY_OBJECTIVE_US = 100 * MS
 WINDOW_US = 200 * MS
@@ -134,4 +134,4 @@
             },
         },
     }
-    return parse(values, values)
+    return parse_config(values, values)
--- a/tests/sidecar/upstream/interleaving_simulation.py
+++ b/tests/sidecar/upstream/interleaving_simulation.py
@@ -82,7 +82,7 @@
         config = create_config(case, seed)
         self.sidecar = Sidecar(config, OperatorOptions(log=self._log))
         self.sidecar._upstream.endpoints_updated(config.known)
-        self.sidecar._events.post(config.known.event(EndpointUpdateKind.CACHED))
+        self.sidecar._events.post(config.known.to_event(EndpointUpdateKind.CACHED))
         self.sidecar.lifecycle.mark_started()
         if start.has_connections:
             self._establish_connections()
--- a/tests/sidecar/upstream/test_reload_bounds.py
+++ b/tests/sidecar/upstream/test_reload_bounds.py
@@ -25,14 +25,14 @@
     wait_until,
 )
 
-from tulipnotch.sidecar.configuration.configuration import parse
+from tulipnotch.sidecar.configuration.configuration import parse_config
 
 
 def _reload(harness: SidecarHarness, **changes: Any) -> None:
     """Reloads the running sidecar with changed settings."""
     previous = dict(harness.sidecar.config.file)
     values = {**previous, "settings": {**previous["settings"], **changes}}
-    harness.sidecar.reload(parse(values, values))
+    harness.sidecar.reload(parse_config(values, values))
 
 
 def _with_class(**changes: Any) -> dict[str, Any]:
--- a/tulipnotch/lab/scenario.py
+++ b/tulipnotch/lab/scenario.py
@@ -26,7 +26,7 @@
     PriorityWeightBasis,
     ReportSource,
 )
-from tulipnotch.settings.check import Checked, Fault, InvalidFileError, nearest, read_toml
+from tulipnotch.settings.check import Fault, InvalidFileError, ValidatedFile, format_suggestion, read_toml
 from tulipnotch.simulator_wire.names import settings_to_wire
 
 Fraction = Annotated[float, Meta(ge=0.0, le=1.0)]
@@ -301,7 +301,7 @@
     base_name, known = document.pop("extends"), shipped()
     if not isinstance(base_name, str) or base_name not in known:
         raise ValueError(
-            f"extends: {base_name!r:.40} is not a shipped scenario{nearest(str(base_name), known)}"
+            f"extends: {base_name!r:.40} is not a shipped scenario{format_suggestion(str(base_name), known)}"
         )
     base = _resolve_extends(tomllib.loads(known[base_name].read_text(encoding="utf-8")))
     for key in ("expect", "faults", "about"):
@@ -322,7 +322,7 @@
     return merged
 
 
-def _consistency_faults(checked: Checked[Scenario]) -> Iterator[Fault]:
+def _consistency_faults(checked: ValidatedFile[Scenario]) -> Iterator[Fault]:
     """Yields the faults that show only when several tables are compared."""
     scenario = checked.value
     for label, names in (
@@ -333,32 +333,32 @@
     ):
         for index, name in enumerate(names):
             if name in names[:index]:
-                yield checked.fault(f"{label}[{index}]", f"the name {name} is used twice")
+                yield checked.create_fault(f"{label}[{index}]", f"the name {name} is used twice")
     if scenario.warmup_s >= scenario.seconds:
-        yield checked.fault("warmup_s", "must be less than seconds")
+        yield checked.create_fault("warmup_s", "must be less than seconds")
     known = metric_names(scenario)
     for index, text in enumerate(scenario.expect):
         try:
             expectation = Expectation.parse(text)
         except ValueError as error:
-            yield checked.fault(f"expect[{index}]", str(error))
+            yield checked.create_fault(f"expect[{index}]", str(error))
             continue
         if expectation.metric not in known:
-            yield checked.fault(
+            yield checked.create_fault(
                 f"expect[{index}]",
-                f"{expectation.metric} is not a metric{nearest(expectation.metric, known)}",
+                f"{expectation.metric} is not a metric{format_suggestion(expectation.metric, known)}",
             )
     for index, each in enumerate(scenario.faults):
         path = f"faults[{index}]"
         if each.at_s >= scenario.seconds:
-            yield checked.fault(f"{path}.at_s", "must be before the end of the run")
+            yield checked.create_fault(f"{path}.at_s", "must be before the end of the run")
         if each.kind == "cut" and each.zone not in scenario.fleet.zones:
-            hint = nearest(each.zone, scenario.fleet.zones)
-            yield checked.fault(f"{path}.zone", f"{each.zone or 'nothing'} is not a zone{hint}")
+            hint = format_suggestion(each.zone, scenario.fleet.zones)
+            yield checked.create_fault(f"{path}.zone", f"{each.zone or 'nothing'} is not a zone{hint}")
         if each.kind in ("fast_errors", "garble") and each.size > 1.0:
-            yield checked.fault(f"{path}.size", f"is a fraction for {each.kind}, must be at most 1")
+            yield checked.create_fault(f"{path}.size", f"is a fraction for {each.kind}, must be at most 1")
         if each.kind in ("slow", "heavy_tail") and each.size < 1.0:
-            yield checked.fault(f"{path}.size", f"must be at least 1 for {each.kind}")
+            yield checked.create_fault(f"{path}.size", f"must be at least 1 for {each.kind}")
 
 
 RULES = ("answers", "effects", "drains", "cold")
@@ -408,7 +408,7 @@
         return path
     if name in known:
         return known[name]
-    raise InvalidFileError(name, [Fault(0, "", f"is not a scenario{nearest(name, known)}")])
+    raise InvalidFileError(name, [Fault(0, "", f"is not a scenario{format_suggestion(name, known)}")])
 
 
 def _ms_to_us(ms: float) -> int:
--- a/tulipnotch/sidecar/operator_file.py
+++ b/tulipnotch/sidecar/operator_file.py
@@ -44,7 +44,7 @@
     try:
         from tulipnotch.settings import check, operator
 
-        options = _build_options(operator.load(Path(path)))
+        options = _build_options(operator.load_operator_file(Path(path)))
     except ImportError as error:
         raise ConfigError(
             OPERATOR_FILE_VARIABLE, f"{error.name} is not installed; it comes with tulipnotch[operator]"
