--- a/tests/external_names/outside.py
+++ b/tests/external_names/outside.py
@@ -101,7 +101,7 @@
     lines: list[list[Any]] = []
     for number, batch in enumerate(batches):
         lines += [["FRAME", 1_000_000 + 5_000 * number], *batch, ["COMMIT"]]
-    code, output, errors = run_adapter("".join(json.dumps(each) + "\n" for each in lines))
+    code, output, errors = run_adapter_on_text("".join(json.dumps(each) + "\n" for each in lines))
     assert (code, errors) == (0, "")
     return [json.loads(each) for each in output.splitlines()]
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -48,7 +48,7 @@
     "deduplication_window_us": 2 * S,
 }
 
-_ActionType = TypeVar("_Kind")
+_ActionType = TypeVar("_ActionType")
 
 
 def make_settings(**changes: Any) -> Settings:
--- a/tests/sidecar/test_race_conditions.py
+++ b/tests/sidecar/test_race_conditions.py
@@ -453,7 +453,9 @@
                 await wait_until(lambda: response_count >= 3)
                 assert not harness.sidecar._endpoint_updates.received.is_set()
                 assert harness.sidecar._balancer.endpoint_counts()[0] == endpoint_count == 1
-                assert any("broke" in each for each in harness.log)
+                assert any(
+                    "the connection was lost before the response was complete" in each for each in harness.log
+                )
         discovery.stop()
 
     run_async(work)
@@ -516,8 +518,10 @@
                     assert harness.sidecar._upstream._pop_reusable(server) is None
                 if sent_when != "with the response":
                     await wait_until(
-                        lambda closed=number - 9: len(harness.servers[0].closed_connections) == closed
-                    )  # type: ignore[misc]
+                        lambda closed=number - 9: (  # type: ignore[misc]
+                            len(harness.servers[0].closed_connections) == closed
+                        )
+                    )
 
     run_async(work)
 
