--- a/tests/lab/broken_sidecar.py
+++ b/tests/lab/broken_sidecar.py
@@ -1,4 +1,4 @@
-"""A sidecar with one defect that its first argument names; `none` is sound."""
+"""Runs a sidecar with the defect that its first argument names; `none` runs it without one."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from tulipnotch.sidecar.event_queue import EventQueue
 from tulipnotch.sidecar.requests.responses import ResponseSender
 from tulipnotch.sidecar.upstream.pool import UpstreamPool
-from tulipnotch.sidecar.upstream.request import IndependentRequestObserver, UpstreamRequest
+from tulipnotch.sidecar.upstream.request import BackgroundRequestObserver, UpstreamRequest
 
 
-def forgets() -> None:
-    """Some requests are taken and never heard of again."""
+def lose_requests() -> None:
+    """Does not respond to one request in twenty."""
     post = EventQueue.post
 
     def broken(self: EventQueue, event: Any) -> None:
@@ -27,8 +27,8 @@
     EventQueue.post = broken  # type: ignore[method-assign]
 
 
-def invents() -> None:
-    """Some clients are served with what no server made."""
+def invent_responses() -> None:
+    """Responds to one request in twenty with a body that no server generated."""
     respond = ResponseSender.respond
 
     def broken(
@@ -39,37 +39,37 @@
     ResponseSender.respond = broken  # type: ignore[method-assign,assignment]
 
 
-def doubles() -> None:
-    """Every attempt goes out twice."""
-    start = UpstreamPool.start
+def duplicate_attempts() -> None:
+    """Sends every attempt twice."""
+    start = UpstreamPool.start_request
 
     def broken(self: UpstreamPool, request: UpstreamRequest) -> None:
         start(self, request)
         start(
             self,
             UpstreamRequest(
-                request.endpoint, request.deadline, request.build_message, IndependentRequestObserver()
+                request.endpoint, request.deadline, request.build_message, BackgroundRequestObserver()
             ),
         )
 
-    UpstreamPool.start = broken  # type: ignore[method-assign]
+    UpstreamPool.start_request = broken  # type: ignore[method-assign]
 
 
-def deaf() -> None:
-    """Word of a drain is taken for word of health."""
+def ignore_draining() -> None:
+    """Takes draining endpoints for ready ones."""
     endpoint_list_codec._STATES["leaving"] = EndpointState.READY
 
 
-def rushes() -> None:
-    """All goes to whoever started last."""
-    choose = Selection.choose
+def prefer_newest() -> None:
+    """Sends all requests to the endpoint that started last, without a warm-up budget."""
+    choose = Selection.choose_endpoint
 
     def broken(self: Selection, request: Any) -> Any:
         started = [each for each in self._context.ready_endpoints if each.started_at]
         newest = max(started, key=lambda each: each.started_at or 0, default=None)
         return newest if newest is not None else choose(self, request)
 
-    Selection.choose = broken  # type: ignore[method-assign]
+    Selection.choose_endpoint = broken  # type: ignore[method-assign]
     SlowStart.has_budget = lambda *_: True  # type: ignore[method-assign]
 
 
--- a/tests/sidecar/control/test_lifecycle.py
+++ b/tests/sidecar/control/test_lifecycle.py
@@ -1,31 +1,40 @@
-"""The lifecycle of a process, and what evacuation means for its clients."""
+"""The lifecycle phases of a process, and the effects of an evacuation on clients."""
 
 from __future__ import annotations
 
 import asyncio
 
 import pytest
-from loopback import OK, Client, Heard, play, request, soon, stage, until
+from loopback import (
+    OK_RESPONSE,
+    Client,
+    ReceivedRequest,
+    http_request,
+    run_async,
+    sidecar_harness,
+    wait_until,
+    within_timeout,
+)
 
 from tulipnotch.sidecar.control.endpoint import CommandRejectedError
 from tulipnotch.sidecar.control.lifecycle import Lifecycle, Phase
 from tulipnotch.sidecar.http1.messages import Request
 
 
-async def health(client: Client) -> tuple[int, str | None]:
-    """Status and `Connection` header of the response to a health check."""
-    client.send(Request(b"GET", b"/_health", [(b"host", b"x")]).encode_start())
-    response = await client.answer()
+async def send_health_check(client: Client) -> tuple[int, str | None]:
+    """Returns the status and the `Connection` header of the response to a health check."""
+    client.send(Request(b"GET", b"/_health", [(b"host", b"x")]).encode_head_and_buffered_body())
+    response = await client.read_response()
     return response.status, response.headers.get("connection")
 
 
 def test_lifecycle_cannot_leave_stopping() -> None:
     lifecycle = Lifecycle()
-    lifecycle.started()
+    lifecycle.mark_started()
     lifecycle.stop()
     assert not lifecycle.activate()
     lifecycle.evacuate()
-    lifecycle.started()
+    lifecycle.mark_started()
     assert lifecycle.phase is Phase.STOPPING
 
 
@@ -39,9 +48,9 @@
 def test_lifecycle_stays_evacuating_when_the_start_completes_and_serves_when_activated() -> None:
     lifecycle = Lifecycle()
     phases: list[Phase] = []
-    lifecycle.on_change(lambda: phases.append(lifecycle.phase))
+    lifecycle.add_listener(lambda: phases.append(lifecycle.phase))
     lifecycle.evacuate()
-    lifecycle.started()
+    lifecycle.mark_started()
     assert phases == [Phase.EVACUATING]
     assert lifecycle.activate()
     assert phases == [Phase.EVACUATING, Phase.SERVING]
@@ -50,8 +59,8 @@
 def test_lifecycle_notifies_once_for_each_change() -> None:
     lifecycle = Lifecycle()
     phases: list[Phase] = []
-    lifecycle.on_change(lambda: phases.append(lifecycle.phase))
-    lifecycle.started()
+    lifecycle.add_listener(lambda: phases.append(lifecycle.phase))
+    lifecycle.mark_started()
     for _ in range(2):
         lifecycle.evacuate()
     for _ in range(2):
@@ -59,53 +68,54 @@
     assert phases == [Phase.SERVING, Phase.EVACUATING, Phase.SERVING]
 
 
-def test_evacuation_empties_the_sidecar_until_it_is_activated() -> None:
+def test_evacuation_disconnects_all_clients_until_the_sidecar_is_activated() -> None:
     async def work() -> None:
         release = asyncio.Event()
 
-        async def hold(heard: Heard) -> bytes:
-            if heard.target.endswith("hold"):
+        async def hold(received: ReceivedRequest) -> bytes:
+            if received.target.endswith("hold"):
                 await release.wait()
-            return OK
-
-        async with stage(hold) as scene:
-            commands = scene.sidecar.command_handlers()
-            idle, silent, working = [await scene.client() for _ in range(3)]
-            assert (await idle.ask()).status == 200
-            working.send(request("lodge", target="/hold"))
-            await until(lambda: len(scene.heard) == 2)
+            return OK_RESPONSE
+
+        async with sidecar_harness(hold) as harness:
+            commands = harness.sidecar.command_handlers()
+            idle, without_request, waiting = [await harness.connect() for _ in range(3)]
+            assert (await idle.send_request()).status == 200
+            waiting.send(http_request("lodge", target="/hold"))
+            await wait_until(lambda: len(harness.received_requests) == 2)
             for _ in range(2):
                 assert commands["evacuate"]() == ["evacuating"]
             with pytest.raises(CommandRejectedError):
                 commands["readyz"]()
-            assert await health(await scene.client()) == (503, "close")  # the listener stays open
-            for client in (idle, silent):
-                assert await soon(client.reader.read()) == b""
-            late = await scene.ask()
-            assert (late.status, late.headers["connection"]) == (200, "close")
+            # The listener stays open.
+            assert await send_health_check(await harness.connect()) == (503, "close")
+            for client in (idle, without_request):
+                assert await within_timeout(client.reader.read()) == b""
+            late_response = await harness.send_request()
+            assert (late_response.status, late_response.headers["connection"]) == (200, "close")
             release.set()
-            response = await working.answer()
+            response = await waiting.read_response()
             assert (response.status, response.headers["connection"]) == (200, "close")
-            await until(lambda: scene.sidecar.downstream.open_connections == 0)
+            await wait_until(lambda: harness.sidecar.downstream.open_connections == 0)
             for _ in range(2):
                 assert commands["activate"]() == ["serving"]
             assert commands["readyz"]() == ["ready"]
-            client = await scene.client()
-            assert await health(client) == (200, None)
-            assert "connection" not in (await client.ask()).headers
+            client = await harness.connect()
+            assert await send_health_check(client) == (200, None)
+            assert "connection" not in (await client.send_request()).headers
 
-    play(work)
+    run_async(work)
 
 
 def test_evacuation_responds_to_the_next_request_of_an_active_connection_and_closes_it() -> None:
-    # A connection that is closed while a request is on its way would lose that request.
+    # Closing a connection while a request is in transit would lose that request.
     async def work() -> None:
-        async with stage(OK) as scene:
-            client = await scene.client()
-            assert (await client.ask()).status == 200
-            scene.sidecar.command_handlers()["evacuate"]()
-            response = await client.ask()
+        async with sidecar_harness(OK_RESPONSE) as harness:
+            client = await harness.connect()
+            assert (await client.send_request()).status == 200
+            harness.sidecar.command_handlers()["evacuate"]()
+            response = await client.send_request()
             assert (response.status, response.headers["connection"]) == (200, "close")
-            assert await soon(client.reader.read()) == b""
+            assert await within_timeout(client.reader.read()) == b""
 
-    play(work)
+    run_async(work)
--- a/tests/sidecar/downstream/test_descriptor_limits.py
+++ b/tests/sidecar/downstream/test_descriptor_limits.py
@@ -1,4 +1,4 @@
-"""Limits on descriptors and memory while idle clients hold all that clients may."""
+"""Limits on descriptors and memory while idle clients use all connections that clients may have."""
 
 from __future__ import annotations
 
@@ -16,20 +16,20 @@
 import pytest
 from loopback import (
     HOST,
-    OK,
+    OK_RESPONSE,
     Client,
     ScriptedDiscovery,
     ScriptedServer,
-    holding,
-    line,
-    play,
-    request,
-    soon,
+    blocking_script,
+    endpoint_entry,
+    http_request,
+    run_async,
+    within_timeout,
 )
-from running import GOOD, Program, program, resident_bytes, running_on
-from unavailable_discovery import FAULTS, UnavailableDiscovery
+from running import VALID_CONFIG, SidecarProcess, resident_bytes, running_sidecar, sidecar_with_server
+from unavailable_discovery import DISCOVERY_FAULTS, UnavailableDiscovery
 
-from tulipnotch.sidecar.configuration.configuration import parse
+from tulipnotch.sidecar.configuration.configuration import parse_config
 from tulipnotch.sidecar.control.endpoint import ControlLimits
 from tulipnotch.sidecar.descriptor_budget import RESERVED_DESCRIPTORS
 from tulipnotch.sidecar.operator_file import OperatorOptions
@@ -38,23 +38,23 @@
 pytestmark = pytest.mark.alone
 
 DESCRIPTORS = 96
-IDLE_CLIENTS = 300  # clients, several for each descriptor
-NEARLY_ALL = 20  # of the 24 connections that clients may have with so many descriptors
-RECONNECT_S = 0.5
-MAX_LIST_DELAY_S = 1.0  # from the return of discovery
-MAX_BYTES_PER_CONNECTION = 4_096  # idle; buffers for requests are counted by themselves
-MAX_POLL_INTERVAL_S = 40.0  # so the first delay after a failed call is 1 s at least
+IDLE_CLIENTS = 300  # several clients for each descriptor
+MIN_CLIENT_CONNECTIONS = 20  # most of the 24 connections that clients may have with these descriptors
+RECONNECT_DELAY_S = 0.5
+MAX_ENDPOINT_LIST_DELAY_S = 1.0  # from discovery's return to service to the first endpoint list
+MAX_BYTES_PER_CONNECTION = 4_096  # for an idle connection; buffers of requests are counted separately
+MAX_POLL_INTERVAL_S = 40.0  # long enough that the first delay after a failed call is at least 1 s
 
 
 def _ignore_log(_: str, /, **_fields: object) -> None:
-    """Log nothing."""
+    """Discards the event."""
 
 
 @asynccontextmanager
 async def idle_clients(port: int) -> AsyncIterator[None]:
-    """Clients that connect and send nothing, and reconnect when they are closed."""
+    """Runs clients that connect and send nothing, and that reconnect when they are disconnected."""
 
-    async def idle() -> None:
+    async def stay_connected() -> None:
         while True:
             try:
                 reader, writer = await asyncio.open_connection(HOST, port)
@@ -64,9 +64,9 @@
                     writer.close()
             except OSError:
                 pass
-            await asyncio.sleep(RECONNECT_S)
+            await asyncio.sleep(RECONNECT_DELAY_S)
 
-    tasks = [asyncio.ensure_future(idle()) for _ in range(IDLE_CLIENTS)]
+    tasks = [asyncio.ensure_future(stay_connected()) for _ in range(IDLE_CLIENTS)]
     try:
         yield
     finally:
@@ -76,8 +76,8 @@
 
 
 @asynccontextmanager
-async def silent_callers(port: int, count: int) -> AsyncIterator[None]:
-    """Operators that connect and send nothing."""
+async def idle_control_connections(port: int, count: int) -> AsyncIterator[None]:
+    """Opens connections to the control endpoint and sends nothing on them."""
     writers = [(await asyncio.open_connection(HOST, port))[1] for _ in range(count)]
     try:
         yield
@@ -86,162 +86,167 @@
             writer.close()
 
 
-def _clients(running: Program) -> int:
-    """Count the descriptors of the process that are connections of clients."""
+def _count_client_connections(running: SidecarProcess) -> int:
+    """Returns how many descriptors of the process are connections of clients."""
     pid = running.process.pid
     sockets = set()
     for each in Path(f"/proc/{pid}/fd").iterdir():
-        with suppress(FileNotFoundError):  # closed meanwhile
+        with suppress(FileNotFoundError):  # the descriptor was closed in the meantime
             sockets.add(os.readlink(each))
     rows = [each.split() for each in Path(f"/proc/{pid}/net/tcp").read_text().splitlines()[1:]]
     local = f":{running.port:04X}"
     return sum(row[1].endswith(local) and row[3] == "01" and f"socket:[{row[9]}]" in sockets for row in rows)
 
 
-async def _until_full(running: Program) -> None:
-    """Wait until clients have nearly all connections that they may."""
+async def _wait_until_clients_are_connected(running: SidecarProcess) -> None:
+    """Waits until clients have nearly all connections that they may have."""
 
     async def work() -> None:
-        while _clients(running) < NEARLY_ALL:
+        while _count_client_connections(running) < MIN_CLIENT_CONNECTIONS:
             await asyncio.sleep(0.01)
 
-    await soon(work())
+    await within_timeout(work())
 
 
-async def _until_listed(running: Program) -> None:
+async def _wait_until_endpoint_is_listed(running: SidecarProcess) -> None:
     async def work() -> None:
-        while "app.members=1" not in await running.call("telemetry"):
+        while "app.members=1" not in await running.send_command("telemetry"):
             await asyncio.sleep(0.02)
 
-    await soon(work())
+    await within_timeout(work())
 
 
-async def _status(running: Program, raw: bytes) -> int:
-    """Send a request on a new connection; returns the status of its response.
+async def _request_status(running: SidecarProcess, raw: bytes) -> int:
+    """Sends a request on a new connection; returns the status of its response.
 
-    Connecting and sending are one step, as in an application.  Between two steps of this event loop hundreds
-    of idle clients reconnect, and a connection without a byte may be evicted.
+    Connects and sends without yielding to the event loop, as an application would.  Otherwise hundreds of
+    idle clients would reconnect in between, and a connection that has sent nothing may be evicted.
     """
-    plain = socket.create_connection((HOST, running.port), timeout=10.0)
-    plain.sendall(raw)
-    plain.settimeout(0.0)
-    client = Client(*await asyncio.open_connection(sock=plain))
-    status = (await client.answer()).status
+    plain_socket = socket.create_connection((HOST, running.port), timeout=10.0)
+    plain_socket.sendall(raw)
+    plain_socket.settimeout(0.0)
+    client = Client(*await asyncio.open_connection(sock=plain_socket))
+    status = (await client.read_response()).status
     client.close()
     return status
 
 
-async def _health(running: Program) -> int:
-    return await _status(running, b"GET /_health HTTP/1.1\r\nHost: sidecar\r\n\r\n")
+async def _health_status(running: SidecarProcess) -> int:
+    return await _request_status(running, b"GET /_health HTTP/1.1\r\nHost: sidecar\r\n\r\n")
 
 
 @pytest.mark.parametrize("mode", ["on_request", "pushed"])
-@pytest.mark.parametrize("fault", FAULTS)
+@pytest.mark.parametrize("fault", DISCOVERY_FAULTS)
 def test_idle_clients_leave_descriptors_for_discovery_servers_and_operators(
     fault: str, mode: str, tmp_path: Path
 ) -> None:
-    # Idle clients have all connections that clients may while discovery is unavailable and there is no list.
-    # On its return the first list comes, servers are connected to, and operators and clients are served.
+    # Idle clients use all connections that clients may have while discovery is unavailable and there is no
+    # endpoint list.  Once discovery returns, the first list has to arrive, servers have to be connected to,
+    # and operators and clients have to be served.
     async def work() -> None:
-        server = await ScriptedServer(OK).start()
+        server = await ScriptedServer(OK_RESPONSE).start()
         discovery = UnavailableDiscovery(fault)
-        discovery.servers = [line("s-1", server.address)]
+        discovery.servers = [endpoint_entry("s-1", server.address)]
         await discovery.start_unavailable()
         config = tmp_path / "config.json"
         given = {
-            **GOOD,
+            **VALID_CONFIG,
             "discovery": f"{HOST}:{discovery.port}",
-            "limits": {**GOOD["limits"], "sockets": DESCRIPTORS},
+            "limits": {**VALID_CONFIG["limits"], "sockets": DESCRIPTORS},
             "settings": {
-                **GOOD["settings"],
+                **VALID_CONFIG["settings"],
                 "discovery": mode,
                 "guarantees": {"askWithinUs": int(MAX_POLL_INTERVAL_S * 1e6)},
             },
         }
         config.write_text(json.dumps(given))
         try:
-            async with running_on(
-                config, server, meanwhile="no fresh endpoint list |discovery failed: "
+            async with running_sidecar(
+                config, server, allowed_log_pattern="no fresh endpoint list |discovery failed: "
             ) as running:
                 limit = (DESCRIPTORS, DESCRIPTORS)
                 resource.prlimit(running.process.pid, resource.RLIMIT_NOFILE, limit)
                 async with idle_clients(running.port):
-                    await _until_full(running)
-                    assert await running.call("readyz") == ["+OK ready"]
-                    assert [await _health(running) for _ in range(5)] == [200] * 5
-                    assert "app.members=0" in await running.call("telemetry")
+                    await _wait_until_clients_are_connected(running)
+                    assert await running.send_command("readyz") == ["+OK ready"]
+                    assert [await _health_status(running) for _ in range(5)] == [200] * 5
+                    assert "app.members=0" in await running.send_command("telemetry")
                     await discovery.return_to_service()
                     returned_at = time.monotonic()
-                    await _until_listed(running)
+                    await _wait_until_endpoint_is_listed(running)
                     list_delay_s = time.monotonic() - returned_at
                     print(f"{mode} {fault}: listed after {list_delay_s:.2f} s")
-                    assert list_delay_s < MAX_LIST_DELAY_S
-                    statuses = [await _status(running, request()) for _ in range(10)]
+                    assert list_delay_s < MAX_ENDPOINT_LIST_DELAY_S
+                    statuses = [await _request_status(running, http_request()) for _ in range(10)]
                     assert statuses == [200] * 10
-                    assert server.connections >= 1
-                    await _until_full(running)
-                    assert await running.call("readyz") == ["+OK ready"]
+                    assert server.connection_count >= 1
+                    await _wait_until_clients_are_connected(running)
+                    assert await running.send_command("readyz") == ["+OK ready"]
                 running.process.kill()
                 assert running.process.stderr is not None
-                log = (await soon(running.process.stderr.read())).decode()
+                log = (await within_timeout(running.process.stderr.read())).decode()
                 assert "internal error" not in log
                 assert "Errno 24" not in log
         finally:
             discovery.stop()
             server.stop()
 
-    play(work)
+    run_async(work)
 
 
 def test_operators_leave_descriptors_for_clients_and_servers(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # The operator file may allow the control endpoint more connections than there are descriptors for it.
+    # The operator file may allow the control endpoint more connections than it has descriptors for.
     operator = tmp_path / "operator.toml"
     operator.write_text("[door]\nmost_connections = 80\nline_timeout_s = 60.0\n")
     monkeypatch.setenv("BALANCER_OPERATOR", str(operator))
 
     async def work() -> None:
-        release, hold = holding()
+        release, hold = blocking_script()
         server, discovery = await ScriptedServer(hold).start(), ScriptedDiscovery()
-        discovery.servers = [line("s-1", server.address)]
+        discovery.servers = [endpoint_entry("s-1", server.address)]
         await discovery.start()
         config = tmp_path / "config.json"
         known = {"version": 1, "full": True, "servers": discovery.servers}
-        limits = {**GOOD["limits"], "sockets": DESCRIPTORS}
+        limits = {**VALID_CONFIG["limits"], "sockets": DESCRIPTORS}
         config.write_text(
-            json.dumps({**GOOD, "discovery": discovery.address, "limits": limits, "known": known})
+            json.dumps({**VALID_CONFIG, "discovery": discovery.address, "limits": limits, "known": known})
         )
         try:
-            async with running_on(config, server) as running:
+            async with running_sidecar(config, server) as running:
                 resource.prlimit(running.process.pid, resource.RLIMIT_NOFILE, (DESCRIPTORS, DESCRIPTORS))
-                async with silent_callers(running.control_port, 80):
-                    assert await running.call("readyz") == ["+OK ready"]
-                    # As many as the first concurrency limit admits.
-                    statuses = [asyncio.ensure_future(_status(running, request())) for _ in range(4)]
+                async with idle_control_connections(running.control_port, 80):
+                    assert await running.send_command("readyz") == ["+OK ready"]
+                    # As many requests as the initial concurrency limit admits.
+                    statuses = [
+                        asyncio.ensure_future(_request_status(running, http_request())) for _ in range(4)
+                    ]
                     async with asyncio.timeout(10.0):
-                        while len(server.heard) < 4:
+                        while len(server.received_requests) < 4:
                             await asyncio.sleep(0.01)
                     release.set()
                     assert [await each for each in statuses] == [200] * 4
-                    assert await _health(running) == 200
+                    assert await _health_status(running) == 200
         finally:
             discovery.stop()
             server.stop()
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize("sockets", [64, 96, 1_024, 65_536])
-@pytest.mark.parametrize("operators", [1, 16, 80, 256])
-def test_shares_of_descriptors_are_within_the_limit(sockets: int, operators: int) -> None:
-    given = {**GOOD, "limits": {**GOOD["limits"], "sockets": sockets, "memory_mb": 2_048}}
+@pytest.mark.parametrize("operator_connections", [1, 16, 80, 256])
+def test_descriptor_shares_stay_within_the_limit(sockets: int, operator_connections: int) -> None:
+    given = {**VALID_CONFIG, "limits": {**VALID_CONFIG["limits"], "sockets": sockets, "memory_mb": 2_048}}
 
     async def work() -> None:
-        config = parse(given, given)
+        config = parse_config(given, given)
         sidecar = Sidecar(
             config,
-            OperatorOptions(log=_ignore_log, control_limits=ControlLimits(max_connections=operators)),
+            OperatorOptions(
+                log=_ignore_log, control_limits=ControlLimits(max_connections=operator_connections)
+            ),
         )
         shares = (
             sidecar.downstream.max_connections,
@@ -250,47 +255,51 @@
         )
         assert min(shares) >= 1
         assert sum(shares) + RESERVED_DESCRIPTORS <= sockets
-        if operators == 16:
+        if operator_connections == 16:
             assert shares == ((sockets - 48) // 2, (sockets - 48) - (sockets - 48) // 2, 16)
         sidecar.close()
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize(
     ("sockets", "memory_mb", "connections"),
     [(1_024, 16, 976), (1_024, 64, 976), (4_096, 2_048, 4_048), (16_384, 64, 4_096), (65_536, 192, 12_288)],
 )
-def test_max_connections_fit_a_quarter_of_the_memory(sockets: int, memory_mb: int, connections: int) -> None:
-    # With many descriptors and little memory, clients that only connect would exhaust it.
-    given = {**GOOD, "limits": {"sockets": sockets, "memory_mb": memory_mb}}
+def test_max_connections_use_at_most_a_quarter_of_the_memory(
+    sockets: int, memory_mb: int, connections: int
+) -> None:
+    # With many descriptors and little memory, clients that only connect would exhaust the memory.
+    given = {**VALID_CONFIG, "limits": {"sockets": sockets, "memory_mb": memory_mb}}
 
     async def work() -> None:
-        sidecar = Sidecar(parse(given, given), OperatorOptions(log=_ignore_log))
+        sidecar = Sidecar(parse_config(given, given), OperatorOptions(log=_ignore_log))
         assert sidecar.downstream.max_connections + sidecar._upstream.max_connections == connections
         assert connections * MAX_BYTES_PER_CONNECTION <= memory_mb * (1 << 20) / 4
         sidecar.close()
 
-    play(work)
+    run_async(work)
 
 
 def test_idle_connection_memory_is_within_its_estimate(tmp_path: Path) -> None:
     count = 1_500
 
     async def work() -> None:
-        async with program(OK, tmp_path) as running:
-            given = json.loads(running.config.read_text())
-            running.config.write_text(json.dumps({**given, "limits": {**given["limits"], "sockets": 4_096}}))
+        async with sidecar_with_server(OK_RESPONSE, tmp_path) as running:
+            given = json.loads(running.config_path.read_text())
+            running.config_path.write_text(
+                json.dumps({**given, "limits": {**given["limits"], "sockets": 4_096}})
+            )
             running.process.send_signal(signal.SIGHUP)
-            assert (await running.says()).startswith("reloaded")
+            assert (await running.read_log_line()).startswith("reloaded")
             before = resident_bytes(running)
-            clients = [await running.client() for _ in range(count)]
-            while _clients(running) < count:
+            clients = [await running.connect() for _ in range(count)]
+            while _count_client_connections(running) < count:
                 await asyncio.sleep(0.01)
             per_connection = (resident_bytes(running) - before) / count
-            print(f"{per_connection:.0f} bytes a connection")
+            print(f"{per_connection:.0f} bytes for each connection")
             assert per_connection <= MAX_BYTES_PER_CONNECTION
             for each in clients:
                 each.close()
 
-    play(work)
+    run_async(work)
--- a/tests/sidecar/test_start_faults.py
+++ b/tests/sidecar/test_start_faults.py
@@ -11,8 +11,8 @@
 from typing import Any
 
 import pytest
-from loopback import HOST, OK, play, soon
-from running import running_on, started, world
+from loopback import HOST, OK_RESPONSE, run_async, within_timeout
+from running import running_sidecar, server_with_config, start_process
 
 
 def _preamble(folder: Path, source: str) -> dict[str, str]:
@@ -29,12 +29,12 @@
 import errno, os, socket
 remaining_failures = [3]
 def failing(call):
-    def wrapped(*given, **named):
-        # Only a new socket, or a call of its own: sockets made from a descriptor are left alone.
-        if remaining_failures[0] and len(given) < 5 and "fileno" not in named:
+    def wrapped(*args, **kwargs):
+        # Fails the creation of sockets and calls on them, but not the creation from an existing descriptor.
+        if remaining_failures[0] and len(args) < 5 and "fileno" not in kwargs:
             remaining_failures[0] -= 1
             raise OSError(errno.{error}, os.strerror(errno.{error}))
-        return call(*given, **named)
+        return call(*args, **kwargs)
     return wrapped
 socket.socket.{call} = failing(socket.socket.{call})
 """
@@ -47,7 +47,7 @@
 def test_start_succeeds_after_system_calls_have_failed_temporarily(
     call: str, error: str, tmp_path: Path
 ) -> None:
-    play(lambda: _start_with(_FAILING_CALL.format(call=call, error=error), tmp_path))
+    run_async(lambda: _start_with(_FAILING_CALL.format(call=call, error=error), tmp_path))
 
 
 # Sends SIGHUP while a module is being found, and records that in a file.
@@ -66,7 +66,7 @@
 def test_start_survives_sighup_while_the_program_is_imported(module: str, tmp_path: Path) -> None:
     record = tmp_path / "signals"
     source = _SIGHUP_AT_IMPORT.format(module=module, record=str(record))
-    play(lambda: _start_with(source, tmp_path))
+    run_async(lambda: _start_with(source, tmp_path))
     assert record.read_text() == f"tulipnotch.sidecar.{module}"
 
 
@@ -74,31 +74,31 @@
     tmp_path: Path,
 ) -> None:
     async def work() -> None:
-        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as free:
-            free.bind((HOST, 0))
-            peer_listen = f"{HOST}:{free.getsockname()[1]}"
-        async with world(OK, tmp_path) as (config, server):
-            given: dict[str, Any] = json.loads(config.read_text())
-            given |= {"peer_listen": peer_listen, "peers": [peer_listen]}
-            given["settings"]["bounds"] = {"mayTell": True, "sendCap": 1}
-            config.write_text(json.dumps(given))
+        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as port_finder:
+            port_finder.bind((HOST, 0))
+            peer_listen = f"{HOST}:{port_finder.getsockname()[1]}"
+        async with server_with_config(OK_RESPONSE, tmp_path) as (config, server):
+            content: dict[str, Any] = json.loads(config.read_text())
+            content |= {"peer_listen": peer_listen, "peers": [peer_listen]}
+            content["settings"]["bounds"] = {"mayTell": True, "sendCap": 1}
+            config.write_text(json.dumps(content))
             with socket.socket() as listener:
                 listener.bind((HOST, 0))
                 listener.listen()
                 async with (
-                    running_on(config, server, listener),
-                    running_on(config, server, listener) as new,
+                    running_sidecar(config, server, listener),
+                    running_sidecar(config, server, listener) as new,
                 ):
-                    assert (await new.call("readyz"))[0] == "+OK ready"
+                    assert (await new.send_command("readyz"))[0] == "+OK ready"
 
-    play(work)
+    run_async(work)
 
 
 async def _start_with(source: str, folder: Path) -> None:
     """Starts a process that runs this source first, and checks that it serves."""
     environ = _preamble(folder, source)
-    async with world(OK, folder) as (config, _):
-        process = await started(config, **environ)
+    async with server_with_config(OK_RESPONSE, folder) as (config, _):
+        process = await start_process(config, **environ)
         try:
             assert await _wait_until_serving(process)
         finally:
@@ -108,8 +108,8 @@
 async def _wait_until_serving(process: asyncio.subprocess.Process) -> bool:
     """Returns whether the process logs that it serves before it ends."""
     assert process.stderr is not None
-    while said := await soon(process.stderr.readline()):
-        if b"serves on" in said:
+    while log_line := await within_timeout(process.stderr.readline()):
+        if b"serves on" in log_line:
             return True
     return False
 
--- a/tests/sidecar/upstream/test_reload_bounds.py
+++ b/tests/sidecar/upstream/test_reload_bounds.py
@@ -1,4 +1,4 @@
-"""A reload does not relax the bounds of a request that has started."""
+"""Guards against reloads that relax the retry rules of a request that has started."""
 
 from __future__ import annotations
 
@@ -6,123 +6,139 @@
 from typing import Any
 
 import pytest
-from barriers import HeldDials, ManualClock, reset, server_line, tell
-from loopback import OK, Heard, Stage, play, request, stage, until
-from overtaken import (
+from barriers import DelayedConnects, ManualClock, announce_endpoints, reset_connection, server_entry
+from delayed_attempt import (
     WINDOW_US,
-    assert_has_ended,
-    assert_received_nothing,
-    overtaken,
+    assert_final_response,
+    assert_server_received_nothing,
+    delayed_first_attempt,
     service_classes,
-    until_dial_is_delayed,
+    wait_until_dial_is_delayed,
+)
+from loopback import (
+    OK_RESPONSE,
+    ReceivedRequest,
+    SidecarHarness,
+    http_request,
+    run_async,
+    sidecar_harness,
+    wait_until,
 )
 
-from tulipnotch.sidecar.configuration.configuration import parse
+from tulipnotch.sidecar.configuration.configuration import parse_config
 
 
-def _reload(scene: Stage, **changes: Any) -> None:
-    """Change settings in the running sidecar."""
-    before = dict(scene.sidecar.config.file)
-    raw = {**before, "settings": {**before["settings"], **changes}}
-    scene.sidecar.reload(parse(raw, raw))
+def _reload(harness: SidecarHarness, **changes: Any) -> None:
+    """Reloads the running sidecar with changed settings."""
+    previous = dict(harness.sidecar.config.file)
+    values = {**previous, "settings": {**previous["settings"], **changes}}
+    harness.sidecar.reload(parse_config(values, values))
 
 
 def _with_class(**changes: Any) -> dict[str, Any]:
-    kinds = service_classes("cell")
-    kinds[1] = {key: each for key, each in (kinds[1] | changes).items() if each is not None}
-    return {"lanes": kinds}
+    classes = service_classes("cell")
+    classes[1] = {key: each for key, each in (classes[1] | changes).items() if each is not None}
+    return {"lanes": classes}
 
 
 _RELOADS = [
     pytest.param(_with_class(memorySpanUs=3_000_000), id="a longer window"),
-    pytest.param(_with_class(group="all"), id="a wider group"),
+    pytest.param(_with_class(group="all"), id="a wider scope"),
     pytest.param(_with_class(repeat="read_like", group=None, memorySpanUs=None), id="idempotent"),
     pytest.param({"lanes": [service_classes()[0]]}, id="class removed"),
 ]
 
 
 @pytest.mark.parametrize("changes", _RELOADS)
-def test_reload_does_not_relax_bounds_of_started_request(
+def test_reload_does_not_relax_retry_rules_of_started_request(
     changes: dict[str, Any], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    clock, delayed_dials = ManualClock(monkeypatch), HeldDials(monkeypatch)
+    clock, delayed_connects = ManualClock(monkeypatch), DelayedConnects(monkeypatch)
 
     async def work() -> None:
-        async with stage(OK, listed=False) as other_stage:
-            late_server = other_stage.servers[0]
-            delayed_dials.hold(late_server.address)
-            async with overtaken(
-                clock, late_server.address, "reset", first_is_late=until_dial_is_delayed(delayed_dials)
-            ) as seen:
-                _reload(seen.scene, **changes)
+        async with sidecar_harness(OK_RESPONSE, servers_listed=False) as other_harness:
+            delayed_server = other_harness.servers[0]
+            delayed_connects.hold(delayed_server.address)
+            async with delayed_first_attempt(
+                clock,
+                delayed_server.address,
+                "reset",
+                wait_until_delayed=wait_until_dial_is_delayed(delayed_connects),
+            ) as scenario:
+                _reload(scenario.harness, **changes)
                 clock.advance(WINDOW_US)
-                delayed_dials.release(late_server.address)
-                await until(lambda: seen.scene.sidecar._upstream._dials_in_flight == 0)
-                await assert_has_ended(seen, "cell", "reset")
-                await assert_received_nothing(seen, late_server)
+                delayed_connects.release(delayed_server.address)
+                await wait_until(lambda: scenario.harness.sidecar._upstream._dials_in_flight == 0)
+                await assert_final_response(scenario, "cell", "reset")
+                await assert_server_received_nothing(scenario, delayed_server)
 
-    play(work)
+    run_async(work)
 
 
 def test_reload_without_hedging_applies_to_unwritten_attempt(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    clock, delayed_dials = ManualClock(monkeypatch), HeldDials(monkeypatch)
+    clock, delayed_connects = ManualClock(monkeypatch), DelayedConnects(monkeypatch)
 
     async def work() -> None:
-        async with stage(OK, listed=False) as other_stage:
-            late_server = other_stage.servers[0]
-            delayed_dials.hold(late_server.address)
-            async with overtaken(
-                clock, late_server.address, "runs on", first_is_late=until_dial_is_delayed(delayed_dials)
-            ) as seen:
-                bounds = seen.scene.sidecar.config.file["settings"]["bounds"]
-                _reload(seen.scene, bounds={**bounds, "secondCopies": False})
-                delayed_dials.release(late_server.address)
-                await until(lambda: seen.scene.sidecar._upstream._dials_in_flight == 0)
-                await assert_has_ended(seen, "cell", "runs on")
-                await assert_received_nothing(seen, late_server)
-
-    play(work)
+        async with sidecar_harness(OK_RESPONSE, servers_listed=False) as other_harness:
+            delayed_server = other_harness.servers[0]
+            delayed_connects.hold(delayed_server.address)
+            async with delayed_first_attempt(
+                clock,
+                delayed_server.address,
+                "running",
+                wait_until_delayed=wait_until_dial_is_delayed(delayed_connects),
+            ) as scenario:
+                bounds = scenario.harness.sidecar.config.file["settings"]["bounds"]
+                _reload(scenario.harness, bounds={**bounds, "secondCopies": False})
+                delayed_connects.release(delayed_server.address)
+                await wait_until(lambda: scenario.harness.sidecar._upstream._dials_in_flight == 0)
+                await assert_final_response(scenario, "cell", "running")
+                await assert_server_received_nothing(scenario, delayed_server)
+
+    run_async(work)
 
 
 @pytest.mark.parametrize("request_class", ["lodge", "amend"])
 def test_reload_permits_no_retry_of_possibly_executed_request(request_class: str) -> None:
-    # By its class as it was there may be no retry: non-idempotent, or keyed with no other server in the
-    # group.
+    # Its class did not permit a retry before the reload: it was non-idempotent, or keyed and without another
+    # server in the deduplication scope.
     async def work() -> None:
         release = asyncio.Event()
 
-        async def first(incoming: Heard) -> None:
+        async def first(incoming: ReceivedRequest) -> None:
             await release.wait()
-            reset(incoming)
-
-        async with stage(first, OK, listed=False, lanes=service_classes("cell")) as scene:
-            await tell(scene, server_line(0, scene.servers[0].address))
-            client = await scene.client()
-            client.send(request(request_class, timeout="4.0"))
-            await until(lambda: len(scene.heard) == 1)
+            reset_connection(incoming)
+
+        async with sidecar_harness(
+            first, OK_RESPONSE, servers_listed=False, lanes=service_classes("cell")
+        ) as harness:
+            await announce_endpoints(harness, server_entry(0, harness.servers[0].address))
+            client = await harness.connect()
+            client.send(http_request(request_class, timeout="4.0"))
+            await wait_until(lambda: len(harness.received_requests) == 1)
             keyed = {"repeat": "idempotency_key", "group": "all", "memorySpanUs": 3_000_000}
-            free = [service_classes()[0], *({**each, **keyed} for each in service_classes()[1:])]
-            _reload(scene, lanes=free)
-            await tell(scene, server_line(1, scene.servers[1].address, cell=2))
+            relaxed = [service_classes()[0], *({**each, **keyed} for each in service_classes()[1:])]
+            _reload(harness, lanes=relaxed)
+            await announce_endpoints(harness, server_entry(1, harness.servers[1].address, cell=2))
             release.set()
-            assert (await client.answer()).status == 502
-            assert scene.servers[1].heard == []
+            assert (await client.read_response()).status == 502
+            assert harness.servers[1].received_requests == []
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize("request_class", ["check", "amend"])
 def test_request_is_sent_once_when_its_class_was_removed(request_class: str) -> None:
-    # Requests of it are in flight; a class that the settings do not name counts as non-idempotent.
+    # Its requests are still in flight; a class that is missing in the settings counts as non-idempotent.
     async def work() -> None:
-        async def resets(incoming: Heard) -> None:
-            reset(incoming)
+        async def reset(incoming: ReceivedRequest) -> None:
+            reset_connection(incoming)
 
-        async with stage(resets, resets, lanes=service_classes()) as scene:
-            _reload(scene, lanes=[service_classes()[2]])
-            assert (await scene.ask(request_class)).status == 502
-            assert len(scene.heard) == 1
+        async with sidecar_harness(reset, reset, lanes=service_classes()) as harness:
+            _reload(harness, lanes=[service_classes()[2]])
+            assert (await harness.send_request(request_class)).status == 502
+            assert len(harness.received_requests) == 1
 
-    play(work)
+    run_async(work)
