--- a/tests/sidecar/requests/test_invariants.py
+++ b/tests/sidecar/requests/test_invariants.py
@@ -306,7 +306,7 @@
     async def skip_wait(*_given: object) -> None:
         return None
 
-    monkeypatch.setattr(Startup, "_wait", skip_wait)
+    monkeypatch.setattr(Startup, "_wait_for", skip_wait)
 
     async def work() -> None:
         for discovery, violated in (("pushed", 1), ("on_request", 0)):
