--- a/tests/sidecar/upstream/interleaving_checker.py
+++ b/tests/sidecar/upstream/interleaving_checker.py
@@ -64,9 +64,8 @@
         # Whether the event loop has not read the disconnect yet.  Data in the loop's buffer is then written
         # without asking the sidecar, so it is not checked.
         self.is_disconnect_unread = False
-        self.violations: list[
-            tuple[str, str]
-        ] = []  # the violated rule, and `waited_for` of the attempt that violates it
+        # Each violated rule, and `waited_for` of the attempt that violates it.
+        self.violations: list[tuple[str, str]] = []
 
     def attempt_written(self, exchange: Exchange) -> None:
         """Checks an attempt whose last byte was just accepted by the network."""
--- a/tests/sidecar/upstream/interleaving_simulation.py
+++ b/tests/sidecar/upstream/interleaving_simulation.py
@@ -52,8 +52,8 @@
 
     label: str
     apply: Callable[[], None]
-    is_time: bool = False
-    is_notified_late: bool = False  # whether the sidecar may only notice it after a delay
+    advances_clock: bool = False
+    is_noticed_late: bool = False  # whether the sidecar may only notice it after a delay
 
 
 class Simulation:
@@ -74,9 +74,8 @@
         self._request_completed_at: int | None = None
         self._reload_name: str | None = None
         self._are_timers_late = False  # whether timers are due that only fire after the next step
-        self._delays: list[
-            tuple[int, int]
-        ] = []  # start and end (us) of the times in which the loop ran no callbacks
+        # Start and end (us) of each time in which the loop ran no callbacks.
+        self._delays: list[tuple[int, int]] = []
         self._clients: list[ClientTransport] = []
         self._faults: list[str] = []
         config = create_config(case, seed)
@@ -143,47 +142,47 @@
             ]
         if self.checker.responses or self.checker.disconnected_at is not None:
             return self._possible_steps_after_end()
-        found: list[Step] = []
+        steps: list[Step] = []
         for number, dial in enumerate(self.network.dials):
             if dial.is_pending:
-                found += self._dial_steps(number)
+                steps += self._dial_steps(number)
         for number, each in enumerate(self.network.connections):
             if each.is_open:
-                found += self._connection_steps(number, each)
+                steps += self._connection_steps(number, each)
         if self._is_body_due:
-            found.append(Step("the last byte of the body is received", self._deliver_last_byte))
-        found.append(self._advance_step("past the latency objective", PAST_OBJECTIVE_US))
+            steps.append(Step("the last byte of the body is received", self._deliver_last_byte))
+        steps.append(self._advance_step("past the latency objective", PAST_OBJECTIVE_US))
         if self.case.idempotency == "keyed":
-            found.append(self._delay_step())
+            steps.append(self._delay_step())
         if any(each.is_pending for each in self.network.dials):
-            found.append(self._advance_step("past the connect timeout", PAST_CONNECT_TIMEOUT_US))
+            steps.append(self._advance_step("past the connect timeout", PAST_CONNECT_TIMEOUT_US))
         if self._reload_name is None:
-            found += self._reload_steps()
-        found.append(
+            steps += self._reload_steps()
+        steps.append(
             Step("the client disconnects, and the loop reads that after the next step", self._disconnect)
         )
-        return found
+        return steps
 
     def _possible_steps_after_end(self) -> list[Step]:
         """Returns the possible steps once no response is pending: those that could write a last byte."""
-        found = [
+        steps = [
             self._dial_steps(number)[0] for number, each in enumerate(self.network.dials) if each.is_pending
         ]
         for number, each in enumerate(self.network.connections):
             if each.is_partly_written:
-                found += self._unblock_steps(number, each)
-        if found and self.loop.now_us < START_TIME_US + DEADLINE_US:
-            found.append(self._advance_step("past the window", PAST_WINDOW_US))
-        return found
+                steps += self._unblock_steps(number, each)
+        if steps and self.loop.now_us < START_TIME_US + DEADLINE_US:
+            steps.append(self._advance_step("past the window", PAST_WINDOW_US))
+        return steps
 
     def _advance_step(self, label: str, span_us: int) -> Step:
-        return Step(f"time passes, {label}", lambda: self.loop.advance(span_us), is_time=True)
+        return Step(f"time passes, {label}", lambda: self.loop.advance(span_us), advances_clock=True)
 
     def _delay_step(self) -> Step:
         label = (
             "time passes, past the window, and the loop is delayed: the next step happens before its timers"
         )
-        return Step(label, self._delay_loop, is_time=True)
+        return Step(label, self._delay_loop, advances_clock=True)
 
     def _dial_steps(self, number: int) -> list[Step]:
         server = SERVERS[self.network.dials[number].host][0]
@@ -197,34 +196,34 @@
         ]
 
     def _connection_steps(self, number: int, each: Connection) -> list[Step]:
-        last = each.exchange
-        if last is None or last.own_response is not None:
+        exchange = each.exchange
+        if exchange is None or exchange.own_response is not None:
             return []
         name = self._connection_name(number)
-        found = []
+        steps = []
         if each.is_partly_written:
-            found += self._unblock_steps(number, each)
-        if last.completed_at is not None:
-            found.append(Step(f"200 on {name}", lambda: self._respond(number, SERVED, True)))
+            steps += self._unblock_steps(number, each)
+        if exchange.completed_at is not None:
+            steps.append(Step(f"200 on {name}", lambda: self._respond(number, SERVED, True)))
         if not each.is_partly_written:  # it may be sent before the last byte of the body
             label = f"503 Not-Started on {name}"
-            found.append(Step(label, lambda: self._respond(number, REJECTED, True)))
-        if last.index > 0 and last.first_response is None and not each.is_partly_written:
-            late = each.exchanges[0].own_response
-            assert late is not None
-            duplicated = "200" if late == SERVED else "503 Not-Started"
+            steps.append(Step(label, lambda: self._respond(number, REJECTED, True)))
+        if exchange.index > 0 and exchange.first_response is None and not each.is_partly_written:
+            late_duplicate = each.exchanges[0].own_response
+            assert late_duplicate is not None
+            duplicated = "200" if late_duplicate == SERVED else "503 Not-Started"
             label = f"a late duplicate of the {duplicated} before on {name}"
-            found.append(Step(label, lambda: self._respond(number, late, False)))
-        found.append(Step(f"reset of {name}", lambda: self._reset(number)))
-        return found
+            steps.append(Step(label, lambda: self._respond(number, late_duplicate, False)))
+        steps.append(Step(f"reset of {name}", lambda: self._reset(number)))
+        return steps
 
     def _unblock_steps(self, number: int, each: Connection) -> list[Step]:
         label = f"the network accepts what it blocked on {self._connection_name(number)}"
-        found = [Step(label, lambda: self._unblock(number, False), is_notified_late=True)]
+        steps = [Step(label, lambda: self._unblock(number, False), is_noticed_late=True)]
         if not each.has_blocked_rest:
             label += ", and blocks what follows"
-            found.append(Step(label, lambda: self._unblock(number, True), is_notified_late=True))
-        return found
+            steps.append(Step(label, lambda: self._unblock(number, True), is_noticed_late=True))
+        return steps
 
     def _connection_name(self, number: int) -> str:
         return f"connection {number} ({SERVERS[self.network.connections[number].host][0]})"
@@ -252,23 +251,23 @@
     def apply(self, step: Step) -> None:
         """Applies a step, and runs all callbacks that are due at this time."""
         self.steps.append(f"{(self.loop.now_us - START_TIME_US) / MS:7g} ms  {step.label}")
-        unread = self.client.is_disconnect_unread
-        if unread and step.is_time:
+        was_disconnect_unread = self.client.is_disconnect_unread
+        if was_disconnect_unread and step.advances_clock:
             self.client.read_disconnect()
-        late, self._are_timers_late = self._are_timers_late, False
+        were_timers_late, self._are_timers_late = self._are_timers_late, False
         step.apply()
-        if self._are_timers_late or (self.client.is_disconnect_unread and not unread):
-            self._are_timers_late = self._are_timers_late or late
+        if self._are_timers_late or (self.client.is_disconnect_unread and not was_disconnect_unread):
+            self._are_timers_late = self._are_timers_late or were_timers_late
             return
         self.loop.run_ready()
-        if unread:
+        if was_disconnect_unread:
             self.client.read_disconnect()
-        self.loop.advance(WRITABLE_DELAY_US if step.is_notified_late else 0)
+        self.loop.advance(WRITABLE_DELAY_US if step.is_noticed_late else 0)
         for fault in (*self._faults, *self.loop.faults):
-            self.checker.violations.append((f"the program raised {fault}", ""))
+            self.checker.violations.append((f"the sidecar raised {fault}", ""))
 
-    def _record(self, whom: str, what: str) -> None:
-        self._history.setdefault(whom, []).append((self.loop.now_us, what))
+    def _record(self, subject: str, event: str) -> None:
+        self._history.setdefault(subject, []).append((self.loop.now_us, event))
 
     def _deliver_request(self, is_complete: bool) -> None:
         self._has_arrived = True
@@ -334,7 +333,7 @@
     # End of an interleaving
 
     def finish(self) -> None:
-        """Ends the interleaving with unresponsive servers: the window, the late events, the deadline."""
+        """Ends the interleaving with unresponsive servers: the window, late events, then the deadline."""
         self.apply(self._delay_step())
         if self._is_body_due and not self.client.has_disconnected:
             self.apply(Step("the last byte of the body is received", self._deliver_last_byte))
@@ -377,7 +376,7 @@
             )
             for each in self.network.connections
         )
-        history = tuple(sorted((whom, tuple(what)) for whom, what in self._history.items()))
+        history = tuple(sorted((subject, tuple(events)) for subject, events in self._history.items()))
         return (
             self.loop.now_us,
             dials,
--- a/tests/sidecar/upstream/virtual_network.py
+++ b/tests/sidecar/upstream/virtual_network.py
@@ -112,9 +112,7 @@
 
     connection: Connection
     index: int  # position on its connection, from 0
-    accepted: bytearray = field(
-        default_factory=bytearray
-    )  # the part of the request that the network accepted
+    accepted: bytearray = field(default_factory=bytearray)  # data of the request that the network accepted
     request_id: str | None = None  # set once its head was accepted
     completed_at: int | None = None  # time (us) at which the network accepted its last byte
     was_blocked: bool = False  # whether the network blocked a part of it
