--- a/tests/load_balancing/admission/test_admission_control.py
+++ b/tests/load_balancing/admission/test_admission_control.py
@@ -27,7 +27,7 @@
                 low_priority.add(request)
             if driver.started_attempts(request):
                 in_flight.append(request)
-        if tick % 2 and in_flight:  # one response for four requests, to the oldest of them
+        if tick % 2 and in_flight:  # one response for four requests, to the oldest in flight
             request = in_flight.pop(0)
             if request in driver.balancer._requests and not driver.balancer._requests[request].is_responded:
                 driver.end_attempt(request, attempt=0)
--- a/tests/load_balancing/admission/test_service_levels_in_force.py
+++ b/tests/load_balancing/admission/test_service_levels_in_force.py
@@ -69,7 +69,7 @@
         admitted["big"] += count_admitted(driver, "look", "big", 9)
         admitted["small"] += count_admitted(driver, "look", "small", 1)
     assert admitted["small"] == 40
-    # Its quota is half of the total; its demand is nine tenths of it.
+    # The quota of "big" is half of the total rate; its demand is nine tenths of that rate.
     assert 0.4 < admitted["big"] / 360 < 0.7
     assert count_admitted(driver, "pay", "big", 20) == 20
 
--- a/tests/load_balancing/retries/test_attempt_timeouts.py
+++ b/tests/load_balancing/retries/test_attempt_timeouts.py
@@ -20,7 +20,7 @@
     schedule = driver.balancer._components.timers.schedule
 
     def schedule_and_count(due_at: int, request: int, attempt: int) -> None:
-        assert next(schedule_limit, None) is not None, "endless loop over the timer queue"
+        assert next(schedule_limit, None) is not None, "endless loop: expected at most 10,000 schedule calls"
         schedule(due_at, request, attempt)
 
     driver.balancer._components.timers.schedule = schedule_and_count  # type: ignore[method-assign]
--- a/tests/load_balancing/test_balancer_any_sequence.py
+++ b/tests/load_balancing/test_balancer_any_sequence.py
@@ -15,7 +15,7 @@
     make_settings,
 )
 from hypothesis import HealthCheck, given
-from hypothesis import settings as how
+from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
 from tulipnotch.load_balancing import Balancer
@@ -193,7 +193,7 @@
         each["pending"], each["outcome"] = False, outcome
         if outcome is Outcome.DELIVERED:
             request["is_responded"] = True
-        self.connection_used(each["endpoint"])
+        self.update_close_deadline(each["endpoint"])
         self.handle(
             Ended(
                 request_id,
@@ -205,8 +205,8 @@
             )
         )
 
-    def connection_used(self, server: str) -> None:
-        """Updates by when idle connections to a server must be closed, after an update or the use of one."""
+    def update_close_deadline(self, server: str) -> None:
+        """Updates by when idle connections to a server must be closed, after a state change or a use."""
         if (
             self.settings.rules.close_idle_within_us
             and self.descriptions[server].state is not EndpointState.READY
@@ -231,7 +231,7 @@
             self.descriptions[description.name] = description
         for name, description in self.descriptions.items():
             if description.state is not before.get(name):
-                self.connection_used(name)
+                self.update_close_deadline(name)
         self.handle(EndpointsUpdated(kind, changed, 1))
 
     def advance_time(self, duration_us: int) -> None:
@@ -246,8 +246,8 @@
         self.check_deadlines()
 
     def check_deadlines(self) -> None:
-        for server, by in self.close_idle_by.items():
-            assert self.now <= by, f"idle connections to {server} are still open"
+        for server, close_by in self.close_idle_by.items():
+            assert self.now <= close_by, f"idle connections to {server} are still open"
         for request in self.requests.values():
             assert request["is_responded"] or self.now < request["deadline"], (
                 "no final response before the deadline"
@@ -287,7 +287,9 @@
 )
 
 
-@how(max_examples=500, deadline=None, derandomize=True, suppress_health_check=list(HealthCheck))
+@hypothesis_settings(
+    max_examples=500, deadline=None, derandomize=True, suppress_health_check=list(HealthCheck)
+)
 @given(
     strict=st.booleans(),
     hedged_requests=st.booleans(),
--- a/tests/load_balancing/test_settings_reader.py
+++ b/tests/load_balancing/test_settings_reader.py
@@ -20,13 +20,13 @@
 
 
 def test_settings_reader_uses_defaults_for_absent_keys() -> None:
-    given = settings_from_mapping(MINIMAL)
-    assert given.classes[0].idempotency is Idempotency.NON_IDEMPOTENT
-    assert given.classes[0].latency_objective_us == 1_000_000
-    assert given.discovery_mode is DiscoveryMode.POLLED
-    assert not given.limits.hedged_requests
-    assert given.limits.max_attempts == 1
-    assert given.rules.drain_grace_us == 0
+    settings = settings_from_mapping(MINIMAL)
+    assert settings.classes[0].idempotency is Idempotency.NON_IDEMPOTENT
+    assert settings.classes[0].latency_objective_us == 1_000_000
+    assert settings.discovery_mode is DiscoveryMode.POLLED
+    assert not settings.limits.hedged_requests
+    assert settings.limits.max_attempts == 1
+    assert settings.rules.drain_grace_us == 0
 
 
 def test_settings_reader_ignores_unknown_keys_and_null() -> None:
@@ -43,7 +43,7 @@
 
 
 @pytest.mark.parametrize(
-    ("given", "key"),
+    ("mapping", "key"),
     [
         ({}, "classes"),
         ({"classes": 5}, "classes"),
@@ -62,9 +62,9 @@
         ({**MINIMAL, "cost_weights": []}, "cost_weights"),
     ],
 )
-def test_settings_reader_names_path_of_invalid_value(given: dict[str, Any], key: str) -> None:
+def test_settings_reader_names_path_of_invalid_value(mapping: dict[str, Any], key: str) -> None:
     with pytest.raises(SettingsError) as error:
-        settings_from_mapping(given)
+        settings_from_mapping(mapping)
     assert error.value.path == key
     assert str(error.value) == f"{key}: {error.value.problem}"
 
@@ -112,10 +112,10 @@
     service_class: dict[str, Any], others: dict[str, Any]
 ) -> None:
     try:
-        given = settings_from_mapping(
+        settings = settings_from_mapping(
             {"classes": [{"name": "a", **service_class}], "limits": others, "rules": others}
         )
     except SettingsError:
         return
-    balancer = Balancer(given, 1)
+    balancer = Balancer(settings, 1)
     assert len(balancer.handle(5_000_000, RequestArrived(1, "a", None, None, 500_000))) > 0
--- a/tulipnotch/load_balancing/actions.py
+++ b/tulipnotch/load_balancing/actions.py
@@ -25,7 +25,7 @@
     """Send the final response "rejected": a retry by the client is harmless. `reason` is only recorded."""
 
     request: int
-    retry_after_us: int = 0  # when the client should retry; 0: no advice
+    retry_after_us: int = 0  # how long the client should wait before a retry; 0: no advice
     reason: TerminationReason = field(default=TerminationReason.NO_ENDPOINT, compare=False)
 
 
@@ -39,7 +39,7 @@
 
 @dataclass(slots=True)
 class CancelAttempt:
-    """Cancel an attempt, whose response is no longer needed."""
+    """Cancel an attempt: stop waiting for its response."""
 
     request: int
     attempt: int
@@ -89,7 +89,7 @@
 
 @dataclass(slots=True)
 class LogEvent:
-    """Write an event to the log; `event` must be one that the sidecar's log defines."""
+    """Write an event to the log; its name and fields must be among those that the sidecar's log defines."""
 
     event: str
     endpoint: str
--- a/tulipnotch/load_balancing/admission/admission_control.py
+++ b/tulipnotch/load_balancing/admission/admission_control.py
@@ -39,7 +39,7 @@
         self._limit = limit
         self._demand = DemandMeter(context)
         self._level: ServiceLevelChanged | None = None  # None: no service level is active
-        # Requests that reached the limit, and those among them that it rejected.
+        # Requests that were checked against the limit, and those among them that it rejected.
         self._offered = self._rejected = 0
         self._apply_tenants()
 
--- a/tulipnotch/load_balancing/admission/concurrency_limit.py
+++ b/tulipnotch/load_balancing/admission/concurrency_limit.py
@@ -14,19 +14,20 @@
 from tulipnotch.load_balancing.metrics.rate import Rate
 from tulipnotch.load_balancing.metrics.response_times import LOST_REQUEST_OBJECTIVES, ResponseTimes
 
-INITIAL_LIMIT_PER_ENDPOINT = 4.0  # requests in flight from all instances, until responses tell more
+INITIAL_LIMIT_PER_ENDPOINT = 4.0  # requests in flight from all instances together, until responses show more
 MIN_LIMIT = 0.1  # always admits a few requests, so that the end of an overload is noticed
 # After this many longest latency objectives with nothing in flight, one request is admitted.
 MAX_IDLE_OBJECTIVES = 2.0
 # Up to this utilization of the limit all requests are admitted, and the limit does not grow.
 UNRESTRICTED_UTILIZATION = 0.7
 RESIZE_OBJECTIVES = 0.2  # time constant for shrinking at twice the target, in longest latency objectives
-# Longest time that one response resizes for, in longest latency objectives times the low load factor.
+# Upper bound of the elapsed time that one response resizes the limit for, in longest latency objectives times
+# the low load factor.
 MAX_RESIZE_OBJECTIVES = 0.25
 
 # Target for the typical response, as a fraction of its latency objective; above it, the fleet is overloaded.
 TARGET_FRACTION = 0.15
-# Target where so few requests are in flight that the typical response is mostly random variation.
+# Target where so few requests are in flight that much of the typical response is random variation.
 LOW_LOAD_TARGET_FRACTION = 0.4
 MIN_TARGET_IDLE_FACTOR = 2.0  # the target is at least this many times the typical response of an idle fleet
 # Upper bound of the target; with a higher one, overload would pass for normal operation.
@@ -88,7 +89,7 @@
         self._served_objectives.add(self._context.now, latency_objective_us)
 
     def request_lost(self) -> None:
-        """Counts a request that got no response because of overload as a very late response."""
+        """Counts a request that overloaded servers rejected, or that is overdue, as a very late response."""
         self.record_response_time(LOST_REQUEST_OBJECTIVES)
 
     def request_overdue(self) -> None:
--- a/tulipnotch/load_balancing/admission/pressure.py
+++ b/tulipnotch/load_balancing/admission/pressure.py
@@ -9,7 +9,7 @@
 class Pressure:
     """Usage of the concurrency limit; the counts are totals since the start of the process."""
 
-    offered: int  # requests that reached the limit, because no service level rejected them
-    rejected: int  # requests among these that the limit rejected
+    offered: int  # requests checked against the limit, because no service level rejected them
+    rejected: int  # requests that the limit rejected
     # Requests in flight, and those that a service level keeps out, as a fraction of the limit.
     utilization: float
--- a/tulipnotch/load_balancing/admission/service_levels.py
+++ b/tulipnotch/load_balancing/admission/service_levels.py
@@ -37,7 +37,7 @@
 
     name: str
     effect: ServiceLevelChanged
-    # Entered if the limit rejected more than this fraction of the requests that reached it, over `enter_us`.
+    # Entered if the limit rejected more than this fraction of the requests checked by it, over `enter_us`.
     enter_rejected_fraction: float
     enter_us: int
     # Left if the load, with what the level rejects, would use less than this fraction of the limit, and the
@@ -117,7 +117,7 @@
         """Describes the level for operators: its name, its duration, and the state of the concurrency limit.
 
         In the text, "refused" is the fraction that the limit rejected, "the window" is the limit, and
-        "wanted" is the part of it that all requests together would use.
+        "wanted" is the fraction of it that all requests together would use.
         """
         recent = self._summarize(now, max((each.enter_us for each in self._levels), default=0))
         duration_s = (now - self._entered_at) / 1e6
--- a/tulipnotch/load_balancing/balancer.py
+++ b/tulipnotch/load_balancing/balancer.py
@@ -146,7 +146,7 @@
         self._components.timers.schedule(request.respond_by, request.request_id, REQUEST_DEADLINE)
 
     def _request_body_completed(self, event: RequestBodyCompleted) -> None:
-        """Starts the request's time limit; attempts that its body was streamed to are now in flight."""
+        """Starts the request's time limit; its pending attempts count as in flight from now on."""
         request = self._requests.get(event.request)
         if request is None or request.is_responded or not request.body_incomplete:
             return
@@ -199,7 +199,7 @@
     def _is_permitted(self, request: Request, endpoint: Endpoint) -> bool:
         now, limits = self._context.now, self._context.settings.limits
         if request.is_responded or now >= request.respond_by:
-            return False  # rule 1: one final response, in time; no attempt after it
+            return False  # rule 1: no attempt after the final response, or too late for one in time
         if len(request.attempts) >= limits.max_attempts:
             return False
         if not limits.hedged_requests and request.has_pending_attempt:
@@ -207,9 +207,9 @@
         if now >= self._components.retries.retry_deadline(request):
             return False  # rule 2: too late for another execution
         if not idempotency_rule.is_in_deduplication_scope(request.service_class, endpoint, request.attempts):
-            return False  # rule 2: its server would not deduplicate
+            return False  # rule 2: this endpoint would not deduplicate earlier attempts
         if endpoint.state is not EndpointState.READY:
-            return False  # rule 3: no attempt to draining endpoints, even within the drain grace period
+            return False  # rule 3: ready endpoints only, from the update on; the drain grace is not used
         return self._components.slow_start.has_budget(endpoint, request.work)  # rule 4: warm-up budget
 
     def _attempt_in_flight(self, request: Request, attempt: Attempt) -> None:
@@ -222,7 +222,7 @@
     # Checks before every final response that is not a server's
 
     def _terminate_request(self, request: Request, reason: TerminationReason) -> None:
-        """Sends a final response of its own: a rejection if a client retry is harmless, else a failure."""
+        """Sends a final response in place of a server: a rejection if a retry is harmless, else a failure."""
         if request.is_responded:
             return
         response: RejectRequest | FailRequest = FailRequest(request.request_id, reason)
--- a/tulipnotch/load_balancing/endpoints/discovery_polling.py
+++ b/tulipnotch/load_balancing/endpoints/discovery_polling.py
@@ -7,8 +7,8 @@
 from tulipnotch.load_balancing.settings import DiscoveryMode
 from tulipnotch.load_balancing.timer_queue import DISCOVERY, REQUEST_DEADLINE, TimerQueue
 
-MIN_POLL_BACK_OFF = 0.05  # shortest wait after a failed poll, as a fraction of the maximum poll interval
-# Longest wait, as a fraction of the same interval; three failed polls in a row still fit into it.
+MIN_POLL_BACK_OFF = 0.05  # nominal wait after a first failed poll, as a fraction of the maximum poll interval
+# Longest wait, as a fraction of the maximum poll interval; three failed polls in a row still fit into that.
 MAX_POLL_BACK_OFF = 0.25
 # A wait lasts at least this fraction of the nominal one; jitter keeps instances from polling in step.
 MIN_POLL_JITTER = 0.5
@@ -43,11 +43,11 @@
 
     def poll_failed(self) -> None:
         """Schedules the next poll; the wait doubles with each failure in a row, and has jitter."""
-        interval = self._context.settings.rules.max_poll_interval_us
-        wait = min(MIN_POLL_BACK_OFF * interval * 2**self.failed_calls, MAX_POLL_BACK_OFF * interval)
+        interval_us = self._context.settings.rules.max_poll_interval_us
+        wait_us = min(MIN_POLL_BACK_OFF * interval_us * 2**self.failed_calls, MAX_POLL_BACK_OFF * interval_us)
         self.failed_calls = min(self.failed_calls + 1, MAX_COUNTED_FAILURES)
         self._schedule_poll(
-            wait * (MIN_POLL_JITTER + (1.0 - MIN_POLL_JITTER) * self._context.random.random())
+            wait_us * (MIN_POLL_JITTER + (1.0 - MIN_POLL_JITTER) * self._context.random.random())
         )
 
     def endpoints_received(self) -> None:
--- a/tulipnotch/load_balancing/endpoints/endpoint.py
+++ b/tulipnotch/load_balancing/endpoints/endpoint.py
@@ -12,7 +12,7 @@
     __slots__ = ("budget", "is_start_announced", "started_at")
 
     def __init__(self, started_at: int, budget: ExpiringTokenBucket, *, is_start_announced: bool) -> None:
-        """Starts at clock time `started_at` (in microseconds), announced by discovery or assumed."""
+        """Starts at clock time `started_at` (us); `is_start_announced`: discovery announced that time."""
         self.started_at = started_at
         self.budget = budget
         self.is_start_announced = is_start_announced
@@ -78,7 +78,7 @@
     )
 
     def __init__(self, name: str, sort_key: float) -> None:
-        """Starts as not listed; `sort_key` is a random number, drawn once, for this balancer's own order."""
+        """Starts as not listed; `sort_key` is a random number that orders endpoints for this balancer."""
         self.name = name
         self.sort_key = sort_key
         # Fields as listed by discovery:
--- a/tulipnotch/load_balancing/endpoints/endpoint_list.py
+++ b/tulipnotch/load_balancing/endpoints/endpoint_list.py
@@ -111,7 +111,7 @@
 
     @staticmethod
     def _set_latency_ratios(ready: list[Endpoint]) -> None:
-        """Derives the latency ratio from the nominal capacity for endpoints without measured responses."""
+        """Derives unset latency ratios from the nominal capacity, which counts until responses show more."""
         mean_capacity = sum(each.nominal_capacity for each in ready) / max(len(ready), 1)
         for endpoint in ready:
             if endpoint.latency_ratio <= UNSET_RATIO:
--- a/tulipnotch/load_balancing/health/idle_connections.py
+++ b/tulipnotch/load_balancing/health/idle_connections.py
@@ -42,7 +42,7 @@
         self._stale_after_us = 0  # shortest idle time at which a connection was stale
 
     def reuse_connection(self, endpoint: Endpoint) -> int:
-        """Takes the idle connection for an attempt; returns how long it was idle (us), or 0 if it is fresh.
+        """Takes a connection for an attempt; returns its idle time in microseconds, 0 if it is new or fresh.
 
         Closes the connection first if it is suspected to be stale. That costs additional handshakes while a
         few unresponsive servers are mistaken for stale connections.
@@ -83,7 +83,7 @@
         attempt.no_response_recorded = True
         probability = self._current_stale_probability()
         if not attempt.connection_idle_us:
-            # The connection was in constant use, and there was no response all the same.
+            # The connection was new or in constant use, so a stale connection is not the cause.
             self._stale_probability = probability * (1.0 - FAILURE_STEP)
             return False
         if probability < SUSPECT_PROBABILITY or attempt.connection_idle_us < self._stale_after_us:
--- a/tulipnotch/load_balancing/health/outlier_detection.py
+++ b/tulipnotch/load_balancing/health/outlier_detection.py
@@ -1,4 +1,4 @@
-"""Outlier detection: ejects endpoints that fail for a while; one probation attempt readmits them.
+"""Outlier detection: endpoints that fail are ejected for some time; a successful probation readmits them.
 
 Prevents a server that fails fast from appearing idle and thereby attracting more requests.
 """
@@ -22,16 +22,18 @@
 FAILURES = (Outcome.TIMED_OUT, Outcome.CONNECTION_LOST, Outcome.CONNECT_FAILED, Outcome.SERVER_ERROR)
 NO_RESPONSE = (Outcome.TIMED_OUT, Outcome.CONNECTION_LOST)  # failures that a stale connection may cause
 CONSECUTIVE_FAILURES = 2  # failures without a response in between that eject an endpoint
-# The same, if the last of them is a lost connection, which may be the network's fault.
+# Consecutive failures that eject an endpoint if the last one is a lost connection, which may be the network's
+# fault.
 CONSECUTIVE_LOST_CONNECTIONS = 3
 CONSECUTIVE_MALFORMED = 6  # malformed responses that eject an endpoint; fewer may be the network's fault
 # First ejection, in longest latency objectives; the time doubles with each further one.
 INITIAL_EJECTION_OBJECTIVES = 2.0
-MAX_EJECTION_OBJECTIVES = 16.0  # maximum of this time; a server that has recovered must be found again
+# Longest ejection, in longest latency objectives; a server that has recovered must be found again.
+MAX_EJECTION_OBJECTIVES = 16.0
 MAX_COUNTED_EJECTIONS = 8  # more ejections would not change the time, which reaches its maximum much earlier
 # Maximum fraction of the endpoints in use that is ejected at a time; more would overload the rest.
 MAX_EJECTED_FRACTION = 0.6
-# The same for unresponsive endpoints; more of them means overload, not outliers.
+# Maximum of that fraction for ejecting an unresponsive endpoint; more would mean overload, not outliers.
 MAX_UNRESPONSIVE_FRACTION = 0.34
 UNRESPONSIVE = "silent"  # logged as the reason for ejecting an unresponsive endpoint
 
@@ -126,8 +128,8 @@
         context = self._context
         ejection = endpoint.ejection
         if ejection is None:
-            known = min(len(context.ready_endpoints), subset_size(self._load.mean))
-            if len(self._ejected) + 1 > max_fraction * known:
+            used_count = min(len(context.ready_endpoints), subset_size(self._load.mean))
+            if len(self._ejected) + 1 > max_fraction * used_count:
                 return
             ejection = endpoint.ejection = Ejection()
             self._ejected.append(endpoint)
--- a/tulipnotch/load_balancing/metrics/cost_estimates.py
+++ b/tulipnotch/load_balancing/metrics/cost_estimates.py
@@ -7,7 +7,7 @@
 from tulipnotch.load_balancing.settings import ServiceClass
 
 CLASS_MEAN_STEP = 0.02  # moving average of the cost of a class: about its last fifty estimates
-WORK_MEAN_STEP = 0.02  # moving average of the work of all requests, likewise over about fifty
+WORK_MEAN_STEP = 0.02  # moving average of the work of all requests: about the last fifty estimates
 # One estimate counts for at most this many means, because a heavy request may be retried many times.
 MAX_ESTIMATE_MEANS = 2.0
 PRIOR_ESTIMATES = 2.0  # number of estimates that the initially assumed mean counts for
@@ -21,11 +21,11 @@
         self._means: dict[str, float] = {}
 
     def retain_classes(self, names: Container[str]) -> None:
-        """Drops the means of all other classes."""
+        """Drops the means of classes that are not in `names`."""
         self._means = {name: mean for name, mean in self._means.items() if name in names}
 
     def relative_cost(self, service_class: ServiceClass, cost_us: int | None) -> float:
-        """Returns the relative cost and updates the mean; without an estimate (None or 0) it is the mean."""
+        """Returns the relative cost, 1 without an estimate (None or 0); updates the mean of the class."""
         if not cost_us or cost_us < 0:
             return 1.0
         mean_us = self._means.get(service_class.name, float(cost_us))
@@ -44,7 +44,7 @@
         self._estimate_count = 0.0
 
     def relative_work(self, work_us: int | None, assumed_mean_us: float) -> float:
-        """Returns the relative work and updates the mean; without an estimate (None or 0) it is the mean.
+        """Returns the relative work, 1 without an estimate (None or 0); updates the mean.
 
         Estimates are in microseconds on a standard core. `assumed_mean_us` is the mean before any estimate;
         it counts for `PRIOR_ESTIMATES` of them. A request is compared only with those before it; otherwise a
--- a/tulipnotch/load_balancing/metrics/demand.py
+++ b/tulipnotch/load_balancing/metrics/demand.py
@@ -29,7 +29,7 @@
     __slots__ = ("by_tenant", "by_traffic", "total")
 
     def __init__(self, traffic: Iterable[Traffic], now: int) -> None:
-        """Sums up these rates as of clock time `now`."""
+        """Sums up the rates of `traffic` as of clock time `now`."""
         self.by_traffic = [(each, each.rate.per_us(now)) for each in traffic]
         self.by_tenant: dict[str | None, float] = {}
         for each, rate in self.by_traffic:
--- a/tulipnotch/load_balancing/metrics/latency.py
+++ b/tulipnotch/load_balancing/metrics/latency.py
@@ -29,7 +29,7 @@
         self.expected_us: dict[tuple[str, int], float] = {}
 
     def retain_classes(self, names: Container[str]) -> None:
-        """Drops the expected latencies of all other classes."""
+        """Drops the expected latencies of classes that are not in `names`."""
         self.expected_us = {key: expected for key, expected in self.expected_us.items() if key[0] in names}
 
     def expected_latency_us(self, request: Request) -> float:
--- a/tulipnotch/load_balancing/metrics/response_times.py
+++ b/tulipnotch/load_balancing/metrics/response_times.py
@@ -10,10 +10,10 @@
 MAX_TYPICAL_FRACTION = 1.0  # upper bound of the typical fraction; a higher one would delay recovery
 # Lower bound of the measured fraction; faster responses carry no further information.
 MIN_RESPONSE_FRACTION = 0.02
-LOST_REQUEST_OBJECTIVES = 2.0  # fraction that a request without a response in time counts as: very late
+LOST_REQUEST_OBJECTIVES = 2.0  # objectives that a request without a response in time counts as: very late
 LATE_STEP = 0.02  # moving average of the late fraction: about the last fifty responses
 IDLE_INCREASE = 0.0008  # amount by which the idle fraction may rise at each response
-IDLE_INCREASE_LOADED = 0.00008  # the same while requests are rejected
+IDLE_INCREASE_LOADED = 0.00008  # amount by which it may rise at each response while requests are rejected
 MIN_IDLE_FRACTION = 0.04  # idle fractions below this are treated alike
 CPU_UTILIZATION_STEP = 0.1  # moving average of the CPU utilization: about the last ten reports
 
@@ -22,7 +22,7 @@
     """Measures how busy the fleet is, by responses and by load reports from servers."""
 
     def __init__(self, load: Load, max_first_fraction: float) -> None:
-        """Starts with no responses; the first one counts as typical up to `max_first_fraction`."""
+        """Starts with no responses; the first sets the typical fraction, to at most `max_first_fraction`."""
         self._load = load
         self._max_first_fraction = max_first_fraction
         self.typical_fraction = 0.0  # fraction of its objective that the typical response takes
--- a/tulipnotch/load_balancing/requests.py
+++ b/tulipnotch/load_balancing/requests.py
@@ -49,7 +49,7 @@
     )
 
     def __init__(self, index: int, endpoint: Endpoint, started_at: int, responses_before: int) -> None:
-        """Starts at clock time `started_at`, after `responses_before` responses from all endpoints."""
+        """Starts at clock time `started_at`, after `responses_before` healthy responses of all endpoints."""
         self.responses_before = responses_before
         self.index = index
         self.endpoint = endpoint
--- a/tulipnotch/load_balancing/retries/attempt_timeouts.py
+++ b/tulipnotch/load_balancing/retries/attempt_timeouts.py
@@ -19,12 +19,15 @@
 
 # An attempt is overdue after this many times its expected latency (at its endpoint's latency ratio).
 OVERDUE_FACTOR = 2.5
-MIN_OVERDUE_OBJECTIVES = 0.1  # minimum of this time, in latency objectives; shorter times are mostly jitter
-HANDSHAKE_OBJECTIVES = 0.5  # the same on a new connection, which begins with a handshake
+# Minimum time after which an attempt is overdue, in latency objectives; shorter times are mostly jitter.
+MIN_OVERDUE_OBJECTIVES = 0.1
+# Minimum overdue time on a new connection, which begins with a handshake, in latency objectives.
+HANDSHAKE_OBJECTIVES = 0.5
 # Responses from other endpoints since an attempt started that show that only its endpoint is unresponsive.
 MIN_OTHER_RESPONSES = 4
 UNRESPONSIVE_FACTOR = 2.0  # the endpoint counts as unresponsive after this many times the overdue time
-MIN_UNRESPONSIVE_OBJECTIVES = 0.5  # minimum of this time, in latency objectives
+# Minimum time after which the endpoint counts as unresponsive, in latency objectives.
+MIN_UNRESPONSIVE_OBJECTIVES = 0.5
 
 
 @dataclass(eq=False)
--- a/tulipnotch/load_balancing/retries/idempotency_rule.py
+++ b/tulipnotch/load_balancing/retries/idempotency_rule.py
@@ -19,7 +19,7 @@
 
 
 class Locality(Protocol):
-    """A location in the endpoint list."""
+    """Where an endpoint or an attempt runs: its zone and cell in the endpoint list."""
 
     @property
     def zone(self) -> str:
--- a/tulipnotch/load_balancing/selection/best_of_k.py
+++ b/tulipnotch/load_balancing/selection/best_of_k.py
@@ -22,9 +22,10 @@
 from tulipnotch.load_balancing.selection.weighted_sampling import weighted_sample
 from tulipnotch.load_balancing.slow_start.warm_up_budget import SlowStart, warm_up_factor
 
-# K of best of k; the counts are mostly small, so that two choices would show too few differences.
+# The k of best of k; the numbers in flight are mostly small, where two choices find too little difference.
 CHOICE_COUNT = 4
-# Factor on the latency ratio of endpoints in other zones in the comparison, while these are sampled less.
+# Factor on the latency ratio of endpoints in other zones while these are sampled less; it decides between
+# endpoints with equally many requests in flight.
 REMOTE_LATENCY_FACTOR = 2.0
 # Maximum exponent of the latency ratio, for requests of four times the mean cost or more.
 MAX_LATENCY_EXPONENT = 3.0
--- a/tulipnotch/load_balancing/selection/locality_weights.py
+++ b/tulipnotch/load_balancing/selection/locality_weights.py
@@ -14,7 +14,7 @@
 MIN_REMOTE_WEIGHT = 0.25  # weight of an endpoint in another zone while the own zone is as fast
 
 # All zones have equal weights under any of these conditions.
-EQUAL_WEIGHT_SLOWDOWN = 0.3  # the own zone is slower than the others by this fraction
+EQUAL_WEIGHT_SLOWDOWN = 0.3  # the own zone is slower than the others by this much, by latency ratio
 EQUAL_WEIGHT_TYPICAL_FRACTION = 0.12  # the typical response takes twice this fraction of its objective
 EQUAL_WEIGHT_LATE_FRACTION = 0.05  # this fraction of the responses is late
 
--- a/tulipnotch/load_balancing/settings.py
+++ b/tulipnotch/load_balancing/settings.py
@@ -148,12 +148,12 @@
 
     cross_zone: float = 0.0
     health_check: float = 0.0
-    peer_message: float = 0.0  # for 256 bytes delivered for each request
-    wasted_work: float = 0.0  # for as much server work ending without a response as was requested in total
+    peer_message: float = 0.0  # cost of 256 bytes delivered for each request
+    wasted_work: float = 0.0  # cost of as much server work without a response as was requested in total
     handshake: float = 0.0
-    connection: float = 0.0  # for a hundred open connections to each server
-    discovery: float = 0.0  # for a hundred endpoint list entries received for each request
-    late_failure: float = 0.0  # for all requests, by weight, failing after their latency objective
+    connection: float = 0.0  # cost of a hundred open connections to each server
+    discovery: float = 0.0  # cost of a hundred endpoint list entries received for each request
+    late_failure: float = 0.0  # cost if all requests, by weight, fail after their latency objective
 
 
 @dataclass(frozen=True, slots=True)
--- a/tulipnotch/load_balancing/slow_start/warm_up_budget.py
+++ b/tulipnotch/load_balancing/slow_start/warm_up_budget.py
@@ -65,7 +65,10 @@
 def has_budget(
     bucket: ExpiringTokenBucket, now: int, rate: float, overload_window_us: int, cost: float
 ) -> bool:
-    """Returns whether a request of this cost is admitted; `rate` is the own share of the overload rate."""
+    """Returns whether a request of this cost is admitted.
+
+    `rate` is the own share of the overload rate, in requests of mean cost per microsecond.
+    """
     capacity = max(1.0, BURST_FRACTION * rate * overload_window_us)
     bucket.fill(now, FILL_FRACTION * rate, capacity, EXPIRY_WINDOWS * overload_window_us)
     return bucket.holds(min(cost, capacity))
--- a/tulipnotch/load_balancing/timer_queue.py
+++ b/tulipnotch/load_balancing/timer_queue.py
@@ -52,7 +52,7 @@
         return None
 
     def next_timer(self, now: int, is_obsolete: Callable[[TimerEntry], bool]) -> SetTimer | None:
-        """Returns the timer to set; None if the one that is set fires in time for the earliest entry.
+        """Returns the timer to set; None if nothing is scheduled, or the timer that is set fires in time.
 
         Drops obsolete entries at the head of the queue.
         """
