--- a/tulipnotch/load_balancing/admission/service_levels.py
+++ b/tulipnotch/load_balancing/admission/service_levels.py
@@ -1,4 +1,4 @@
-"""Service levels: takes observations of the pressure and returns changes of level; reads no clock itself.
+"""Service levels: takes observations of pressure, returns changes of level; uses no clock and no sockets.
 
 A level is entered if the fraction of requests that the concurrency limit rejects stays above a threshold, and
 left if the load that the level rejects would fit into the limit again. The two conditions use different
--- a/tulipnotch/load_balancing/outcomes.py
+++ b/tulipnotch/load_balancing/outcomes.py
@@ -29,6 +29,6 @@
 
     ADMISSION = "admission"  # rejected by the concurrency limit or the service level
     NO_ENDPOINT = "no_server"  # no endpoint was eligible
-    NO_RETRY = "no_retry"  # an attempt ended without a response, and no retry was permitted
+    NO_RETRY = "no_retry"  # an attempt failed, and no retry was permitted
     DEADLINE = "deadline"  # the request's deadline was reached
     CLIENT_ERROR = "at_fault"  # a server rejected it as invalid, and any other server would do the same
--- a/tulipnotch/load_balancing/retries/idempotency_rule.py
+++ b/tulipnotch/load_balancing/retries/idempotency_rule.py
@@ -31,7 +31,7 @@
 
 
 class PriorAttempt(Locality, Protocol):
-    """An earlier attempt of the same request, with the properties that restrict further attempts."""
+    """Another attempt of the same request, with the properties that restrict further attempts."""
 
     @property
     def may_have_run(self) -> bool:
