--- a/tulipnotch/sidecar/discovery/client.py
+++ b/tulipnotch/sidecar/discovery/client.py
@@ -30,7 +30,7 @@
         ...
 
     def fault_changed(self, fault: str) -> None:
-        """Handles the cause of a failed call; further calls that fail for the same cause are not reported."""
+        """Handles the cause of a failed call; not repeated while further calls fail for the same cause."""
         ...
 
 
@@ -189,7 +189,7 @@
         self._fault = None
 
     def watch_failed(self, error: DiscoveryError) -> None:
-        """Reports the cause; the failed call too where lists are polled, since the observer awaits it."""
+        """Reports the cause and, where lists are polled, the failed call, whose end the observer awaits."""
         self._report_fault(error)
         if not self._is_pushed:
             self._observer.call_failed()
--- a/tulipnotch/sidecar/discovery/poll_schedule.py
+++ b/tulipnotch/sidecar/discovery/poll_schedule.py
@@ -11,9 +11,10 @@
 
 # The fractional parts of this number's multiples are spread evenly, for any number of instances.
 _GOLDEN_RATIO_CONJUGATE = 0.618033988749895
-# Slots in one interval after a watch event: the wait that follows is at least half of the longest.
+# Number of slots of an instance in one `slot_interval_s` after a watch event; the wait that follows the event
+# is thus at least half of the longest wait.
 _SLOTS_PER_INTERVAL_AFTER_EVENT = 2
-_MAX_EARLY_HEDGES = 2  # number of hedged calls before they slow down to the schedule's own interval
+_MAX_EARLY_HEDGES = 2  # number of hedged calls that do not wait for the schedule's `call_interval_s`
 # Where lists are pushed, all that discovery has counts as announced, even while no watch is open.  So a call
 # that failed is retried, and one without a response is hedged, after these fractions of the drain grace
 # period; a connection must be established within the last of them.
@@ -22,7 +23,7 @@
 _PUSHED_CONNECT_FRACTION = 0.8
 _PUSHED_MIN_INTERVAL_S = 0.02
 _PUSHED_MAX_INTERVAL_S = 0.2  # however long the grace period is
-MAX_CALLS_IN_FLIGHT = 8  # calls of one instance
+MAX_CALLS_IN_FLIGHT = 8  # limit on the calls of one instance
 
 
 class PollSchedule(NamedTuple):
--- a/tulipnotch/sidecar/discovery/watch.py
+++ b/tulipnotch/sidecar/discovery/watch.py
@@ -69,7 +69,7 @@
         ...
 
     def start_call(self, connection: DiscoveryConnection | None, wait_ms: int) -> DiscoveryCall:
-        """Starts a call for the changes since the known version; None: on a new connection."""
+        """Starts a call for the changes since the known version; `connection` None means a new connection."""
         ...
 
     def watch_responded(self, call: DiscoveryCall, response: DiscoveryResponse, *, is_update: bool) -> None:
@@ -157,7 +157,7 @@
                     call.connection.close()
                     if not calls or not isinstance(error, DiscoveryError):
                         raise error
-                    # The other calls may have hung since before discovery could be reached.
+                    # Allows one more, as the other calls may have hung since before discovery was reachable.
                     remaining_early_hedges += 1
                 if not done:
                     remaining_early_hedges -= 1
--- a/tulipnotch/sidecar/downstream/connection.py
+++ b/tulipnotch/sidecar/downstream/connection.py
@@ -149,8 +149,8 @@
 
         Args:
             owner: What all connections of the server share.
-            accept_delay_s: Upper bound on the time that the connection, perhaps with its first request, was
-                waiting in the accept queue.
+            accept_delay_s: Upper bound on how long the connection, perhaps with its first request, waited in
+                the accept queue because accept(2) had failed.
         """
         self._owner = owner
         self._accept_delay_s = accept_delay_s
@@ -159,15 +159,17 @@
         self._input_poll = select.poll()
         self._request: Request | None = None  # the request that is being responded to
         self._classes: Mapping[str, ServiceClass] = {}  # those current at the first byte of the request
-        self._request_number: int | None = None  # set by the handler while the response is pending
+        self._request_number: int | None = None  # the handler's number, while the response is pending
         self._stream: ResponseStream | None = None  # set while a response is streamed
         self._is_writing_paused = False
         self.is_reading_paused = False
         self._progress = TransferProgress()
         self._close_reason: CloseReason | None = None  # None: the sidecar has not closed the connection
         self.state = ConnectionState.CONNECTED
-        self.state_since = 0.0  # start of the state, in the event loop's time (s); set by the registry
-        self.buffered_bytes = 0  # received of the request and of whatever followed it; set by the registry
+        # When the state was entered, in the event loop's time (s).  While the first request is read, this is
+        # the time of connecting; while a closing connection has unsent output, it is updated.
+        self.state_since = 0.0
+        self.buffered_bytes = 0  # counted for the request and the input after it; set by the registry
 
     @property
     def can_close_safely(self) -> bool:
@@ -439,7 +441,7 @@
         self._process_input()
 
     def eof_received(self) -> None:
-        """Treats the end of the client's sending side as its disconnection; it expects no response."""
+        """Treats a client that has closed its sending side as disconnected: it waits for no response."""
         self._notify_client_disconnected()
 
     def connection_lost(self, _exc: Exception | None) -> None:
--- a/tulipnotch/sidecar/downstream/connection_table.py
+++ b/tulipnotch/sidecar/downstream/connection_table.py
@@ -37,7 +37,7 @@
         return list(self._by_state[state])
 
     def add(self, connection: DownstreamConnection) -> None:
-        """Adds a connection; above the limit, evicts another one, or aborts this one if that fails."""
+        """Adds a connection; at the limit, evicts another one, or aborts this one if none can be evicted."""
         self.last_opened_at = connection.state_since = asyncio.get_running_loop().time()
         if len(self) >= self.max_connections and not self.evict():
             connection.state = ConnectionState.CLOSING
@@ -98,9 +98,9 @@
         """Yields the connections that may be evicted, in the order in which they should be."""
         by_state = self._by_state
         yield from (each for each in by_state[ConnectionState.CLOSING] if not each.has_unsent_output)
-        # Next is the client that has been connected longest without sending a byte, if for `greeting_s` at
-        # least.  Clients that have just connected come later, since a request of theirs may be in transit and
-        # would get no response.
+        # Next is the client that has been connected longest without sending a byte, provided that this is at
+        # least `greeting_s`.  Clients that have just connected come later, since a request of theirs may be
+        # in transit and would get no response.
         connected_before = asyncio.get_running_loop().time() - self._limits.greeting_s
         for oldest in islice(by_state[ConnectionState.CONNECTED], 1):
             if oldest.state_since <= connected_before and oldest.can_close_safely:
--- a/tulipnotch/sidecar/downstream/listener.py
+++ b/tulipnotch/sidecar/downstream/listener.py
@@ -11,7 +11,7 @@
 
 from tulipnotch.sidecar.addresses import Address
 
-_MIN_BACKLOG = 1_024  # length of the accept queue that the kernel is asked for at least
+_MIN_BACKLOG = 1_024  # minimum length of the accept queue that the kernel is asked for
 _MAX_BACKLOG = 65_535
 # Limits the connections accepted in one iteration of the event loop, so that open ones are served in between.
 _MAX_ACCEPTS_PER_LOOP_ITERATION = 8
@@ -133,7 +133,7 @@
 
 
 async def wait_until_no_process_accepts(listener: socket.socket, duration_s: float) -> None:
-    """Waits until the accept queue has not been empty for `duration_s`: no other process accepts from it.
+    """Waits until the accept queue has been non-empty for `duration_s`, so no other process accepts from it.
 
     The queue is polled, because no event reports that it has become empty.
     """
@@ -174,7 +174,7 @@
         self._create_protocol = create_protocol
         self._connecting: set[asyncio.Task[None]] = set()
         self._retry_timer: asyncio.TimerHandle | None = None  # set while accepting pauses after a failed call
-        # Time of the first failed call after which no call has found the queue empty.
+        # Time of the first call that failed since the queue was last found empty; None if no call failed.
         self._failing_since: float | None = None
         self.port = int(listener.getsockname()[1])
         self._start_accepting()
@@ -195,8 +195,8 @@
         still in the queue.
 
         Returns:
-            Whether the queue is empty.  It is not while resources are exhausted; the caller then has to call
-            again.
+            Whether the queue is empty.  If it is not, for instance because resources are exhausted, the
+            caller has to call again.
         """
         if self._listener.fileno() < 0:
             return True
--- a/tulipnotch/sidecar/downstream/server.py
+++ b/tulipnotch/sidecar/downstream/server.py
@@ -99,7 +99,7 @@
         return iter(self.connection_table)
 
     def close_idle(self) -> None:
-        """Closes all connections that have no pending response and no unread input."""
+        """Closes all connections that can be closed without losing a request or a response."""
         for connection in [each for each in self.connections() if each.can_close_safely]:
             connection.close(CloseReason.IDLE)
 
--- a/tulipnotch/sidecar/downstream/timeouts.py
+++ b/tulipnotch/sidecar/downstream/timeouts.py
@@ -87,7 +87,7 @@
         for connection in self._connections.connections_in_state(ConnectionState.IDLE):
             if now - connection.state_since < timeout_s:
                 break  # those after it have been idle for less time
-            # Otherwise its response is still being sent, or a further request was received.
+            # If it cannot be closed safely, its response is still being sent, or a further request arrived.
             if connection.can_close_safely:
                 connection.close(CloseReason.IDLE)
             elif connection.is_response_stalled(now, self._limits):
--- a/tulipnotch/sidecar/downstream/transfer_progress.py
+++ b/tulipnotch/sidecar/downstream/transfer_progress.py
@@ -1,4 +1,4 @@
-"""Detection of clients that send their requests too slowly."""
+"""Progress of a client in sending its request and in reading its response."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
         self._window_started_at, self._window_bytes = now, 0
 
     def restart(self, now: float) -> None:
-        """Discards the time without progress, which was the sidecar's: it had paused reading."""
+        """Discards the time without progress, in which the sidecar itself had paused reading."""
         self.last_progress_at = now
         self.start_window(now)
 
--- a/tulipnotch/sidecar/http1/messages.py
+++ b/tulipnotch/sidecar/http1/messages.py
@@ -74,7 +74,7 @@
         return {value for key, value in self.headers if key == name}
 
     def encode(self, *, with_body: bool = True) -> bytes:
-        """Returns the complete response as it is sent, without the body if the request was a HEAD request."""
+        """Returns the complete response as it is sent; without a body if it responds to a HEAD request."""
         if with_body:
             return self.encode_head([(b"content-length", b"%d" % len(self.body))]) + self.body
         return self.encode_head([] if self.length is None else [(b"content-length", b"%d" % self.length)])
