--- a/tests/sidecar/discovery/test_change_propagation.py
+++ b/tests/sidecar/discovery/test_change_propagation.py
@@ -225,8 +225,8 @@
     mode: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # The bound is counted from when discovery has the change and can be reached.  Every call that started
-    # earlier is lost, the last one only just, and calls have failed so often that the retry delay is at its
-    # maximum.
+    # earlier is lost, the last one just before that time, and calls have failed so often that the retry delay
+    # is at its maximum.
     monkeypatch.setattr(discovery, "_DEFAULT_SCHEDULE", SCHEDULE)
     max_wait_ms = int(1_000 * SCHEDULE.max_watch_s)
     monkeypatch.setattr(PollSchedule, "watch_wait_ms", lambda *_, **__: max_wait_ms)
--- a/tests/sidecar/discovery/test_discovery_client.py
+++ b/tests/sidecar/discovery/test_discovery_client.py
@@ -362,14 +362,14 @@
     run_async(work)
 
 
-@pytest.mark.parametrize("hanging_connections", [0, 1], ids=["first call", "first two calls"])
-def test_first_calls_are_hedged_when_lists_are_pushed_and_calls_hang(hanging_connections: int) -> None:
+@pytest.mark.parametrize("last_hanging_connection", [0, 1], ids=["first call", "first two calls"])
+def test_first_calls_are_hedged_when_lists_are_pushed_and_calls_hang(last_hanging_connection: int) -> None:
     # All that discovery has counts as announced, even while a connection to it hangs.
     async def work() -> None:
         async def respond(request: ReceivedRequest) -> bytes | None:
             return (
                 None
-                if request.connection_number <= hanging_connections
+                if request.connection_number <= last_hanging_connection
                 else http_response(json.dumps(VALID_LIST).encode())
             )
 
--- a/tests/sidecar/discovery/test_initial_polling.py
+++ b/tests/sidecar/discovery/test_initial_polling.py
@@ -101,8 +101,8 @@
     ]
     assert max(calls_per_s) <= 270
     calls_per_50_ms = [
-        sum(begin_us <= time_us - start_us < begin_us + 50_000 for time_us in call_times_us)
-        for begin_us in range(0, 6_000_000, 50_000)
+        sum(interval_start_us <= time_us - start_us < interval_start_us + 50_000 for time_us in call_times_us)
+        for interval_start_us in range(0, 6_000_000, 50_000)
     ]
     assert max(calls_per_50_ms) <= 16  # 13.3 if spread evenly
 
--- a/tests/sidecar/discovery/test_poll_schedule.py
+++ b/tests/sidecar/discovery/test_poll_schedule.py
@@ -47,8 +47,9 @@
     assert SCHEDULE.max_watch_s == pytest.approx(3.05)
 
 
-def test_call_ends_before_the_next_starts_and_a_watch_before_the_one_after_it() -> None:
-    # So at most two calls are in flight, however long discovery's queue is.
+def test_at_most_two_calls_are_in_flight_when_discovery_is_slow() -> None:
+    # However long discovery's queue is, a call ends before the next one starts, and a watch before the second
+    # call after it.
     assert SCHEDULE.call_timeout_s < SCHEDULE.call_interval_s
     assert SCHEDULE.max_watch_s + SCHEDULE.response_timeout_s < 2 * SCHEDULE.call_interval_s
 
--- a/tests/sidecar/downstream/test_acceptor.py
+++ b/tests/sidecar/downstream/test_acceptor.py
@@ -115,7 +115,7 @@
 
 
 def test_request_timeout_is_reduced_by_the_time_in_the_accept_queue() -> None:
-    # The client's timeout runs from when it sent the request, so the server's has to do so too.
+    # The client's timeout runs from when it sent the request, so the server has only the rest of it.
     async def work() -> None:
         async with sidecar_harness(OK_RESPONSE) as harness:
             acceptor = harness.sidecar.downstream._acceptor
--- a/tests/sidecar/downstream/test_descriptor_limits.py
+++ b/tests/sidecar/downstream/test_descriptor_limits.py
@@ -149,7 +149,7 @@
         discovery.servers = [endpoint_entry("s-1", server.address)]
         await discovery.start_unavailable()
         config = tmp_path / "config.json"
-        given = {
+        raw_config = {
             **VALID_CONFIG,
             "discovery": f"{HOST}:{discovery.port}",
             "limits": {**VALID_CONFIG["limits"], "sockets": DESCRIPTORS},
@@ -159,7 +159,7 @@
                 "guarantees": {"askWithinUs": int(MAX_POLL_INTERVAL_S * 1e6)},
             },
         }
-        config.write_text(json.dumps(given))
+        config.write_text(json.dumps(raw_config))
         try:
             async with running_sidecar(
                 config, server, allowed_log_pattern="no fresh endpoint list |discovery failed: "
@@ -238,10 +238,13 @@
 @pytest.mark.parametrize("sockets", [64, 96, 1_024, 65_536])
 @pytest.mark.parametrize("operator_connections", [1, 16, 80, 256])
 def test_descriptor_shares_stay_within_the_limit(sockets: int, operator_connections: int) -> None:
-    given = {**VALID_CONFIG, "limits": {**VALID_CONFIG["limits"], "sockets": sockets, "memory_mb": 2_048}}
+    raw_config = {
+        **VALID_CONFIG,
+        "limits": {**VALID_CONFIG["limits"], "sockets": sockets, "memory_mb": 2_048},
+    }
 
     async def work() -> None:
-        config = parse_config(given, given)
+        config = parse_config(raw_config, raw_config)
         sidecar = Sidecar(
             config,
             OperatorOptions(
@@ -270,10 +273,10 @@
     sockets: int, memory_mb: int, connections: int
 ) -> None:
     # With many descriptors and little memory, clients that only connect would exhaust the memory.
-    given = {**VALID_CONFIG, "limits": {"sockets": sockets, "memory_mb": memory_mb}}
+    raw_config = {**VALID_CONFIG, "limits": {"sockets": sockets, "memory_mb": memory_mb}}
 
     async def work() -> None:
-        sidecar = Sidecar(parse_config(given, given), OperatorOptions(log=_ignore_log))
+        sidecar = Sidecar(parse_config(raw_config, raw_config), OperatorOptions(log=_ignore_log))
         assert sidecar.downstream.max_connections + sidecar._upstream.max_connections == connections
         assert connections * MAX_BYTES_PER_CONNECTION <= memory_mb * (1 << 20) / 4
         sidecar.close()
@@ -286,9 +289,9 @@
 
     async def work() -> None:
         async with sidecar_with_server(OK_RESPONSE, tmp_path) as running:
-            given = json.loads(running.config_path.read_text())
+            raw_config = json.loads(running.config_path.read_text())
             running.config_path.write_text(
-                json.dumps({**given, "limits": {**given["limits"], "sockets": 4_096}})
+                json.dumps({**raw_config, "limits": {**raw_config["limits"], "sockets": 4_096}})
             )
             running.process.send_signal(signal.SIGHUP)
             assert (await running.read_log_line()).startswith("reloaded")
--- a/tests/sidecar/downstream/test_downstream_server.py
+++ b/tests/sidecar/downstream/test_downstream_server.py
@@ -316,7 +316,7 @@
 def test_new_connection_is_closed_when_all_others_await_a_response(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Raises the concurrency limit, with which the balancer would reject some of the requests.
+    # Raises the concurrency limit; with the default, the balancer would reject some of the requests.
     monkeypatch.setattr(concurrency_limit, "INITIAL_LIMIT_PER_ENDPOINT", 1e9)
 
     async def work() -> None:
