--- a/tests/sidecar/downstream/test_downstream_server.py
+++ b/tests/sidecar/downstream/test_downstream_server.py
@@ -376,7 +376,7 @@
 
 
 def test_buffers_are_freed_at_once_when_the_client_disconnects() -> None:
-    # With hundreds of such clients, memory must not stay in use until a garbage collection breaks cycles.
+    # When hundreds of clients disconnect, their memory must not stay in use until a garbage collection.
     async def work() -> None:
         async with sidecar_harness(OK_RESPONSE) as harness:
             client = await harness.connect()
--- a/tulipnotch/sidecar/discovery/client.py
+++ b/tulipnotch/sidecar/discovery/client.py
@@ -205,7 +205,8 @@
 
         A fetch and a watch run concurrently, and the call that started first may end last.  If another
         response was applied since the call started, a lower version is stale and must not replace the newer
-        list.  If none was, it is from a discovery server that was restarted and counts its versions anew.
+        list.  If none was, the lower version is from a discovery server that was restarted and counts its
+        versions from the start again.
         """
         if revision != self._revision and self._version is not None and response.version < self._version:
             response = DiscoveryResponse(self._version, is_complete=False, endpoints=())
--- a/tulipnotch/sidecar/discovery/watch.py
+++ b/tulipnotch/sidecar/discovery/watch.py
@@ -41,7 +41,7 @@
     """The slots of one instance in the poll schedule of its fleet, by the sidecar's clock."""
 
     def __init__(self, schedule: PollSchedule, instance: int) -> None:
-        """Derives the slots from `instance`, the number in the fleet, so that those of a fleet are spread."""
+        """Derives the slots from `instance`, the number in the fleet; this spreads the calls of a fleet."""
         self.schedule = schedule
         self._instance = instance
         self._clock = Clock()
@@ -90,7 +90,7 @@
         self._slots = slots
         self._schedule = slots.schedule
         self._call_started_at = 0.0  # start of the last call, in the event loop's time (s)
-        self._time_until_initial_slot_s = 0.0  # as it was when the last call started
+        self._time_until_initial_slot_s = 0.0  # measured when the last call started
         # Whether the first response since the start or a failure, which waits for no change, is still due.
         self.is_initial_response_pending = True
         self.task = asyncio.create_task(self._run())
--- a/tulipnotch/sidecar/downstream/listener.py
+++ b/tulipnotch/sidecar/downstream/listener.py
@@ -83,8 +83,8 @@
 
     Args:
         bound_socket: The bound socket.
-        max_connections: Maximum number of open connections.  The accept queue has the same length, since that
-            many clients may connect at once, and one that finds the queue full connects only a second later.
+        max_connections: Maximum number of open connections.  The accept queue has room for as many, since all
+            may be opened at once, and a client that finds the queue full connects only a second later.
 
     Raises:
         OSError: The socket cannot listen.
