--- a/tests/sidecar/test_wall_clock.py
+++ b/tests/sidecar/test_wall_clock.py
@@ -21,7 +21,7 @@
     within_timeout,
 )
 from running import VALID_CONFIG, start_process
-from soak.shim import Shim, Word, compile_shim
+from soak.shim import ControlWord, FaultShim, compile_shim
 
 from tulipnotch.load_balancing.events import EndpointDescription
 
@@ -88,9 +88,9 @@
         }
         config = tmp_path / "config.json"
         config.write_text(json.dumps(content))
-        shim = Shim(compile_shim(tmp_path), tmp_path / "words")
-        shim.put(Word.WALL_OFFSET_NS, -_HOUR_S * 10**9)
-        process = await start_process(config, **shim.environ)
+        shim = FaultShim(compile_shim(tmp_path), tmp_path / "words")
+        shim.write_word(ControlWord.WALL_OFFSET_NS, -_HOUR_S * 10**9)
+        process = await start_process(config, **shim.environment)
         try:
             assert process.stderr is not None
             while b"serves on" not in (log_line := await within_timeout(process.stderr.readline())):
--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -21,7 +21,7 @@
 
 @dataclass(slots=True)
 class ClientBehavior:
-    """Probabilities, from 0 to 1, that are drawn for each request."""
+    """Probabilities, from 0 to 1, of what a client does in each request."""
 
     disconnect_probability: float = 0.0  # Probability of disconnecting early, by RST or FIN.
     large_body_probability: float = 0.02  # Probability of a body of `_LARGE_BODY_BYTES`.
@@ -134,7 +134,7 @@
 
     def _encode_request(self, attempt: ClientAttempt) -> bytes:
         is_idempotent = attempt.request_class.idempotency is Idempotency.IDEMPOTENT
-        body = b"" if is_idempotent else self._draw_body()
+        body = b"" if is_idempotent else self._sample_body()
         target = "large" if self._rng.random() < self.behavior.large_response_probability else "small"
         has_key = attempt.request_class.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
         headers = {
@@ -149,7 +149,7 @@
         lines = "".join(f"{name}: {value}\r\n" for name, value in headers.items() if value)
         return f"{method} /api/{attempt.request_id}/{target} HTTP/1.1\r\n{lines}\r\n".encode() + body
 
-    def _draw_body(self) -> bytes:
+    def _sample_body(self) -> bytes:
         if self._rng.random() < self.behavior.large_body_probability:
             return b"b" * _LARGE_BODY_BYTES
         return b"b" * self._rng.choice([0, _SMALL_BODY_BYTES])
--- a/tests/soak/fault_proxy.py
+++ b/tests/soak/fault_proxy.py
@@ -21,7 +21,7 @@
 
 @unique
 class RequestFault(StrEnum):
-    """Fault of one request, in the order of the draws.
+    """Fault of one request; the order is that in which the faults are sampled.
 
     Each value names the field of `ServerFaults` that holds the probability of the fault.
     """
@@ -73,8 +73,8 @@
         for connection in list(self.connections):
             connection.reset()
 
-    def draw_request_fault(self) -> RequestFault | None:
-        """Draws the fault of the next request; None means that it has no fault."""
+    def sample_request_fault(self) -> RequestFault | None:
+        """Samples the fault of the next request; None means that it has no fault."""
         faults = self.server.faults
         for fault in RequestFault:
             if self.rng.random() < getattr(faults, fault.value):
@@ -106,7 +106,7 @@
     # Connection to the sidecar
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Connects to the server, or ends the connection if a fault was drawn (asyncio.Protocol)."""
+        """Connects to the server, or ends the connection if such a fault was sampled (asyncio.Protocol)."""
         self._transport = cast(asyncio.Transport, transport)
         self._proxy.connections.add(self)
         faults = self._proxy.server.faults
@@ -168,10 +168,10 @@
     # Callbacks of httptools
 
     def on_message_begin(self) -> None:
-        """Starts the record of a request and draws its fault."""
+        """Starts the record of a request and samples its fault."""
         server = self._proxy.server
         self._attempt = ServerAttempt("", server.name, server.zone, server.cell, now())
-        self._fault = self._proxy.draw_request_fault()
+        self._fault = self._proxy.sample_request_fault()
         self._is_stalled = False
 
     def on_header(self, name: bytes, value: bytes) -> None:
--- a/tests/soak/fault_shim.c
+++ b/tests/soak/fault_shim.c
@@ -1,7 +1,8 @@
-/* System calls that fail, for the processes of the soak only (LD_PRELOAD).
+/* Makes system calls of a process fail.  Preloaded (LD_PRELOAD) into sidecar processes of tests only.
  *
- * FAULT_SHIM names a file that the soak maps too and writes to at any time.  Its words are, in this order, those
- * of `shim.Word`.  A chance is counted in thousandths.  What is injected is counted in the file.
+ * FAULT_SHIM names a file that a test maps too, and may write to at any time.  The file holds the words of `enum
+ * word`; `ControlWord` in shim.py lists them in the same order.  A word that ends in _CHANCE is a probability in
+ * thousandths.  INJECTED counts the injected faults.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -14,7 +14,7 @@
 from soak.discovery import DiscoveryFault
 from soak.fault_proxy import FaultProxy
 from soak.servers import ServerFaults
-from soak.shim import Word
+from soak.shim import ControlWord
 
 if TYPE_CHECKING:
     from soak.fleet import Fleet
@@ -24,7 +24,7 @@
 _HOUR_NS = 3_600 * 10**9
 
 
-def _draw_duration_s(rng: random.Random) -> float:
+def _sample_duration_s(rng: random.Random) -> float:
     return rng.uniform(0.3, 2.0)
 
 
@@ -75,7 +75,7 @@
     for _ in range(rng.randint(1, 5)):
         for sidecar in sidecars:
             offset = rng.choice([-_HOUR_NS, -5 * 10**9, 0, 5 * 10**9, _HOUR_NS])
-            sidecar.shim.put(Word.WALL_OFFSET_NS, offset)
+            sidecar.shim.write_word(ControlWord.WALL_OFFSET_NS, offset)
         await asyncio.sleep(rng.uniform(0.1, 0.6))
 
 
@@ -87,14 +87,14 @@
     connect_error = rng.choice([errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.ENOBUFS, errno.EHOSTUNREACH])
     for sidecar in sidecars:
         shim = sidecar.shim
-        shim.put(Word.ACCEPT_ERROR, accept_error)
-        shim.put(Word.SOCKET_ERROR, socket_error)
-        shim.put(Word.CONNECT_ERROR, connect_error)
-        shim.put(Word.ACCEPT_CHANCE, rng.choice([0, 300, 1_000]))
-        shim.put(Word.SOCKET_CHANCE, rng.choice([0, 0, 200]))
-        shim.put(Word.CONNECT_CHANCE, rng.choice([0, 200, 500]))
-        shim.put(Word.SHORT_CHANCE, rng.choice([0, 200, 800]))
-        shim.put(Word.INTERRUPT_CHANCE, rng.choice([0, 200]))
+        shim.write_word(ControlWord.ACCEPT_ERROR, accept_error)
+        shim.write_word(ControlWord.SOCKET_ERROR, socket_error)
+        shim.write_word(ControlWord.CONNECT_ERROR, connect_error)
+        shim.write_word(ControlWord.ACCEPT_CHANCE, rng.choice([0, 300, 1_000]))
+        shim.write_word(ControlWord.SOCKET_CHANCE, rng.choice([0, 0, 200]))
+        shim.write_word(ControlWord.CONNECT_CHANCE, rng.choice([0, 200, 500]))
+        shim.write_word(ControlWord.SHORT_CHANCE, rng.choice([0, 200, 800]))
+        shim.write_word(ControlWord.INTERRUPT_CHANCE, rng.choice([0, 200]))
     await asyncio.sleep(rng.uniform(0.2, 1.0))
     for sidecar in sidecars:
         sidecar.shim.end_faults()
@@ -107,12 +107,12 @@
         if rng.random() < 0.5:
             sidecar.log_reading_enabled.clear()
         else:
-            sidecar.shim.put(Word.LOG_ERROR, rng.choice([errno.ENOSPC, errno.EIO]))
-            sidecar.shim.put(Word.LOG_CHANCE, 700)
-    await asyncio.sleep(_draw_duration_s(rng))
+            sidecar.shim.write_word(ControlWord.LOG_ERROR, rng.choice([errno.ENOSPC, errno.EIO]))
+            sidecar.shim.write_word(ControlWord.LOG_CHANCE, 700)
+    await asyncio.sleep(_sample_duration_s(rng))
     for sidecar in sidecars:
         sidecar.log_reading_enabled.set()
-        sidecar.shim.put(Word.LOG_CHANCE, 0)
+        sidecar.shim.write_word(ControlWord.LOG_CHANCE, 0)
 
 
 async def hang_servers(fleet: Fleet, rng: random.Random) -> None:
@@ -152,7 +152,7 @@
     proxies = fleet.choose_proxies(rng, probability)
     for proxy in proxies:
         proxy.server.faults = faults()
-    await asyncio.sleep(_draw_duration_s(rng))
+    await asyncio.sleep(_sample_duration_s(rng))
     for proxy in proxies:
         proxy.server.faults = ServerFaults()
 
@@ -162,7 +162,7 @@
 
     async def crash_and_restart(proxy: FaultProxy) -> None:
         proxy.crash()
-        await asyncio.sleep(_draw_duration_s(rng))
+        await asyncio.sleep(_sample_duration_s(rng))
         await proxy.listen()
         await fleet.announce_server_start(proxy)
 
@@ -176,7 +176,7 @@
         await fleet.drain_server(proxy)
     for _ in draining_proxies:
         await fleet.add_server()
-    await asyncio.sleep(_draw_duration_s(rng))
+    await asyncio.sleep(_sample_duration_s(rng))
     for proxy in draining_proxies:
         await fleet.remove_server(proxy)
 
@@ -187,7 +187,7 @@
     for discovery, fault in zip(fleet.discovery_servers, faults, strict=True):
         if rng.random() < 0.8:
             discovery.set_fault(fault)
-    await asyncio.sleep(2.0 * _draw_duration_s(rng))
+    await asyncio.sleep(2.0 * _sample_duration_s(rng))
     for discovery in fleet.discovery_servers:
         discovery.set_fault(None)
 
@@ -201,7 +201,7 @@
         generator.behavior.large_body_probability = generator.behavior.large_response_probability = (
             rng.uniform(0.0, 0.3)
         )
-    await asyncio.sleep(_draw_duration_s(rng))
+    await asyncio.sleep(_sample_duration_s(rng))
     for generator in generators:
         generator.behavior.disconnect_probability = generator.behavior.slow_request_probability = 0.0
         generator.behavior.large_body_probability = generator.behavior.large_response_probability = 0.02
@@ -211,7 +211,7 @@
     """Opens client connections that send half a request or nothing and stay open."""
     await asyncio.gather(
         *(
-            generator.send_incomplete_requests(rng.randint(1, 40), _draw_duration_s(rng))
+            generator.send_incomplete_requests(rng.randint(1, 40), _sample_duration_s(rng))
             for generator in fleet.load_generators
             if rng.random() < 0.6
         )
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -22,7 +22,7 @@
 from soak.records import now
 from soak.recovery import check_recovery
 from soak.rule_checker import Rule, RuleChecker, Violation
-from soak.shim import Word
+from soak.shim import ControlWord
 
 _FAULT_FREE_START_S = 1.0  # Time under load before the first fault.
 _SCHEDULE_INTERVAL_S = 0.2  # Longest interval between two checks of the number of active faults.
@@ -104,7 +104,7 @@
         options,
         violations=[*checker.violations(), *schedule.violations, *recovery_violations],
         responses=Counter(attempt.status for attempt in fleet.records.client_attempts),
-        failed_system_calls=sum(sidecar.shim.get(Word.INJECTED) for sidecar in fleet.sidecars),
+        failed_system_calls=sum(sidecar.shim.read_word(ControlWord.INJECTED) for sidecar in fleet.sidecars),
         process_count=len(fleet.records.processes),
         fault_names=schedule.fault_names,
         duration_s=now() - started_at,
--- a/tests/soak/shim.py
+++ b/tests/soak/shim.py
@@ -13,10 +13,10 @@
 _WORD = struct.Struct("=q")
 
 
-class Word(IntEnum):
+class ControlWord(IntEnum):
     """Index of each 64-bit word of the shared file, in the order of `fault_shim.c`.
 
-    The `_CHANCE` words are probabilities in thousandths.
+    The `_CHANCE` words are probabilities in thousandths; INJECTED counts the injected faults.
     """
 
     WALL_OFFSET_NS = 0
@@ -45,7 +45,7 @@
     return library
 
 
-class Shim:
+class FaultShim:
     """System call faults of one process; owns the memory that is shared with the library in that process."""
 
     def __init__(self, library: Path, path: Path) -> None:
@@ -55,21 +55,21 @@
             self._words = mmap.mmap(file.fileno(), _FILE_BYTES)
 
     @property
-    def environ(self) -> dict[str, str]:
+    def environment(self) -> dict[str, str]:
         """The environment variables that load the shim into a process."""
         return {"LD_PRELOAD": str(self._library), "FAULT_SHIM": str(self._path)}
 
-    def put(self, word: Word, value: int) -> None:
+    def write_word(self, word: ControlWord, value: int) -> None:
         """Sets a word, which takes effect at the next system call of the process."""
         _WORD.pack_into(self._words, word * _WORD.size, value)
 
-    def get(self, word: Word) -> int:
+    def read_word(self, word: ControlWord) -> int:
         """Returns the value of a word."""
         (value,) = _WORD.unpack_from(self._words, word * _WORD.size)
         return int(value)
 
     def end_faults(self) -> None:
         """Sets all probabilities to 0; an offset of the wall clock stays in effect."""
-        for word in Word:
+        for word in ControlWord:
             if word.name.endswith("_CHANCE"):
-                self.put(word, 0)
+                self.write_word(word, 0)
--- a/tests/soak/sidecars.py
+++ b/tests/soak/sidecars.py
@@ -14,7 +14,7 @@
 
 from soak.records import Pause, ProcessRecord, Records, RequestClass, now
 from soak.servers import HOST, allocate_port
-from soak.shim import Shim
+from soak.shim import FaultShim
 
 _ROOT = Path(__file__).parent.parent.parent
 _MAX_DRAIN_S = 3.0  # Upper bound of the time that a process has for draining after SIGTERM.
@@ -57,7 +57,7 @@
         self.number = number
         self.folder = folder / f"n{number}"
         self.folder.mkdir()
-        self.shim = Shim(shim_library, self.folder / "words")
+        self.shim = FaultShim(shim_library, self.folder / "words")
         self.current_process: ProcessHandle | None = None
         self.config: dict[str, Any] = {}
         self.log_reading_enabled = asyncio.Event()
@@ -98,7 +98,7 @@
         operator_file.write_text("[log]\nlines_per_s = 10000.0\nlines_at_once = 100000.0\nrequests = true\n")
         environ = {
             **os.environ,
-            **self.shim.environ,
+            **self.shim.environment,
             "BALANCER_CONFIG": str(self.folder / "config.json"),
             "BALANCER_OPERATOR": str(operator_file),
         }
