--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -92,7 +92,7 @@
 
 
 class ScriptedServer:
-    """A server that responds to each request with its script; it sends nothing if that is or returns None."""
+    """Responds to each request by its script; sends nothing if the script is None or returns None."""
 
     def __init__(self, script: Script | bytes | None) -> None:
         """Sets the script, which may be replaced between requests."""
--- a/tests/sidecar/test_listener_handover.py
+++ b/tests/sidecar/test_listener_handover.py
@@ -67,9 +67,8 @@
                 await wait_for_readyz(old, "-ERR stopping")
                 await _assert_new_connections_served_by(new, listener)
                 partial_client.send(request[20:])
-                response = (
-                    await partial_client.read_response()
-                )  # of the old process, which has this connection
+                # The old process still has this connection, so it is the one that responds.
+                response = await partial_client.read_response()
                 assert (response.status, response.headers["connection"]) == (200, "close")
                 assert old.process.returncode is None
                 release.set()
@@ -146,7 +145,7 @@
     with socket.socket() as other:
         with pytest.raises(ValueError, match="not a listening"):
             adopt_listener(str(other.fileno()))
-        os.fstat(other.fileno())  # still open
+        os.fstat(other.fileno())  # raises OSError if the descriptor is closed
 
 
 async def health_check_status(port: int) -> int:
--- a/tests/sidecar/test_race_conditions.py
+++ b/tests/sidecar/test_race_conditions.py
@@ -265,7 +265,7 @@
                 client = await harness.connect()
                 assert (await client.send_request("lodge", Connection="close")).status == 200
                 assert await within_timeout(client.reader.read()) == b""
-                client.send(http_request("lodge"))  # and keeps the connection open
+                client.send(http_request("lodge"))  # the client keeps the connection open
             await wait_until(lambda: harness.sidecar.downstream.open_connections == 0)
             assert len(harness.received_requests) == 5
 
@@ -404,7 +404,7 @@
         async with sidecar_harness(script, client_limits=limits) as harness:
             client = await harness.connect()
             client.send(http_request("lodge").replace(b"HTTP/1.1", version, 1))
-            # Most of the response: as many bytes as its body has, which begin with its head.
+            # Reads as many bytes as the body has.  The head is among them, so the end of the body remains.
             response = await within_timeout(client.reader.readexactly(len(_LARGE_BODY)))
             end_response.set()
             if end == "fin":
--- a/tests/sidecar/test_readiness.py
+++ b/tests/sidecar/test_readiness.py
@@ -25,11 +25,11 @@
 
 @dataclass(frozen=True, slots=True)
 class StartLog:
-    """What the log of one process shows from its open control endpoint until it is ready."""
+    """Times of one start, taken from the log of the process."""
 
-    elapsed_s: float
-    waits_s: list[float]  # that ended without an endpoint list
-    after_ms: int
+    elapsed_s: float  # from the event `control_endpoint_listening` to the event `serving`
+    waits_s: list[float]  # durations of the waits that ended without an endpoint list
+    after_ms: int  # time since the start of the process, as the event `serving` reports it
 
 
 async def _start(config: Path, listener: socket.socket | None) -> StartLog:
--- a/tests/sidecar/test_reload.py
+++ b/tests/sidecar/test_reload.py
@@ -212,11 +212,10 @@
             assert (await harness.send_request("new", timeout="9")).status == 200
             assert float(harness.received_requests[-1].headers["request-timeout"]) <= 1.0
             assert sidecar._upstream._timeouts.connect_s == 0.123
-            assert (
-                sidecar._upstream._timeouts.response_stall_s == 0.4 * 0.75
-            )  # 0.75 s: objective of the only class
+            # 0.75 s is the latency objective of the only class.
+            assert sidecar._upstream._timeouts.response_stall_s == 0.4 * 0.75
             await asyncio.sleep(0.1)
-            assert (await harness.send_request("check")).status == 400  # no longer accepted
+            assert (await harness.send_request("check")).status == 400  # it is no longer retained
             assert "app.downstream_requests.check.completed=1" in sidecar.command_handlers()["telemetry"]()
 
     run_async(work)
@@ -262,7 +261,7 @@
                 assert (await slow_client.read_response()).status == 200
             slow_client.send(request[40:])
             assert (await slow_client.read_response()).status == 200
-            assert (await slow_client.send_request("check")).status == 400  # began after the removal
+            assert (await slow_client.send_request("check")).status == 400  # sent after the removal
 
     run_async(work)
 
--- a/tests/sidecar/test_start_faults.py
+++ b/tests/sidecar/test_start_faults.py
@@ -50,7 +50,7 @@
     run_async(lambda: _start_with(_FAILING_CALL.format(call=call, error=error), tmp_path))
 
 
-# Sends SIGHUP while a module is being found, and records that in a file.
+# Sends SIGHUP while a module is being imported, and writes the name of the module to a file.
 _SIGHUP_AT_IMPORT = """
 import os, signal, sys
 class SignalSender:
--- a/tests/soak/fleet.py
+++ b/tests/soak/fleet.py
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SoakOptions:
-    """Options of a run; everything else is drawn from the seed."""
+    """Options of a run; everything else is chosen at random from the seed."""
 
     seed: int
     sidecar_count: int = 10
--- a/tests/soak/rule_checker.py
+++ b/tests/soak/rule_checker.py
@@ -83,9 +83,8 @@
                 return "response of another request"
             return "late response" if attempt.ended_at > latest_response_at else ""
         if attempt.has_partial_response:
-            return (
-                ""  # The client sees that the response is incomplete; a started response has no time limit.
-            )
+            # The client sees that the response is incomplete; a started response has no time limit.
+            return ""
         if attempt.disconnected_at:
             return (
                 "no response before the client disconnected"
--- a/tests/soak/servers.py
+++ b/tests/soak/servers.py
@@ -27,7 +27,7 @@
 
 @dataclass(slots=True)
 class ServerFaults:
-    """Faults of one server; probabilities are from 0 to 1 and are drawn for each connection or request."""
+    """Faults of one server; a probability, from 0 to 1, applies to each connection or to each request."""
 
     hangs: bool = False  # True if the server accepts requests and responds to none.
     reject_probability: float = 0.0  # Probability of responding 503 with the header Not-Started.
--- a/tests/test_on_call.py
+++ b/tests/test_on_call.py
@@ -1,4 +1,4 @@
-"""The on-call page lists every log event and metric; modules of load balancing stay below a maximum size."""
+"""The on-call page lists every log event and metric; modules of load balancing have a maximum size."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
     assert failing.count("self._eject(endpoint, outcome.value)") == 1
 
 
-def test_modules_of_load_balancing_stay_below_their_maximum_size() -> None:
+def test_modules_of_load_balancing_do_not_exceed_their_maximum_size() -> None:
     sizes = {name: sum(1 for line in text.splitlines() if line.strip()) for name, text in SOURCES.items()}
     assert [name for name, size in sizes.items() if size > MAX_MODULE_LINES] == []
     for name, text in SOURCES.items():
--- a/tulipnotch/cli/lab_real.py
+++ b/tulipnotch/cli/lab_real.py
@@ -128,7 +128,7 @@
 @click.option("--turns", default=3, show_default=True, type=click.IntRange(1, 100))
 @click.option("--json", "as_json", is_flag=True, help="Print one JSON object.")
 def overhead(rate: float, seconds: float, turns: int, as_json: bool) -> None:
-    """Compare the CPU and latency of one sidecar with those of a byte forwarder in front of the same server.
+    """Compare CPU and latency per request of a sidecar and of a byte forwarder in front of the same server.
 
     Prints medians over the turns; the two run in turns, so that they see the same state of the machine.
     """
--- a/tulipnotch/cli/lab_run.py
+++ b/tulipnotch/cli/lab_run.py
@@ -64,14 +64,18 @@
     )
 )
 @click.argument("name", metavar="SCENARIO")
-@click.option("--time", "kind", type=click.Choice(("virtual", "real")), default="virtual", show_default=True)
+@click.option(
+    "--time", "time_mode", type=click.Choice(("virtual", "real")), default="virtual", show_default=True
+)
 @click.option("--seed", type=click.IntRange(min=0), help="The first seed; by default that of the scenario.")
 @click.option(
     "--seeds", type=click.IntRange(1, 1_000), default=1, show_default=True, help="The number of seeds."
 )
 @click.option("--policy", type=click.Choice(list(POLICIES)), default="module", show_default=True)
 @click.option(
-    "--processes", type=click.IntRange(1, 256), help="The number of processes; by default one for each core."
+    "--processes",
+    type=click.IntRange(1, 256),
+    help="The number of parallel processes; by default one for each core.",
 )
 @click.option(
     "--out",
@@ -82,7 +86,7 @@
 @click.option("--quiet", is_flag=True, help="Show no progress bar.")
 def run(
     name: str,
-    kind: str,
+    time_mode: str,
     seed: int | None,
     seeds: int,
     policy: str,
@@ -91,7 +95,7 @@
     as_json: bool,
     quiet: bool,
 ) -> None:
-    """Run SCENARIO (a name of `lab list`, or a file) and checks its expectations.
+    """Run SCENARIO (a name of `lab list`, or a file) and check its expectations.
 
     Writes result.json and a self-contained report.html.  Exits with 0 if all expectations hold for every
     seed, with 1 if one does not or if a run is invalid, with 2 if the file is invalid.
@@ -99,11 +103,11 @@
     loaded = load_scenario(name)
     first_seed = loaded.seed if seed is None else seed
     seeds_to_run = list(range(first_seed, first_seed + seeds))
-    if kind == "real" and policy != "module":
+    if time_mode == "real" and policy != "module":
         raise click.UsageError(
             "--policy requires --time virtual: real sidecars always run the decision module"
         )
-    folder = out or Path("found") / f"{loaded.name}-{policy}-{kind}"
+    folder = out or Path("found") / f"{loaded.name}-{policy}-{time_mode}"
     progress_bar = Progress(
         TextColumn("{task.description}"), BarColumn(), TextColumn("{task.percentage:>3.0f} %"),
         TimeElapsedColumn(), TimeRemainingColumn(), console=Console(stderr=True),
@@ -118,7 +122,7 @@
         def on_progress(done: float) -> None:
             progress_bar.update(task, completed=done)
 
-        if kind == "virtual":
+        if time_mode == "virtual":
             process_count = processes or len(os.sched_getaffinity(0))
             result = play.run_seeds(loaded, policy, seeds_to_run, process_count, on_progress)
         else:
--- a/tulipnotch/settings/operator.py
+++ b/tulipnotch/settings/operator.py
@@ -1,8 +1,8 @@
 """The operator file: what operators set for one installation, in addition to the platform's configuration.
 
 `deploy/operator.toml` shows every key with its default.  `BALANCER_OPERATOR` names the file; without it the
-defaults apply and nothing of this package is imported.  Where a key of the file differs from the name in the
-code, the field has the key as its `name`.
+defaults apply and nothing of this package is imported.  Where a key of the file differs from the name of its
+field, `msgspec.field(name=...)` gives the key.
 """
 
 from __future__ import annotations
--- a/tulipnotch/sidecar/control_commands.py
+++ b/tulipnotch/sidecar/control_commands.py
@@ -45,10 +45,10 @@
         }
 
     def readyz(self) -> Sequence[str]:
-        """Reports whether this sidecar accepts clients.
+        """Reports that clients may be sent to this sidecar.
 
         Raises:
-            CommandRejectedError: It does not; the error contains the phase.
+            CommandRejectedError: They may not; the error contains the phase.
         """
         if not self._lifecycle.is_ready:
             raise CommandRejectedError(self._lifecycle.phase.value)
--- a/tulipnotch/sidecar/startup.py
+++ b/tulipnotch/sidecar/startup.py
@@ -51,8 +51,8 @@
 
         Without a takeover, a cached endpoint list is sufficient: while this process waited for a fresh one,
         no other would serve the clients, and a release that kills most sidecars at once leaves discovery with
-        a long queue.  It is not sufficient if lists are pushed, because all endpoints that the discovery
-        agent has count as announced from the start.
+        a long queue.  It is not sufficient if lists are pushed, because every endpoint that the discovery
+        agent knows counts as announced from the start.
 
         Args:
             reserved: A bound socket that does not listen yet.
