--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -32,7 +32,7 @@
     issue: str
 
     def __str__(self) -> str:
-        """Formats the entry for the end of a run."""
+        """Formats the entry for the report at the end of a run."""
         return f"known red: {self.test}: {self.observed} ({self.command}; {self.issue})"
 
 
--- a/tests/sidecar/test_event_queue.py
+++ b/tests/sidecar/test_event_queue.py
@@ -340,8 +340,8 @@
     def corrupt(message: bytes) -> bytes:
         data = bytearray(message)
         for _ in range(rng.randint(1, 6)):
-            at = rng.randrange(len(data))
-            data[at : at + rng.randint(0, 4)] = rng.randbytes(rng.randint(0, 4))
+            offset = rng.randrange(len(data))
+            data[offset : offset + rng.randint(0, 4)] = rng.randbytes(rng.randint(0, 4))
         return bytes(data)
 
     async def respond_corrupted(_received: ReceivedRequest) -> bytes:
--- a/tests/sidecar/test_race_conditions.py
+++ b/tests/sidecar/test_race_conditions.py
@@ -68,12 +68,12 @@
         loop = asyncio.get_running_loop()
         while True:
             try:
-                piece = await within_timeout(loop.sock_recv(self._socket, 1 << 16))
+                chunk = await within_timeout(loop.sock_recv(self._socket, 1 << 16))
             except ConnectionError:
                 return bytes(received), True
-            if not piece:
+            if not chunk:
                 return bytes(received), False
-            received += piece
+            received += chunk
 
 
 @asynccontextmanager
@@ -568,10 +568,10 @@
         original = connection_class.connection_made
 
         def connection_made(self: object, transport: asyncio.BaseTransport) -> None:
-            plain = transport.get_extra_info("socket")
-            name = "discovery" if plain.getpeername()[1] == discovery_port else connection_class.__name__
+            sock = transport.get_extra_info("socket")
+            name = "discovery" if sock.getpeername()[1] == discovery_port else connection_class.__name__
             no_delay_values.setdefault(name, set()).add(
-                plain.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
+                sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
             )
             original(self, transport)
 
--- a/tests/soak/history.py
+++ b/tests/soak/history.py
@@ -10,10 +10,10 @@
 # Tolerance for scheduling: clients and servers share cores with the sidecar processes and see events late.
 SCHEDULING_DELAY_S = 0.25
 _REQUEST_AFTER_SIGTERM_S = 0.7  # A request sent later than this after SIGTERM needs no response.
-_CONNECTION_AFTER_SIGTERM_S = 0.2  # The limit for a request that is the first on its connection.
-# An endpoint list update that is written near such an event counts as received only after this delay.
-_RELOAD_DELAY_S = 4.0  # Counted from SIGHUP, upon which the address of discovery may change.
-_DISCOVERY_RESET_DELAY_S = 6.0  # Counted from a reset of the connection that the update was written to.
+_CONNECTION_AFTER_SIGTERM_S = 0.2  # The limit after SIGTERM for the first request on a connection.
+# An endpoint list update that is written near one of two events counts as received only after a delay.
+_RELOAD_DELAY_S = 4.0  # Delay from SIGHUP, upon which the address of discovery may change.
+_DISCOVERY_RESET_DELAY_S = 6.0  # Delay from a reset of the connection that the update was written to.
 
 
 class History:
--- a/tests/soak/rule_checker.py
+++ b/tests/soak/rule_checker.py
@@ -45,7 +45,11 @@
 
 
 class RuleChecker:
-    """Finds the violations of the rules in the records of one run."""
+    """Finds the violations of the rules in the records of one run.
+
+    Methods and functions whose name begins with `_check` return a description of the violation that they
+    find, or an empty string.
+    """
 
     def __init__(self, records: Records, drain_grace_s: float, *, allows_hedging: bool) -> None:
         self._history = History(records)
--- a/tests/test_constants.py
+++ b/tests/test_constants.py
@@ -44,14 +44,14 @@
 
 def test_design_page_has_every_constant() -> None:
     page = _page()
-    found = {
+    constants = {
         name
         for package in PACKAGES
         for module in sorted((ROOT / "tulipnotch" / package).rglob("*.py"))
         for name in _numeric_constants(module)
     }
-    assert len(found) > 80  # guards against finding no modules
-    assert sorted(name for name in found - NON_NUMERIC if f"`{name}`" not in page) == []
+    assert len(constants) > 80  # guards against finding no modules
+    assert sorted(name for name in constants - NON_NUMERIC if f"`{name}`" not in page) == []
 
 
 def test_design_page_has_every_limit_that_operators_may_set() -> None:
--- a/tests/unavailable_discovery.py
+++ b/tests/unavailable_discovery.py
@@ -39,5 +39,5 @@
         if self.fault == "503":
             return http_response(b"", "503 Busy")
         if self.fault == "hung":
-            return b""  # no response follows
+            return b""  # the request never gets a response
         return await super()._respond(received)
--- a/tulipnotch/sidecar/shutdown.py
+++ b/tulipnotch/sidecar/shutdown.py
@@ -16,9 +16,9 @@
 _NEW_CONNECTION_PERIOD_S = 0.4  # time after SIGTERM during which clients may still connect
 _QUIET_PERIOD_S = 0.05  # time without a new connection after which the listener is closed
 _MIN_KILL_DELAY_S = 0.7  # SIGKILL follows SIGTERM no earlier than the longest deadline plus this time
-_MAX_DEADLINE_S = 3.0  # upper bound of the longest deadline in that sum
+_MAX_DEADLINE_S = 3.0  # a longer deadline does not delay SIGKILL any further
 _FINAL_WRITE_RESERVE_S = 0.1  # reserved before SIGKILL for writing the last responses
-_POLL_INTERVAL_S = 0.01  # between two checks; the event loop writes pending responses meanwhile
+_POLL_INTERVAL_S = 0.01  # interval of checks, in which the event loop also writes pending responses
 
 
 class Shutdown:
@@ -80,7 +80,7 @@
         """Accepts late connections, since no other process listens, then closes connections once idle."""
         loop = asyncio.get_running_loop()
         downstream = self._downstream
-        downstream.close_idle()  # their clients can reconnect, since new connections are still accepted
+        downstream.close_idle()  # clients can reconnect, since new connections are still accepted
         await asyncio.sleep(_NEW_CONNECTION_PERIOD_S)
         await _wait_until(
             lambda: loop.time() >= downstream.last_opened_at + _QUIET_PERIOD_S,
--- a/tulipnotch/simulator_wire/adapter.py
+++ b/tulipnotch/simulator_wire/adapter.py
@@ -107,13 +107,13 @@
 
     def _read_endpoints_updated(self, message: list[Any]) -> EndpointsUpdated:
         check_min_length(message, 5)
-        kind = read_choice(message[2], UPDATE_KINDS)
-        if kind is EndpointUpdateKind.FAILED:
-            return EndpointsUpdated(kind)
+        update_kind = read_choice(message[2], UPDATE_KINDS)
+        if update_kind is EndpointUpdateKind.FAILED:
+            return EndpointsUpdated(update_kind)
         endpoints = self._endpoint_lists.get(read_integer(message[3]))
         if endpoints is None:
             raise WireError(f"{message[0]} refers to endpoint list {message[3]}, which has not been sent")
-        return EndpointsUpdated(kind, endpoints, read_integer(message[4]))
+        return EndpointsUpdated(update_kind, endpoints, read_integer(message[4]))
 
     def _handle_event(self, instance: str, balancer: Balancer, event: Event, reply: list[str]) -> None:
         try:
