--- a/tests/sidecar/test_race_conditions.py
+++ b/tests/sidecar/test_race_conditions.py
@@ -68,12 +68,12 @@
         loop = asyncio.get_running_loop()
         while True:
             try:
-                piece = await within_timeout(loop.sock_recv(self._socket, 1 << 16))
+                chunk = await within_timeout(loop.sock_recv(self._socket, 1 << 16))
             except ConnectionError:
                 return bytes(received), True
-            if not piece:
+            if not chunk:
                 return bytes(received), False
-            received += piece
+            received += chunk
 
 
 @asynccontextmanager
@@ -265,7 +265,7 @@
                 client = await harness.connect()
                 assert (await client.send_request("lodge", Connection="close")).status == 200
                 assert await within_timeout(client.reader.read()) == b""
-                client.send(http_request("lodge"))  # and keeps the connection open
+                client.send(http_request("lodge"))  # the client keeps the connection open
             await wait_until(lambda: harness.sidecar.downstream.open_connections == 0)
             assert len(harness.received_requests) == 5
 
@@ -404,7 +404,7 @@
         async with sidecar_harness(script, client_limits=limits) as harness:
             client = await harness.connect()
             client.send(http_request("lodge").replace(b"HTTP/1.1", version, 1))
-            # Most of the response: as many bytes as its body has, which begin with its head.
+            # Reads as many bytes as the body has.  The head is among them, so the end of the body remains.
             response = await within_timeout(client.reader.readexactly(len(_LARGE_BODY)))
             end_response.set()
             if end == "fin":
@@ -568,10 +568,10 @@
         original = connection_class.connection_made
 
         def connection_made(self: object, transport: asyncio.BaseTransport) -> None:
-            plain = transport.get_extra_info("socket")
-            name = "discovery" if plain.getpeername()[1] == discovery_port else connection_class.__name__
+            sock = transport.get_extra_info("socket")
+            name = "discovery" if sock.getpeername()[1] == discovery_port else connection_class.__name__
             no_delay_values.setdefault(name, set()).add(
-                plain.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
+                sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
             )
             original(self, transport)
 
--- a/tests/soak/rule_checker.py
+++ b/tests/soak/rule_checker.py
@@ -45,7 +45,11 @@
 
 
 class RuleChecker:
-    """Finds the violations of the rules in the records of one run."""
+    """Finds the violations of the rules in the records of one run.
+
+    Methods and functions whose name begins with `_check` return a description of the violation that they
+    find, or an empty string.
+    """
 
     def __init__(self, records: Records, drain_grace_s: float, *, allows_hedging: bool) -> None:
         self._history = History(records)
@@ -83,9 +87,8 @@
                 return "response of another request"
             return "late response" if attempt.ended_at > latest_response_at else ""
         if attempt.has_partial_response:
-            return (
-                ""  # The client sees that the response is incomplete; a started response has no time limit.
-            )
+            # The client sees that the response is incomplete; a started response has no time limit.
+            return ""
         if attempt.disconnected_at:
             return (
                 "no response before the client disconnected"
