--- a/tulipnotch/sidecar/requests/attempts.py
+++ b/tulipnotch/sidecar/requests/attempts.py
@@ -99,11 +99,11 @@
         return type(request.response) is WaitingForResponse
 
     def write_deadline(self) -> int:
-        """Returns the clock time (us) from which its last byte must not be written, by the retry rules."""
+        """Returns the clock time (us) from which the last byte must not be written, by the retry rules."""
         return self._starter.balancer.write_deadline(self._request.number, self._number)
 
     def request_written(self, request: UpstreamRequest) -> None:
-        """Records that its last byte was just written, and checks the invariants for it."""
+        """Records that the attempt's last byte was just written, and checks the invariants for it."""
         starter = self._starter
         starter.context.telemetry.attempt_written()
         self._check_written_attempt(request)
@@ -150,7 +150,7 @@
         return client
 
     def request_ended(self, outcome: Outcome, response: Response | None) -> None:
-        """Responds to the client if the outcome is DELIVERED, and reports the outcome to the balancer."""
+        """Ends a streamed response; otherwise reports the outcome, and responds if it is DELIVERED."""
         request = self._request
         starter = self._starter
         context = starter.context
--- a/tulipnotch/sidecar/requests/invariants.py
+++ b/tulipnotch/sidecar/requests/invariants.py
@@ -45,14 +45,15 @@
     RESPONDED = "answered"  # the response announced `connection: close`
     IDLE = "idle"  # idle for too long, or while the process drains
     NO_REQUEST = "silent"  # no request was received
-    REJECTED = "rejected"  # the request can't be served, or stalled
+    REJECTED = "rejected"  # the request can't be served, or its transfer stalled
     RESPONSE_UNREAD = "unread"  # the client stopped reading its response
     RESPONSE_INCOMPLETE = "answer_broken"  # a streamed response broke off before its end
-    LINGER_TIMEOUT = "lingered"  # the client did not close its side in time
+    LINGER_TIMEOUT = "lingered"  # the client did not close its side in time after this process did
     CONNECTION_LIMIT = "no_room"  # the limit on connections was reached
 
 
-# Allowed with a pending response: the client disconnected, does not read it, or notices that it is cut off.
+# Reasons to close a connection with a pending response: the client disconnected, does not read the response,
+# or notices that it is cut off.
 _WITH_PENDING_RESPONSE = (
     CloseReason.CLIENT_DISCONNECTED,
     CloseReason.RESPONSE_UNREAD,
@@ -85,7 +86,7 @@
         return sum(self.violation_counts.values())
 
     def check(self, invariant: Invariant, subject: str | bytes, *, holds: bool) -> None:
-        """Counts and reports a violation unless `holds`; `subject` is the request id, endpoint or reason."""
+        """Counts and reports a violation unless `holds`; `subject` is, for example, a request id."""
         if holds:
             return
         self.violation_counts[invariant] += 1
--- a/tulipnotch/sidecar/requests/request_receiver.py
+++ b/tulipnotch/sidecar/requests/request_receiver.py
@@ -34,7 +34,7 @@
         """Accepts a request whose head was received, with the start of its body or all of it.
 
         Returns:
-            The number of the request if its response is pending; None if it was responded within this call.
+            The request's number if its response is pending; None if it was responded to within this call.
 
         Raises:
             BadRequestError: If the id is that of an open request, or of one that may have been executed.
@@ -76,7 +76,7 @@
         return request.number if request.is_waiting else None
 
     def _body_completed(self, request: OpenRequest) -> None:
-        """Starts the request's deadline, now that the last byte of its body was received."""
+        """Starts the request's timeout, now that the last byte of its body was received."""
         if not request.is_waiting:
             return
         now = request.body_completed_at = self._context.clock.now()
--- a/tulipnotch/sidecar/requests/request_registry.py
+++ b/tulipnotch/sidecar/requests/request_registry.py
@@ -1,4 +1,4 @@
-"""The open requests of this process, and the request ids that are in use."""
+"""The open requests of this process, and the request ids that a further request must not use."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class RequestRegistry:
-    """Owns the open requests, the ids of pending responses, and the ids of possibly executed requests."""
+    """Owns the open requests, the ids with a pending response, and the ids of possibly executed requests."""
 
     def __init__(self) -> None:
         """Starts without requests."""
@@ -20,7 +20,7 @@
         self._pending_ids: set[bytes] = set()  # ids of requests whose response has not ended
         self._possibly_executed = PossiblyExecutedRequests()
         self._next_number = 1
-        # Clock time (us) by which all requests are responded; None: no limit.
+        # Clock time (us) by which all requests must have a response; None: no limit.
         self.respond_by: int | None = None
 
     def __len__(self) -> int:
@@ -58,7 +58,7 @@
             self._open.pop(request.number, None)
 
     def limit_remaining_time(self, remaining_us: int, now: int) -> int:
-        """Returns the remaining time (us) that a client allows, limited by `respond_by`."""
+        """Returns the remaining time (us) that a client allows, limited to the time until `respond_by`."""
         if self.respond_by is None:
             return remaining_us
         return max(min(remaining_us, self.respond_by - now), 1)
@@ -91,7 +91,7 @@
         return self._possibly_executed.contains(request_id, now)
 
     def retain_if_possibly_executed(self, request: OpenRequest, now: int) -> None:
-        """Rejects a request's id from now on if the request may have been executed and must not be again.
+        """Rejects a request's id from now on if the request may have been executed and must not run twice.
 
         Args:
             request: A request whose client has disconnected.
--- a/tulipnotch/sidecar/requests/responses.py
+++ b/tulipnotch/sidecar/requests/responses.py
@@ -20,7 +20,7 @@
 from tulipnotch.sidecar.requests.request_registry import RequestRegistry
 from tulipnotch.sidecar.upstream.connection import UpstreamConnection
 
-# Any other status means a failed request.
+# The result that is counted for each status of a response; any other status counts as FAILED.
 _RESULTS = {200: RequestResult.COMPLETED, 429: RequestResult.REJECTED, 503: RequestResult.REJECTED}
 # Headers of a server's response that are forwarded to the client, since they describe the body.
 _FORWARDED_HEADERS = (b"content-type", b"content-encoding")
--- a/tulipnotch/sidecar/upstream/connection.py
+++ b/tulipnotch/sidecar/upstream/connection.py
@@ -32,9 +32,10 @@
 )
 from tulipnotch.sidecar.upstream.unwritten_request import UnwrittenRequest
 
-_STREAM_STALL_TIMEOUT_S = 20.0  # limit without progress of a streamed response, which can't be retried
+_STREAM_STALL_TIMEOUT_S = 20.0  # longest time without progress of a streamed response, which can't be retried
 
-_LAST_BYTE_RETRY_S = 0.002  # delay of the next write when the kernel had no buffer space for the last byte
+# Delay before the next try to write the last byte, when the kernel had no buffer space for it.
+_LAST_BYTE_RETRY_S = 0.002
 
 # All connections read into this one buffer, since the data of each read is copied before the next read.  The
 # event loop's own buffer takes 256 KiB for each read, and several reads may come before a connection that
@@ -133,7 +134,7 @@
         self._write_available(writing)
 
     def pause(self) -> None:
-        """Stops reading the response until `resume` is called, while its consumer has no buffer space."""
+        """Stops reading the response until `resume` is called; for a consumer without buffer space."""
         self._is_reading_paused = True
         if self._transport is not None and not self.is_closed:
             self._transport.pause_reading()
@@ -160,8 +161,8 @@
         self._stop_stall_timer()
         self._state = Closed(is_unwritten=isinstance(state, Writing))
         if self._transport is not None:
-            with borrow_socket(self._transport) as own:
-                own.shutdown(socket.SHUT_RDWR)
+            with borrow_socket(self._transport) as borrowed:
+                borrowed.shutdown(socket.SHUT_RDWR)
             self._transport.abort()
         self._reader.release()
         if self._owner is not None:
@@ -193,7 +194,7 @@
         return _READ_BUFFER
 
     def buffer_updated(self, nbytes: int) -> None:
-        """Processes received data; closes the connection if no response is pending."""
+        """Processes received data; closes the connection if no exchange is in flight."""
         if isinstance(self._state, (AwaitingResponse, Streaming, Writing)):
             self._process_data(bytes(_READ_BUFFER[:nbytes]))
         else:
@@ -222,9 +223,9 @@
     def _write_available(self, writing: Writing) -> None:
         """Writes as much of the received part of the request as the kernel accepts.
 
-        A server may begin to execute the request on its last byte.  That byte is never given to the
-        transport, which could write it at any later time: it is written to the kernel directly, at a known
-        time, after everything before it was accepted.
+        A server may begin to execute the request as soon as it has the last byte.  That byte is never given
+        to the transport, which could write it at any later time: it is written to the kernel directly, at a
+        known time, after everything before it was accepted.
         """
         if writing.request.is_body_complete:
             self._write_remainder(writing)
@@ -232,7 +233,7 @@
             self._write_to_transport(writing.request.pop_available())
 
     def _write_to_transport(self, data: bytes) -> None:
-        """Writes bytes before the last one; the transport buffers what the kernel does not accept."""
+        """Writes bytes that precede the last one; the transport buffers what the kernel does not accept."""
         if data and self._transport is not None:
             self._transport.write(data)
             if self._transport.is_closing():
@@ -258,8 +259,8 @@
         writing.request.remove_written(count)
         self._write_to_transport(writing.request.pop_all_but_last_byte())
         if not self._has_backlog:
-            # Only the last byte is left.  The transport has nothing in its buffer, so it will not call
-            # resume_writing.
+            # Only the last byte is left, for which the kernel may have no buffer space.  The transport has
+            # nothing in its buffer, so it will not call resume_writing.
             writing.retry_timer = asyncio.get_running_loop().call_later(
                 _LAST_BYTE_RETRY_S, self._continue_writing
             )
--- a/tulipnotch/sidecar/upstream/exchange.py
+++ b/tulipnotch/sidecar/upstream/exchange.py
@@ -45,7 +45,7 @@
         ...
 
     def request_written(self) -> None:
-        """Called when the last byte was just written, so that the server may execute the request."""
+        """Called right after the last byte was written; from now on, the server may execute the request."""
         ...
 
     def response_started(self, head: Response) -> ResponseConsumer | None:
@@ -67,7 +67,7 @@
 
     observer: ExchangeObserver
     request: UnwrittenRequest
-    retry_timer: asyncio.TimerHandle | None = None  # runs until the next attempt to write the last byte
+    retry_timer: asyncio.TimerHandle | None = None  # runs until the next try to write the last byte
 
 
 @dataclass(slots=True, eq=False)
--- a/tulipnotch/sidecar/upstream/pool.py
+++ b/tulipnotch/sidecar/upstream/pool.py
@@ -30,7 +30,7 @@
 
 
 class UpstreamPool:
-    """Owns all connections to servers, and the requests that are assigned to them or wait for one.
+    """Owns all connections to servers, and assigns requests to them.
 
     Attributes:
         max_connections: The limit on open connections and those being established.  It is set by the owner of
@@ -45,7 +45,8 @@
         self._gate = WriteGate(clock)
         self._timeouts = UpstreamTimeouts.from_settings(settings)
         self._endpoints: dict[str, EndpointConnections] = {}
-        self._endpoint_of: dict[UpstreamConnection, EndpointConnections] = {}  # has every open connection
+        # Contains every open connection.
+        self._endpoint_of: dict[UpstreamConnection, EndpointConnections] = {}
         self._dials_in_flight = 0
         self._dial_tasks: set[asyncio.Task[None]] = set()
         # Connections reserved for a request that waits for the end of their reuse delay.
@@ -59,7 +60,7 @@
     # Endpoints
 
     def endpoints_updated(self, response: DiscoveryResponse) -> None:
-        """Applies an endpoint list or changes of it, before any action that follows from it."""
+        """Applies an endpoint list or changes to it; called before the actions that result from it."""
         if response.is_complete:
             names = {each.description.name for each in response.endpoints}
             for name in self._endpoints.keys() - names:
@@ -71,7 +72,7 @@
                 continue
             endpoint = self._endpoints.get(name)
             if endpoint is None or (endpoint.address, endpoint.started_at) != (each.address, started_at):
-                # The server was restarted or moved: existing connections lead to its earlier process.
+                # If the server was restarted or moved, existing connections lead to its earlier process.
                 self._remove_endpoint(name)
                 endpoint = self._endpoints[name] = EndpointConnections(each.address, started_at)
             endpoint.zone, endpoint.cell = each.description.zone, each.description.cell
--- a/tulipnotch/sidecar/upstream/request.py
+++ b/tulipnotch/sidecar/upstream/request.py
@@ -30,7 +30,7 @@
         ...
 
     def request_written(self, request: UpstreamRequest) -> None:
-        """Called when the last byte was just written, so that the server may execute the request."""
+        """Called right after the last byte was written; from now on, the server may execute the request."""
         ...
 
     def response_started(self, head: Response, connection: UpstreamConnection) -> ResponseConsumer | None:
@@ -89,14 +89,15 @@
     def __init__(
         self, endpoint: str, deadline: int, build_message: Callable[[int], Request], observer: RequestObserver
     ) -> None:
-        """Creates a request; `build_message` is called with the remaining time (us) when it is written."""
+        """Creates a request; `build_message` is called with the remaining time (us) when writing begins."""
         self.endpoint = endpoint
         self.deadline = deadline
         self.build_message = build_message
         self.observer = observer
         self.has_ended = False
         self.last_write_allowed_at = 0  # time of the last check that allowed a write
-        self.timeout_started_at: int | None = None  # when the timeout that its head announces began
+        # When the timeout that the head announces began; None before that, as for an incomplete body.
+        self.timeout_started_at: int | None = None
         self.is_response_certain = True  # whether the response can only be to this request
         self.connection: UpstreamConnection | None = None  # set when writing begins
         self.timer: asyncio.TimerHandle | None = None
--- a/tulipnotch/sidecar/upstream/request_exchange.py
+++ b/tulipnotch/sidecar/upstream/request_exchange.py
@@ -41,7 +41,7 @@
         self._request.observer.request_written(self._request)
 
     def response_started(self, head: Response) -> ResponseConsumer | None:
-        """Returns the response's consumer; from now on the stall timeout limits it, not the deadline."""
+        """Returns the response's consumer; from now on, the stall timeout applies instead of the deadline."""
         if self._request.timer is not None:
             self._request.timer.cancel()
         return self._request.observer.response_started(head, self._connection)
--- a/tulipnotch/sidecar/upstream/timeouts.py
+++ b/tulipnotch/sidecar/upstream/timeouts.py
@@ -6,11 +6,11 @@
 
 from tulipnotch.load_balancing.settings import Settings
 
-# Final part of the idle timeout in which a connection is no longer used: the server may be closing it.
+# Fraction of the idle timeout, at its end, in which a connection is not used: the server may be closing it.
 _IDLE_TIMEOUT_MARGIN = 0.1
-# A stalled response is abandoned while its request can still be served by another server: after a part of the
-# shortest latency objective, but not before a minimum, since a busy machine may delay any response that long.
-# The minimum is limited to a part of the shortest deadline; the remaining part is left for another server.
+# A stalled response is abandoned while its request can still be served by another server: after a fraction of
+# the shortest latency objective, but not before a minimum, since a busy machine may delay any response that
+# long.  The minimum is limited to a fraction of the shortest deadline; the rest is left for another server.
 _STALL_OBJECTIVE_RATIO = 0.4
 _MIN_STALL_TIMEOUT_S = 0.1
 _STALL_DEADLINE_RATIO = 0.5
--- a/tulipnotch/sidecar/upstream/unwritten_request.py
+++ b/tulipnotch/sidecar/upstream/unwritten_request.py
@@ -1,4 +1,4 @@
-"""The part of a request that is not written yet, without any access to sockets."""
+"""Tracks the part of a request that is not written yet; does not access sockets."""
 
 from __future__ import annotations
 
@@ -10,14 +10,17 @@
 class UnwrittenRequest:
     """Yields the bytes of a request that are not written yet, in the order in which they are written.
 
-    A server may begin to execute a request on its last byte.  While the body is incomplete, the last byte
-    received of it is therefore held back: it may turn out to be the last byte of the request.
+    A server may begin to execute a request as soon as it has the last byte.  While the body is incomplete,
+    the last byte received of it is therefore held back: it may turn out to be the last byte of the request.
     """
 
     __slots__ = ("_has_end", "_remainder", "_request")
 
     def __init__(self, request: Request, on_data: Callable[[], None]) -> None:
-        """Starts with the head; `on_data` is called when more of the body is received, until `detach`."""
+        """Starts with the head and the buffered body.
+
+        `on_data` is called when more of the body is received, until `detach` is called.
+        """
         self._request = request
         self._remainder = request.encode_head_and_buffered_body()
         self._has_end = False  # whether `_remainder` contains the end of the request
--- a/tulipnotch/sidecar/upstream/write_gate.py
+++ b/tulipnotch/sidecar/upstream/write_gate.py
@@ -45,7 +45,7 @@
 
     @staticmethod
     def _is_head_stale(timeout_started_at: int | None, now: int) -> bool:
-        """Returns whether the head announced too much more time than the client has left now.
+        """Returns whether the head announced much more time than the client has left now.
 
         A server that accepts the request slowly would execute it past the client's deadline.  It cannot have
         begun yet, and the head for the next server announces the time that is left then.
@@ -67,7 +67,7 @@
             self.restart_timer(request)
 
     def restart_timer(self, request: UpstreamRequest) -> None:
-        """Restarts the request's timer for its deadline or its write deadline, whichever is earlier."""
+        """Restarts the request's timer for its deadline or, while unwritten, an earlier write deadline."""
         if request.timer is not None:
             request.timer.cancel()
         due = request.deadline
