--- a/tests/sidecar/requests/test_client_disconnects.py
+++ b/tests/sidecar/requests/test_client_disconnects.py
@@ -187,7 +187,7 @@
 # nor a sweep can notice the disconnect before that.
 
 _PIPELINED_REQUEST = http_request("lodge", timeout="15")
-_DISCONNECT_KINDS = ("half-close", "close", "reset")
+_DISCONNECT_TYPES = ("half-close", "close", "reset")
 
 
 @contextmanager
@@ -198,15 +198,15 @@
 
 
 def _disconnect_socket(
-    client: socket.socket, kind: str, connection_at_sidecar: DownstreamConnection | None
+    client: socket.socket, disconnect_type: str, connection_at_sidecar: DownstreamConnection | None
 ) -> None:
-    """Disconnects as `kind` says; on return, the disconnect has reached the sidecar's socket."""
-    if kind == "stays connected":
+    """Disconnects as `disconnect_type` says; on return, the disconnect has reached the sidecar's socket."""
+    if disconnect_type == "stays connected":
         return
-    if kind == "half-close":
+    if disconnect_type == "half-close":
         client.shutdown(socket.SHUT_WR)
     else:
-        if kind == "reset":
+        if disconnect_type == "reset":
             client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         client.close()
     assert connection_at_sidecar is not None
@@ -277,9 +277,9 @@
 
 
 @pytest.mark.parametrize("pipelined", [b"", _PIPELINED_REQUEST], ids=["", "pipelined"])
-@pytest.mark.parametrize("kind", _DISCONNECT_KINDS)
+@pytest.mark.parametrize("disconnect_type", _DISCONNECT_TYPES)
 def test_attempts_are_not_started_when_a_timer_fires_as_the_client_disconnects(
-    kind: str, pipelined: bytes, monkeypatch: pytest.MonkeyPatch
+    disconnect_type: str, pipelined: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # Two attempts are due at the same time, as after a delay of the event loop.
     balancer = _ScriptedBalancer("s-0", "s-1")
@@ -291,7 +291,7 @@
                 client.send(http_request("check") + pipelined)
                 await wait_until(lambda: harness.sidecar.open_requests == 1)
                 await _wait_until_reading_paused(harness, pipelined)
-                _disconnect_socket(client, kind, _only_connection(harness))
+                _disconnect_socket(client, disconnect_type, _only_connection(harness))
                 harness.sidecar._events.post(TimerFired("due"))
                 await _wait_until_idle(harness)
                 assert balancer.outcomes == [Outcome.NOT_SENT] * 2
@@ -302,11 +302,13 @@
     run_async(work)
 
 
-@pytest.mark.parametrize("end", [REJECTION_RESPONSE, ERROR_RESPONSE, None], ids=["full", "failed", "dropped"])
+@pytest.mark.parametrize(
+    "end", [REJECTION_RESPONSE, ERROR_RESPONSE, None], ids=["rejected", "failed", "connection lost"]
+)
 @pytest.mark.parametrize("pipelined", [b"", _PIPELINED_REQUEST], ids=["", "pipelined"])
-@pytest.mark.parametrize("kind", [*_DISCONNECT_KINDS, "stays connected"])
+@pytest.mark.parametrize("disconnect_type", [*_DISCONNECT_TYPES, "stays connected"])
 def test_attempt_is_not_retried_when_it_ends_as_the_client_disconnects(
-    kind: str, pipelined: bytes, end: bytes | None
+    disconnect_type: str, pipelined: bytes, end: bytes | None
 ) -> None:
     async def work() -> None:
         _, respond_when_released = blocking_script()
@@ -322,7 +324,9 @@
                 await wait_until(lambda: len(harness.received_requests) == 1)
                 await _wait_until_reading_paused(harness, pipelined)
                 _disconnect_socket(
-                    client, kind, None if kind == "stays connected" else _only_connection(harness)
+                    client,
+                    disconnect_type,
+                    None if disconnect_type == "stays connected" else _only_connection(harness),
                 )
                 (open_request,) = harness.sidecar._registry
                 connection = open_request.upstream_requests[0].connection
@@ -331,7 +335,7 @@
                     connection._process_data(end)
                 else:
                     connection.connection_lost(None)
-                if kind == "stays connected":
+                if disconnect_type == "stays connected":
                     await wait_until(lambda: len(harness.received_requests) == 2)
                     assert _withheld_attempts(harness) == 0
                     return
@@ -345,9 +349,9 @@
 
 @pytest.mark.parametrize("is_trial", [False, True], ids=["", "trial"])
 @pytest.mark.parametrize("pipelined", [b"", _PIPELINED_REQUEST], ids=["", "pipelined"])
-@pytest.mark.parametrize("kind", [*_DISCONNECT_KINDS, "stays connected"])
+@pytest.mark.parametrize("disconnect_type", [*_DISCONNECT_TYPES, "stays connected"])
 def test_attempt_is_not_written_when_its_connection_is_reusable_as_the_client_disconnects(
-    *, kind: str, pipelined: bytes, is_trial: bool, monkeypatch: pytest.MonkeyPatch
+    *, disconnect_type: str, pipelined: bytes, is_trial: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(upstream, "_REUSE_DELAY_US", 600_000_000)  # the test ends the delay
 
@@ -370,7 +374,9 @@
                 await _wait_until_reading_paused(harness, pipelined)
                 assert (endpoint.health.probation_attempt is not None) == is_trial
                 _disconnect_socket(
-                    client, kind, None if kind == "stays connected" else _only_connection(harness)
+                    client,
+                    disconnect_type,
+                    None if disconnect_type == "stays connected" else _only_connection(harness),
                 )
                 ((connection, timer),) = reuse_timers.items()
                 timer.cancel()
@@ -379,7 +385,7 @@
                 harness.sidecar._upstream._reuse_delay_ended(
                     open_request.upstream_requests[0], server, connection
                 )
-                if kind == "stays connected":
+                if disconnect_type == "stays connected":
                     await wait_until(lambda: len(harness.received_requests) == 2)
                     return
                 await _wait_until_idle(harness)
@@ -393,9 +399,9 @@
 
 @pytest.mark.parametrize("pipelined", [b"", _PIPELINED_REQUEST], ids=["", "pipelined"])
 @pytest.mark.parametrize("size", [0, 40_000, 200_000], ids=["no body", "buffered", "streamed"])
-@pytest.mark.parametrize("kind", [*_DISCONNECT_KINDS, "stays connected"])
+@pytest.mark.parametrize("disconnect_type", [*_DISCONNECT_TYPES, "stays connected"])
 def test_attempt_is_not_written_when_the_last_bytes_arrive_as_the_client_disconnects(
-    kind: str, size: int, pipelined: bytes
+    disconnect_type: str, size: int, pipelined: bytes
 ) -> None:
     # An attempt can be executed from its last byte on; a part of a streamed body is already at its server.
     async def work() -> None:
@@ -416,8 +422,12 @@
                     await wait_until(lambda: open_request.incoming.body.size == size - 20_000)
                 connection_at_sidecar = _only_connection(harness)
                 client.sendall(request_data[cut:] + pipelined)
-                _disconnect_socket(client, kind, None if kind == "stays connected" else connection_at_sidecar)
-                if kind == "stays connected":
+                _disconnect_socket(
+                    client,
+                    disconnect_type,
+                    None if disconnect_type == "stays connected" else connection_at_sidecar,
+                )
+                if disconnect_type == "stays connected":
                     await wait_until(lambda: len(harness.received_requests) == 1 + bool(pipelined))
                     return
                 await wait_until(lambda: harness.sidecar.downstream.open_connections == 0)
@@ -432,9 +442,9 @@
     run_async(work)
 
 
-@pytest.mark.parametrize("kind", [*_DISCONNECT_KINDS, "stays connected"])
+@pytest.mark.parametrize("disconnect_type", [*_DISCONNECT_TYPES, "stays connected"])
 def test_last_byte_is_written_only_while_client_is_connected_when_server_reads_slowly(
-    kind: str, monkeypatch: pytest.MonkeyPatch
+    disconnect_type: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # The network accepts little data at a time; the rest, with the last byte, is buffered in the sidecar.
     original_connection_made = UpstreamConnection.connection_made
@@ -471,15 +481,17 @@
                 while open_request.incoming.body.pending_bytes > 1:
                     received += await loop.sock_recv(accepted, 1_000)
                 _disconnect_socket(
-                    client, kind, None if kind == "stays connected" else _only_connection(harness)
+                    client,
+                    disconnect_type,
+                    None if disconnect_type == "stays connected" else _only_connection(harness),
                 )
                 while not received.endswith(b"\r\n\r\n" + body):
                     data = await loop.sock_recv(accepted, 1_000)
                     if not data:
                         break
                     received += data
-                assert received.endswith(body) == (kind == "stays connected")
-                assert _withheld_attempts(harness) == (kind != "stays connected")
+                assert received.endswith(body) == (disconnect_type == "stays connected")
+                assert _withheld_attempts(harness) == (disconnect_type != "stays connected")
                 accepted.close()
         server.close()
 
@@ -497,7 +509,7 @@
             harness.discovery.announce(endpoint_entry("s", slow_server.address))
             await wait_until(lambda: len(harness.discovery.received_requests) >= 3)
             clients = [
-                socket.create_connection((HOST, harness.sidecar.downstream.port)) for _ in _DISCONNECT_KINDS
+                socket.create_connection((HOST, harness.sidecar.downstream.port)) for _ in _DISCONNECT_TYPES
             ]
             for each in clients:
                 each.send(http_request("lodge", timeout="15") + _PIPELINED_REQUEST)
@@ -505,7 +517,7 @@
             await wait_until(lambda: len(list(harness.sidecar.downstream.connections())) == 3)
             await _wait_until_reading_paused(harness, _PIPELINED_REQUEST)
             assert harness.sidecar._upstream._dials_in_flight == 3
-            for kind, each in zip(_DISCONNECT_KINDS, clients, strict=True):
+            for disconnect_type, each in zip(_DISCONNECT_TYPES, clients, strict=True):
                 name = each.getsockname()
                 (connection_at_sidecar,) = (
                     connection
@@ -513,7 +525,7 @@
                     if connection._transport is not None
                     and connection._transport.get_extra_info("peername") == name
                 )
-                _disconnect_socket(each, kind, connection_at_sidecar)
+                _disconnect_socket(each, disconnect_type, connection_at_sidecar)
             slow_server.listener.listen(16)  # the backlog now has space for all retried connections
             accepted = [await slow_server.accept_sidecar_connection() for _ in clients]
             await _wait_until_idle(harness)
--- a/tests/sidecar/requests/test_streamed_bodies.py
+++ b/tests/sidecar/requests/test_streamed_bodies.py
@@ -362,7 +362,7 @@
     run_async(work)
 
 
-def test_http_1_0_client_gets_a_response_of_unknown_length_ended_by_its_connection() -> None:
+def test_response_of_unknown_length_ends_with_the_connection_when_the_client_uses_http_1_0() -> None:
     async def work() -> None:
         body = pseudorandom_bytes(200_000)
 
--- a/tests/sidecar/upstream/delayed_attempt.py
+++ b/tests/sidecar/upstream/delayed_attempt.py
@@ -36,7 +36,7 @@
 
 
 def service_classes(scope: str = "cell", window_us: int = WINDOW_US) -> list[dict[str, Any]]:
-    """Returns the common classes, with this latency objective, deduplication scope and window."""
+    """Returns `SERVICE_CLASSES` with `LATENCY_OBJECTIVE_US`; the keyed one has this scope and window."""
     classes = [{**each, "promiseUs": LATENCY_OBJECTIVE_US, "giveUpUs": 4_000_000} for each in SERVICE_CLASSES]
     classes[1] |= {"group": scope, "memorySpanUs": window_us}
     return classes
@@ -83,7 +83,8 @@
 
     async def serve_others(incoming: ReceivedRequest) -> bytes | None:
         if incoming.method == "GET":
-            return _SERVED_AND_CLOSED  # each attempt opens a connection, on which a rejection is proof
+            # Each attempt then opens a connection, on which a rejection proves that it was not executed.
+            return _SERVED_AND_CLOSED
         if len(received) == len(outcomes):
             return REJECTION_RESPONSE
         outcome = outcomes[len(received)]
@@ -136,7 +137,7 @@
     if "running" in outcomes:
         assert response.status == 200
     else:
-        # It may have been executed; if all servers deduplicate the client's retry, a rejection is harmless.
+        # The request may have been executed; a rejection is harmless if all servers deduplicate its retry.
         assert response.status in ((502, 503, 504) if scope == "all" else (502, 504))
     await wait_until(lambda: scenario.harness.sidecar.open_requests == 0)
 
--- a/tests/sidecar/upstream/interleaving_cases.py
+++ b/tests/sidecar/upstream/interleaving_cases.py
@@ -30,7 +30,7 @@
 LONG_REUSE_DELAY_US = 450 * MS
 
 REQUEST_ID = "0000000000000001"  # id of the request that is checked
-BUFFERED_BYTES = 8  # maximum buffered part of a body; it is small so that short bodies are streamed
+BUFFERED_BYTES = 8  # buffer limit of a body; it is small so that short bodies are streamed
 
 # Server id, zone and cell, keyed by host.  Each cell is in one zone.
 SERVERS = {
--- a/tests/sidecar/upstream/test_deduplication_groups.py
+++ b/tests/sidecar/upstream/test_deduplication_groups.py
@@ -83,7 +83,7 @@
 
 @pytest.mark.parametrize("change", ["moves", "restarts in another scope", "removed"])
 @pytest.mark.parametrize(("scope", "locality"), OTHER_LOCALITIES, ids=["cell", "zone"])
-def test_attempt_scope_is_unchanged_when_server_moves(
+def test_attempt_scope_is_unchanged_when_server_moves_after_last_byte_is_written(
     scope: str, locality: dict[str, Any], change: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     ManualClock(monkeypatch)
--- a/tests/sidecar/upstream/test_duplicate_responses.py
+++ b/tests/sidecar/upstream/test_duplicate_responses.py
@@ -43,7 +43,7 @@
 ) -> AsyncIterator[DuplicateResponse]:
     """Sends a request to a server that rejected an earlier one; the server repeats that rejection.
 
-    Before that, another server is listed with the changes `other`: a retry could be sent to it.
+    Before that, another server is listed, with `other` in its entry: a retry could be sent to it.
     """
     is_read = asyncio.Event()
     send_duplicate = asyncio.Event()
--- a/tests/sidecar/upstream/test_passed_deadline.py
+++ b/tests/sidecar/upstream/test_passed_deadline.py
@@ -8,7 +8,7 @@
 
 _BODY = b"x" * 60_000 + b"the end"
 _TIMEOUT_S = 3.0
-_ANNOUNCED_SLACK_S = 0.15  # how much more than the remaining time a head may announce
+_ANNOUNCED_SLACK_S = 0.15  # users require that a head announces at most this much more time than is left
 
 
 @pytest.mark.parametrize("delay_s", [0.05, 0.5])
--- a/tests/sidecar/upstream/test_rejection_proofs.py
+++ b/tests/sidecar/upstream/test_rejection_proofs.py
@@ -31,7 +31,10 @@
 
 @asynccontextmanager
 async def _harness_with_second_server(respond_first: Any) -> Any:
-    """Provides a harness whose first server has read a non-idempotent request; then the second is listed."""
+    """Provides a harness with an open non-idempotent request, and the client that has sent it.
+
+    The second server is listed once the first one has read the request; `respond_first` responds after that.
+    """
     release = asyncio.Event()
 
     async def respond_when_released(incoming: ReceivedRequest) -> bytes | None:
--- a/tests/sidecar/upstream/test_retry_bounds.py
+++ b/tests/sidecar/upstream/test_retry_bounds.py
@@ -377,7 +377,7 @@
 
 
 @pytest.mark.parametrize("outcome", ["reset", "running"])
-@pytest.mark.parametrize("when", ["within the window", "after it"])
+@pytest.mark.parametrize("when", ["within the window", "after the window"])
 def test_attempt_is_limited_by_window_when_waiting_for_reuse_delay(
     when: str, outcome: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -393,9 +393,9 @@
             async with delayed_first_attempt(
                 clock, first.address, outcome, wait_until_delayed=wait_until_delayed, has_connection=True
             ) as scenario:
-                clock.advance(WINDOW_US if when == "after it" else WINDOW_US - 50 * MS)
+                clock.advance(WINDOW_US if when == "after the window" else WINDOW_US - 50 * MS)
                 await wait_until(lambda: not scenario.harness.sidecar._upstream._reuse_timers)
-                if when == "after it":
+                if when == "after the window":
                     await assert_final_response(scenario, "cell", outcome)
                     scenario.harness.sidecar.close()
                     await wait_until(lambda: len(first.closed_connections) == first.connection_count)
--- a/tests/sidecar/upstream/test_retry_interleavings.py
+++ b/tests/sidecar/upstream/test_retry_interleavings.py
@@ -70,7 +70,7 @@
 
 
 @pytest.mark.parametrize("case", CASES, ids=str)
-def test_interleavings_violate_no_retry_rule(case: Case) -> None:
+def test_interleavings_never_violate_retry_rules(case: Case) -> None:
     explored = Exploration()
     for start in Start:
         explored.add(explore(case, start, DEPTH))
--- a/tests/sidecar/upstream/test_upstream_timeouts.py
+++ b/tests/sidecar/upstream/test_upstream_timeouts.py
@@ -12,9 +12,9 @@
 @pytest.mark.parametrize(
     ("objectives_ms", "deadlines_ms", "timeout_s"),
     [
-        ((600, 1_200), (2_000, 4_000), 0.24),  # a part of the shortest latency objective
+        ((600, 1_200), (2_000, 4_000), 0.24),  # a fraction of the shortest latency objective
         ((200, 500), (400, 1_500), 0.1),  # the minimum, since a busy machine delays any response
-        ((20, 500), (100, 60_000), 0.05),  # less than the minimum: time is left before the shortest deadline
+        ((20, 500), (100, 60_000), 0.05),  # below the minimum, to leave time before the shortest deadline
     ],
 )
 def test_stall_timeout_is_derived_from_objectives_and_deadlines(
--- a/tests/sidecar/upstream/virtual_network.py
+++ b/tests/sidecar/upstream/virtual_network.py
@@ -307,8 +307,8 @@
 class FakeOs:
     """Replaces the module `os` where the sidecar writes to a socket directly."""
 
-    def __init__(self, find: Callable[[], Network]) -> None:
-        self._find_network = find
+    def __init__(self, find_network: Callable[[], Network]) -> None:
+        self._find_network = find_network
 
     def write(self, descriptor: int, data: bytes) -> int:
         """Behaves like `os.write` on a non-blocking socket."""
