--- a/benchmarks/cold.py
+++ b/benchmarks/cold.py
@@ -6,9 +6,10 @@
 the overload window: the multiple, times its warm-up factor now, times its capacity, in requests of mean work.
 An excess of up to 2 x root N + 2 beyond N is tolerated as random.  A start of a server counts as overloaded
 when any window holds more, two thirds of it from processes that had been notified of the start.  The server
-then crashes and stays down, which lowers the served part of the priority weight.  The output has one row for
-each case, number of processes and N at a server's start: the largest excess over N in roots of N, the largest
-part of N + 2 x root N + 2 that was used, the overloaded starts, and the served part of the priority weight.
+then crashes and stays down, which lowers the served fraction of the priority weight.  The output has one row
+for each case, number of processes and N at a server's start: the largest excess over N in roots of N, the
+largest fraction of N + 2 x root N + 2 that was used, the overloaded starts, and the served fraction of the
+priority weight.
 """
 
 from __future__ import annotations
@@ -52,13 +53,12 @@
 
     fleet: Mapping[str, Any] = field(default_factory=dict)
     load: Mapping[str, Any] = field(default_factory=dict)
-    work_variation: float = 0.5  # standard deviation of a request's work, as a part of its mean
+    work_variation: float = 0.5  # standard deviation of a request's work, as a fraction of its mean
     has_two_classes: bool = False  # whether light and heavy requests have classes of their own
-    starting_part: float = 0.375  # part of the fleet that starts
+    starting_fraction: float = 0.375  # fraction of the fleet that starts
     restarts_sidecars: bool = False
-    endpoint_list_spread_s: float | None = (
-        None  # time over which the processes receive the list; None: at once
-    )
+    # The time over which the processes receive the endpoint list; None if all receive it at once.
+    endpoint_list_spread_s: float | None = None
 
 
 CASES: Mapping[str, Case] = {
@@ -71,17 +71,17 @@
         load={"utilisation": 1.0},
         fleet={"choke": {"at": 1.0, "over_s": 0.3, "slower": 3.0}},
     ),
-    "herd": Case(starting_part=0.9, load={"utilisation": 0.9}),
-    "wide herd": Case(starting_part=0.9, fleet={"servers": 40}, load={"utilisation": 0.9}),
-    "all cold": Case(starting_part=1.0),
+    "herd": Case(starting_fraction=0.9, load={"utilisation": 0.9}),
+    "wide herd": Case(starting_fraction=0.9, fleet={"servers": 40}, load={"utilisation": 0.9}),
+    "all cold": Case(starting_fraction=1.0),
     "restart": Case(restarts_sidecars=True),
     "burst": Case(load={"factors": _BURST}),
-    "all cold, burst": Case(starting_part=1.0, load={"factors": _BURST}),
-    "all cold, late burst": Case(starting_part=1.0, load={"factors": _LATE_BURST}),
-    "all cold, heavy": Case(starting_part=1.0, load={"hints": True}, work_variation=2.0),
-    "all cold, uneven": Case(starting_part=1.0, load={"skew": 2.0}),
-    "all cold, restart": Case(starting_part=1.0, restarts_sidecars=True),
-    "all cold, wide": Case(starting_part=1.0, fleet={"servers": 40}),
+    "all cold, burst": Case(starting_fraction=1.0, load={"factors": _BURST}),
+    "all cold, late burst": Case(starting_fraction=1.0, load={"factors": _LATE_BURST}),
+    "all cold, heavy": Case(starting_fraction=1.0, load={"hints": True}, work_variation=2.0),
+    "all cold, uneven": Case(starting_fraction=1.0, load={"skew": 2.0}),
+    "all cold, restart": Case(starting_fraction=1.0, restarts_sidecars=True),
+    "all cold, wide": Case(starting_fraction=1.0, fleet={"servers": 40}),
 }
 
 
@@ -95,9 +95,9 @@
     seeds: int
     starts: int
     max_excess: float  # maximum excess beyond N, in roots of N
-    max_usage: float  # maximum of any overload window, as a part of N + 2 x root N + 2
+    max_usage: float  # maximum of any overload window, as a fraction of N + 2 x root N + 2
     overloaded_starts: int
-    served_weight: float  # served part of the priority weight, mean over the seeds
+    served_weight: float  # served fraction of the priority weight, mean over the seeds
 
     def to_json(self) -> dict[str, str | int | float]:
         """Returns the measurement under the keys of the JSON output."""
@@ -158,14 +158,14 @@
     }
     if not case.has_two_classes:
         return [request_class]
-    return [  # two classes with the mean work of the one
+    return [  # together they have the mean work of the single class
         {**request_class, "share": 0.85, "work_ms": 0.4 * work_ms},
         {**request_class, "name": "heavy", "share": 0.15, "work_ms": 4.4 * work_ms},
     ]
 
 
 def _faults(case: Case) -> list[dict[str, Any]]:
-    crash = {"kind": "crash", "at_s": 2.0, "for_s": _START_S - 2.0, "part": case.starting_part}
+    crash = {"kind": "crash", "at_s": 2.0, "for_s": _START_S - 2.0, "part": case.starting_fraction}
     if not case.restarts_sidecars:
         return [crash]
     return [crash, {"kind": "restart", "at_s": _START_S, "for_s": 0.01, "part": 1.0}]
@@ -179,7 +179,7 @@
         starts: server name and time (us) of each start after which the server was sent work.
         overloaded_starts: those of the starts that were overloaded.
         max_excess: the largest excess over N, in roots of N.
-        max_usage: the largest part of N + 2 x root N + 2 that was used.
+        max_usage: the largest fraction of N + 2 x root N + 2 that was used.
     """
 
     def __init__(self, scenario: Scenario, seed: int, policy: str = "module") -> None:
@@ -193,7 +193,7 @@
             server.warm_up_overload_check = self._is_overloaded
 
     def _is_overloaded(self, server: OrderServer, sent_us: float, bearable_us: float) -> bool:
-        """Records the work sent within the window, in microseconds of mean capacity."""
+        """Records and judges the work sent within the window, in microseconds on a standard core."""
         start = (server.name, server.started_at or 0)
         self.starts.add(start)
         if not self.simulation.history.was_notified(*start, server.warm_up_work_by_sidecar()):
@@ -208,7 +208,7 @@
         return True
 
     def served_weight(self) -> float:
-        """Returns the part of the priority weight that was served in the run."""
+        """Returns the fraction of the priority weight that was served in the run."""
         return self.simulation.recorder.metrics(self.simulation.history)["worth"]
 
 
--- a/benchmarks/drawn.py
+++ b/benchmarks/drawn.py
@@ -27,8 +27,8 @@
 from benchmarks.parameters import SeedRange
 from tulipnotch.lab.recorder import value_at_rank
 
-_COLLAPSED_BELOW = 0.9  # part of the best known
-_RECOVERED_FROM = 0.95  # part of the best known
+_COLLAPSED_BELOW = 0.9  # as a fraction of the best known result
+_RECOVERED_FROM = 0.95  # as a fraction of the best known result
 
 
 class SimulationError(Exception):
@@ -58,10 +58,10 @@
 class Day:
     """The result of one candidate on one day."""
 
-    served: float  # served part of the offered priority weight
-    score: float  # the G of the bench, net of prices
+    served: float  # served fraction of the offered priority weight
+    score: float  # G from the simulator's report, as it is: no prices are subtracted
     violations: int
-    windows: Mapping[float, float]  # served part of the priority weight, by start in seconds
+    windows: Mapping[float, float]  # served fraction of the priority weight, by window start in seconds
     faults_end_at_s: float | None
 
 
@@ -93,12 +93,12 @@
         served=report["worth_served"] / report["worth_offered"],
         score=report["g"],
         violations=len(report["breaks"]),
-        windows={window["from_s"]: _served_part(window) for window in report["windows"]},
+        windows={window["from_s"]: _served_fraction(window) for window in report["windows"]},
         faults_end_at_s=max(fault_ends) if fault_ends else None,
     )
 
 
-def _served_part(window: Mapping[str, float]) -> float:
+def _served_fraction(window: Mapping[str, float]) -> float:
     return window["worth_served"] / window["worth_offered"] if window["worth_offered"] else 1.0
 
 
@@ -122,10 +122,10 @@
     return math.inf if later else None
 
 
-def quantile(values: Iterable[float], part: float) -> float:
-    """Returns the quantile at this part of the values; NaN without values."""
+def quantile(values: Iterable[float], fraction: float) -> float:
+    """Returns the quantile at this fraction of the values; NaN without values."""
     ordered = sorted(values)
-    return value_at_rank(ordered, part) if ordered else math.nan
+    return value_at_rank(ordered, fraction) if ordered else math.nan
 
 
 DaysBySeed = Mapping[int, Day]
@@ -159,8 +159,8 @@
 
 
 def _table_row(name: str, days: DaysBySeed, best: BestKnown) -> str:
-    parts = {seed: day.served / best.served[seed] for seed, day in days.items()}
-    collapsed = [seed for seed, part in parts.items() if part < _COLLAPSED_BELOW]
+    fractions = {seed: day.served / best.served[seed] for seed, day in days.items()}
+    collapsed = [seed for seed, fraction in fractions.items() if fraction < _COLLAPSED_BELOW]
     recovery_times_s = [
         time_s
         for seed, day in days.items()
@@ -169,8 +169,8 @@
     row = (
         f"{name:22} {mean(day.served for day in days.values()):6.3f}"
         f" {mean(day.score for day in days.values()):6.3f}"
-        f" {quantile(parts.values(), 0.1):6.3f}"
-        f" {len(collapsed):6}/{len(parts)}"
+        f" {quantile(fractions.values(), 0.1):6.3f}"
+        f" {len(collapsed):6}/{len(fractions)}"
         f" {quantile(recovery_times_s, 0.5):9.1f} {quantile(recovery_times_s, 0.95):6.1f}"
         f" {sum(day.violations > 0 for day in days.values()):7}"
     )
--- a/tests/lab/broken_sidecar.py
+++ b/tests/lab/broken_sidecar.py
@@ -32,9 +32,9 @@
     respond = ResponseSender.respond
 
     def broken(
-        self: ResponseSender, request: int, status: int, headers: Any, body: bytes = b"", *rest: Any
+        self: ResponseSender, request: int, status: int, headers: Any, body: bytes = b"", *arguments: Any
     ) -> None:
-        respond(self, request, status, headers, b"invented" if request % 20 == 0 else body, *rest)
+        respond(self, request, status, headers, b"invented" if request % 20 == 0 else body, *arguments)
 
     ResponseSender.respond = broken  # type: ignore[method-assign,assignment]
 
@@ -56,7 +56,7 @@
 
 
 def ignore_draining() -> None:
-    """Takes draining endpoints for ready ones."""
+    """Treats draining endpoints as ready."""
     endpoint_list_codec._STATES["leaving"] = EndpointState.READY
 
 
--- a/tests/lab/test_cold.py
+++ b/tests/lab/test_cold.py
@@ -20,14 +20,16 @@
         ("heavy", 5, 1),
     ],
 )
-def test_cold_case_overloads_no_server_with_all_processes(case: str, processes: int, budget: int) -> None:
+def test_all_processes_together_overload_no_server_that_warms_up(
+    case: str, processes: int, budget: int
+) -> None:
     measurement = cold.measure(case, processes, budget, range(1, 3))
     assert measurement.overloaded_starts == 0, measurement
     assert measurement.starts > 0, measurement
     assert measurement.served_weight > 0.05, measurement  # servers that warm up receive requests
 
 
-def test_cold_case_has_its_budget_at_the_start_of_servers() -> None:
+def test_build_scenario_gives_starting_server_budget_of_case() -> None:
     for case in cold.CASES:
         warm_up_scenario = cold.build_scenario(case, 5, 3)
         machine_type = warm_up_scenario.fleet.kinds[0]
--- a/tests/lab/test_history_checker.py
+++ b/tests/lab/test_history_checker.py
@@ -145,9 +145,8 @@
 
     drains = [{"kind": "drain", "at_s": 1.0, "for_s": 1.0, "part": 0.4, "back_s": 30.0}]
     rules = {"ask_within_s": 2.0}
-    long_deadline = [
-        {**IDEMPOTENT_CLASS, "deadline_ms": 5_000.0}
-    ]  # a draining server stays up for the longest deadline
+    # A draining server stays up for the longest deadline.
+    long_deadline = [{**IDEMPOTENT_CLASS, "deadline_ms": 5_000.0}]
     assert (
         run_scenario(LeastOfTwo, faults=drains, rules=rules, classes=long_deadline).violation_counts["drains"]
         == 0
@@ -193,7 +192,7 @@
     assert (checker.violation_counts["effects"], checker.violation_counts["answers"]) == (1, 1)
 
 
-def test_history_checker_reports_overload_if_two_thirds_came_from_notified() -> None:
+def test_history_checker_reports_overload_if_notified_sidecars_sent_two_thirds() -> None:
     for notified, violations in (((0,), 0), ((0, 1), 1)):
         checker, _ = _make_checker()
         for sidecar in notified:
--- a/tests/lab/test_model.py
+++ b/tests/lab/test_model.py
@@ -174,7 +174,7 @@
     assert server.receive_job(1_000_001, make_job(51), 1.0)[0] is AdmissionResult.NO_RESPONSE
 
 
-def test_server_takes_less_work_for_recently_used_key() -> None:
+def test_server_needs_less_work_for_recently_used_key() -> None:
     server = make_server(affinity={"gain": 0.5, "span_s": 2.0, "keys_per_core": 1})
     durations_us = []
     for now, key in ((0, 1), (200_000, 1), (400_000, 2), (600_000, 3), (800_000, 1), (3_000_000, 1)):
--- a/tests/lab/test_overload.py
+++ b/tests/lab/test_overload.py
@@ -25,7 +25,7 @@
     for constant, value in defect.items():
         assert hasattr(concurrency_limit, constant)
         setattr(concurrency_limit, constant, value)
-    # Whether servers become overloaded late in a run is random; with these seeds the defects do that.
+    # Whether servers become overloaded late in a run is random; with these seeds the defects cause it.
     seed = 5 if name == "opening" else 2
     return play.run_seed(scenario.load(scenario.shipped()[name]), "module", seed).metrics
 
--- a/tests/lab/test_real.py
+++ b/tests/lab/test_real.py
@@ -82,16 +82,16 @@
         '[[faults]]\nkind = "restart"\nat_s = 3.0\nfor_s = 1.0\npart = 0.25\n'
     )
     metrics = {}
-    for kind in ("virtual", "real"):
+    for time_mode in ("virtual", "real"):
         completed = subprocess.run(
             [sys.executable, "-c", "from tulipnotch.cli import main; main()", "lab", "run", str(path),
-             "--time", kind, "--out", str(tmp_path / kind), "--json"],
+             "--time", time_mode, "--out", str(tmp_path / time_mode), "--json"],
             capture_output=True, text=True, check=False,
         )  # fmt: skip
         assert completed.returncode == 0, completed.stdout + completed.stderr
         summary = json.loads(completed.stdout)
         assert Path(summary["report"]).read_text().count("<svg") == 4
-        metrics[kind] = summary["metrics"]
+        metrics[time_mode] = summary["metrics"]
     virtual, real = metrics["virtual"], metrics["real"]
     assert virtual["requests"] == real["requests"] > 500
     assert real["worth"] == pytest.approx(virtual["worth"], abs=0.03)
--- a/tests/lab/test_scenarios.py
+++ b/tests/lab/test_scenarios.py
@@ -123,12 +123,12 @@
 
 
 @pytest.mark.parametrize("dist", ["lognormal", "exponential", "pareto", "constant"])
-def test_draw_work_has_mean_of_scenario(dist: str) -> None:
+def test_sample_work_us_has_mean_of_class(dist: str) -> None:
     service_class = make_scenario(
         classes=[{"name": "x", "work_ms": 50.0, "work_cv": 0.8, "dist": dist}]
     ).classes[0]
     rng = load.random_stream(1, dist)
-    mean_us = sum(load.draw_work_us(service_class, rng) for _ in range(40_000)) / 40_000
+    mean_us = sum(load.sample_work_us(service_class, rng) for _ in range(40_000)) / 40_000
     assert mean_us == pytest.approx(50_000.0, rel=0.03)
 
 
--- a/tulipnotch/cli/lab_real.py
+++ b/tulipnotch/cli/lab_real.py
@@ -100,14 +100,14 @@
 
 
 def _table(view: PlatformView) -> Group:
-    sidecars = Table(title="sidecars, as their metrics report", title_justify="left")
+    sidecars = Table(title="sidecars, according to their metrics", title_justify="left")
     headings = (*_OUTCOMES, *_GAUGES)
     for heading in ("sidecar", *headings):
         sidecars.add_column(heading.replace("_", " "), justify="left" if heading == "sidecar" else "right")
     for each in view.sidecars:
         totals = _totals(view.sidecar_metrics(each))
         sidecars.add_row(f"n{each.index}", *(str(totals[heading]) for heading in headings))
-    servers = Table(title="order servers, as they know their state", title_justify="left")
+    servers = Table(title="order servers, actual state", title_justify="left")
     for heading in ("server", "building", "kind", "state", "running", "waiting", "done"):
         is_number = heading in ("running", "waiting", "done")
         servers.add_column(heading, justify="right" if is_number else "left")
--- a/tulipnotch/lab/faults.py
+++ b/tulipnotch/lab/faults.py
@@ -14,7 +14,7 @@
 
 @unique
 class FaultAction(Enum):
-    """What a fault event does; the values stand in the timeline of result files."""
+    """What a fault event does; the values are part of the timeline of result files."""
 
     CRASH = "crash"
     START = "start"
@@ -79,8 +79,8 @@
     return []
 
 
-# By kind of fault: the actions that begin and end it, and the value of the ending event.
-_BEGIN_AND_END = {
+# Keyed by kind of fault: the actions that start and end it, and the value of the event that ends it.
+_START_AND_END_ACTIONS = {
     "crash": (FaultAction.CRASH, FaultAction.START, 0.0),
     "hang": (FaultAction.HANG, FaultAction.RESUME, 0.0),
     "fast_errors": (FaultAction.FAIL_REQUESTS, FaultAction.FAIL_REQUESTS, 0.0),
@@ -92,13 +92,13 @@
 def _events_of_fault(fault: FaultSpec, scenario: Scenario, rng: random.Random) -> list[FaultEvent]:
     start, duration_us = int(fault.at_s * 1e6), int(fault.for_s * 1e6)
     servers = _sample_targets(range(scenario.fleet.servers), fault.part, rng)
-    if fault.kind in _BEGIN_AND_END:
-        begin_action, end_action, end_value = _BEGIN_AND_END[fault.kind]
+    if fault.kind in _START_AND_END_ACTIONS:
+        start_action, end_action, end_value = _START_AND_END_ACTIONS[fault.kind]
         return [
             event
             for server in servers
             for event in (
-                FaultEvent(start, begin_action, server, fault.size),
+                FaultEvent(start, start_action, server, fault.size),
                 FaultEvent(start + duration_us, end_action, server, end_value),
             )
         ]
@@ -108,8 +108,8 @@
         events = []
         for index, server in enumerate(servers):
             drain_at = start + (duration_us * index // len(servers) if fault.kind == "drain" else 0)
-            # The server finishes its requests within the longest deadline, then its process ends and a new
-            # one follows.
+            # The server finishes its requests within the longest deadline; then its process ends, and a new
+            # one starts after the downtime.
             stop_at = drain_at + int(scenario.discovery.drain_notice_s * 1e6) + max_deadline_us
             events += [
                 FaultEvent(drain_at, FaultAction.DRAIN, server),
@@ -137,5 +137,5 @@
 
 
 def _sample_targets(indices: Sequence[int], fraction: float, rng: random.Random) -> list[int]:
-    """Draws this fraction of the indices, at least one."""
+    """Samples this fraction of the indices, at least one."""
     return rng.sample(indices, min(max(round(fraction * len(indices)), 1), len(indices)))
--- a/tulipnotch/lab/history_checker.py
+++ b/tulipnotch/lab/history_checker.py
@@ -25,7 +25,8 @@
 from tulipnotch.lab.scenario import RULES, Scenario, ServiceClass
 
 _MAX_EXAMPLES = 10  # violations of a rule whose texts are retained
-_MIN_NOTIFIED_WORK_RATIO = 2.0 / 3.0  # of the work that overloaded a server
+# Minimum fraction of the work that overloaded a server which notified sidecars sent, for a violation.
+_MIN_NOTIFIED_WORK_RATIO = 2.0 / 3.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -102,7 +103,7 @@
         # Keyed by sidecar and server: the start of the server that the sidecar was last notified of.
         self._notified_starts: dict[tuple[int, str], int] = {}
         self._published: dict[str, _PublishedState] = {}  # keyed by server
-        self._stopped_sidecars: set[int] = set()  # those that were killed and do not listen yet
+        self._stopped_sidecars: set[int] = set()  # sidecars that were killed and do not listen yet
         # Keyed by sidecar: when it last polled; None while it is subscribed to watch events.
         self._last_polls: dict[int, int | None] = {}
         self.violation_counts = dict.fromkeys(RULES, 0)
@@ -247,7 +248,7 @@
             )
 
     def was_notified(self, server: str, started_at: int, work_by_sidecar: Mapping[int, float]) -> bool:
-        """Whether two thirds of this work came from sidecars that were notified of this start."""
+        """Whether at least two thirds of this work came from sidecars that were notified of this start."""
         notified_work = sum(
             work
             for sidecar, work in work_by_sidecar.items()
--- a/tulipnotch/lab/load.py
+++ b/tulipnotch/lab/load.py
@@ -1,8 +1,8 @@
 """The load of a scenario: its arrivals, and how clients retry; the same in virtual and in real time.
 
-Arrivals are drawn in advance and depend on no response: the load is open-loop, and every latency counts from
-the time at which the first try of a request was intended to be sent.  Each purpose has a random stream of its
-own, so that another policy gets the same arrivals.
+Arrivals are sampled in advance and depend on no response: the load is open-loop, and every latency counts
+from the time at which the first try of a request was intended to be sent.  Each purpose has a random stream
+of its own, so that another policy gets the same arrivals.
 """
 
 from __future__ import annotations
@@ -45,7 +45,8 @@
         tenant: The name of its tenant, if the scenario has tenants.
         key: Its key, for servers that do repeated work on a key faster.
         work_us: Its work on a standard core, microseconds.
-        disconnects_after_us: When the client disconnects from its first try; 0 if it waits for the response.
+        disconnects_after_us: The time from the start of the first try until the client disconnects; 0 if it
+            does not.
         honors_retry_after: Whether the client waits as long as `Retry-After` says.
         try_count: The number of tries sent so far.
     """
@@ -62,8 +63,8 @@
     try_count: int = 0
 
 
-def draw_work_us(service_class: ServiceClass, rng: random.Random) -> float:
-    """Draws the work of one request on a standard core, microseconds; the mean is `work_ms`."""
+def sample_work_us(service_class: ServiceClass, rng: random.Random) -> float:
+    """Samples the work of one request on a standard core, microseconds; the mean is `work_ms`."""
     mean, cv = service_class.work_ms * 1e3, service_class.work_cv
     if service_class.dist == "constant" or cv <= 0.0:
         return mean
@@ -117,9 +118,9 @@
                 return
             if rng.random() * max_factor < relative_rate(load, at_s):
                 break
-        service_class = scenario.classes[class_choice.draw_index(rng)]
-        tenant = scenario.tenants[tenant_choice.draw_index(rng)].name if scenario.tenants else None
-        work_us = draw_work_us(service_class, rng)
+        service_class = scenario.classes[class_choice.sample_index(rng)]
+        tenant = scenario.tenants[tenant_choice.sample_index(rng)].name if scenario.tenants else None
+        work_us = sample_work_us(service_class, rng)
         for fault in heavy_tails:
             is_heavy = rng.random() < fault.extra
             if (
@@ -135,7 +136,7 @@
             intended_at=int(at_s * 1e6),
             service_class=service_class,
             tenant=tenant,
-            key=key_choice.draw_index(rng),
+            key=key_choice.sample_index(rng),
             work_us=work_us,
             disconnects_after_us=int(service_class.deadline_ms * 1e3 * rng.uniform(0.02, 0.25))
             if disconnects
@@ -145,12 +146,12 @@
 
 
 class _WeightedChoice:
-    """Draws indices with probabilities in proportion to weights."""
+    """Samples indices with probabilities in proportion to weights."""
 
     def __init__(self, weights: list[float]) -> None:
         self._cumulative_weights = list(itertools.accumulate(weights))
 
-    def draw_index(self, rng: random.Random) -> int:
+    def sample_index(self, rng: random.Random) -> int:
         index = bisect.bisect_right(self._cumulative_weights, rng.random() * self._cumulative_weights[-1])
         return min(index, len(self._cumulative_weights) - 1)
 
@@ -185,7 +186,7 @@
     retry_after_us: int,
     now: int,
     clients: Clients,
-    draw_uniform: Callable[[], float],
+    sample_uniform: Callable[[], float],
 ) -> int | None:
     """Returns when the client retries after a try that ended at `now`; None if it does not retry.
 
@@ -199,8 +200,8 @@
         return None
     if outcome is RequestOutcome.FAILED and client_request.service_class.repeat != "safe":
         return None
-    delay_us = clients.backoff_ms * 1e3 * 2 ** (client_request.try_count - 1) * (0.5 + draw_uniform())
+    delay_us = clients.backoff_ms * 1e3 * 2 ** (client_request.try_count - 1) * (0.5 + sample_uniform())
     if client_request.honors_retry_after and retry_after_us > 0:
-        delay_us = max(retry_after_us, 1_000) * (1.0 + 0.1 * draw_uniform())
+        delay_us = max(retry_after_us, 1_000) * (1.0 + 0.1 * sample_uniform())
     retry_at = now + int(delay_us)
     return retry_at if try_timeout_us(client_request, retry_at, clients) > 20_000 else None
--- a/tulipnotch/lab/policies.py
+++ b/tulipnotch/lab/policies.py
@@ -10,10 +10,11 @@
 - least-of-2: of two random endpoints, the one with fewer requests of this sidecar in flight (Mitzenmacher,
   "The Power of Two Choices in Randomized Load Balancing", IEEE TPDS 2001).
 - peak-ewma: of two random endpoints, the one with the lower product of latency and requests of this sidecar
-  in flight, where the latency is an average that rises at once and decays over 10 s (Finagle's `PeakEwma`).
-- prequal: a pool retained 16 health check reports of `queue` for at most 1 s; endpoints in the top quarter by
-  queue are hot and avoided, and of the others the one with the lowest latency is chosen (Wydrowski et al.,
-  "Load is not what you should balance", NSDI 2024).  Three health checks for each request.
+  in flight, where the latency is an average that rises at once and decays with a half-life of 10 s
+  (Finagle's `PeakEwma`).
+- prequal: a pool of the last 16 health check reports of `queue`, each retained for at most 1 s; endpoints in
+  the top quarter by queue are hot and avoided, and of the others the one with the lowest latency is chosen
+  (Wydrowski et al., "Load is not what you should balance", NSDI 2024).  Three health checks for each request.
 - shortest: joins the shortest queue, with knowledge of the present queue and speed of every server.  No real
   sidecar has that; it is an upper bound for the others.
 """
@@ -72,7 +73,7 @@
 
 
 class BasePolicy:
-    """Common part of the policies; a subclass chooses the endpoint of each attempt.
+    """Base class of the policies; a subclass chooses the endpoint of each attempt.
 
     Attributes:
         rng: The random generator of the policy.
@@ -99,7 +100,7 @@
         raise NotImplementedError
 
     def attempt_succeeded(self, endpoint: str, elapsed_us: int) -> None:
-        """Takes the latency of an attempt whose response was delivered."""
+        """Is notified of an attempt whose response was delivered, and of its latency."""
 
     def request_actions(self) -> list[Action]:
         """Returns the actions that come with each request, before its first attempt."""
@@ -135,7 +136,7 @@
         return actions
 
     def health_check_ended(self, event: HealthCheckEnded) -> None:
-        """Takes the outcome of a health check."""
+        """Is notified of the outcome of a health check."""
 
     def _update_endpoints(self, event: EndpointsUpdated) -> None:
         if event.kind is not EndpointUpdateKind.DELTA:
--- a/tulipnotch/lab/real/backend.py
+++ b/tulipnotch/lab/real/backend.py
@@ -101,7 +101,7 @@
     def start(self, t0_ns: int) -> None:
         """Sets the start of the run; records from before it get times of 0 or less."""
         shift_us = (t0_ns - self._t0_ns) // 1_000
-        self.records = [(at - shift_us, *rest) for at, *rest in self.records]
+        self.records = [(at - shift_us, *kind_and_fields) for at, *kind_and_fields in self.records]
         self._t0_ns = t0_ns
         self.epoch_us += shift_us
         for each in self._fault_events:
@@ -249,7 +249,7 @@
         await self.backend.loop.connect_accepted_socket(lambda: ServerConnection(self, sidecar), connection)
 
     def schedule_completions(self, jobs: list[Job]) -> None:
-        """Schedules the ends of jobs that have started."""
+        """Schedules the end of jobs that have started."""
         for job in jobs:
             delay_s = max(job.finishes_at - self.backend.now(), 0) / 1e6
             self.backend.loop.call_later(delay_s, self._finish_job, job)
@@ -426,13 +426,13 @@
 
     def enqueue(self, respond: Callable[[], None], fail: Callable[[], None]) -> None:
         loop, discovery = self._backend.loop, self._backend.scenario.discovery
-        begins_at = max(self._busy_until, loop.time())
+        starts_at = max(self._busy_until, loop.time())
         if not self.is_up:
             loop.call_soon(fail)
-        elif begins_at - loop.time() > discovery.timeout_s:
+        elif starts_at - loop.time() > discovery.timeout_s:
             loop.call_later(discovery.timeout_s, fail)
         else:
-            self._busy_until = begins_at + 1.0 / discovery.calls_per_s
+            self._busy_until = starts_at + 1.0 / discovery.calls_per_s
             loop.call_at(self._busy_until, respond)
 
 
--- a/tulipnotch/lab/real/generator.py
+++ b/tulipnotch/lab/real/generator.py
@@ -1,6 +1,6 @@
-"""An open-loop load generator, which plays all clients in a process of its own.
+"""An open-loop load generator, which simulates all clients in a process of its own.
 
-Each first try is sent at a time that was drawn in advance, whatever happens to other requests, and latency
+Each first try is sent at a time that was sampled in advance, whatever happens to other requests, and latency
 counts from that time.  The lateness of the sends is recorded as well; a run whose generator was late is
 marked as invalid.
 """
@@ -74,10 +74,10 @@
             *arrivals_by_sidecar,
             key=lambda client_request: (client_request.intended_at, client_request.number),
         )
-        # Drawn in advance for a run with records, and one by one for a run without an end.
+        # Sampled in advance for a run with records, and one by one for a run without an end.
         self._arrivals = iter(list(arrivals)) if keeps_records else arrivals
         self._next_arrival = next(self._arrivals, None)
-        self._draw_uniform = random_stream(seed, "clients").random
+        self._sample_uniform = random_stream(seed, "clients").random
         self._pools = [ConnectionPool(self, address) for address in sidecars]
         self._last_request = 0
         self._due_retries: list[tuple[int, int, ClientRequest]] = []  # heap of time, last try and request
@@ -150,7 +150,7 @@
             retry_after_us,
             now,
             self.scenario.clients,
-            self._draw_uniform,
+            self._sample_uniform,
         )
         if retry_at is None:
             self.ended.append(EndedRequest(client_try.client_request, outcome, now))
@@ -354,9 +354,8 @@
         self._try, client_try.connection = client_try, self
         self._has_received = False
         now = self._pool.generator.now()
-        client_try.record_sent(
-            now
-        )  # before the write, as a server may start it before this process continues
+        # Recorded before the write, because a server may execute the request before this process continues.
+        client_try.record_sent(now)
         self._transport.write(client_try.message(now))
 
     def abort(self) -> None:
@@ -446,7 +445,7 @@
 
     loop.add_reader(pipe.fileno(), receive_command)
     os.set_blocking(pipe.fileno(), True)  # the event loop made it non-blocking, which fails for long messages
-    gc.freeze()  # garbage collections skip the arrivals drawn in advance, and so do not delay sends
+    gc.freeze()  # garbage collections skip the arrivals sampled in advance, and so do not delay sends
     await generator.run(await started, stopped)
     loop.remove_reader(pipe.fileno())
 
--- a/tulipnotch/lab/real/overhead.py
+++ b/tulipnotch/lab/real/overhead.py
@@ -94,7 +94,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Overhead:
-    """The median costs of the sidecar and of the forwarder, over the turns."""
+    """The costs of the sidecar and of the forwarder: medians over the turns, and the sum of the requests."""
 
     sidecar: Cost
     forwarder: Cost
--- a/tulipnotch/lab/real/play.py
+++ b/tulipnotch/lab/real/play.py
@@ -28,9 +28,9 @@
 from tulipnotch.lab.results import Result, Run
 from tulipnotch.lab.scenario import Scenario, tenant_quotas_per_s, wire_settings
 
-MAX_LATENESS_MS = 10.0  # of the load generator, at its 99th percentile; beyond it the run is invalid
+MAX_LATENESS_MS = 10.0  # the run is invalid if the load generator's 99th percentile is beyond it
 _READY_TIMEOUT_S = 20.0
-_START_LEAD_NS = 300_000_000  # from the command to start until time 0
+_START_LEAD_NS = 300_000_000  # time between the start command and time 0 of the run
 _STOP_TIMEOUT_S = 10.0
 
 SIDECAR_COMMAND = (sys.executable, "-m", "tulipnotch.sidecar")  # the command in `deploy/balancer.toml`
@@ -241,7 +241,7 @@
     on_progress: play.OnProgress | None = None,
     command: Sequence[str] = SIDECAR_COMMAND,
 ) -> Run:
-    """Runs one seed; raises PlatformError if the platform fails."""
+    """Runs one seed in real time; raises PlatformError if the platform fails."""
     with running_platform(scenario, seed, command) as platform:
         load_generator = platform.spawn(
             generator.main,
--- a/tulipnotch/lab/recorder.py
+++ b/tulipnotch/lab/recorder.py
@@ -36,8 +36,8 @@
     Attributes:
         request_count: The number of requests.
         weight_requested: The sum of their priority weights.
-        weight_in_time: The sum over those that were served within their latency objective.
-        in_time_count: The number of these.
+        weight_in_time: The sum of the priority weights of requests served within their latency objective.
+        in_time_count: The number of requests served within their latency objective.
         outcomes: The number of requests by outcome.
     """
 
@@ -103,7 +103,9 @@
 
 
 class TimeSeries:
-    """Owns the time series of a run: one row for each second in which requests should have been sent.
+    """Owns the time series of a run: one row a second.
+
+    A request counts in the second in which its first try should have been sent.
 
     Attributes:
         servers: For each server and second: the number of responses, and the maximum length of the queue.
@@ -137,7 +139,7 @@
         self._latencies_us[class_name][second].append(latency_us)
 
     def min_weight_ratio(self, start_s: int, end_s: int) -> float:
-        """Returns the minimum ratio of priority weight served in time over ten seconds of this interval."""
+        """Returns the minimum ratio of priority weight served in time in any ten seconds of this interval."""
         weights = self._weights[start_s:end_s]
         window_s = min(_WORST_WINDOW_S, len(weights))
         ratios = []
@@ -168,14 +170,14 @@
 
 
 class Recorder:
-    """Owns the figures of one run."""
+    """Owns the measurements of one run."""
 
     def __init__(self, scenario: Scenario, quotas: dict[str, float]) -> None:
         """Starts with no requests.
 
         Args:
             scenario: Gives the classes, the tenants and the length of the run.
-            quotas: The requests a second that are allowed, by tenant.
+            quotas: The quota of each tenant, requests a second.
         """
         class_names = [each.name for each in scenario.classes]
         self._scenario = scenario
--- a/tulipnotch/lab/results.py
+++ b/tulipnotch/lab/results.py
@@ -70,7 +70,7 @@
 
     @property
     def invalid(self) -> str:
-        """Why the first invalid run must not be used; empty if all runs are valid."""
+        """Why the results of the first invalid run must not be used; empty if all runs are valid."""
         return next((run.invalid for run in self.runs if run.invalid), "")
 
     def values(self, metric: str) -> list[float]:
--- a/tulipnotch/lab/scenario.py
+++ b/tulipnotch/lab/scenario.py
@@ -1,7 +1,7 @@
 """Scenario files: a fleet, its load, its faults and the expected metrics, in TOML.
 
-They are validated like the operator file.  Times are in the unit that a key's name ends with; shares and
-parts are fractions of 1.  `docs/lab.md` explains every table.
+They are validated like the operator file.  Times are in the unit that a key's name ends with; a fraction is
+between 0 and 1, a `share` is relative to the sum of the shares.  `docs/lab.md` explains every table.
 """
 
 from __future__ import annotations
@@ -73,7 +73,7 @@
     cell_size: Annotated[int, Meta(ge=1)] = 5
     kinds: Annotated[tuple[MachineType, ...], Meta(min_length=1)] = (MachineType(name="std-4c"),)
     queue_per_core: Annotated[int, Meta(ge=0, le=1_000_000)] = 30  # a server rejects requests beyond it
-    cold_from: Annotated[float, Meta(gt=0.0, le=1.0)] = 0.15  # minimum part of its capacity at its start
+    cold_from: Annotated[float, Meta(gt=0.0, le=1.0)] = 0.15  # minimum fraction of its capacity at its start
     cold_s: PositiveFloat = 22.0  # maximum time until it has its full capacity, which rises linearly
     # A server starts with up to this fraction more capacity, and warms up faster by the same random factor.
     cold_spread: NonNegativeFloat = 0.7
@@ -169,11 +169,11 @@
     """How clients retry and when they disconnect."""
 
     retries: Annotated[int, Meta(ge=0, le=20)] = 2
-    try_share: Annotated[float, Meta(gt=0.0, le=1.0)] = 0.6  # timeout of a try, in parts of the deadline
+    try_share: Annotated[float, Meta(gt=0.0, le=1.0)] = 0.6  # timeout of a try, as a fraction of the deadline
     backoff_ms: NonNegativeFloat = 100.0  # delay before the first retry; doubles at each retry, with jitter
     honour: Fraction = 0.6  # fraction of clients that wait as long as `Retry-After` says
     impatient: Fraction = (
-        0.0  # fraction of requests whose client disconnects in the first quarter of its time
+        0.0  # fraction of requests whose client disconnects in the first quarter of the deadline
     )
 
 
@@ -197,9 +197,9 @@
     "garble": "the fraction `size` of the servers' responses is malformed",
     "drain": "servers drain one after another over for_s; new processes start to warm up after back_s",
     "release": "as drain, all of them at once",
-    "heavy_tail": "the fraction `extra` of requests takes `size` times the work",
+    "heavy_tail": "the fraction `extra` of the first class's requests takes `size` times the work",
     "discovery_down": "calls to discovery fail and watches end",
-    "cut": "nothing passes between `zone` and all other zones",
+    "cut": "nothing passes between sidecars and servers of `zone` and those of all other zones",
     "restart": "sidecars are killed and restarted, one after another over for_s",
 }
 
@@ -286,7 +286,7 @@
     `expect`, `faults` and `about`.  Tables are merged key by key; lists are replaced as a whole.
 
     Raises:
-        InvalidFileError: The file is invalid; it has all faults.
+        InvalidFileError: The file is invalid; the error contains all of its faults.
     """
     checked = read_toml(path, Scenario, _resolve_extends)
     faults = list(_consistency_faults(checked))
@@ -318,7 +318,9 @@
         )
     for one, other in (("rate", "utilisation"), ("utilisation", "rate")):
         if one in override and other not in override:
-            merged.pop(other, None)  # only one of the two is allowed, so the file's own replaces the other
+            merged.pop(
+                other, None
+            )  # only one of the two is allowed, so the file's key replaces that of the base
     return merged
 
 
@@ -397,7 +399,7 @@
 
 
 def find(name: str) -> Path:
-    """Returns the path of a scenario that is named by its name or its path.
+    """Returns the path of a scenario, given its name or its path.
 
     Raises:
         InvalidFileError: There is no such scenario.
@@ -429,17 +431,17 @@
 def tenant_quotas_per_s(scenario: Scenario, capacity: float) -> dict[str, float]:
     """Returns the quota of each tenant; `capacity` is that of the warm fleet, as for `wire_settings`."""
     max_rate_per_s = capacity / scenario.mean_work_s * scenario.rules.quota_of_capacity
-    total_share = _total_share(scenario)
+    total_share = _total_tenant_share(scenario)
     return {each.name: max_rate_per_s * each.share / total_share for each in scenario.tenants}
 
 
-def _total_share(scenario: Scenario) -> float:
+def _total_tenant_share(scenario: Scenario) -> float:
     return sum(each.share for each in scenario.tenants) or 1.0
 
 
 def _settings(scenario: Scenario, sidecar: int, capacity: float) -> dict[str, Any]:
     rules, fleet, network = scenario.rules, scenario.fleet, scenario.network
-    total_share = _total_share(scenario)
+    total_share = _total_tenant_share(scenario)
     quotas_per_s = tenant_quotas_per_s(scenario, capacity)
     return {
         "classes": [_class_settings(each) for each in scenario.classes],
--- a/tulipnotch/lab/server.py
+++ b/tulipnotch/lab/server.py
@@ -6,8 +6,8 @@
 a fault, all as they are when execution starts.  That is an approximation: a running request does not speed
 up while its server warms up.
 
-Every method that takes the time (whole microseconds, never decreasing) and returns jobs returns those that
-start because of the call; the caller schedules `finish_job` at the `finishes_at` of each.
+Times are whole microseconds and never decrease.  Every method that returns jobs, except `crash`, returns
+those that start because of the call; the caller schedules `finish_job` at the `finishes_at` of each.
 """
 
 from __future__ import annotations
@@ -45,11 +45,11 @@
     Attributes:
         request: The id of the request, which all of its attempts share.
         sidecar: The index of the sidecar that sent the attempt.
-        work_us: Its work on a standard core.
-        expected_work_us: The mean work of its class, or its own work if requests announce it.
+        work_us: The work of the attempt on a standard core, microseconds.
+        expected_work_us: The mean work of the request's class, or its own work if requests announce it.
         key: The key of the request, if it has one.
         state: The job's state.
-        finishes_at: When it will be finished; set when it starts to run.
+        finishes_at: When it will finish, microseconds; 0 until it starts to run.
     """
 
     __slots__ = ("expected_work_us", "finishes_at", "key", "request", "sidecar", "state", "work_us")
@@ -67,7 +67,7 @@
 
 
 class OrderServer:
-    """One order server over its whole life: `crash` and `start` end and begin its processes.
+    """One order server over its whole life: `crash` ends its process, and `start` starts a new one.
 
     Attributes:
         is_up: Whether its process runs.
@@ -81,7 +81,7 @@
         overloaded_since: When its present overload began; None without one.
         overloaded_us: The total time of its past overloads.
         completed: The number of requests that it completed.
-        max_waiting: The maximum length of its queue since the caller last reset it.
+        max_waiting: The maximum length of its queue since the caller last reset this attribute.
         on_warm_up_failed: Called when it is overloaded while warming up, with the server, its start and the
             work by sidecar.
         warm_up_overload_check: If set, decides in place of the built-in tolerance whether the server is
@@ -166,7 +166,7 @@
         return self.overloaded_since is not None
 
     def warm_up_factor(self, now: int) -> float:
-        """Returns its part of the full capacity, which rises linearly from `initial_capacity` to 1."""
+        """Returns the fraction of its capacity that it has; rises linearly from `initial_capacity` to 1."""
         if self.started_at is None:
             return 1.0
         elapsed = (now - self.started_at) / (self.warm_up_s * 1e6)
@@ -344,9 +344,9 @@
         return work_by_sidecar
 
     def _update_derived_state(self, now: int) -> None:
-        """Refreshes the report, and begins or ends an overload, by the load up to now.
+        """Refreshes the report, and starts or ends an overload, according to the load up to now.
 
-        Comes before each event, because the load until then decides.
+        Is called before each event changes the load, because only the load until then decides.
         """
         if now >= self._reported_at + self._fleet.report_period_s * 1e6:
             self._reported_waiting, self._reported_at = self._waiting, now
--- a/tulipnotch/lab/virtual.py
+++ b/tulipnotch/lab/virtual.py
@@ -97,9 +97,10 @@
         self._publisher = fleet.DelayedPublisher(
             scenario, lambda delay_us, call: self.engine.call_later(delay_us, call)
         )
-        self.accepted_jobs: dict[Job, _Attempt] = {}  # those that a server has accepted and not ended
+        self.accepted_jobs: dict[Job, _Attempt] = {}  # jobs that a server has accepted and not ended
         self._last_request = 0
-        self._last_completed = dict.fromkeys(self.servers_by_name, 0)  # by server, at the last sample
+        # Keyed by server: the number of requests that it had completed at the last sample.
+        self._last_completed = dict.fromkeys(self.servers_by_name, 0)
         for each in self.servers:
             self._observe_warm_up_failure(each)
         self.sidecars = [
@@ -134,19 +135,19 @@
             self.recorder.counters.overloaded_us += server.overloaded_us + present_overload_us
         self.history.finish(engine.now)
 
-    def draw_delay_us(self, from_zone: str, to_zone: str) -> int:
-        """Draws the delay of one message between two zones."""
+    def sample_delay_us(self, from_zone: str, to_zone: str) -> int:
+        """Samples the delay of one message between two zones."""
         base_ms = self.network.same_ms if from_zone == to_zone else self.network.cross_ms
         return int(base_ms * 1e3 * (1.0 + self.network.jitter * self._network_rng.expovariate(1.0)))
 
     def is_partitioned(self, zone: str, other_zone: str) -> bool:
         return zone != other_zone and (zone in self.partitioned_zones or other_zone in self.partitioned_zones)
 
-    def draw_attempt_work(self, work_us: float) -> float:
-        """Draws the work of one attempt, which differs a little between attempts of the same request."""
+    def sample_attempt_work_us(self, work_us: float) -> float:
+        """Samples the work of one attempt, which differs a little between attempts of the same request."""
         return work_us * (0.9 + 0.2 * self._noise_rng.random())
 
-    def draw_uniform(self) -> float:
+    def sample_uniform(self) -> float:
         return self._noise_rng.random()
 
     # Servers
@@ -161,7 +162,9 @@
         self.schedule_completions(server, server.finish_job(self.engine.now, job))
         if was_running:
             attempt = self.accepted_jobs.pop(job)
-            is_malformed = server.malformed_fraction > 0.0 and self.draw_uniform() < server.malformed_fraction
+            is_malformed = (
+                server.malformed_fraction > 0.0 and self.sample_uniform() < server.malformed_fraction
+            )
             attempt.return_outcome(Outcome.MALFORMED_RESPONSE if is_malformed else Outcome.DELIVERED)
 
     def _crash_server(self, server: OrderServer) -> None:
@@ -391,7 +394,7 @@
         """Sends the outcome from the server back to the sidecar."""
         sidecar = self.sidecar
         sidecar.engine.call_later(
-            response_delay_us + sidecar.simulation.draw_delay_us(self.server.zone, sidecar.zone),
+            response_delay_us + sidecar.simulation.sample_delay_us(self.server.zone, sidecar.zone),
             sidecar.outcome_received,
             self,
             outcome,
@@ -617,7 +620,7 @@
     def _connect(self, attempt: _Attempt) -> None:
         simulation, server = self.simulation, attempt.server
         simulation.recorder.counters.handshakes += 1
-        round_trip_us = simulation.draw_delay_us(self.zone, server.zone) + simulation.draw_delay_us(
+        round_trip_us = simulation.sample_delay_us(self.zone, server.zone) + simulation.sample_delay_us(
             server.zone, self.zone
         )
         if simulation.is_partitioned(self.zone, server.zone):
@@ -649,7 +652,7 @@
             simulation.recorder.counters.cross_zone_attempts += 1
         simulation.history.attempt_sent(self.index, attempt.server.name, self.engine.now)
         self.engine.call_later(
-            simulation.draw_delay_us(self.zone, attempt.server.zone), self._deliver, attempt
+            simulation.sample_delay_us(self.zone, attempt.server.zone), self._deliver, attempt
         )
 
     def _deliver(self, attempt: _Attempt) -> None:
@@ -658,7 +661,7 @@
         if attempt.has_ended or simulation.is_partitioned(self.zone, server.zone):
             return
         client_request = attempt.open_request.client_try.client_request
-        work_us = simulation.draw_attempt_work(client_request.work_us)
+        work_us = simulation.sample_attempt_work_us(client_request.work_us)
         if not attempt.is_connection_reused:
             work_us += simulation.network.handshake_work_ms * 1e3
         expected_work_us = (
@@ -674,7 +677,7 @@
             client_request.key,
         )
         attempt.job = job
-        result, started = server.receive_job(now, job, simulation.draw_uniform())
+        result, started = server.receive_job(now, job, simulation.sample_uniform())
         if result is AdmissionResult.REJECTED:
             attempt.return_outcome(Outcome.OVERLOADED)
         elif result is AdmissionResult.FAILED:
@@ -711,7 +714,7 @@
     def _close_connection(self, attempt: _Attempt) -> None:
         """Closes the attempt's connection, which the server notices after the network's delay."""
         if attempt.is_written:
-            delay_us = self.simulation.draw_delay_us(self.zone, attempt.server.zone)
+            delay_us = self.simulation.sample_delay_us(self.zone, attempt.server.zone)
             self.engine.call_later(delay_us, self._connection_closed_at_server, attempt)
 
     def _connection_closed_at_server(self, attempt: _Attempt) -> None:
@@ -748,13 +751,13 @@
     def _start_health_check(self, server_name: str) -> None:
         simulation, server = self.simulation, self.simulation.servers_by_name[server_name]
         simulation.recorder.counters.health_checks += 1
-        delay_us = simulation.draw_delay_us(self.zone, server.zone)
+        delay_us = simulation.sample_delay_us(self.zone, server.zone)
         self.engine.call_later(
             delay_us, self._health_check_at_server, server, self.engine.now, self._incarnation
         )
 
     def _health_check_at_server(self, server: OrderServer, sent_at: int, incarnation: int) -> None:
-        delay_us = self.simulation.draw_delay_us(server.zone, self.zone)
+        delay_us = self.simulation.sample_delay_us(server.zone, self.zone)
         if not server.is_up or server.has_failed_warm_up:
             outcome, report = Outcome.CONNECT_FAILED, None
         elif server.is_hanging or self.simulation.is_partitioned(self.zone, server.zone):
@@ -827,7 +830,7 @@
         self._watches.pop(sidecar.index, None)
 
     def subscribe(self, sidecar: VirtualSidecar, is_subscribed: bool) -> None:
-        """Begins or ends the watch of a sidecar."""
+        """Starts or ends the watch of a sidecar."""
         if not is_subscribed:
             self.end_watch(sidecar)
             self._simulation.history.endpoints_polled(sidecar.index, self._simulation.engine.now)
@@ -841,13 +844,13 @@
     def _enqueue_call(self, sidecar: VirtualSidecar, after: int | None, *, is_watch: bool) -> None:
         """Schedules the response to a call for the changes after a version, or (None) the complete list."""
         engine = self._simulation.engine
-        begins_at = max(self._busy_until, engine.now)
+        starts_at = max(self._busy_until, engine.now)
         if not self.is_up:
             self._fail_call(sidecar, 1_000)
-        elif begins_at - engine.now > self._timeout_us:
+        elif starts_at - engine.now > self._timeout_us:
             self._fail_call(sidecar, self._timeout_us)
         else:
-            self._busy_until = begins_at + self._call_duration_us
+            self._busy_until = starts_at + self._call_duration_us
             engine.call_at(self._busy_until, self._respond, sidecar, after, is_watch, sidecar.incarnation)
 
     def _fail_call(self, sidecar: VirtualSidecar, delay_us: int) -> None:
@@ -873,16 +876,16 @@
             simulation.history.sidecar_notified(
                 sidecar.index, each.name, is_draining=is_draining, started_at=each.started_at, now=now
             )
-        copies = [
+        entry_copies = [
             DirectoryEntry(e.name, e.zone, e.machine_type, e.cell, e.state, e.started_at, e.version)
             for e in entries
         ]
         version = self.directory.version
         simulation.engine.call_later(
-            simulation.draw_delay_us("", ""),
+            simulation.sample_delay_us("", ""),
             sidecar.endpoints_received,
             kind,
-            copies,
+            entry_copies,
             version,
             incarnation,
         )
