--- a/benchmarks/cold.py
+++ b/benchmarks/cold.py
@@ -30,7 +30,7 @@
 from tulipnotch.lab.virtual import Simulation
 
 _START_S = 5.0  # when the servers start
-_PUBLISHED_S = 5.3  # when the endpoint list contains the starts
+_PUBLISHED_S = 5.3  # when the endpoint list first contains the starts
 _INITIAL_WARM_UP_FACTOR = 0.15
 _OVERLOAD_MULTIPLE = 2.5
 _OVERLOAD_WINDOW_S = 1.0
--- a/benchmarks/drawn.py
+++ b/benchmarks/drawn.py
@@ -6,8 +6,8 @@
 measured; give `--in` twice to compare two.  Each day is run with the module and with each published policy
 named by `--also`; the best result of any of them on a day is the best known.  A day has collapsed if less
 than 0.9 of the best known priority weight is served.  It has recovered with the first window of 5 s that
-starts after the end of the last fault and serves 0.95 of the best known for that window; the resolution is
-that of the windows.
+starts no earlier than the end of the last fault and serves at least 0.95 of the best known for that window;
+the resolution is that of the windows.
 """
 
 from __future__ import annotations
--- a/tests/lab/test_cold.py
+++ b/tests/lab/test_cold.py
@@ -1,4 +1,4 @@
-"""All processes together do not overload warming-up servers, in cases of `benchmarks.cold` that once did."""
+"""All processes together overload no warming-up server, in cases of `benchmarks.cold` where they once did."""
 
 from __future__ import annotations
 
--- a/tests/lab/test_history_checker.py
+++ b/tests/lab/test_history_checker.py
@@ -126,9 +126,15 @@
     assert run_scenario(LeastOfTwo, faults=DRAINS).violation_counts["drains"] == 0
     endpoints_received = VirtualSidecar.endpoints_received
 
-    def active_endpoints_received(self: Any, kind: Any, entries: Any, version: int, incarnation: int) -> None:
+    def active_endpoints_received(
+        self: Any, update_kind: Any, entries: Any, version: int, incarnation: int
+    ) -> None:
         endpoints_received(
-            self, kind, [each for each in entries if each.state.value == "active"], version, incarnation
+            self,
+            update_kind,
+            [each for each in entries if each.state.value == "active"],
+            version,
+            incarnation,
         )
 
     monkeypatch.setattr(VirtualSidecar, "endpoints_received", active_endpoints_received)
--- a/tests/lab/test_model.py
+++ b/tests/lab/test_model.py
@@ -46,9 +46,10 @@
 
 
 def mean_wait(scenario: Scenario, policy: str, seed: int) -> tuple[float, float]:
-    """Returns the mean wait in units of the mean work, and the utilisation that the drawn arrivals cause.
+    """Returns the mean wait in units of the mean work, and the utilisation that the sampled arrivals cause.
 
-    Comparing with theory for the drawn utilisation, not the configured one, removes most of the random error.
+    Theory is evaluated for the sampled utilisation, not the configured one, which removes most of the random
+    error.
     """
     simulation = WorkRecordingSimulation(scenario, seed, POLICIES[policy])
     simulation.run()
--- a/tulipnotch/lab/fleet.py
+++ b/tulipnotch/lab/fleet.py
@@ -25,7 +25,7 @@
 def build_servers(scenario: Scenario, seed: int, observer: ServerObserver) -> list[OrderServer]:
     """Builds all servers of the fleet, fully warm.
 
-    The machine types follow their shares, the zones take turns, and the speeds are drawn.
+    Machine types are chosen in proportion to their shares, zones assigned in turn, and speeds sampled.
 
     Args:
         scenario: Gives the fleet.
@@ -93,10 +93,10 @@
         """
         self._discovery = scenario.discovery
         self._call_later = call_later
-        self._latest_change: dict[str, int] = {}  # number of the latest change, by server
+        self._latest_change: dict[str, int] = {}  # keyed by server: the number of its latest change
 
     def publish_later(self, server: str, delay_s: float, publish: Callable[[], None]) -> None:
-        """Calls `publish` after this delay, unless another change of the server is announced before."""
+        """Calls `publish` after this delay, unless another change of the server is scheduled meanwhile."""
         number = self._latest_change[server] = self._latest_change.get(server, 0) + 1
 
         def publish_if_latest() -> None:
--- a/tulipnotch/lab/server.py
+++ b/tulipnotch/lab/server.py
@@ -191,7 +191,7 @@
         Args:
             now: The time.
             job: The attempt.
-            uniform: A number drawn uniformly from 0 to 1, which decides about a random error.
+            uniform: A number sampled uniformly from 0 to 1, which decides about a random error.
         """
         self._update_derived_state(now)
         self._check_warm_up_load(now, job)
--- a/tulipnotch/lab/virtual.py
+++ b/tulipnotch/lab/virtual.py
@@ -59,7 +59,7 @@
 from tulipnotch.simulator_wire.names import settings_from_wire
 
 _SIDECAR_RESTART_US = 300_000  # from the kill of a sidecar until it listens again
-_ERROR_RESPONSE_US = 1_000  # what a server takes to respond with an error
+_ERROR_RESPONSE_US = 1_000  # how long a server takes to respond with an error
 _ENDPOINT_STATES = {
     ListedState.ACTIVE: EndpointState.READY,
     ListedState.DRAINING: EndpointState.DRAINING,
@@ -567,18 +567,22 @@
             self._post(TimerFired(token))
 
     def endpoints_received(
-        self, kind: EndpointUpdateKind, entries: Sequence[DirectoryEntry], version: int, incarnation: int
+        self,
+        update_kind: EndpointUpdateKind,
+        entries: Sequence[DirectoryEntry],
+        version: int,
+        incarnation: int,
     ) -> None:
         """Processes a response of discovery."""
         if incarnation != self._incarnation or not self.is_up:
             return
-        if kind is EndpointUpdateKind.COMPLETE:
+        if update_kind is EndpointUpdateKind.COMPLETE:
             self._endpoint_states.clear()
         for each in entries:
             self._endpoint_states[each.name] = _ENDPOINT_STATES[each.state]
-        if kind is not EndpointUpdateKind.FAILED:
+        if update_kind is not EndpointUpdateKind.FAILED:
             self.endpoint_list_version = version
-        self._post(EndpointsUpdated(kind, [_endpoint_description(each) for each in entries], version))
+        self._post(EndpointsUpdated(update_kind, [_endpoint_description(each) for each in entries], version))
 
     @property
     def incarnation(self) -> int:
@@ -866,7 +870,7 @@
             self._fail_call(sidecar, 0)
             return
         entries = self.directory.current() if after is None else self.directory.changed_since(after)
-        kind = EndpointUpdateKind.COMPLETE if after is None else EndpointUpdateKind.DELTA
+        update_kind = EndpointUpdateKind.COMPLETE if after is None else EndpointUpdateKind.DELTA
         now = simulation.engine.now
         simulation.history.endpoints_polled(sidecar.index, None if is_watch else now)
         if is_watch:
@@ -884,7 +888,7 @@
         simulation.engine.call_later(
             simulation.sample_delay_us("", ""),
             sidecar.endpoints_received,
-            kind,
+            update_kind,
             entry_copies,
             version,
             incarnation,
