--- a/tests/sidecar/downstream/test_downstream_server.py
+++ b/tests/sidecar/downstream/test_downstream_server.py
@@ -316,7 +316,7 @@
 def test_new_connection_is_closed_when_all_others_await_a_response(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Raises the concurrency limit, with which the balancer would reject some of the requests.
+    # Raises the concurrency limit; with the default, the balancer would reject some of the requests.
     monkeypatch.setattr(concurrency_limit, "INITIAL_LIMIT_PER_ENDPOINT", 1e9)
 
     async def work() -> None:
@@ -376,7 +376,7 @@
 
 
 def test_buffers_are_freed_at_once_when_the_client_disconnects() -> None:
-    # With hundreds of such clients, memory must not stay in use until a garbage collection breaks cycles.
+    # When hundreds of clients disconnect, their memory must not stay in use until a garbage collection.
     async def work() -> None:
         async with sidecar_harness(OK_RESPONSE) as harness:
             client = await harness.connect()
--- a/tulipnotch/cli/lab_real.py
+++ b/tulipnotch/cli/lab_real.py
@@ -100,14 +100,14 @@
 
 
 def _table(view: PlatformView) -> Group:
-    sidecars = Table(title="sidecars, as their metrics report", title_justify="left")
+    sidecars = Table(title="sidecars, according to their metrics", title_justify="left")
     headings = (*_OUTCOMES, *_GAUGES)
     for heading in ("sidecar", *headings):
         sidecars.add_column(heading.replace("_", " "), justify="left" if heading == "sidecar" else "right")
     for each in view.sidecars:
         totals = _totals(view.sidecar_metrics(each))
         sidecars.add_row(f"n{each.index}", *(str(totals[heading]) for heading in headings))
-    servers = Table(title="order servers, as they know their state", title_justify="left")
+    servers = Table(title="order servers, actual state", title_justify="left")
     for heading in ("server", "building", "kind", "state", "running", "waiting", "done"):
         is_number = heading in ("running", "waiting", "done")
         servers.add_column(heading, justify="right" if is_number else "left")
@@ -128,7 +128,7 @@
 @click.option("--turns", default=3, show_default=True, type=click.IntRange(1, 100))
 @click.option("--json", "as_json", is_flag=True, help="Print one JSON object.")
 def overhead(rate: float, seconds: float, turns: int, as_json: bool) -> None:
-    """Compare the CPU and latency of one sidecar with those of a byte forwarder in front of the same server.
+    """Compare CPU and latency per request of a sidecar and of a byte forwarder in front of the same server.
 
     Prints medians over the turns; the two run in turns, so that they see the same state of the machine.
     """
--- a/tulipnotch/load_balancing/retries/idempotency_rule.py
+++ b/tulipnotch/load_balancing/retries/idempotency_rule.py
@@ -19,7 +19,7 @@
 
 
 class Locality(Protocol):
-    """A location in the endpoint list."""
+    """Where an endpoint or an attempt runs: its zone and cell in the endpoint list."""
 
     @property
     def zone(self) -> str:
@@ -31,7 +31,7 @@
 
 
 class PriorAttempt(Locality, Protocol):
-    """An earlier attempt of the same request, with the properties that restrict further attempts."""
+    """Another attempt of the same request, with the properties that restrict further attempts."""
 
     @property
     def may_have_run(self) -> bool:
--- a/tulipnotch/sidecar/discovery/client.py
+++ b/tulipnotch/sidecar/discovery/client.py
@@ -30,7 +30,7 @@
         ...
 
     def fault_changed(self, fault: str) -> None:
-        """Handles the cause of a failed call; further calls that fail for the same cause are not reported."""
+        """Handles the cause of a failed call; not repeated while further calls fail for the same cause."""
         ...
 
 
@@ -189,7 +189,7 @@
         self._fault = None
 
     def watch_failed(self, error: DiscoveryError) -> None:
-        """Reports the cause; the failed call too where lists are polled, since the observer awaits it."""
+        """Reports the cause and, where lists are polled, the failed call, whose end the observer awaits."""
         self._report_fault(error)
         if not self._is_pushed:
             self._observer.call_failed()
@@ -205,7 +205,8 @@
 
         A fetch and a watch run concurrently, and the call that started first may end last.  If another
         response was applied since the call started, a lower version is stale and must not replace the newer
-        list.  If none was, it is from a discovery server that was restarted and counts its versions anew.
+        list.  If none was, the lower version is from a discovery server that was restarted and counts its
+        versions from the start again.
         """
         if revision != self._revision and self._version is not None and response.version < self._version:
             response = DiscoveryResponse(self._version, is_complete=False, endpoints=())
--- a/tulipnotch/sidecar/discovery/watch.py
+++ b/tulipnotch/sidecar/discovery/watch.py
@@ -41,7 +41,7 @@
     """The slots of one instance in the poll schedule of its fleet, by the sidecar's clock."""
 
     def __init__(self, schedule: PollSchedule, instance: int) -> None:
-        """Derives the slots from `instance`, the number in the fleet, so that those of a fleet are spread."""
+        """Derives the slots from `instance`, the number in the fleet; this spreads the calls of a fleet."""
         self.schedule = schedule
         self._instance = instance
         self._clock = Clock()
@@ -69,7 +69,7 @@
         ...
 
     def start_call(self, connection: DiscoveryConnection | None, wait_ms: int) -> DiscoveryCall:
-        """Starts a call for the changes since the known version; None: on a new connection."""
+        """Starts a call for the changes since the known version; `connection` None means a new connection."""
         ...
 
     def watch_responded(self, call: DiscoveryCall, response: DiscoveryResponse, *, is_update: bool) -> None:
@@ -90,7 +90,7 @@
         self._slots = slots
         self._schedule = slots.schedule
         self._call_started_at = 0.0  # start of the last call, in the event loop's time (s)
-        self._time_until_initial_slot_s = 0.0  # as it was when the last call started
+        self._time_until_initial_slot_s = 0.0  # measured when the last call started
         # Whether the first response since the start or a failure, which waits for no change, is still due.
         self.is_initial_response_pending = True
         self.task = asyncio.create_task(self._run())
@@ -157,7 +157,7 @@
                     call.connection.close()
                     if not calls or not isinstance(error, DiscoveryError):
                         raise error
-                    # The other calls may have hung since before discovery could be reached.
+                    # Allows one more, as the other calls may have hung since before discovery was reachable.
                     remaining_early_hedges += 1
                 if not done:
                     remaining_early_hedges -= 1
