--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements of the program; none of them runs in CI."""
+"""Measurements of the program, which do not run in CI."""
--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -39,20 +39,20 @@
     "settings": {"lanes": [{"name": "look", "giveUpUs": 1_500_000, "promiseUs": 600_000,
                             "repeat": "read_like"}], "discovery": "on_request"},
 }  # fmt: skip
-_READY_TEXT = "serves on"  # in the log line of a sidecar that is ready
+_READY_TEXT = "serves on"  # part of the log line that reports readiness
 _SEPARATOR = "--"
 
 
 @dataclass(frozen=True, slots=True)
 class StartMeasurement:
-    """One start: time to ready in milliseconds, and resident memory then in kB."""
+    """One start: the time to ready in milliseconds, and the resident memory at that time in kB."""
 
     ready_ms: float
     resident_kb: int
 
 
 def measure_start(command: Sequence[str], configuration: Path) -> StartMeasurement:
-    """Start a sidecar once and kill it; ClickException if it reports no readiness in its first line."""
+    """Starts a sidecar and kills it; raises ClickException unless its first log line reports readiness."""
     started_at = time.perf_counter()
     environment = {**os.environ, "BALANCER_CONFIG": str(configuration)}
     with subprocess.Popen(command, env=environment, stderr=subprocess.PIPE, text=True) as process:
@@ -60,7 +60,9 @@
         ready_ms = (time.perf_counter() - started_at) * 1e3
         try:
             if _READY_TEXT not in first_line:
-                raise click.ClickException(f"{' '.join(command)} is not ready: {first_line.strip()}")
+                raise click.ClickException(
+                    f"{' '.join(command)} is not ready; its first line is: {first_line.strip()}"
+                )
             return StartMeasurement(ready_ms, _resident_kb(process.pid))
         finally:
             process.send_signal(signal.SIGKILL)
@@ -72,7 +74,7 @@
 
 
 def split_commands(arguments: Iterable[str]) -> list[list[str]]:
-    """The commands that stand between separators; ClickException if one of them is empty."""
+    """Returns the commands between separators; raises ClickException if one of them is empty."""
     commands: list[list[str]] = [[]]
     for argument in arguments:
         if argument == _SEPARATOR:
@@ -80,7 +82,7 @@
         else:
             commands[-1].append(argument)
     if not all(commands):
-        raise click.UsageError("a command is empty")
+        raise click.UsageError("there is no command between two separators")
     return commands
 
 
@@ -93,7 +95,7 @@
 @click.option("--runs", type=click.IntRange(1), default=15, show_default=True, help="Starts of each command.")
 @click.argument("commands", nargs=-1, required=True, type=click.UNPROCESSED)
 def main(runs: int, commands: tuple[str, ...]) -> None:
-    """Measure each command in turn and print its figures."""
+    """Measure each command in turn, and print the results."""
     command_lines = split_commands(commands)
     measurements: list[list[StartMeasurement]] = [[] for _ in command_lines]
     with tempfile.TemporaryDirectory() as folder:
--- a/tulipnotch/lab/__init__.py
+++ b/tulipnotch/lab/__init__.py
@@ -1,1 +1,1 @@
-"""A laboratory: a model of what the sidecar serves, in virtual and in real time."""
+"""The laboratory: simulates the platform around the sidecar, in virtual and in real time."""
--- a/tulipnotch/lab/directory.py
+++ b/tulipnotch/lab/directory.py
@@ -23,16 +23,16 @@
     Attributes:
         name: The server's name.
         zone: Its zone.
-        kind: The name of its kind of machine.
+        machine_type: The name of its type of machine.
         cell: The number of its cell.
         state: Its state.
-        started_at: When it started, microseconds; None: before the run.
+        started_at: When it started, microseconds from the start of the run; None if before it.
         version: The version of the list in which the entry last changed.
     """
 
     name: str
     zone: str
-    kind: str
+    machine_type: str
     cell: int
     state: ListedState = ListedState.ACTIVE
     started_at: int | None = None
@@ -43,12 +43,12 @@
     """Owns the list and its version; it has no knowledge of its subscribers."""
 
     def __init__(self, entries: list[DirectoryEntry]) -> None:
-        """Start with these entries, as version 1."""
+        """Starts with these entries, as version 1."""
         self.version = 1
         self._entries = {entry.name: entry for entry in entries}
 
     def update(self, name: str, state: ListedState, started_at: int | None = None) -> bool:
-        """Publish a server's state; return whether that changes the list."""
+        """Publishes a server's state; returns whether that changes the list."""
         entry = self._entries[name]
         if (entry.state, entry.started_at) == (state, started_at):
             return False
@@ -57,20 +57,20 @@
         return True
 
     def current(self) -> list[DirectoryEntry]:
-        """Return the complete list: all entries that are not removed."""
+        """Returns the complete list: all entries that are not removed."""
         return [entry for entry in self._entries.values() if entry.state is not ListedState.REMOVED]
 
     def changed_since(self, version: int) -> list[DirectoryEntry]:
-        """Return the entries that changed after this version, removed ones included."""
+        """Returns the entries that changed after this version, removed ones included."""
         return [entry for entry in self._entries.values() if entry.version > version]
 
     def entry(self, name: str) -> DirectoryEntry:
-        """Return the entry of a server, also if it is removed."""
+        """Returns the entry of a server, also if it is removed."""
         return self._entries[name]
 
 
 def to_discovery_json(entry: DirectoryEntry, address: str, epoch_us: int) -> dict[str, Any]:
-    """Return the entry in the form of discovery's JSON.
+    """Returns the entry in the form of discovery's JSON.
 
     Args:
         entry: The entry.
@@ -79,6 +79,6 @@
     """
     started_ms = (entry.started_at + epoch_us) // 1_000 if entry.started_at is not None else 0
     return {
-        "id": entry.name, "addr": address, "zone": entry.zone, "kind": entry.kind, "cell": entry.cell,
+        "id": entry.name, "addr": address, "zone": entry.zone, "kind": entry.machine_type, "cell": entry.cell,
         "state": entry.state.value, "weight": 1.0, "started_ms": started_ms,
     }  # fmt: skip
--- a/tulipnotch/lab/engine.py
+++ b/tulipnotch/lab/engine.py
@@ -20,24 +20,24 @@
     """
 
     def __init__(self, now: int = 0) -> None:
-        """Start at this time, with nothing scheduled."""
+        """Starts at this time, with nothing scheduled."""
         self.now = now
         self._scheduled: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
         self._sequence = 0  # orders calls that are due at the same time
 
     def call_at(self, when: int, callback: Callable[..., None], *args: Any) -> None:
-        """Schedule a call; a time in the past means now, after the calls that are due already."""
+        """Schedules a call; a time in the past means now, after the calls that are due already."""
         self._sequence += 1
         due_at = when if when > self.now else self.now
         heapq.heappush(self._scheduled, (due_at, self._sequence, callback, args))
 
     def call_later(self, delay_us: int, callback: Callable[..., None], *args: Any) -> None:
-        """Schedule a call after this delay."""
+        """Schedules a call after this delay."""
         self._sequence += 1
         heapq.heappush(self._scheduled, (self.now + delay_us, self._sequence, callback, args))
 
     def run(self, until: int) -> None:
-        """Run all calls due up to and including this time, and advance the clock to it."""
+        """Runs all calls due up to and including this time, and advances the clock to it."""
         scheduled, pop = self._scheduled, heapq.heappop
         while scheduled and scheduled[0][0] <= until:
             self.now, _, callback, args = pop(scheduled)
